--- a/crates/seamfront-core/tests/chains.rs
+++ b/crates/seamfront-core/tests/chains.rs
@@ -6,11 +6,12 @@
 
 use seamfront_core::types::*;
 use std::ops::Range;
-use world::{count, ms, pairs, Fault, Reached, Scale, World, SMALL};
+use world::script::{count, pairs, play as play_histories, Reached};
+use world::{ms, Fault, Scale, World, SMALL};
 
 /// Pipelines among the usual jobs, some of whose jobs are called off, with troubles.
 fn play(seeds: Range<u64>, faults: impl Fn(&mut World, i64)) -> Reached {
-    world::play(seeds, |w, troubles| {
+    play_histories(seeds, |w, troubles| {
         for k in 0..6 {
             let at = w.draw(1_000..60_000);
             let ids = w.pipeline(200 + 10 * k, at);
--- a/crates/seamfront-core/tests/meetings.rs
+++ b/crates/seamfront-core/tests/meetings.rs
@@ -5,7 +5,8 @@
 mod world;
 
 use seamfront_core::types::*;
-use world::{count, ms, play, Fault, World, NODES};
+use world::script::{count, play};
+use world::{ms, Fault, World, NODES};
 
 /// The seeded world's jobs, with something changed.
 fn submit(w: &mut World, n: u32, at: i64, change: impl Fn(&mut JobSpec)) {
@@ -337,5 +338,5 @@
 /// All kinds of troubles, drawn in pairs that overlap.
 #[test]
 fn troubles_in_pairs() {
-    play(1_400..1_440, world::pairs);
+    play(1_400..1_440, world::script::pairs);
 }
--- a/crates/seamfront-core/tests/rules.rs
+++ b/crates/seamfront-core/tests/rules.rs
@@ -5,7 +5,8 @@
 mod world;
 
 use seamfront_core::types::*;
-use world::{history, ms, Fault, World, NODES};
+use world::script::history;
+use world::{ms, Fault, World, NODES};
 
 fn random_faults(w: &mut World, troubles: i64) {
     for _ in 0..7 {
--- /dev/null
+++ b/crates/seamfront-core/tests/world/checks.rs
@@ -0,0 +1,156 @@
+//! Checks of the whole world: what is still owed at the end, who was not served, who is passed over.
+
+use super::*;
+
+impl World {
+    /// What is still owed once everything has been quiet for long.
+    pub fn owed(&self) -> Vec<String> {
+        let mut owed = Vec::new();
+        for id in &self.accepted {
+            let spec = &self.truth.jobs[id];
+            let done = self.truth.completed.get(id).map_or(0, |c| c.len() as u32) == spec.tasks;
+            let over = self.told.contains_key(id);
+            match spec.kind {
+                Kind::Service if self.wants_cancel.contains(id) && !over => owed.push(format!("{id} not cancelled")),
+                Kind::Service if !self.wants_cancel.contains(id) => {
+                    let up = self.truth.workers.values().filter(|w| !w.dead);
+                    let running = up
+                        .flat_map(|w| w.tasks.iter())
+                        .filter(|(k, t)| k.job == *id && t.state == TaskState::Running)
+                        .count();
+                    if running as u32 != spec.tasks {
+                        owed.push(format!("{id}: {running} of {} replicas run", spec.tasks));
+                    }
+                }
+                _ if !over => owed.push(format!("{id} {:?} not over (done {done}): {spec:?}", spec.kind)),
+                _ => {}
+            }
+        }
+        owed
+    }
+
+    /// Classes, teams and the largest jobs of each class that were not served as the operators ask:
+    /// at least half of each, and the largest begun within four minutes.
+    pub fn not_served(&self) -> Vec<String> {
+        let asked = |id: &&JobId| {
+            let wanted = !self.wants_cancel.contains(*id) && self.truth.called_off(id).is_none();
+            wanted || self.truth.began.contains_key(*id)
+        };
+        let mut groups: BTreeMap<String, (u32, u32)> = BTreeMap::new();
+        for id in self.accepted.iter().filter(asked) {
+            let spec = &self.truth.jobs[id];
+            // What waits for others may begin once the last of them is done.
+            let ready = spec.needs.iter().filter_map(|n| self.ended.get(n)).max().copied().unwrap_or(Micros::ZERO);
+            let began = self.truth.began.get(id).map(|t| *t - ready.max(self.submitted[id]));
+            let largest = self.accepted.iter().map(|j| &self.truth.jobs[j]).filter(|j| j.class == spec.class);
+            let size = |j: &JobSpec| i64::from(j.tasks) * j.need.cpus;
+            let largest = largest.map(size).max().unwrap_or(0);
+            let mut names = vec![format!("class {}", spec.class), format!("team {}", spec.team)];
+            let mut served = began.is_some();
+            if size(spec) * 4 >= largest * 3 {
+                served &= began.is_some_and(|d| d <= ms(240_000));
+                names.push(format!("largest of {}", spec.class));
+            }
+            for n in names {
+                let g = groups.entry(n).or_default();
+                *g = (g.0 + u32::from(served), g.1 + 1);
+            }
+        }
+        groups
+            .into_iter()
+            .filter(|(_, (served, all))| served * 2 < *all)
+            .map(|(n, (served, all))| format!("{n}: {served} of {all}"))
+            .collect()
+    }
+
+    pub fn accepted(&self) -> usize {
+        self.accepted.len()
+    }
+
+    pub(super) fn watch_ends(&mut self) {
+        let over = |(id, done): (&JobId, &BTreeSet<u32>)| done.len() as u32 == self.truth.jobs[id].tasks;
+        let ended: Vec<JobId> = self
+            .truth
+            .completed
+            .iter()
+            .filter(|c| !self.ended.contains_key(c.0) && over(*c))
+            .map(|c| c.0.clone())
+            .collect();
+        for job in ended {
+            self.ended.insert(job.clone(), self.now);
+            if self.now < self.meet_ends && self.accepted.contains(&job) && !self.told.contains_key(&job) {
+                self.reach("a cancellation, a question and a submission met a job's end");
+                self.wants_cancel.insert(job.clone());
+                for k in 0..4 {
+                    let d = ms(self.rng.random_range(0..500));
+                    self.after(d, Event::Cancel { job: job.clone() });
+                    let event =
+                        if k == 0 { Event::Submit { job: job.clone() } } else { Event::Poll { job: job.clone() } };
+                    let d = ms(self.rng.random_range(0..500));
+                    self.after(d, event);
+                }
+            }
+        }
+    }
+
+    pub(super) fn watch_leader(&mut self) {
+        let version = self.store.keys.get("leader").map(|v| v.1);
+        if version.is_some() && self.led_by != version {
+            self.led_by = version;
+            self.reach("leadership was taken");
+        }
+    }
+
+    /// Once the troubles are over, no job is left waiting for 90 s while a machine that fits has room and
+    /// its team is under its limit. Gangs that need several places at once are not judged.
+    pub(super) fn watch_waiting(&mut self) {
+        let since = self.quiet_from + ms(30_000);
+        if self.now < since || self.now.0 / 100_000 % 10 != 0 {
+            return;
+        }
+        let mut used: BTreeMap<&str, Amounts> = BTreeMap::new();
+        let mut room: BTreeMap<&MachineId, Amounts> = BTreeMap::new();
+        let mut placed: BTreeMap<&JobId, u32> = BTreeMap::new();
+        for (id, w) in self.truth.workers.iter().filter(|(_, w)| !w.dead && w.up_at <= self.now) {
+            for (k, _) in w.tasks.iter().filter(|(_, t)| !matches!(t.state, TaskState::Exited(_))) {
+                let spec = &self.truth.jobs[&k.job];
+                used.entry(&spec.team).or_default().add(spec.need);
+                *placed.entry(&k.job).or_default() += 1;
+            }
+            room.insert(id, w.free(&self.truth.jobs));
+        }
+        let mut waits = BTreeSet::new();
+        let wanted = |id: &&JobId| !self.wants_cancel.contains(*id) && !self.told.contains_key(*id);
+        for id in self.accepted.iter().filter(wanted) {
+            let spec = &self.truth.jobs[id];
+            if spec.needs.iter().any(|n| !self.ended.contains_key(n)) {
+                continue;
+            }
+            let done = self.truth.completed.get(id).map_or(0, |c| c.len() as u32);
+            let whole = spec.kind == Kind::Gang && spec.tasks > 1;
+            if whole || spec.one_zone || spec.spread || done + placed.get(id).copied().unwrap_or(0) >= spec.tasks {
+                continue;
+            }
+            let team = self.truth.teams.iter().find(|t| t.name == spec.team).unwrap();
+            let mut sum = used.get(spec.team.as_str()).copied().unwrap_or_default();
+            sum.add(spec.need);
+            let under = team.limit.cpus == 0 || sum.cpus <= team.limit.cpus;
+            let fits = |m: &MachineId, free: &Amounts| {
+                let w = &self.truth.workers[m];
+                spec.allows(&w.kind, &w.zone, w.spot) && free.fits(spec.need) > 0 && w.notice_at.is_none()
+            };
+            for (m, _) in room.iter().filter(|(m, free)| under && fits(m, free)) {
+                waits.insert((id.clone(), (*m).clone()));
+            }
+        }
+        self.passed_over.retain(|id, _| waits.contains(id));
+        for (id, m) in waits {
+            let since = *self.passed_over.entry((id.clone(), m.clone())).or_insert(self.now);
+            if self.now - since > ms(90_000) {
+                let spec = &self.truth.jobs[&id];
+                let t = self.now.as_secs_decimal();
+                self.truth.broken.push(format!("{t:.3} left waiting for 90 s though {m} has room: {spec:?}"));
+            }
+        }
+    }
+}
--- /dev/null
+++ b/crates/seamfront-core/tests/world/cloud.rs
@@ -0,0 +1,73 @@
+//! Stand-in for the cloud that rents and deletes machines.
+
+use super::*;
+
+impl World {
+    pub(super) fn cloud(&mut self, node: usize, life: u64, call: CallId, request: CloudCall, late: bool) {
+        if !late && (self.cloud_outage > self.now || self.lost()) {
+            if self.cloud_outage <= self.now {
+                let d = ms(self.rng.random_range(100..30_000));
+                self.after(d, Event::Cloud { node, life, call, request, late: true });
+            }
+            return self.tell(node, life, Command::Cloud { call, reply: CloudReply::Failed });
+        }
+        let reply = match request {
+            CloudCall::Types => CloudReply::Types(machine_types()),
+            CloudCall::Rent { name, kind, zone, spot, count } => {
+                if let Some(ids) = self.rented.get(&name) {
+                    CloudReply::Rented(ids.clone())
+                } else if self.truth.workers.values().filter(|w| !w.dead).count() > self.scale.most
+                    || self.rng.random_range(0..5) == 0
+                {
+                    CloudReply::NoCapacity
+                } else {
+                    let mut ids = Vec::new();
+                    for _ in 0..count.min(4) {
+                        let boot = ms(self.rng.random_range(500..9_000));
+                        ids.push(self.rent(&kind, &zone, spot, boot));
+                    }
+                    self.rented.insert(name, ids.clone());
+                    CloudReply::Rented(ids)
+                }
+            }
+            CloudCall::Delete { machines } => {
+                for id in machines {
+                    if let Some(w) = self.truth.workers.get_mut(&id) {
+                        // One that comes back just as it is given up is bad luck and no mistake.
+                        let heard = self.now - w.lease_from < ms(3_000) && self.now - w.steady_from > ms(5_000);
+                        let runs = w.tasks.values().any(|t| t.on_machine());
+                        if !w.dead && heard && runs && w.notice_at.is_none() {
+                            let t = self.now.as_secs_decimal();
+                            self.truth
+                                .broken
+                                .push(format!("{t:.3} {id} was returned under its tasks, though heard of"));
+                        }
+                        w.dead = true;
+                    }
+                }
+                CloudReply::Deleted
+            }
+            CloudCall::List { .. } => {
+                let lag = self.settings.list_lag;
+                let machines = self
+                    .truth
+                    .workers
+                    .iter()
+                    .filter(|(_, w)| !w.dead && (w.up_at + lag < self.now || w.up_at == ms(1)))
+                    .map(|(id, w)| Listed {
+                        id: id.clone(),
+                        kind: w.kind.clone(),
+                        zone: w.zone.clone(),
+                        spot: w.spot,
+                        state: ListedState::Running,
+                        age: self.now - w.up_at,
+                    })
+                    .collect();
+                CloudReply::Page { machines, more: false }
+            }
+        };
+        if !late {
+            self.tell(node, life, Command::Cloud { call, reply });
+        }
+    }
+}
--- /dev/null
+++ b/crates/seamfront-core/tests/world/faults.rs
@@ -0,0 +1,304 @@
+//! Faults: what can go wrong in a run, and how each is brought about.
+
+use super::*;
+
+/// What can go wrong; each is drawn by the seed and ends by itself.
+#[derive(Clone, Debug)]
+pub enum Fault {
+    Crash {
+        nodes: Vec<usize>,
+        back: Micros,
+    },
+    Outage {
+        until: Micros,
+    },
+    Refused {
+        node: usize,
+        until: Micros,
+    },
+    CutState {
+        node: usize,
+        until: Micros,
+        hold: bool,
+    },
+    CutWorkers {
+        node: usize,
+        until: Micros,
+        hold: bool,
+    },
+    CutMesh {
+        node: usize,
+        until: Micros,
+    },
+    /// Between one node and some machines only: they go to another node, the rest stays.
+    CutLinks {
+        node: usize,
+        count: usize,
+        until: Micros,
+    },
+    CloudOutage {
+        until: Micros,
+    },
+    Die {
+        count: usize,
+    },
+    Hang {
+        count: usize,
+        lasts: Micros,
+    },
+    CutMachines {
+        count: usize,
+        lasts: Micros,
+    },
+    Notice {
+        count: usize,
+    },
+    /// Their reports arrive; answers and commands don't reach them.
+    Deafen {
+        count: usize,
+        lasts: Micros,
+    },
+    /// Reports sent until then are delivered again later, to any controller.
+    Copies {
+        until: Micros,
+    },
+    /// Down and back at once: what ran is gone.
+    Blink {
+        count: usize,
+    },
+    /// A part of the transactions gets no answer and is carried out 2 to 12 s later, after newer ones.
+    LateWrites {
+        until: Micros,
+    },
+    /// These reach no controller; commands reach them.
+    Mute {
+        count: usize,
+        lasts: Micros,
+    },
+    /// Answers and commands to workers take seconds.
+    HoldAnswers {
+        until: Micros,
+    },
+    /// The controller stands still while its clocks run on.
+    Stall {
+        node: usize,
+        until: Micros,
+    },
+    /// It computes several times slower: whatever reaches it waits.
+    SlowNode {
+        node: usize,
+        until: Micros,
+    },
+    /// The state service takes up to seconds to answer.
+    SlowState {
+        until: Micros,
+    },
+    /// All machines of a zone and one controller hear one another and nobody else.
+    CutZone {
+        zone: &'static str,
+        node: usize,
+        until: Micros,
+    },
+    /// Whoever holds this claim then.
+    CrashHolder {
+        claim: &'static str,
+        back: Micros,
+    },
+    /// The state service refuses the claim's holder alone.
+    RefuseHolder {
+        claim: &'static str,
+        until: Micros,
+    },
+    /// The claim's holder loses the state service and the other controllers, not its workers or users.
+    IsolateHolder {
+        claim: &'static str,
+        until: Micros,
+    },
+    /// Users call off that many jobs that run, at whatever controllers; some of their machines hang then.
+    CancelNow {
+        count: usize,
+        hang: Micros,
+    },
+    /// Jobs that end are called off, asked about and submitted again in that moment.
+    MeetEnds {
+        until: Micros,
+    },
+    /// Unfinished jobs are submitted again, done ones cancelled, impossible ones submitted.
+    OddRequests {
+        until: Micros,
+    },
+}
+
+impl World {
+    pub(super) fn some_machines(&mut self, count: usize) -> Vec<MachineId> {
+        let up: Vec<MachineId> =
+            self.truth.workers.iter().filter(|(_, w)| !w.dead && w.up_at <= self.now).map(|w| w.0.clone()).collect();
+        (0..count.min(up.len())).map(|_| up[self.rng.random_range(0..up.len())].clone()).collect()
+    }
+
+    /// In what state of things a controller ends.
+    pub(super) fn note_crash(&mut self) {
+        let now = self.now;
+        let up = || self.truth.workers.iter().filter(|(_, w)| !w.dead);
+        let apart = |id: &MachineId| self.hears_nothing(id) || self.cut_machines.get(id).is_some_and(|t| *t > now);
+        let out_of_reach = up().any(|(id, w)| apart(id) && w.tasks.values().any(|t| t.on_machine()));
+        let mut used: BTreeMap<&str, i64> = BTreeMap::new();
+        for (_, w) in up() {
+            for (k, _) in w.tasks.iter().filter(|(_, t)| t.on_machine()) {
+                let spec = &self.truth.jobs[&k.job];
+                *used.entry(&spec.team).or_default() += spec.need.cpus;
+            }
+        }
+        // Nothing more of the smallest size fits in.
+        let full = |t: &&Team| t.limit.cpus > 0 && used.get(t.name.as_str()).is_some_and(|u| u + 1_000 > t.limit.cpus);
+        let at_limit = self.truth.teams.iter().any(|t| full(&t));
+        let halfway = self.truth.completed.iter().any(|(id, done)| {
+            let n = self.truth.jobs[id].tasks;
+            (2..=3).contains(&n) && (done.len() as u32) < n && !self.told.contains_key(id)
+        });
+        if out_of_reach {
+            self.reach("a controller ended while machines with tasks were out of reach");
+        }
+        if at_limit {
+            self.reach("a team stood at its limit as a controller ended");
+        }
+        if halfway {
+            self.reach("a controller ended between the ends of a small job's tasks");
+        }
+    }
+
+    pub(super) fn strike(&mut self, f: Fault) {
+        match f {
+            Fault::Crash { nodes, back } => {
+                self.note_crash();
+                for node in nodes {
+                    self.nodes[node].engine = None;
+                    self.nodes[node].life += 1;
+                    self.after(back, Event::Boot { node });
+                }
+            }
+            Fault::Outage { until } => {
+                self.outage = until;
+                // Leases stand still: as far as they go, the outage did not happen.
+                let store = &mut self.store;
+                store.refresh(until);
+            }
+            Fault::Refused { node, until } => self.nodes[node].refused = until,
+            Fault::CutState { node, until, hold } => self.nodes[node].cut_state = (until, hold),
+            Fault::CutWorkers { node, until, hold } => self.nodes[node].cut_workers = (until, hold),
+            Fault::CutMesh { node, until } => self.nodes[node].cut_mesh = until,
+            Fault::CutLinks { node, count, until } => {
+                for id in self.some_machines(count) {
+                    self.cut_links.insert((node, id), until);
+                }
+            }
+            Fault::CloudOutage { until } => self.cloud_outage = until,
+            Fault::Die { count } => {
+                for id in self.some_machines(count) {
+                    let bound =
+                        |k: &TaskKey| self.truth.jobs[&k.job].one_zone || self.truth.jobs[&k.job].zone.is_some();
+                    if self.truth.workers[&id].tasks.keys().any(bound) {
+                        self.reach("a job bound to one zone lost a machine");
+                    }
+                    self.truth.workers.get_mut(&id).unwrap().dead = true;
+                }
+            }
+            Fault::Hang { count, lasts } => {
+                let until = self.now + lasts;
+                for id in self.some_machines(count) {
+                    self.truth.workers.get_mut(&id).unwrap().hung_until = until;
+                }
+            }
+            Fault::CutMachines { count, lasts } => {
+                let until = self.now + lasts;
+                for id in self.some_machines(count) {
+                    self.cut_machines.insert(id, until);
+                }
+            }
+            Fault::Deafen { count, lasts } => {
+                let until = self.now + lasts;
+                for id in self.some_machines(count) {
+                    self.deaf.insert(id, until);
+                }
+            }
+            Fault::Copies { until } => self.copies = until,
+            Fault::LateWrites { until } => self.late_writes = until,
+            Fault::HoldAnswers { until } => self.hold_answers = until,
+            Fault::Stall { node, until } => self.nodes[node].stalled = until,
+            Fault::SlowNode { node, until } => self.nodes[node].slow = until,
+            Fault::SlowState { until } => self.slow_state = until,
+            Fault::MeetEnds { until } => self.meet_ends = until,
+            Fault::OddRequests { until } => {
+                self.odd_requests = until;
+                self.at(self.now, Event::OddRequests);
+            }
+            Fault::Mute { count, lasts } => {
+                let until = self.now + lasts;
+                for id in self.some_machines(count) {
+                    self.mute.insert(id, until);
+                }
+            }
+            Fault::CutZone { zone, node, until } => {
+                (self.nodes[node].cut_state, self.nodes[node].cut_mesh) = ((until, true), until);
+                let zones: Vec<(MachineId, bool)> =
+                    self.truth.workers.iter().map(|(id, w)| (id.clone(), w.zone == zone)).collect();
+                for (id, inside) in zones {
+                    for k in (0..self.scale.nodes).filter(|k| (*k == node) != inside) {
+                        self.cut_links.insert((k, id.clone()), until);
+                    }
+                }
+            }
+            Fault::CrashHolder { claim, back } => {
+                if let Some(node) = self.holder(claim) {
+                    self.strike(Fault::Crash { nodes: vec![node], back });
+                }
+            }
+            Fault::RefuseHolder { claim, until } => {
+                if let Some(node) = self.holder(claim) {
+                    self.strike(Fault::Refused { node, until });
+                }
+            }
+            Fault::IsolateHolder { claim, until } => {
+                if let Some(node) = self.holder(claim) {
+                    self.strike(Fault::CutState { node, until, hold: true });
+                    self.strike(Fault::CutMesh { node, until });
+                }
+            }
+            Fault::CancelNow { count, hang } => {
+                let mut running: BTreeMap<JobId, Vec<MachineId>> = BTreeMap::new();
+                for (id, w) in self.truth.workers.iter().filter(|(_, w)| !w.dead) {
+                    for (k, _) in w.tasks.iter().filter(|(_, t)| t.on_machine()) {
+                        running.entry(k.job.clone()).or_default().push(id.clone());
+                    }
+                }
+                running.retain(|job, _| !self.wants_cancel.contains(job));
+                for (job, on) in running.into_iter().take(count) {
+                    self.wants_cancel.insert(job.clone());
+                    // Asked of several controllers at once: one of them may be refused by the store.
+                    for k in 0..4 {
+                        self.after(ms(40 * k), Event::Cancel { job: job.clone() });
+                    }
+                    for id in on.into_iter().filter(|_| hang > Micros::ZERO).take(2) {
+                        self.reach("a machine hung as its job was cancelled");
+                        self.truth.workers.get_mut(&id).unwrap().hung_until = self.now + ms(150) + hang;
+                    }
+                }
+            }
+            Fault::Blink { count } => {
+                let now = self.now;
+                for id in self.some_machines(count) {
+                    let w = self.truth.workers.get_mut(&id).unwrap();
+                    w.session += 1;
+                    w.tasks.clear();
+                    (w.lease_from, w.in_flight) = (now, None);
+                }
+            }
+            Fault::Notice { count } => {
+                let at = self.now + ms(8_000);
+                for id in self.some_machines(count) {
+                    self.truth.workers.get_mut(&id).unwrap().notice_at = Some(at);
+                }
+            }
+        }
+    }
+}
--- /dev/null
+++ b/crates/seamfront-core/tests/world/network.rs
@@ -0,0 +1,248 @@
+//! Between controllers and workers: reports, their answers, and direct commands.
+
+use super::*;
+
+impl World {
+    pub(super) fn hello_answer(&mut self, node: usize, life: u64, to: ReplyTo, answer: HelloAnswer) {
+        let Some((Asked::Hello { machine, session, seq, sent }, _)) = self.asked.remove(&(node, life, to)) else {
+            return;
+        };
+        let (until, hold) = self.nodes[node].cut_workers;
+        let mut d = self.delay();
+        if until > self.now {
+            if !hold {
+                return;
+            }
+            d = until - self.now + d;
+        }
+        d += self.held_answer();
+        if !self.lost() {
+            self.after(d, Event::Answered { machine, session, seq, sent, node, answer });
+        }
+    }
+
+    /// Some answers and commands to workers are held up, a few for longer than workers wait for them.
+    pub(super) fn held_answer(&mut self) -> Micros {
+        if self.now < self.hold_answers && self.rng.random_range(0..2) == 0 {
+            return ms(self.rng.random_range(500..6_000));
+        }
+        Micros::ZERO
+    }
+
+    pub(super) fn unreachable(&self, node: usize, id: &MachineId) -> bool {
+        let link = self.cut_links.get(&(node, id.clone()));
+        link.or(self.cut_machines.get(id)).is_some_and(|t| *t > self.now)
+    }
+
+    pub(super) fn mute(&self, id: &MachineId) -> bool {
+        self.mute.get(id).is_some_and(|t| *t > self.now)
+    }
+
+    pub(super) fn hears_nothing(&self, id: &MachineId) -> bool {
+        self.deaf.get(id).is_some_and(|t| *t > self.now)
+    }
+
+    /// The next report goes out then, or earlier if that was due already.
+    pub(super) fn report_in(&mut self, id: &MachineId, d: Micros) {
+        let t = self.now + d;
+        let w = self.truth.workers.get_mut(id).unwrap();
+        w.next_report = w.next_report.min(t);
+        if w.next_report <= self.now {
+            w.next_report = t;
+        }
+        let at = w.next_report;
+        self.at(at, Event::Hello { machine: id.clone() });
+    }
+
+    pub(super) fn hello(&mut self, id: MachineId) {
+        let Some(w) = self.truth.workers.get(&id) else { return };
+        if w.dead {
+            return;
+        }
+        if self.now < w.next_report {
+            // An earlier one took its place.
+            return;
+        }
+        if w.hung_until > self.now {
+            let d = w.hung_until - self.now + ms(10);
+            return self.report_in(&id, d);
+        }
+        let period = ms(self.rng.random_range(750 * self.scale.times.0..1_250 * self.scale.times.0));
+        self.truth.workers.get_mut(&id).unwrap().next_report = Micros::MAX;
+        self.report_in(&id, period);
+        let w = &self.truth.workers[&id];
+        if let Some((_, sent)) = w.in_flight {
+            if self.now - sent < ms(4_000) {
+                return;
+            }
+            let w = self.truth.workers.get_mut(&id).unwrap();
+            w.target = (w.target + 1) % self.scale.nodes;
+        }
+        let report = self.truth.report(&id);
+        if self.now < self.copies && self.rng.random_range(0..4) == 0 {
+            // From seconds to well over a lease.
+            let late = ms(self.rng.random_range(1_000..30_000));
+            let node = self.rng.random_range(0..self.scale.nodes);
+            self.after(late, Event::Copy { node, sent: self.now, report: Box::new(report.clone()) });
+        }
+        let mute = self.mute(&id);
+        let w = self.truth.workers.get_mut(&id).unwrap();
+        w.in_flight = Some((report.seq, self.now));
+        let node = w.target;
+        if mute {
+            return;
+        }
+        let (until, hold) = self.nodes[node].cut_workers;
+        let mut d = self.delay();
+        if until > self.now || self.unreachable(node, &id) {
+            if !hold || self.unreachable(node, &id) {
+                return;
+            }
+            d = until - self.now + d;
+        }
+        if self.nodes[node].engine.is_none() {
+            let answer = HelloAnswer::Nothing;
+            let (session, seq, sent) = (report.session, report.seq, self.now);
+            return self.after(d, Event::Answered { machine: id, session, seq, sent, node, answer });
+        }
+        if self.lost() {
+            return;
+        }
+        self.next_reply += 1;
+        let (to, life) = (self.next_reply, self.nodes[node].life);
+        let asked = Asked::Hello { machine: id, session: report.session, seq: report.seq, sent: self.now };
+        self.asked.insert((node, life, to), (asked, self.now));
+        let command = Box::new(Command::Report { to, report: Box::new(report) });
+        let d = d + self.held_up(node);
+        self.after(d, Event::ToNode { node, life, command });
+    }
+
+    pub(super) fn answered(
+        &mut self,
+        id: MachineId,
+        session: u64,
+        seq: u64,
+        sent: Micros,
+        node: usize,
+        answer: HelloAnswer,
+    ) {
+        if self.unreachable(node, &id) || self.hears_nothing(&id) {
+            return;
+        }
+        let now = self.now;
+        let Some(w) = self.truth.workers.get_mut(&id) else { return };
+        if w.dead || w.hung_until > now || w.session != session || now - sent > ms(4_000) {
+            return;
+        }
+        if w.in_flight.is_none_or(|f| f.0 != seq) {
+            return;
+        }
+        w.in_flight = None;
+        match answer {
+            HelloAnswer::Orders(token, orders) => {
+                if token >= w.token {
+                    let changed = token > w.token;
+                    w.token = token;
+                    if sent - w.lease_from > ms(6_000) {
+                        w.steady_from = sent;
+                    }
+                    w.lease_from = sent;
+                    self.obey(&id, &orders);
+                    if changed {
+                        self.report_in(&id, ms(500));
+                    }
+                }
+            }
+            HelloAnswer::Elsewhere(Some(m)) if m != node => {
+                w.target = m;
+                self.report_in(&id, ms(200));
+            }
+            _ => {
+                w.target = (node + 1) % self.scale.nodes;
+                self.report_in(&id, ms(1_000));
+            }
+        }
+    }
+
+    pub(super) fn obey(&mut self, id: &MachineId, orders: &[Order]) {
+        let fetch = ms(self.rng.random_range(50..3_000));
+        self.truth.obey(self.now, id, orders, |_| (fetch, true));
+    }
+
+    pub(super) fn direct(
+        &mut self,
+        (node, life, call): (usize, u64, CallId),
+        id: MachineId,
+        session: u64,
+        token: u64,
+        orders: Vec<Order>,
+        late: bool,
+    ) {
+        let unknown = |w: &mut World| {
+            let command = Command::Direct { call, machine: id.clone(), outcome: DirectOutcome::Unknown };
+            w.after(ms(2_500), Event::ToNode { node, life, command: Box::new(command) });
+        };
+        let gone = self.truth.workers.get(&id).is_none_or(|w| w.dead);
+        let hung = self.truth.workers.get(&id).is_some_and(|w| w.hung_until > self.now);
+        let cut = self.nodes[node].cut_workers;
+        let blocked = cut.0 > self.now || self.unreachable(node, &id) || self.hears_nothing(&id) || hung;
+        if gone {
+            if !late {
+                unknown(self);
+            }
+            return;
+        }
+        if blocked || (!late && self.lost()) {
+            if !late {
+                unknown(self);
+            }
+            // Held back and carried out late, as long as token and session still match.
+            let most = if self.rng.random_range(0..3) == 0 { 25_000 } else { 4_500 };
+            let d = ms(self.rng.random_range(300..most));
+            return self.after(d, Event::Direct { node, life, call, machine: id, session, token, orders, late: true });
+        }
+        let mute = self.mute(&id);
+        let w = self.truth.workers.get_mut(&id).unwrap();
+        if token >= w.token && session == w.session {
+            w.token = token;
+            self.obey(&id, &orders);
+            if late {
+                self.reach("a command was carried out late");
+            }
+            if mute {
+                self.reach("a command was carried out by a machine that reaches no controller");
+            }
+        }
+        let report = self.truth.report(&id);
+        if !late {
+            let outcome = DirectOutcome::Settled { report: Box::new(report) };
+            self.tell(node, life, Command::Direct { call, machine: id, outcome });
+        }
+    }
+
+    pub(super) fn workers(&mut self) {
+        let span = self.rng.random_range(2_000..12_000);
+        let before = self.truth.leases_ended;
+        self.truth.advance(self.now, |_| ms(span));
+        if self.truth.leases_ended > before {
+            self.reach("a lease ended under running tasks");
+        }
+        let now = self.now;
+        let smallest = Amounts::needed(1.0, 0.0, 4.0);
+        let room = |w: &Worker| w.free(&self.truth.jobs).fits(smallest) > 0;
+        if !self.truth.workers.values().any(|w| !w.dead && w.up_at <= now && room(w)) {
+            self.reach("no machine had room");
+        }
+        for w in self.truth.workers.values_mut() {
+            if w.notice_at.is_some_and(|t| t < now) {
+                w.dead = true;
+            }
+        }
+        self.store.expire(now);
+        self.serve_watches();
+        self.watch_ends();
+        self.watch_leader();
+        self.watch_waiting();
+        self.after(ms(100), Event::Workers);
+    }
+}
--- /dev/null
+++ b/crates/seamfront-core/tests/world/script.rs
@@ -0,0 +1,169 @@
+//! What a run consists of: the jobs that users submit, the faults drawn, and how many seeds are played.
+
+use super::*;
+
+impl World {
+    pub fn job(&mut self, n: u32) -> JobSpec {
+        let kind = [Kind::Array, Kind::Array, Kind::Gang, Kind::Service][self.rng.random_range(0..4)];
+        let tasks = match kind {
+            Kind::Array => self.rng.random_range(1..14),
+            Kind::Gang => self.rng.random_range(1..4),
+            Kind::Service => self.rng.random_range(1..4),
+        };
+        let priorities = [Priority::Critical, Priority::Urgent, Priority::Normal, Priority::BestEffort];
+        let saves = self.rng.random_range(0..2) == 0;
+        JobSpec {
+            id: format!("j-{n:06}").as_str().into(),
+            class: format!("{kind:?}"),
+            team: ["a", "b", "c", "d"][self.rng.random_range(0..4)].into(),
+            kind,
+            priority: if kind == Kind::Service { Priority::Critical } else { priorities[self.rng.random_range(1..4)] },
+            tasks,
+            need: Amounts::needed(self.rng.random_range(1..4) as f64, 0.0, 4.0),
+            types: None,
+            zone: (self.rng.random_range(0..6) == 0).then(|| "x".into()),
+            one_zone: kind == Kind::Gang && self.rng.random_range(0..2) == 0,
+            spread: kind == Kind::Service && self.rng.random_range(0..2) == 0,
+            spot: kind != Kind::Service && self.rng.random_range(0..2) == 0,
+            image: format!("img-{}", self.rng.random_range(0..4)),
+            image_mb: self.rng.random_range(100..2_000),
+            estimate: ms(8_000),
+            checkpoint: if saves { ms(5_000) } else { Micros::ZERO },
+            save: if saves { ms(1_000) } else { Micros::ZERO },
+            deadline: (self.rng.random_range(0..3) == 0).then(|| ms(60_000)),
+            submitted: Micros::ZERO,
+            needs: vec![],
+            needs_parts: 0,
+        }
+    }
+
+    pub fn submit(&mut self, t: Micros, spec: JobSpec) {
+        let id = spec.id.clone();
+        self.truth.jobs.insert(id.clone(), spec);
+        self.at(t, Event::Submit { job: id });
+    }
+
+    /// A pipeline: one job, several that need it, a gang that needs all of these, and a last one. Returns their
+    /// names, the first one's first.
+    pub fn pipeline(&mut self, first: u32, at: i64) -> Vec<JobId> {
+        let mut ids: Vec<JobId> = Vec::new();
+        let wide = self.rng.random_range(1..4);
+        for step in 0..wide + 3 {
+            let mut spec = self.job(first + step);
+            (spec.one_zone, spec.spread) = (false, false);
+            spec.kind = if step == wide + 1 { Kind::Gang } else { Kind::Array };
+            spec.tasks = self.rng.random_range(1..4);
+            spec.class = format!("step {}", if step == 0 { 0 } else { 1 + step.saturating_sub(wide) });
+            spec.needs = match step {
+                0 => vec![],
+                s if s <= wide => vec![ids[0].clone()],
+                s if s == wide + 1 => ids[1..].to_vec(),
+                _ => vec![ids[ids.len() - 1].clone()],
+            };
+            let (id, later) = (spec.id.clone(), self.rng.random_range(0..3_000) * i64::from(step));
+            ids.push(id);
+            self.submit(ms(at + later), spec);
+        }
+        ids
+    }
+
+    pub fn cancel(&mut self, t: Micros, job: JobId) {
+        self.wants_cancel.insert(job.clone());
+        self.at(t, Event::Cancel { job });
+    }
+
+    pub fn fault(&mut self, t: Micros, fault: Fault) {
+        self.at(t, Event::Fault(fault));
+    }
+
+    pub fn draw(&mut self, n: std::ops::Range<i64>) -> i64 {
+        self.rng.random_range(n)
+    }
+}
+
+/// One history: a quiet start, then troubles, then time to get everything done.
+pub fn history(seed: u64, faults: impl Fn(&mut World, i64)) -> World {
+    // SEED=313 with --nocapture tells that history's story, as far as LOG_LEVEL says.
+    if std::env::var("SEED").is_ok_and(|s| s == seed.to_string()) {
+        let level = std::env::var("LOG_LEVEL").ok().and_then(|l| l.parse().ok()).unwrap_or(tracing::Level::DEBUG);
+        let _ = tracing_subscriber::fmt().with_max_level(level).without_time().with_ansi(false).try_init();
+    }
+    let mut w = World::new(seed);
+    let troubles = 90_000;
+    w.quiet_from = ms(troubles);
+    for n in 0..45 {
+        let spec = w.job(n);
+        let at = w.draw(500..troubles - 10_000);
+        let id = spec.id.clone();
+        let kind = spec.kind;
+        w.submit(ms(at), spec);
+        if kind == Kind::Service || w.draw(0..4) == 0 {
+            let later = w.draw(2_000..40_000);
+            w.cancel(ms(at + later), id);
+        }
+    }
+    faults(&mut w, troubles);
+    w.run_until(ms(troubles + 300_000));
+    assert!(w.truth.started > 20, "the run proves nothing: {} tasks started", w.truth.started);
+    assert!(w.accepted() >= 35, "only {} jobs were accepted", w.accepted());
+    let owed = w.owed();
+    assert!(owed.is_empty(), "seed {seed}: not done in the end: {owed:#?}");
+    let not_served = w.not_served();
+    assert!(not_served.is_empty(), "seed {seed}: not served: {not_served:#?}");
+    w
+}
+
+/// All kinds of troubles, drawn in pairs that overlap.
+pub fn pairs(w: &mut World, troubles: i64) {
+    w.fault(ms(3_000), Fault::MeetEnds { until: ms(troubles) });
+    for k in 0..4 {
+        for _ in 0..2 {
+            let at = 8_000 + 20_000 * k + w.draw(0..4_000);
+            let lasts = w.draw(2_000..24_000);
+            let until = ms((at + lasts).min(troubles));
+            let (node, claim) =
+                (w.draw(0..NODES as i64) as usize, ["leader", "share/0", "share/1", "share/2"][w.draw(0..4) as usize]);
+            let fault = match w.draw(0..18) {
+                0 => Fault::LateWrites { until },
+                1 => Fault::Mute { count: 3, lasts: ms(lasts) },
+                2 => Fault::HoldAnswers { until },
+                3 => Fault::Stall { node, until },
+                4 => Fault::SlowNode { node, until },
+                5 => Fault::SlowState { until },
+                6 => Fault::CutZone { zone: "x", node, until },
+                7 => Fault::CrashHolder { claim, back: ms(w.draw(50..6_000)) },
+                8 => Fault::RefuseHolder { claim, until },
+                9 => Fault::IsolateHolder { claim, until },
+                10 => Fault::CancelNow { count: 4, hang: ms(lasts / 2) },
+                11 => Fault::OddRequests { until },
+                12 => Fault::Copies { until: ms(at + 40_000) },
+                13 => Fault::Deafen { count: 3, lasts: ms(lasts) },
+                14 => Fault::Outage { until },
+                15 => Fault::Hang { count: 3, lasts: ms(lasts) },
+                16 => Fault::Blink { count: 2 },
+                _ => Fault::Crash { nodes: (0..NODES).collect(), back: ms(w.draw(200..16_000)) },
+            };
+            w.fault(ms(at), fault);
+        }
+    }
+}
+
+/// How often what a test is about happened.
+pub type Reached = BTreeMap<&'static str, u32>;
+
+/// Plays histories with several seeds; SOAK=20 plays twenty times as many.
+pub fn play(seeds: std::ops::Range<u64>, faults: impl Fn(&mut World, i64)) -> Reached {
+    let mut reached = Reached::new();
+    let soak = std::env::var("SOAK").ok().and_then(|n| n.parse().ok()).unwrap_or(1);
+    let more = (1..soak).flat_map(|k| seeds.clone().map(move |s| s + 10_000 * k));
+    for seed in seeds.clone().chain(more) {
+        for (what, n) in history(seed, &faults).reached {
+            *reached.entry(what).or_default() += n;
+        }
+    }
+    reached
+}
+
+pub fn count(reached: &Reached, what: &str) -> u32 {
+    reached.get(what).copied().unwrap_or(0)
+}
--- /dev/null
+++ b/crates/seamfront-core/tests/world/state_service.rs
@@ -0,0 +1,115 @@
+//! The way to the state service and back: delays, losses, outages, late transactions, open watches.
+
+use super::*;
+
+impl World {
+    pub(super) fn state(&mut self, node: usize, life: u64, call: CallId, request: StateCall, late: bool) {
+        let unknown = |w: &mut World| {
+            let command = Command::State { call, reply: StateReply::Unknown };
+            w.after(ms(1_500), Event::ToNode { node, life, command: Box::new(command) });
+        };
+        let n = &self.nodes[node];
+        let (until, hold) = n.cut_state;
+        if until > self.now {
+            if !late {
+                unknown(self);
+            }
+            if hold && !matches!(request, StateCall::Changes { .. }) {
+                let d = until - self.now + ms(1);
+                self.after(d, Event::State { node, life, call, request, late: true });
+            }
+            return;
+        }
+        if self.outage > self.now || n.refused > self.now {
+            if let (StateCall::Changes { hold, .. }, false) = (&request, late) {
+                if *hold > Micros::ZERO {
+                    let until = self.now + *hold;
+                    self.watches.push((node, life, call, request, until));
+                    return;
+                }
+            }
+            if !late {
+                self.tell(node, life, Command::State { call, reply: StateReply::Refused });
+            }
+            return;
+        }
+        let second = self.asked_of_store.entry(self.now.0 / 1_000_000).or_default();
+        second.0 += 1;
+        if let StateCall::Commit { apply, .. } = &request {
+            second.1 += apply.len() as u32;
+            if self.scale.machines >= LARGE {
+                let bytes = |w: &Write| match w {
+                    Write::Put { key, value, .. } => key.len() + value.to_string().len() + 40,
+                    Write::Delete { key } => key.len() + 20,
+                };
+                self.largest.1 = self.largest.1.max(apply.iter().map(bytes).sum());
+            }
+        }
+        self.store.expire(self.now);
+        let writes = matches!(&request, StateCall::Commit { apply, .. } if !apply.is_empty());
+        if !late && writes && self.now < self.late_writes && self.rng.random_range(0..4) == 0 {
+            unknown(self);
+            let d = ms(self.rng.random_range(2_000..12_000));
+            return self.after(d, Event::State { node, life, call, request, late: true });
+        }
+        if !late && self.lost() {
+            // Lost on the way there, or only its answer; now and then it is carried out much later.
+            unknown(self);
+            match self.rng.random_range(0..3) {
+                0 => return,
+                1 => {
+                    let d = ms(self.rng.random_range(100..40_000));
+                    return self.after(d, Event::State { node, life, call, request, late: true });
+                }
+                _ => {
+                    self.store.execute(self.now, &request);
+                    return self.serve_watches();
+                }
+            }
+        }
+        let reply = self.store.execute(self.now, &request);
+        if let (Some(StateReply::Committed { revision }), true) = (&reply, writes) {
+            if late && self.nodes[node].wrote > 0 {
+                self.reach("a late transaction was carried out after newer ones");
+            }
+            self.nodes[node].wrote = *revision;
+        } else if late && matches!(reply, Some(StateReply::Conflict { .. })) {
+            self.reach("a late transaction failed");
+        }
+        match reply {
+            Some(reply) if !late => self.tell(node, life, Command::State { call, reply }),
+            Some(_) => {}
+            None => {
+                if let StateCall::Changes { hold, .. } = &request {
+                    let until = self.now + *hold;
+                    self.watches.push((node, life, call, request, until));
+                }
+            }
+        }
+        self.serve_watches();
+    }
+
+    pub(super) fn serve_watches(&mut self) {
+        let watches = std::mem::take(&mut self.watches);
+        for (node, life, call, request, until) in watches {
+            let n = &self.nodes[node];
+            if n.life != life || n.engine.is_none() {
+                continue;
+            }
+            let away = self.outage > self.now || n.refused > self.now || n.cut_state.0 > self.now;
+            let StateCall::Changes { prefix, after, .. } = &request else { continue };
+            let now_or = StateCall::Changes {
+                prefix: prefix.clone(),
+                after: *after,
+                hold: if until <= self.now { Micros::ZERO } else { ms(1) },
+            };
+            match if away { None } else { self.store.execute(self.now, &now_or) } {
+                Some(reply) => self.tell(node, life, Command::State { call, reply }),
+                None if until + ms(2_000) < self.now => {
+                    self.tell(node, life, Command::State { call, reply: StateReply::Unknown })
+                }
+                None => self.watches.push((node, life, call, request, until)),
+            }
+        }
+    }
+}
--- /dev/null
+++ b/crates/seamfront-core/tests/world/users.rs
@@ -0,0 +1,149 @@
+//! Users: what they ask, and the rules on what they are told.
+
+use super::*;
+
+impl World {
+    pub(super) fn ask(&mut self, asked: Asked, command: impl FnOnce(ReplyTo) -> Command) {
+        let up: Vec<usize> = (0..self.scale.nodes).filter(|k| self.nodes[*k].engine.is_some()).collect();
+        let again = match &asked {
+            Asked::Submit { job } => Event::Submit { job: job.clone() },
+            Asked::Poll { job } => Event::Poll { job: job.clone() },
+            Asked::Cancel { job } => Event::Cancel { job: job.clone() },
+            Asked::Impossible => Event::OddRequests,
+            Asked::Hello { .. } => unreachable!("workers ask by themselves"),
+        };
+        if up.is_empty() {
+            return self.after(ms(1_500), again);
+        }
+        let node = up[self.rng.random_range(0..up.len())];
+        self.next_reply += 1;
+        let to = self.next_reply;
+        let life = self.nodes[node].life;
+        // Answers may be lost with a crash: then the user asks again.
+        let asks_again = !matches!(asked, Asked::Poll { .. }) || self.now < self.quiet_from + ms(100_000);
+        if asks_again && !matches!(asked, Asked::Impossible) {
+            self.after(ms(6_000), again);
+        }
+        self.asked.insert((node, life, to), (asked, self.now));
+        let d = self.delay() + self.held_up(node);
+        self.after(d, Event::ToNode { node, life, command: Box::new(command(to)) });
+    }
+
+    /// What users do though it makes no sense.
+    pub(super) fn odd_requests(&mut self) {
+        if self.now >= self.odd_requests {
+            return;
+        }
+        self.after(ms(700), Event::OddRequests);
+        let known: Vec<JobId> = self.accepted.iter().cloned().collect();
+        if known.is_empty() {
+            return;
+        }
+        let job = known[self.rng.random_range(0..known.len())].clone();
+        match self.told.get(&job) {
+            None => {
+                self.reach("an unfinished job was submitted again");
+                self.at(self.now, Event::Submit { job });
+            }
+            Some((ShownState::Done, _)) => {
+                self.reach("a job that is done was cancelled");
+                self.at(self.now, Event::Cancel { job });
+            }
+            Some(_) => self.at(self.now, Event::Submit { job }),
+        }
+        let n = self.rng.random_range(500_000..999_999);
+        let mut spec = self.job(n);
+        match self.rng.random_range(0..3) {
+            0 => spec.need = Amounts::needed(900.0, 0.0, 1.0),
+            1 => spec.team = "nobody".into(),
+            _ => spec.types = Some(vec!["none".into()]),
+        }
+        self.ask(Asked::Impossible, |to| Command::Submit { to, spec: Box::new(spec) });
+    }
+
+    /// An answer counts as older only if it was asked for after the newer one had been given.
+    pub(super) fn user_told(&mut self, asked: Asked, asked_at: Micros, answer: Answer) {
+        let (job, submit) = match asked {
+            Asked::Submit { job } => (job, true),
+            Asked::Poll { job } | Asked::Cancel { job } => (job, false),
+            Asked::Impossible => {
+                if matches!(answer, Answer::Status { .. } | Answer::NotFound) {
+                    self.truth.broken.push(format!("accepted though it can never run: {answer:?}"));
+                }
+                return;
+            }
+            Asked::Hello { .. } => return,
+        };
+        let mut bad = Vec::new();
+        // Once all troubles are over, an accepted job is answered for at least every 75 s.
+        if self.accepted.contains(&job) && !self.told.contains_key(&job) {
+            let last = self.answered.get(&job).copied().unwrap_or(Micros::ZERO).max(self.quiet_from);
+            if self.now - last > ms(75_000) {
+                bad.push(format!("forgotten: {job} was not answered for since {:.3}", last.as_secs_decimal()));
+            }
+            if !matches!(answer, Answer::Later { .. }) {
+                self.answered.insert(job.clone(), self.now);
+            }
+        }
+        match answer {
+            Answer::Status { state, .. } => {
+                if submit {
+                    if self.accepted.insert(job.clone()) {
+                        self.after(ms(3_000), Event::Poll { job: job.clone() });
+                    }
+                } else if !self.accepted.contains(&job) {
+                    bad.push(format!("invented: {job}"));
+                }
+                if let Some((old, since)) = self.told.get(&job) {
+                    let final_too = matches!(state, ShownState::Done | ShownState::Cancelled);
+                    if *old != state && (final_too || asked_at >= *since) {
+                        bad.push(format!("went_back: {job} from {old:?} to {state:?}"));
+                    }
+                }
+                let done = self.truth.completed.get(&job).map_or(0, |c| c.len() as u32);
+                if let Some(since) = self.truth.called_off(&job) {
+                    if state != ShownState::Cancelled && asked_at > since + self.settings.cancel {
+                        bad.push(format!("orphaned: {job} is called {state:?}"));
+                    }
+                    if state == ShownState::Cancelled {
+                        self.reach("a job was cancelled with one that it needs");
+                    }
+                }
+                match state {
+                    ShownState::Done => {
+                        if done < self.truth.jobs[&job].tasks {
+                            bad.push(format!("not_done: {job} with {done} tasks done"));
+                        }
+                        self.told.entry(job).or_insert((state, self.now));
+                    }
+                    ShownState::Cancelled => {
+                        if !self.wants_cancel.contains(&job) && !self.needs_unwanted(&job) {
+                            bad.push(format!("went_back: {job} cancelled by nobody"));
+                        }
+                        let runs = |w: &Worker| w.tasks.iter().any(|(k, t)| k.job == job && t.on_machine());
+                        let runs = self.truth.workers.values().any(|w| !w.dead && runs(w));
+                        if !self.truth.cancelled.contains_key(&job) && runs {
+                            let apart = |n: &Node| n.refused.max(n.cut_state.0) > self.now;
+                            if self.nodes.iter().any(apart) {
+                                self.reach("a running job was cancelled while a controller was refused");
+                            }
+                        }
+                        self.truth.cancelled.entry(job.clone()).or_insert(self.now);
+                        self.told.entry(job).or_insert((state, self.now));
+                    }
+                    _ => {}
+                }
+            }
+            Answer::NotFound | Answer::Impossible { .. } if self.accepted.contains(&job) => {
+                bad.push(format!("forgotten: {job}"))
+            }
+            _ => {}
+        }
+        self.truth.broken.extend(bad);
+    }
+
+    /// Whether users want a job cancelled that this one needs, directly or through others.
+    pub(super) fn needs_unwanted(&self, id: &JobId) -> bool {
+        self.truth.jobs[id].needs.iter().any(|n| self.wants_cancel.contains(n) || self.needs_unwanted(n))
+    }
+}
