--- a/crates/seamfront-core/tests/chains.rs
+++ b/crates/seamfront-core/tests/chains.rs
@@ -6,11 +6,11 @@
 
 use seamfront_core::types::*;
 use std::ops::Range;
-use world::script::{count, pairs, play as play_histories, Reached};
+use world::script::{count, pairs, play as play_histories, Coverage};
 use world::{ms, Fault, Scale, World, SMALL};
 
 /// Pipelines among the usual jobs, some of whose jobs are called off, with troubles.
-fn play(seeds: Range<u64>, faults: impl Fn(&mut World, i64)) -> Reached {
+fn play(seeds: Range<u64>, faults: impl Fn(&mut World, i64)) -> Coverage {
     play_histories(seeds, |w, troubles| {
         for k in 0..6 {
             let at = w.draw(1_000..60_000);
@@ -31,25 +31,25 @@
 /// nobody cancelled what needs a cancelled job (orphaned).
 #[test]
 fn chains_on_quiet_days() {
-    let reached = play(2_000..2_006, |_, _| {});
-    assert!(count(&reached, CALLED_OFF) > 3, "{reached:?}");
+    let coverage = play(2_000..2_006, |_, _| {});
+    assert!(count(&coverage, CALLED_OFF) > 3, "{coverage:?}");
 }
 
 #[test]
 fn chains_under_troubles_in_pairs() {
-    let reached = play(2_100..2_130, pairs);
-    assert!(count(&reached, CALLED_OFF) > 20, "{reached:?}");
+    let coverage = play(2_100..2_130, pairs);
+    assert!(count(&coverage, CALLED_OFF) > 20, "{coverage:?}");
 }
 
 /// The first jobs are called off as they end: `done` lets the rest go on, a cancellation ends it.
 #[test]
 fn a_cancellation_meets_the_end_of_what_others_need() {
-    let reached = play(2_200..2_210, |w, troubles| {
-        w.fault(ms(1_000), Fault::MeetEnds { until: ms(troubles) });
-        w.fault(ms(1_000), Fault::LateWrites { until: ms(40_000) });
+    let coverage = play(2_200..2_210, |w, troubles| {
+        w.fault(ms(1_000), Fault::CancelAtCompletion { until: ms(troubles) });
+        w.fault(ms(1_000), Fault::DelayWrites { until: ms(40_000) });
     });
-    assert!(count(&reached, "a cancellation, a question and a submission met a job's end") > 50, "{reached:?}");
-    assert!(count(&reached, CALLED_OFF) > 5, "{reached:?}");
+    assert!(count(&coverage, "a cancellation, a question and a submission met a job's end") > 50, "{coverage:?}");
+    assert!(count(&coverage, CALLED_OFF) > 5, "{coverage:?}");
 }
 
 fn gap(w: &mut World, _troubles: i64) {
@@ -57,7 +57,7 @@
         let at = 14_000 + 38_000 * k;
         w.fault(ms(at), Fault::RefuseHolder { claim, until: ms(at + 14_000) });
         let spell = w.draw(700..3_000);
-        w.fault(ms(at + 100), Fault::CancelNow { count: 9, hang: Micros::ZERO });
+        w.fault(ms(at + 100), Fault::CancelRunning { count: 9, hang: Micros::ZERO });
         w.fault(ms(at + spell), Fault::Outage { until: ms(at + spell + 34_000) });
         if w.draw(0..2) == 0 {
             let back = ms(w.draw(50..3_000));
@@ -70,22 +70,22 @@
 /// told anything else once the store is back.
 #[test]
 fn chains_are_called_off_in_the_gap() {
-    let reached = play(2_300..2_312, gap);
+    let coverage = play(2_300..2_312, gap);
     // A submission that named a cancelled job in a view that was behind was called queued (orphaned).
     play(22_302..22_303, gap);
-    assert!(count(&reached, CALLED_OFF) > 10, "{reached:?}");
+    assert!(count(&coverage, CALLED_OFF) > 10, "{coverage:?}");
 }
 
 #[test]
 fn holders_end_while_chains_go_on() {
-    let reached = play(2_400..2_412, |w, _| {
+    let coverage = play(2_400..2_412, |w, _| {
         for k in 0..8 {
             let back = ms(w.draw(50..6_000));
             let claim = ["share/0", "share/1", "share/2"][k as usize % 3];
             w.fault(ms(6_000 + 9_000 * k), Fault::CrashHolder { claim, back });
         }
     });
-    assert!(count(&reached, CALLED_OFF) > 5, "{reached:?}");
+    assert!(count(&coverage, CALLED_OFF) > 5, "{coverage:?}");
 }
 
 /// The store takes little in a value and a transaction: records, long lists of needed jobs and what many chains ask
@@ -114,7 +114,7 @@
         w.submit(ms(2_000), large);
         for k in 0..4 {
             w.fault(ms(20_000 + 20_000 * k), Fault::CrashHolder { claim: "share/0", back: ms(4_500) });
-            w.fault(ms(24_000 + 20_000 * k), Fault::Die { count: 1 });
+            w.fault(ms(24_000 + 20_000 * k), Fault::KillMachines { count: 1 });
         }
         w.run_until(ms(420_000));
         assert_eq!(w.owed(), Vec::<String>::new(), "seed {seed}");
--- a/crates/seamfront-core/tests/meetings.rs
+++ b/crates/seamfront-core/tests/fault_combinations.rs
@@ -30,14 +30,14 @@
 /// old holder, and some of the machines hang and go on.
 #[test]
 fn cancelled_as_one_is_refused_and_then_all() {
-    let reached = play(1_000..1_016, |w, _| {
+    let coverage = play(1_000..1_016, |w, _| {
         for (k, claim) in [(0, SHARES[0]), (1, SHARES[1])] {
             let at = 14_000 + 38_000 * k;
             let spell = w.draw(700..4_500);
             w.fault(ms(at), Fault::RefuseHolder { claim, until: ms(at + 14_000) });
             let hang = ms(w.draw(0..14_000));
             let (soon, count) = (w.draw(0..spell - 300), 6);
-            w.fault(ms(at + soon), Fault::CancelNow { count, hang });
+            w.fault(ms(at + soon), Fault::CancelRunning { count, hang });
             w.fault(ms(at + spell), Fault::Outage { until: ms(at + spell + 34_000) });
             if w.draw(0..3) == 0 {
                 let node = node(w);
@@ -46,14 +46,14 @@
             }
         }
     });
-    assert!(count(&reached, "a running job was cancelled while a controller was refused") > 20, "{reached:?}");
-    assert!(count(&reached, "a machine hung as its job was cancelled") > 5, "{reached:?}");
+    assert!(count(&coverage, "a running job was cancelled while a controller was refused") > 20, "{coverage:?}");
+    assert!(count(&coverage, "a machine hung as its job was cancelled") > 5, "{coverage:?}");
 }
 
 #[test]
 fn transactions_carried_out_late_after_newer_ones() {
-    let reached = play(1_020..1_032, |w, troubles| {
-        w.fault(ms(5_000), Fault::LateWrites { until: ms(troubles) });
+    let coverage = play(1_020..1_032, |w, troubles| {
+        w.fault(ms(5_000), Fault::DelayWrites { until: ms(troubles) });
         for k in 0..4 {
             let at = 12_000 + 18_000 * k + w.draw(0..6_000);
             let claim = SHARES[w.draw(0..3) as usize];
@@ -61,43 +61,43 @@
             w.fault(ms(at), Fault::CrashHolder { claim, back });
         }
     });
-    assert!(count(&reached, "a late transaction was carried out after newer ones") > 50, "{reached:?}");
-    assert!(count(&reached, "a late transaction failed") > 5, "{reached:?}");
+    assert!(count(&coverage, "a late transaction was carried out after newer ones") > 50, "{coverage:?}");
+    assert!(count(&coverage, "a late transaction failed") > 5, "{coverage:?}");
 }
 
 #[test]
 fn a_zone_with_a_controller_cut_off_for_longer_than_a_lease() {
-    let reached = play(1_040..1_050, |w, _| {
+    let coverage = play(1_040..1_050, |w, _| {
         for k in 0..2 {
             let at = 10_000 + 40_000 * k;
             // Longer than a lease of 12 s.
             let lasts = 20_000 + 12_000 * k;
             let (node, zone) = (node(w), if k == 0 { "x" } else { "y" });
             w.fault(ms(at), Fault::CutZone { zone, node, until: ms(at + lasts) });
-            w.fault(ms(at + 5_000), Fault::CancelNow { count: 4, hang: Micros::ZERO });
+            w.fault(ms(at + 5_000), Fault::CancelRunning { count: 4, hang: Micros::ZERO });
         }
     });
-    assert!(count(&reached, "a running job was cancelled while a controller was refused") > 5, "{reached:?}");
+    assert!(count(&coverage, "a running job was cancelled while a controller was refused") > 5, "{coverage:?}");
 }
 
 #[test]
 fn cancellations_questions_and_submissions_meet_a_jobs_end() {
-    let reached = play(1_060..1_070, |w, troubles| {
-        w.fault(ms(3_000), Fault::MeetEnds { until: ms(troubles) });
+    let coverage = play(1_060..1_070, |w, troubles| {
+        w.fault(ms(3_000), Fault::CancelAtCompletion { until: ms(troubles) });
     });
-    assert!(count(&reached, "a cancellation, a question and a submission met a job's end") > 50, "{reached:?}");
+    assert!(count(&coverage, "a cancellation, a question and a submission met a job's end") > 50, "{coverage:?}");
 }
 
 #[test]
 fn requests_that_make_no_sense_change_nothing() {
-    let reached = play(1_070..1_078, |w, troubles| w.fault(ms(3_000), Fault::OddRequests { until: ms(troubles) }));
-    assert!(count(&reached, "a job that is done was cancelled") > 50, "{reached:?}");
-    assert!(count(&reached, "an unfinished job was submitted again") > 50, "{reached:?}");
+    let coverage = play(1_070..1_078, |w, troubles| w.fault(ms(3_000), Fault::InvalidRequests { until: ms(troubles) }));
+    assert!(count(&coverage, "a job that is done was cancelled") > 50, "{coverage:?}");
+    assert!(count(&coverage, "an unfinished job was submitted again") > 50, "{coverage:?}");
 }
 
 #[test]
 fn handed_over_and_back_all_end_and_one_returns_at_once() {
-    let reached = play(1_080..1_092, |w, _| {
+    let coverage = play(1_080..1_092, |w, _| {
         for k in 0..5 {
             let at = 9_000 + 15_000 * k + w.draw(0..3_000);
             let claim = SHARES[(k % 3) as usize];
@@ -114,29 +114,29 @@
             w.fault(ms(home), Fault::SlowState { until: ms(home + 2_500) });
         }
     });
-    assert!(count(&reached, "leadership was taken") > 60, "{reached:?}");
+    assert!(count(&coverage, "leadership was taken") > 60, "{coverage:?}");
 }
 
 #[test]
 fn a_slow_state_service_refuses_the_leader_and_then_everybody() {
-    let reached = play(1_100..1_110, |w, _| {
+    let coverage = play(1_100..1_110, |w, _| {
         w.fault(ms(10_000), Fault::SlowState { until: ms(85_000) });
         for k in 0..2 {
             let at = 14_000 + 38_000 * k;
             w.fault(ms(at), Fault::RefuseHolder { claim: "leader", until: ms(at + 8_000) });
-            w.fault(ms(at + 500), Fault::CancelNow { count: 5, hang: Micros::ZERO });
+            w.fault(ms(at + 500), Fault::CancelRunning { count: 5, hang: Micros::ZERO });
             let down = at + w.draw(3_000..7_000);
             w.fault(ms(down), Fault::Outage { until: ms(down + 32_000) });
         }
     });
-    assert!(count(&reached, "a running job was cancelled while a controller was refused") > 2, "{reached:?}");
+    assert!(count(&coverage, "a running job was cancelled while a controller was refused") > 2, "{coverage:?}");
 }
 
 /// At least ten times in two minutes in each of the runs, also inside an outage.
 #[test]
 fn leaders_change_ten_times_in_two_minutes() {
     for seed in 1_120..1_128 {
-        let reached = play(seed..seed + 1, |w, _| {
+        let coverage = play(seed..seed + 1, |w, _| {
             for k in 0..12 {
                 let at = 5_000 + 7_000 * k;
                 let back = ms(if k % 3 == 0 { 400 } else { 5_000 });
@@ -145,115 +145,115 @@
             let at = w.draw(20_000..50_000);
             w.fault(ms(at), Fault::Outage { until: ms(at + 6_000) });
         });
-        assert!(count(&reached, "leadership was taken") >= 10, "seed {seed}: {reached:?}");
+        assert!(count(&coverage, "leadership was taken") >= 10, "seed {seed}: {coverage:?}");
     }
 }
 
 #[test]
 fn old_reports_after_newer_ones_of_another_session_or_attempt() {
-    let reached = play(1_140..1_150, |w, troubles| {
-        w.fault(ms(1_000), Fault::Copies { until: ms(troubles) });
+    let coverage = play(1_140..1_150, |w, troubles| {
+        w.fault(ms(1_000), Fault::DuplicateReports { until: ms(troubles) });
         for k in 0..9 {
-            w.fault(ms(8_000 + 9_000 * k), Fault::Blink { count: 3 });
+            w.fault(ms(8_000 + 9_000 * k), Fault::RestartMachines { count: 3 });
         }
     });
-    assert!(count(&reached, "a copy from an earlier session arrived") > 20, "{reached:?}");
+    assert!(count(&coverage, "a copy from an earlier session arrived") > 20, "{coverage:?}");
 }
 
 #[test]
 fn jobs_bound_to_a_zone_lose_machines() {
-    let reached = play(1_160..1_170, |w, _| {
+    let coverage = play(1_160..1_170, |w, _| {
         for n in 100..120 {
             let at = w.draw(500..70_000);
             submit(w, n, at, |s| (s.kind, s.class, s.one_zone, s.spread) = (Kind::Array, "bound".into(), true, false));
         }
         for k in 0..6 {
-            w.fault(ms(8_000 + 12_000 * k), Fault::Die { count: 2 });
+            w.fault(ms(8_000 + 12_000 * k), Fault::KillMachines { count: 2 });
             w.fault(ms(11_000 + 12_000 * k), Fault::Notice { count: 1 });
         }
     });
-    assert!(count(&reached, "a job bound to one zone lost a machine") > 20, "{reached:?}");
+    assert!(count(&coverage, "a job bound to one zone lost a machine") > 20, "{coverage:?}");
 }
 
 #[test]
 fn a_leader_ends_while_machines_are_out_of_reach_or_hear_nothing() {
-    let reached = play(1_180..1_190, |w, _| {
+    let coverage = play(1_180..1_190, |w, _| {
         for k in 0..4 {
             let at = 9_000 + 19_000 * k;
             let lasts = ms(w.draw(6_000..26_000));
             let back = ms(w.draw(100..8_000));
             let fault = match k % 2 {
                 0 => Fault::CutMachines { count: 4, lasts },
-                _ => Fault::Deafen { count: 4, lasts },
+                _ => Fault::LoseAnswers { count: 4, lasts },
             };
             w.fault(ms(at), fault);
             w.fault(ms(at + 300), Fault::CrashHolder { claim: SHARES[(k % 3) as usize], back });
             w.fault(ms(at + 600), Fault::CrashHolder { claim: "leader", back });
         }
     });
-    assert!(count(&reached, "a controller ended while machines with tasks were out of reach") > 10, "{reached:?}");
+    assert!(count(&coverage, "a controller ended while machines with tasks were out of reach") > 10, "{coverage:?}");
 }
 
 /// They reach no controller for longer than a lease, while commands reach them: what a command starts there
 /// ends with a lease that no report renews.
 #[test]
 fn machines_that_reach_no_controller_obey_commands() {
-    let reached = play(1_200..1_224, |w, _| {
+    let coverage = play(1_200..1_224, |w, _| {
         for k in 0..5 {
             let at = 8_000 + 15_000 * k;
             let lasts = ms(w.draw(3_000..30_000));
-            w.fault(ms(at), Fault::Mute { count: 3, lasts });
+            w.fault(ms(at), Fault::LoseReports { count: 3, lasts });
         }
         for n in 100..140 {
             let at = w.draw(5_000..85_000);
             submit(w, n, at, |s| (s.kind, s.tasks, s.priority) = (Kind::Array, 2, Priority::Urgent));
         }
     });
-    assert!(count(&reached, "a command was carried out by a machine that reaches no controller") > 20, "{reached:?}");
+    assert!(count(&coverage, "a command was carried out by a machine that reaches no controller") > 20, "{coverage:?}");
 }
 
 #[test]
 fn a_leader_without_state_service_and_peers_goes_on_with_its_workers() {
-    let reached = play(1_240..1_252, |w, _| {
+    let coverage = play(1_240..1_252, |w, _| {
         for k in 0..2 {
             let at = 10_000 + 40_000 * k;
             let claim = if k == 0 { "leader" } else { SHARES[w.draw(0..3) as usize] };
             w.fault(ms(at), Fault::IsolateHolder { claim, until: ms(at + 34_000) });
             for n in 0..3 {
                 let hang = ms(w.draw(0..9_000));
-                w.fault(ms(at + 500 + 2_500 * n), Fault::CancelNow { count: 3, hang });
+                w.fault(ms(at + 500 + 2_500 * n), Fault::CancelRunning { count: 3, hang });
             }
         }
     });
-    assert!(count(&reached, "a running job was cancelled while a controller was refused") > 20, "{reached:?}");
+    assert!(count(&coverage, "a running job was cancelled while a controller was refused") > 20, "{coverage:?}");
 }
 
 #[test]
 fn all_controllers_away_for_longer_than_a_lease() {
-    let reached = play(1_260..1_268, |w, _| {
+    let coverage = play(1_260..1_268, |w, _| {
         for at in [12_000, 50_000] {
             let back = ms(w.draw(13_000..26_000));
             w.fault(ms(at), Fault::Crash { nodes: (0..NODES).collect(), back });
         }
     });
-    assert!(count(&reached, "a lease ended under running tasks") > 10, "{reached:?}");
+    assert!(count(&coverage, "a lease ended under running tasks") > 10, "{coverage:?}");
 }
 
 #[test]
 fn commands_and_answers_held_up_for_seconds() {
-    let reached = play(1_280..1_292, |w, troubles| {
-        w.fault(ms(5_000), Fault::HoldAnswers { until: ms(troubles) });
+    let coverage = play(1_280..1_292, |w, troubles| {
+        w.fault(ms(5_000), Fault::DelayAnswers { until: ms(troubles) });
         for k in 0..6 {
             let lasts = ms(w.draw(1_000..10_000));
             w.fault(ms(9_000 + 12_000 * k), Fault::Hang { count: 3, lasts });
         }
     });
-    assert!(count(&reached, "a command was carried out late") > 10, "{reached:?}");
+    assert!(count(&coverage, "a command was carried out late") > 10, "{coverage:?}");
 }
 
 #[test]
 fn a_team_at_its_limit_as_the_leader_changes_and_machines_cannot_be_asked() {
-    let reached = play(1_300..1_312, |w, _| {
+    let coverage = play(1_300..1_312, |w, _| {
         for n in 100..118 {
             let at = w.draw(500..80_000);
             submit(w, n, at, |s| {
@@ -266,28 +266,28 @@
             let lasts = ms(w.draw(5_000..20_000));
             w.fault(ms(at), Fault::CutMachines { count: 5, lasts });
             w.fault(ms(at + 1_000), Fault::CrashHolder { claim: SHARES[(k % 3) as usize], back: ms(5_500) });
-            w.fault(ms(at + 2_000), Fault::CancelNow { count: 4, hang: ms(3_000) });
+            w.fault(ms(at + 2_000), Fault::CancelRunning { count: 4, hang: ms(3_000) });
         }
     });
-    assert!(count(&reached, "a team stood at its limit as a controller ended") > 5, "{reached:?}");
+    assert!(count(&coverage, "a team stood at its limit as a controller ended") > 5, "{coverage:?}");
 }
 
 #[test]
 fn a_held_report_arrives_at_the_new_leader() {
-    let reached = play(1_320..1_332, |w, troubles| {
-        w.fault(ms(1_000), Fault::Copies { until: ms(troubles) });
+    let coverage = play(1_320..1_332, |w, troubles| {
+        w.fault(ms(1_000), Fault::DuplicateReports { until: ms(troubles) });
         for k in 0..9 {
             let at = 8_000 + 9_000 * k;
             let back = ms(if k % 2 == 0 { 300 } else { 5_500 });
             w.fault(ms(at), Fault::CrashHolder { claim: SHARES[(k % 3) as usize], back });
         }
     });
-    assert!(count(&reached, "a copy arrived at a controller that began after it was sent") > 5, "{reached:?}");
+    assert!(count(&coverage, "a copy arrived at a controller that began after it was sent") > 5, "{coverage:?}");
 }
 
 #[test]
 fn small_jobs_end_far_apart_across_a_change_of_leader() {
-    let reached = play(1_340..1_350, |w, _| {
+    let coverage = play(1_340..1_350, |w, _| {
         for n in 100..140 {
             let (at, tasks) = (w.draw(500..80_000), w.draw(2..4) as u32);
             submit(w, n, at, |s| (s.kind, s.tasks) = (Kind::Array, tasks));
@@ -298,13 +298,13 @@
             w.fault(ms(at), Fault::CrashHolder { claim: SHARES[(k % 3) as usize], back });
         }
     });
-    assert!(count(&reached, "a controller ended between the ends of a small job's tasks") > 10, "{reached:?}");
+    assert!(count(&coverage, "a controller ended between the ends of a small job's tasks") > 10, "{coverage:?}");
 }
 
 #[test]
 fn more_work_than_room_over_slow_links() {
-    let reached = play(1_360..1_366, |w, troubles| {
-        w.fault(ms(3_000), Fault::HoldAnswers { until: ms(troubles) });
+    let coverage = play(1_360..1_366, |w, troubles| {
+        w.fault(ms(3_000), Fault::DelayAnswers { until: ms(troubles) });
         for n in 100..145 {
             let at = w.draw(500..85_000);
             submit(w, n, at, |s| {
@@ -318,7 +318,7 @@
             w.fault(ms(10_000 + 25_000 * k), Fault::SlowNode { node, until: ms(25_000 + 25_000 * k) });
         }
     });
-    assert!(count(&reached, "no machine had room") > 20, "{reached:?}");
+    assert!(count(&coverage, "no machine had room") > 20, "{coverage:?}");
 }
 
 /// A controller that stands still while its clocks run on acts on nothing that is over.
@@ -329,8 +329,8 @@
             let at = 8_000 + 20_000 * k;
             let lasts = w.draw(3_000..18_000);
             let node = node(w);
-            w.fault(ms(at), Fault::Stall { node, until: ms(at + lasts) });
-            w.fault(ms(at + 4_800), Fault::CancelNow { count: 3, hang: Micros::ZERO });
+            w.fault(ms(at), Fault::PauseNode { node, until: ms(at + lasts) });
+            w.fault(ms(at + 4_800), Fault::CancelRunning { count: 3, hang: Micros::ZERO });
         }
     });
 }
--- a/crates/seamfront-core/tests/rules.rs
+++ b/crates/seamfront-core/tests/rules.rs
@@ -26,11 +26,11 @@
             7 => Fault::CutMesh { node, until },
             8 => Fault::CloudOutage { until },
             12 => Fault::CutLinks { node, count: 4, until },
-            13 => Fault::Deafen { count: 3, lasts: ms(lasts) },
-            14 => Fault::Copies { until: ms(at + 40_000) },
-            15 => Fault::Blink { count: 2 },
+            13 => Fault::LoseAnswers { count: 3, lasts: ms(lasts) },
+            14 => Fault::DuplicateReports { until: ms(at + 40_000) },
+            15 => Fault::RestartMachines { count: 2 },
             16 => Fault::Crash { nodes: vec![node], back: ms(w.draw(20..600)) },
-            9 => Fault::Die { count: w.draw(1..4) as usize },
+            9 => Fault::KillMachines { count: w.draw(1..4) as usize },
             10 => Fault::Hang { count: 2, lasts: ms(lasts) },
             _ if hold => Fault::CutMachines { count: 3, lasts: ms(lasts) },
             _ => Fault::Notice { count: 2 },
@@ -169,7 +169,7 @@
             for k in 0..4 {
                 let at = 8_000 + k * 19_000 + w.draw(0..5_000);
                 let lasts = ms(w.draw(3_000..40_000));
-                w.fault(ms(at), Fault::Deafen { count: 3, lasts });
+                w.fault(ms(at), Fault::LoseAnswers { count: 3, lasts });
                 if w.draw(0..2) == 0 {
                     let node = w.draw(0..NODES as i64) as usize;
                     let back = ms(w.draw(50..6_000));
@@ -186,7 +186,7 @@
 fn late_copies_of_reports_prove_nothing() {
     for seed in 700..720 {
         history(seed, |w, troubles| {
-            w.fault(ms(1_000), Fault::Copies { until: ms(troubles) });
+            w.fault(ms(1_000), Fault::DuplicateReports { until: ms(troubles) });
             for k in 0..6 {
                 let at = 9_000 + k * 12_000 + w.draw(0..4_000);
                 let node = w.draw(0..NODES as i64) as usize;
@@ -195,7 +195,7 @@
                     1 => Fault::Crash { nodes: (0..NODES).collect(), back: ms(w.draw(20..5_000)) },
                     2 => Fault::Hang { count: 3, lasts: ms(w.draw(2_000..20_000)) },
                     3 => Fault::CutLinks { node, count: 5, until: ms(at + 15_000) },
-                    _ => Fault::Die { count: 2 },
+                    _ => Fault::KillMachines { count: 2 },
                 };
                 w.fault(ms(at), fault);
             }
@@ -209,7 +209,7 @@
 fn back_within_a_fraction_of_a_second() {
     for seed in 800..816 {
         history(seed, |w, troubles| {
-            w.fault(ms(1_000), Fault::Copies { until: ms(troubles) });
+            w.fault(ms(1_000), Fault::DuplicateReports { until: ms(troubles) });
             for k in 0..8 {
                 let at = 8_000 + k * 9_000 + w.draw(0..4_000);
                 let node = w.draw(0..NODES as i64) as usize;
@@ -218,7 +218,7 @@
                     (w.draw(200..5_000), w.draw(0..300), w.draw(10..500), w.draw(0..4_500));
                 w.fault(ms(at), Fault::CutState { node, until: ms(at + lasts), hold });
                 w.fault(ms(at + soon), Fault::Crash { nodes: vec![node], back: ms(back) });
-                w.fault(ms(at + blink), Fault::Blink { count: 2 });
+                w.fault(ms(at + blink), Fault::RestartMachines { count: 2 });
             }
         });
     }
--- a/crates/seamfront-core/tests/size.rs
+++ b/crates/seamfront-core/tests/size.rs
@@ -33,7 +33,7 @@
     w.quiet_from = ms(40_000);
     jobs(&mut w);
     w.fault(ms(15_000), Fault::Crash { nodes: (0..scale.nodes).collect(), back: ms(3_000) });
-    w.fault(ms(35_000), Fault::Die { count: scale.machines / 10 });
+    w.fault(ms(35_000), Fault::KillMachines { count: scale.machines / 10 });
     w.run_until(ms(120_000));
     assert!(w.truth.started > 10_000, "the run proves nothing: {} tasks started", w.truth.started);
     assert_eq!(w.not_served(), Vec::<String>::new());
--- a/crates/seamfront-core/tests/world/checks.rs
+++ b/crates/seamfront-core/tests/world/checks.rs
@@ -67,7 +67,7 @@
         self.accepted.len()
     }
 
-    pub(super) fn watch_ends(&mut self) {
+    pub(super) fn follow_completions(&mut self) {
         let over = |(id, done): (&JobId, &BTreeSet<u32>)| done.len() as u32 == self.truth.jobs[id].tasks;
         let ended: Vec<JobId> = self
             .truth
@@ -78,8 +78,8 @@
             .collect();
         for job in ended {
             self.ended.insert(job.clone(), self.now);
-            if self.now < self.meet_ends && self.accepted.contains(&job) && !self.told.contains_key(&job) {
-                self.reach("a cancellation, a question and a submission met a job's end");
+            if self.now < self.cancel_at_completion && self.accepted.contains(&job) && !self.told.contains_key(&job) {
+                self.cover("a cancellation, a question and a submission met a job's end");
                 self.wants_cancel.insert(job.clone());
                 for k in 0..4 {
                     let d = ms(self.rng.random_range(0..500));
@@ -93,17 +93,17 @@
         }
     }
 
-    pub(super) fn watch_leader(&mut self) {
+    pub(super) fn follow_leadership(&mut self) {
         let version = self.store.keys.get("leader").map(|v| v.1);
         if version.is_some() && self.led_by != version {
             self.led_by = version;
-            self.reach("leadership was taken");
+            self.cover("leadership was taken");
         }
     }
 
     /// Once the troubles are over, no job is left waiting for 90 s while a machine that fits has room and
     /// its team is under its limit. Gangs that need several places at once are not judged.
-    pub(super) fn watch_waiting(&mut self) {
+    pub(super) fn check_waiting_jobs(&mut self) {
         let since = self.quiet_from + ms(30_000);
         if self.now < since || self.now.0 / 100_000 % 10 != 0 {
             return;
--- a/crates/seamfront-core/tests/world/faults.rs
+++ b/crates/seamfront-core/tests/world/faults.rs
@@ -39,7 +39,7 @@
     CloudOutage {
         until: Micros,
     },
-    Die {
+    KillMachines {
         count: usize,
     },
     Hang {
@@ -54,33 +54,33 @@
         count: usize,
     },
     /// Their reports arrive; answers and commands don't reach them.
-    Deafen {
+    LoseAnswers {
         count: usize,
         lasts: Micros,
     },
     /// Reports sent until then are delivered again later, to any controller.
-    Copies {
+    DuplicateReports {
         until: Micros,
     },
     /// Down and back at once: what ran is gone.
-    Blink {
+    RestartMachines {
         count: usize,
     },
     /// A part of the transactions gets no answer and is carried out 2 to 12 s later, after newer ones.
-    LateWrites {
+    DelayWrites {
         until: Micros,
     },
     /// These reach no controller; commands reach them.
-    Mute {
+    LoseReports {
         count: usize,
         lasts: Micros,
     },
     /// Answers and commands to workers take seconds.
-    HoldAnswers {
+    DelayAnswers {
         until: Micros,
     },
     /// The controller stands still while its clocks run on.
-    Stall {
+    PauseNode {
         node: usize,
         until: Micros,
     },
@@ -115,16 +115,16 @@
         until: Micros,
     },
     /// Users call off that many jobs that run, at whatever controllers; some of their machines hang then.
-    CancelNow {
+    CancelRunning {
         count: usize,
         hang: Micros,
     },
     /// Jobs that end are called off, asked about and submitted again in that moment.
-    MeetEnds {
+    CancelAtCompletion {
         until: Micros,
     },
     /// Unfinished jobs are submitted again, done ones cancelled, impossible ones submitted.
-    OddRequests {
+    InvalidRequests {
         until: Micros,
     },
 }
@@ -137,10 +137,10 @@
     }
 
     /// In what state of things a controller ends.
-    pub(super) fn note_crash(&mut self) {
+    pub(super) fn cover_crash(&mut self) {
         let now = self.now;
         let up = || self.truth.workers.iter().filter(|(_, w)| !w.dead);
-        let apart = |id: &MachineId| self.hears_nothing(id) || self.cut_machines.get(id).is_some_and(|t| *t > now);
+        let apart = |id: &MachineId| self.loses_answers(id) || self.cut_machines.get(id).is_some_and(|t| *t > now);
         let out_of_reach = up().any(|(id, w)| apart(id) && w.tasks.values().any(|t| t.on_machine()));
         let mut used: BTreeMap<&str, i64> = BTreeMap::new();
         for (_, w) in up() {
@@ -157,20 +157,20 @@
             (2..=3).contains(&n) && (done.len() as u32) < n && !self.told.contains_key(id)
         });
         if out_of_reach {
-            self.reach("a controller ended while machines with tasks were out of reach");
+            self.cover("a controller ended while machines with tasks were out of reach");
         }
         if at_limit {
-            self.reach("a team stood at its limit as a controller ended");
+            self.cover("a team stood at its limit as a controller ended");
         }
         if halfway {
-            self.reach("a controller ended between the ends of a small job's tasks");
+            self.cover("a controller ended between the ends of a small job's tasks");
         }
     }
 
-    pub(super) fn strike(&mut self, f: Fault) {
+    pub(super) fn inject(&mut self, f: Fault) {
         match f {
             Fault::Crash { nodes, back } => {
-                self.note_crash();
+                self.cover_crash();
                 for node in nodes {
                     self.nodes[node].engine = None;
                     self.nodes[node].life += 1;
@@ -193,12 +193,12 @@
                 }
             }
             Fault::CloudOutage { until } => self.cloud_outage = until,
-            Fault::Die { count } => {
+            Fault::KillMachines { count } => {
                 for id in self.some_machines(count) {
                     let bound =
                         |k: &TaskKey| self.truth.jobs[&k.job].one_zone || self.truth.jobs[&k.job].zone.is_some();
                     if self.truth.workers[&id].tasks.keys().any(bound) {
-                        self.reach("a job bound to one zone lost a machine");
+                        self.cover("a job bound to one zone lost a machine");
                     }
                     self.truth.workers.get_mut(&id).unwrap().dead = true;
                 }
@@ -215,27 +215,27 @@
                     self.cut_machines.insert(id, until);
                 }
             }
-            Fault::Deafen { count, lasts } => {
+            Fault::LoseAnswers { count, lasts } => {
                 let until = self.now + lasts;
                 for id in self.some_machines(count) {
-                    self.deaf.insert(id, until);
+                    self.answers_lost.insert(id, until);
                 }
             }
-            Fault::Copies { until } => self.copies = until,
-            Fault::LateWrites { until } => self.late_writes = until,
-            Fault::HoldAnswers { until } => self.hold_answers = until,
-            Fault::Stall { node, until } => self.nodes[node].stalled = until,
+            Fault::DuplicateReports { until } => self.duplicate_reports_until = until,
+            Fault::DelayWrites { until } => self.delay_writes_until = until,
+            Fault::DelayAnswers { until } => self.delay_answers_until = until,
+            Fault::PauseNode { node, until } => self.nodes[node].stalled = until,
             Fault::SlowNode { node, until } => self.nodes[node].slow = until,
             Fault::SlowState { until } => self.slow_state = until,
-            Fault::MeetEnds { until } => self.meet_ends = until,
-            Fault::OddRequests { until } => {
-                self.odd_requests = until;
-                self.at(self.now, Event::OddRequests);
+            Fault::CancelAtCompletion { until } => self.cancel_at_completion = until,
+            Fault::InvalidRequests { until } => {
+                self.invalid_requests = until;
+                self.at(self.now, Event::InvalidRequests);
             }
-            Fault::Mute { count, lasts } => {
+            Fault::LoseReports { count, lasts } => {
                 let until = self.now + lasts;
                 for id in self.some_machines(count) {
-                    self.mute.insert(id, until);
+                    self.reports_lost.insert(id, until);
                 }
             }
             Fault::CutZone { zone, node, until } => {
@@ -250,21 +250,21 @@
             }
             Fault::CrashHolder { claim, back } => {
                 if let Some(node) = self.holder(claim) {
-                    self.strike(Fault::Crash { nodes: vec![node], back });
+                    self.inject(Fault::Crash { nodes: vec![node], back });
                 }
             }
             Fault::RefuseHolder { claim, until } => {
                 if let Some(node) = self.holder(claim) {
-                    self.strike(Fault::Refused { node, until });
+                    self.inject(Fault::Refused { node, until });
                 }
             }
             Fault::IsolateHolder { claim, until } => {
                 if let Some(node) = self.holder(claim) {
-                    self.strike(Fault::CutState { node, until, hold: true });
-                    self.strike(Fault::CutMesh { node, until });
+                    self.inject(Fault::CutState { node, until, hold: true });
+                    self.inject(Fault::CutMesh { node, until });
                 }
             }
-            Fault::CancelNow { count, hang } => {
+            Fault::CancelRunning { count, hang } => {
                 let mut running: BTreeMap<JobId, Vec<MachineId>> = BTreeMap::new();
                 for (id, w) in self.truth.workers.iter().filter(|(_, w)| !w.dead) {
                     for (k, _) in w.tasks.iter().filter(|(_, t)| t.on_machine()) {
@@ -279,12 +279,12 @@
                         self.after(ms(40 * k), Event::Cancel { job: job.clone() });
                     }
                     for id in on.into_iter().filter(|_| hang > Micros::ZERO).take(2) {
-                        self.reach("a machine hung as its job was cancelled");
+                        self.cover("a machine hung as its job was cancelled");
                         self.truth.workers.get_mut(&id).unwrap().hung_until = self.now + ms(150) + hang;
                     }
                 }
             }
-            Fault::Blink { count } => {
+            Fault::RestartMachines { count } => {
                 let now = self.now;
                 for id in self.some_machines(count) {
                     let w = self.truth.workers.get_mut(&id).unwrap();
--- a/crates/seamfront-core/tests/world/mod.rs
+++ b/crates/seamfront-core/tests/world/mod.rs
@@ -56,7 +56,7 @@
         request: CloudCall,
         late: bool,
     },
-    Hello {
+    ReportDue {
         machine: MachineId,
     },
     Answered {
@@ -65,7 +65,7 @@
         seq: u64,
         sent: Micros,
         node: usize,
-        answer: HelloAnswer,
+        answer: ReportAnswer,
     },
     Direct {
         node: usize,
@@ -78,7 +78,7 @@
         late: bool,
     },
     /// A copy of a report that was delivered, or lost, long ago. Nobody waits for its answer.
-    Copy {
+    DuplicateReport {
         node: usize,
         sent: Micros,
         report: Box<Report>,
@@ -93,12 +93,12 @@
     Cancel {
         job: JobId,
     },
-    OddRequests,
+    InvalidRequests,
     Fault(Fault),
 }
 
 #[derive(Clone, Debug)]
-enum HelloAnswer {
+enum ReportAnswer {
     Orders(u64, Vec<Order>),
     Elsewhere(Option<usize>),
     Nothing,
@@ -120,7 +120,7 @@
 
 /// A request of a user or worker that waits for its answer.
 enum Asked {
-    Hello {
+    Report {
         machine: MachineId,
         session: u64,
         seq: u64,
@@ -163,18 +163,18 @@
     machines_made: u32,
     cut_machines: BTreeMap<MachineId, Micros>,
     cut_links: BTreeMap<(usize, MachineId), Micros>,
-    deaf: BTreeMap<MachineId, Micros>,
-    copies: Micros,
-    late_writes: Micros,
-    mute: BTreeMap<MachineId, Micros>,
-    hold_answers: Micros,
+    answers_lost: BTreeMap<MachineId, Micros>,
+    duplicate_reports_until: Micros,
+    delay_writes_until: Micros,
+    reports_lost: BTreeMap<MachineId, Micros>,
+    delay_answers_until: Micros,
     slow_state: Micros,
-    meet_ends: Micros,
-    odd_requests: Micros,
+    cancel_at_completion: Micros,
+    invalid_requests: Micros,
     /// Jobs whose last task has completed.
     ended: BTreeMap<JobId, Micros>,
     /// How often what the tests are for really happened.
-    pub reached: script::Reached,
+    pub coverage: script::Coverage,
     /// Version of the last claim to leadership.
     led_by: Option<u64>,
     /// Since when a job waits though that machine has room for it.
@@ -329,16 +329,16 @@
             machines_made: 0,
             cut_machines: BTreeMap::new(),
             cut_links: BTreeMap::new(),
-            deaf: BTreeMap::new(),
-            copies: Micros::ZERO,
-            late_writes: Micros::ZERO,
-            mute: BTreeMap::new(),
-            hold_answers: Micros::ZERO,
+            answers_lost: BTreeMap::new(),
+            duplicate_reports_until: Micros::ZERO,
+            delay_writes_until: Micros::ZERO,
+            reports_lost: BTreeMap::new(),
+            delay_answers_until: Micros::ZERO,
             slow_state: Micros::ZERO,
-            meet_ends: Micros::ZERO,
-            odd_requests: Micros::ZERO,
+            cancel_at_completion: Micros::ZERO,
+            invalid_requests: Micros::ZERO,
             ended: BTreeMap::new(),
-            reached: BTreeMap::new(),
+            coverage: BTreeMap::new(),
             led_by: None,
             passed_over: BTreeMap::new(),
             truth,
@@ -408,7 +408,7 @@
             notice_at: None,
         };
         self.truth.workers.insert(id.clone(), w);
-        self.at(up_at, Event::Hello { machine: id.clone() });
+        self.at(up_at, Event::ReportDue { machine: id.clone() });
         id
     }
 
@@ -420,7 +420,7 @@
             }
             self.now = t;
             let e = self.events.remove(&n).expect("each event once");
-            self.happen(e);
+            self.dispatch(e);
             assert!(
                 self.truth.broken.is_empty(),
                 "seed {}: rules broken at {:.3} s: {:#?}",
@@ -432,7 +432,7 @@
         self.now = end;
     }
 
-    fn happen(&mut self, e: Event) {
+    fn dispatch(&mut self, e: Event) {
         match e {
             Event::Boot { node } => {
                 let n = &mut self.nodes[node];
@@ -447,7 +447,7 @@
             Event::Tick { node } => {
                 if self.nodes[node].engine.is_some() {
                     self.step(node, vec![]);
-                    let wait = self.held_up(node);
+                    let wait = self.processing_delay(node);
                     self.after(ms(50) + wait, Event::Tick { node });
                 }
             }
@@ -463,19 +463,19 @@
             }
             Event::State { node, life, call, request, late } => self.state(node, life, call, request, late),
             Event::Cloud { node, life, call, request, late } => self.cloud(node, life, call, request, late),
-            Event::Hello { machine } => self.hello(machine),
+            Event::ReportDue { machine } => self.send_report(machine),
             Event::Answered { machine, session, seq, sent, node, answer } => {
                 self.answered(machine, session, seq, sent, node, answer)
             }
             Event::Direct { node, life, call, machine, session, token, orders, late } => {
                 self.direct((node, life, call), machine, session, token, orders, late)
             }
-            Event::Copy { node, sent, report } => {
+            Event::DuplicateReport { node, sent, report } => {
                 if self.truth.workers.get(&report.machine).is_some_and(|w| w.session > report.session) {
-                    self.reach("a copy from an earlier session arrived");
+                    self.cover("a copy from an earlier session arrived");
                 }
                 if self.nodes[node].engine.is_some() && self.nodes[node].born > sent {
-                    self.reach("a copy arrived at a controller that began after it was sent");
+                    self.cover("a copy arrived at a controller that began after it was sent");
                 }
                 self.next_reply += 1;
                 let to = self.next_reply;
@@ -503,13 +503,13 @@
                     self.after(ms(2_000), Event::Cancel { job });
                 }
             }
-            Event::OddRequests => self.odd_requests(),
-            Event::Fault(f) => self.strike(f),
+            Event::InvalidRequests => self.invalid_requests(),
+            Event::Fault(f) => self.inject(f),
         }
     }
 
     /// How much longer than usual a controller takes to get to something.
-    fn held_up(&mut self, node: usize) -> Micros {
+    fn processing_delay(&mut self, node: usize) -> Micros {
         let n = &self.nodes[node];
         let stalled = n.stalled.max(self.now) - self.now;
         if n.slow > self.now {
@@ -518,8 +518,8 @@
         stalled
     }
 
-    pub fn reach(&mut self, what: &'static str) {
-        *self.reached.entry(what).or_default() += 1;
+    pub fn cover(&mut self, what: &'static str) {
+        *self.coverage.entry(what).or_default() += 1;
     }
 
     fn holder(&self, claim: &str) -> Option<usize> {
@@ -553,7 +553,7 @@
             }
             Effect::Cloud { call, request } => self.after(d, Event::Cloud { node, life, call, request, late: false }),
             Effect::Direct { call, machine, session, token, orders, .. } => {
-                let d = d + self.held_answer();
+                let d = d + self.answer_delay();
                 self.after(d, Event::Direct { node, life, call, machine, session, token, orders, late: false })
             }
             Effect::Mesh { to, message } => {
@@ -571,20 +571,20 @@
                 }
             }
             Effect::Orders { to, token, orders } => {
-                self.hello_answer(node, life, to, HelloAnswer::Orders(token, orders))
+                self.report_answered(node, life, to, ReportAnswer::Orders(token, orders))
             }
-            Effect::Elsewhere { to, member } => self.hello_answer(node, life, to, HelloAnswer::Elsewhere(member)),
+            Effect::Elsewhere { to, member } => self.report_answered(node, life, to, ReportAnswer::Elsewhere(member)),
             Effect::Healthy { .. } => {}
             Effect::Answer { to, answer } => {
                 if let Some((asked, at)) = self.asked.remove(&(node, life, to)) {
-                    self.user_told(asked, at, answer);
+                    self.check_user_answer(asked, at, answer);
                 }
             }
         }
     }
 
     fn tell(&mut self, node: usize, life: u64, command: Command) {
-        let d = self.delay() + self.held_up(node);
+        let d = self.delay() + self.processing_delay(node);
         self.after(d, Event::ToNode { node, life, command: Box::new(command) });
     }
 }
--- a/crates/seamfront-core/tests/world/network.rs
+++ b/crates/seamfront-core/tests/world/network.rs
@@ -3,8 +3,8 @@
 use super::*;
 
 impl World {
-    pub(super) fn hello_answer(&mut self, node: usize, life: u64, to: ReplyTo, answer: HelloAnswer) {
-        let Some((Asked::Hello { machine, session, seq, sent }, _)) = self.asked.remove(&(node, life, to)) else {
+    pub(super) fn report_answered(&mut self, node: usize, life: u64, to: ReplyTo, answer: ReportAnswer) {
+        let Some((Asked::Report { machine, session, seq, sent }, _)) = self.asked.remove(&(node, life, to)) else {
             return;
         };
         let (until, hold) = self.nodes[node].cut_workers;
@@ -15,15 +15,15 @@
             }
             d = until - self.now + d;
         }
-        d += self.held_answer();
+        d += self.answer_delay();
         if !self.lost() {
             self.after(d, Event::Answered { machine, session, seq, sent, node, answer });
         }
     }
 
     /// Some answers and commands to workers are held up, a few for longer than workers wait for them.
-    pub(super) fn held_answer(&mut self) -> Micros {
-        if self.now < self.hold_answers && self.rng.random_range(0..2) == 0 {
+    pub(super) fn answer_delay(&mut self) -> Micros {
+        if self.now < self.delay_answers_until && self.rng.random_range(0..2) == 0 {
             return ms(self.rng.random_range(500..6_000));
         }
         Micros::ZERO
@@ -34,12 +34,12 @@
         link.or(self.cut_machines.get(id)).is_some_and(|t| *t > self.now)
     }
 
-    pub(super) fn mute(&self, id: &MachineId) -> bool {
-        self.mute.get(id).is_some_and(|t| *t > self.now)
+    pub(super) fn loses_reports(&self, id: &MachineId) -> bool {
+        self.reports_lost.get(id).is_some_and(|t| *t > self.now)
     }
 
-    pub(super) fn hears_nothing(&self, id: &MachineId) -> bool {
-        self.deaf.get(id).is_some_and(|t| *t > self.now)
+    pub(super) fn loses_answers(&self, id: &MachineId) -> bool {
+        self.answers_lost.get(id).is_some_and(|t| *t > self.now)
     }
 
     /// The next report goes out then, or earlier if that was due already.
@@ -51,10 +51,10 @@
             w.next_report = t;
         }
         let at = w.next_report;
-        self.at(at, Event::Hello { machine: id.clone() });
+        self.at(at, Event::ReportDue { machine: id.clone() });
     }
 
-    pub(super) fn hello(&mut self, id: MachineId) {
+    pub(super) fn send_report(&mut self, id: MachineId) {
         let Some(w) = self.truth.workers.get(&id) else { return };
         if w.dead {
             return;
@@ -79,13 +79,13 @@
             w.target = (w.target + 1) % self.scale.nodes;
         }
         let report = self.truth.report(&id);
-        if self.now < self.copies && self.rng.random_range(0..4) == 0 {
+        if self.now < self.duplicate_reports_until && self.rng.random_range(0..4) == 0 {
             // From seconds to well over a lease.
             let late = ms(self.rng.random_range(1_000..30_000));
             let node = self.rng.random_range(0..self.scale.nodes);
-            self.after(late, Event::Copy { node, sent: self.now, report: Box::new(report.clone()) });
+            self.after(late, Event::DuplicateReport { node, sent: self.now, report: Box::new(report.clone()) });
         }
-        let mute = self.mute(&id);
+        let mute = self.loses_reports(&id);
         let w = self.truth.workers.get_mut(&id).unwrap();
         w.in_flight = Some((report.seq, self.now));
         let node = w.target;
@@ -101,7 +101,7 @@
             d = until - self.now + d;
         }
         if self.nodes[node].engine.is_none() {
-            let answer = HelloAnswer::Nothing;
+            let answer = ReportAnswer::Nothing;
             let (session, seq, sent) = (report.session, report.seq, self.now);
             return self.after(d, Event::Answered { machine: id, session, seq, sent, node, answer });
         }
@@ -110,10 +110,10 @@
         }
         self.next_reply += 1;
         let (to, life) = (self.next_reply, self.nodes[node].life);
-        let asked = Asked::Hello { machine: id, session: report.session, seq: report.seq, sent: self.now };
+        let asked = Asked::Report { machine: id, session: report.session, seq: report.seq, sent: self.now };
         self.asked.insert((node, life, to), (asked, self.now));
         let command = Box::new(Command::Report { to, report: Box::new(report) });
-        let d = d + self.held_up(node);
+        let d = d + self.processing_delay(node);
         self.after(d, Event::ToNode { node, life, command });
     }
 
@@ -124,9 +124,9 @@
         seq: u64,
         sent: Micros,
         node: usize,
-        answer: HelloAnswer,
+        answer: ReportAnswer,
     ) {
-        if self.unreachable(node, &id) || self.hears_nothing(&id) {
+        if self.unreachable(node, &id) || self.loses_answers(&id) {
             return;
         }
         let now = self.now;
@@ -139,7 +139,7 @@
         }
         w.in_flight = None;
         match answer {
-            HelloAnswer::Orders(token, orders) => {
+            ReportAnswer::Orders(token, orders) => {
                 if token >= w.token {
                     let changed = token > w.token;
                     w.token = token;
@@ -153,7 +153,7 @@
                     }
                 }
             }
-            HelloAnswer::Elsewhere(Some(m)) if m != node => {
+            ReportAnswer::Elsewhere(Some(m)) if m != node => {
                 w.target = m;
                 self.report_in(&id, ms(200));
             }
@@ -185,7 +185,7 @@
         let gone = self.truth.workers.get(&id).is_none_or(|w| w.dead);
         let hung = self.truth.workers.get(&id).is_some_and(|w| w.hung_until > self.now);
         let cut = self.nodes[node].cut_workers;
-        let blocked = cut.0 > self.now || self.unreachable(node, &id) || self.hears_nothing(&id) || hung;
+        let blocked = cut.0 > self.now || self.unreachable(node, &id) || self.loses_answers(&id) || hung;
         if gone {
             if !late {
                 unknown(self);
@@ -201,16 +201,16 @@
             let d = ms(self.rng.random_range(300..most));
             return self.after(d, Event::Direct { node, life, call, machine: id, session, token, orders, late: true });
         }
-        let mute = self.mute(&id);
+        let mute = self.loses_reports(&id);
         let w = self.truth.workers.get_mut(&id).unwrap();
         if token >= w.token && session == w.session {
             w.token = token;
             self.obey(&id, &orders);
             if late {
-                self.reach("a command was carried out late");
+                self.cover("a command was carried out late");
             }
             if mute {
-                self.reach("a command was carried out by a machine that reaches no controller");
+                self.cover("a command was carried out by a machine that reaches no controller");
             }
         }
         let report = self.truth.report(&id);
@@ -225,13 +225,13 @@
         let before = self.truth.leases_ended;
         self.truth.advance(self.now, |_| ms(span));
         if self.truth.leases_ended > before {
-            self.reach("a lease ended under running tasks");
+            self.cover("a lease ended under running tasks");
         }
         let now = self.now;
         let smallest = Amounts::needed(1.0, 0.0, 4.0);
         let room = |w: &Worker| w.free(&self.truth.jobs).fits(smallest) > 0;
         if !self.truth.workers.values().any(|w| !w.dead && w.up_at <= now && room(w)) {
-            self.reach("no machine had room");
+            self.cover("no machine had room");
         }
         for w in self.truth.workers.values_mut() {
             if w.notice_at.is_some_and(|t| t < now) {
@@ -240,9 +240,9 @@
         }
         self.store.expire(now);
         self.serve_watches();
-        self.watch_ends();
-        self.watch_leader();
-        self.watch_waiting();
+        self.follow_completions();
+        self.follow_leadership();
+        self.check_waiting_jobs();
         self.after(ms(100), Event::Workers);
     }
 }
--- a/crates/seamfront-core/tests/world/script.rs
+++ b/crates/seamfront-core/tests/world/script.rs
@@ -115,7 +115,7 @@
 
 /// All kinds of troubles, drawn in pairs that overlap.
 pub fn pairs(w: &mut World, troubles: i64) {
-    w.fault(ms(3_000), Fault::MeetEnds { until: ms(troubles) });
+    w.fault(ms(3_000), Fault::CancelAtCompletion { until: ms(troubles) });
     for k in 0..4 {
         for _ in 0..2 {
             let at = 8_000 + 20_000 * k + w.draw(0..4_000);
@@ -124,23 +124,23 @@
             let (node, claim) =
                 (w.draw(0..NODES as i64) as usize, ["leader", "share/0", "share/1", "share/2"][w.draw(0..4) as usize]);
             let fault = match w.draw(0..18) {
-                0 => Fault::LateWrites { until },
-                1 => Fault::Mute { count: 3, lasts: ms(lasts) },
-                2 => Fault::HoldAnswers { until },
-                3 => Fault::Stall { node, until },
+                0 => Fault::DelayWrites { until },
+                1 => Fault::LoseReports { count: 3, lasts: ms(lasts) },
+                2 => Fault::DelayAnswers { until },
+                3 => Fault::PauseNode { node, until },
                 4 => Fault::SlowNode { node, until },
                 5 => Fault::SlowState { until },
                 6 => Fault::CutZone { zone: "x", node, until },
                 7 => Fault::CrashHolder { claim, back: ms(w.draw(50..6_000)) },
                 8 => Fault::RefuseHolder { claim, until },
                 9 => Fault::IsolateHolder { claim, until },
-                10 => Fault::CancelNow { count: 4, hang: ms(lasts / 2) },
-                11 => Fault::OddRequests { until },
-                12 => Fault::Copies { until: ms(at + 40_000) },
-                13 => Fault::Deafen { count: 3, lasts: ms(lasts) },
+                10 => Fault::CancelRunning { count: 4, hang: ms(lasts / 2) },
+                11 => Fault::InvalidRequests { until },
+                12 => Fault::DuplicateReports { until: ms(at + 40_000) },
+                13 => Fault::LoseAnswers { count: 3, lasts: ms(lasts) },
                 14 => Fault::Outage { until },
                 15 => Fault::Hang { count: 3, lasts: ms(lasts) },
-                16 => Fault::Blink { count: 2 },
+                16 => Fault::RestartMachines { count: 2 },
                 _ => Fault::Crash { nodes: (0..NODES).collect(), back: ms(w.draw(200..16_000)) },
             };
             w.fault(ms(at), fault);
@@ -149,21 +149,21 @@
 }
 
 /// How often what a test is about happened.
-pub type Reached = BTreeMap<&'static str, u32>;
+pub type Coverage = BTreeMap<&'static str, u32>;
 
 /// Plays histories with several seeds; SOAK=20 plays twenty times as many.
-pub fn play(seeds: std::ops::Range<u64>, faults: impl Fn(&mut World, i64)) -> Reached {
-    let mut reached = Reached::new();
+pub fn play(seeds: std::ops::Range<u64>, faults: impl Fn(&mut World, i64)) -> Coverage {
+    let mut coverage = Coverage::new();
     let soak = std::env::var("SOAK").ok().and_then(|n| n.parse().ok()).unwrap_or(1);
     let more = (1..soak).flat_map(|k| seeds.clone().map(move |s| s + 10_000 * k));
     for seed in seeds.clone().chain(more) {
-        for (what, n) in history(seed, &faults).reached {
-            *reached.entry(what).or_default() += n;
+        for (what, n) in history(seed, &faults).coverage {
+            *coverage.entry(what).or_default() += n;
         }
     }
-    reached
+    coverage
 }
 
-pub fn count(reached: &Reached, what: &str) -> u32 {
-    reached.get(what).copied().unwrap_or(0)
+pub fn count(coverage: &Coverage, what: &str) -> u32 {
+    coverage.get(what).copied().unwrap_or(0)
 }
--- a/crates/seamfront-core/tests/world/state_service.rs
+++ b/crates/seamfront-core/tests/world/state_service.rs
@@ -47,7 +47,7 @@
         }
         self.store.expire(self.now);
         let writes = matches!(&request, StateCall::Commit { apply, .. } if !apply.is_empty());
-        if !late && writes && self.now < self.late_writes && self.rng.random_range(0..4) == 0 {
+        if !late && writes && self.now < self.delay_writes_until && self.rng.random_range(0..4) == 0 {
             unknown(self);
             let d = ms(self.rng.random_range(2_000..12_000));
             return self.after(d, Event::State { node, life, call, request, late: true });
@@ -70,11 +70,11 @@
         let reply = self.store.execute(self.now, &request);
         if let (Some(StateReply::Committed { revision }), true) = (&reply, writes) {
             if late && self.nodes[node].wrote > 0 {
-                self.reach("a late transaction was carried out after newer ones");
+                self.cover("a late transaction was carried out after newer ones");
             }
             self.nodes[node].wrote = *revision;
         } else if late && matches!(reply, Some(StateReply::Conflict { .. })) {
-            self.reach("a late transaction failed");
+            self.cover("a late transaction failed");
         }
         match reply {
             Some(reply) if !late => self.tell(node, life, Command::State { call, reply }),
--- a/crates/seamfront-core/tests/world/users.rs
+++ b/crates/seamfront-core/tests/world/users.rs
@@ -9,8 +9,8 @@
             Asked::Submit { job } => Event::Submit { job: job.clone() },
             Asked::Poll { job } => Event::Poll { job: job.clone() },
             Asked::Cancel { job } => Event::Cancel { job: job.clone() },
-            Asked::Impossible => Event::OddRequests,
-            Asked::Hello { .. } => unreachable!("workers ask by themselves"),
+            Asked::Impossible => Event::InvalidRequests,
+            Asked::Report { .. } => unreachable!("workers ask by themselves"),
         };
         if up.is_empty() {
             return self.after(ms(1_500), again);
@@ -25,16 +25,16 @@
             self.after(ms(6_000), again);
         }
         self.asked.insert((node, life, to), (asked, self.now));
-        let d = self.delay() + self.held_up(node);
+        let d = self.delay() + self.processing_delay(node);
         self.after(d, Event::ToNode { node, life, command: Box::new(command(to)) });
     }
 
     /// What users do though it makes no sense.
-    pub(super) fn odd_requests(&mut self) {
-        if self.now >= self.odd_requests {
+    pub(super) fn invalid_requests(&mut self) {
+        if self.now >= self.invalid_requests {
             return;
         }
-        self.after(ms(700), Event::OddRequests);
+        self.after(ms(700), Event::InvalidRequests);
         let known: Vec<JobId> = self.accepted.iter().cloned().collect();
         if known.is_empty() {
             return;
@@ -42,11 +42,11 @@
         let job = known[self.rng.random_range(0..known.len())].clone();
         match self.told.get(&job) {
             None => {
-                self.reach("an unfinished job was submitted again");
+                self.cover("an unfinished job was submitted again");
                 self.at(self.now, Event::Submit { job });
             }
             Some((ShownState::Done, _)) => {
-                self.reach("a job that is done was cancelled");
+                self.cover("a job that is done was cancelled");
                 self.at(self.now, Event::Cancel { job });
             }
             Some(_) => self.at(self.now, Event::Submit { job }),
@@ -62,7 +62,7 @@
     }
 
     /// An answer counts as older only if it was asked for after the newer one had been given.
-    pub(super) fn user_told(&mut self, asked: Asked, asked_at: Micros, answer: Answer) {
+    pub(super) fn check_user_answer(&mut self, asked: Asked, asked_at: Micros, answer: Answer) {
         let (job, submit) = match asked {
             Asked::Submit { job } => (job, true),
             Asked::Poll { job } | Asked::Cancel { job } => (job, false),
@@ -72,7 +72,7 @@
                 }
                 return;
             }
-            Asked::Hello { .. } => return,
+            Asked::Report { .. } => return,
         };
         let mut bad = Vec::new();
         // Once all troubles are over, an accepted job is answered for at least every 75 s.
@@ -106,7 +106,7 @@
                         bad.push(format!("orphaned: {job} is called {state:?}"));
                     }
                     if state == ShownState::Cancelled {
-                        self.reach("a job was cancelled with one that it needs");
+                        self.cover("a job was cancelled with one that it needs");
                     }
                 }
                 match state {
@@ -125,7 +125,7 @@
                         if !self.truth.cancelled.contains_key(&job) && runs {
                             let apart = |n: &Node| n.refused.max(n.cut_state.0) > self.now;
                             if self.nodes.iter().any(apart) {
-                                self.reach("a running job was cancelled while a controller was refused");
+                                self.cover("a running job was cancelled while a controller was refused");
                             }
                         }
                         self.truth.cancelled.entry(job.clone()).or_insert(self.now);
