--- a/crates/seamfront-core/tests/evidence.rs
+++ b/crates/seamfront-core/tests/evidence.rs
@@ -137,6 +137,36 @@
     }
 }
 
+/// It was given up while a task placed on it waited to be started, and reports again before the store has answered:
+/// the reply must not start what would be returned with the machine (found by the seeded world, seed 41407).
+#[test]
+fn nothing_is_started_on_a_machine_that_is_being_given_up() {
+    let mut h = Held::new(8, 1);
+    let task = TaskKey { job: "j-0".into(), index: 0 };
+    // Placed by this holder, and to be started when the machine is silent already.
+    let placed = h.share.jobs.get_mut(&task.job).unwrap().tasks.get_mut(&0).unwrap();
+    (placed.gen, placed.not_before) = (1, s(110));
+    for t in (101..140).step_by(2) {
+        for k in 0..8 {
+            if t == 101 || k > 0 {
+                h.hello(s(t), &report(&format!("i-{k}"), 1, t as u64, CLAIM, &[]));
+            }
+        }
+    }
+    // Silent for longer than is forgiven, its lease not over yet.
+    let silent = Micros::from_millis(113_100);
+    h.with(silent, |s, ctx| s.tick(ctx));
+    let writes = h.share.writes(silent, 100, 32 * 1024);
+    assert!(writes.iter().any(|w| matches!(w, ShareWrite::Machine { record, .. } if record.share.is_none())));
+    let start = Order::Start { task, attempt: 3 };
+    assert!(!h.hello(silent, &report("i-0", 1, 141, CLAIM, &[])).contains(&start));
+    // The store refused: it is ours as before.
+    for w in &writes {
+        h.with(silent, |s, ctx| s.written(ctx, w, seamfront_core::share::WriteOutcome::Refused));
+    }
+    assert!(h.hello(silent, &report("i-0", 1, 142, CLAIM, &[])).contains(&start));
+}
+
 /// It showed our token before it went deaf, so that proves nothing any more: a lease that ends
 /// although it was answered makes us raise the token, and the machine waits until it shows that.
 #[test]
--- a/crates/seamfront-core/tests/fault_combinations.rs
+++ b/crates/seamfront-core/tests/fault_combinations.rs
@@ -340,3 +340,10 @@
 fn troubles_in_pairs() {
     play(1_400..1_440, world::script::pairs);
 }
+
+/// A history in which a machine was returned with tasks that had been started after it was given up
+/// (`docs/incidents/started-while-given-up.md`).
+#[test]
+fn a_machine_that_comes_back_while_it_is_given_up() {
+    play(41_407..41_408, world::script::pairs);
+}
