--- a/crates/seamfront-core/src/users.rs
+++ b/crates/seamfront-core/src/users.rs
@@ -221,7 +221,10 @@
         match reply {
             StateReply::Entry(e) => match wish {
                 // What became of the jobs that it needs is known once the view shows it.
-                Wish::Poll if has_needs(&e.value) && !self.jobs.contains_key(&id) => self.later(to),
+                Wish::Poll if has_needs(&e.value) => match self.jobs.contains_key(&id) {
+                    true => self.answer_waiting(vec![Question { to, id, created: false }], e.version),
+                    false => self.later(to),
+                },
                 Wish::Poll => self.answer_live(to, &id, false),
                 Wish::Cancel => {
                     let tasks = serde_json::from_value::<JobSpec>(e.value).map_or(0, |s| s.tasks);
@@ -351,7 +354,7 @@
         self.users.in_flight -= batch.len();
         match reply {
             StateReply::Committed { revision } => {
-                let mut waiting = Vec::new();
+                let mut created = Vec::new();
                 for (to, spec) in batch {
                     info!(job = %spec.id, class = %spec.class, tasks = spec.tasks, "accepted");
                     let id = spec.id.clone();
@@ -359,14 +362,9 @@
                     if self.link.watches[0].seen < revision {
                         self.job_appeared(spec, revision);
                     }
-                    // Its needs were looked up in a view that may have been behind.
-                    if self.jobs.get(&id).is_some_and(|j| j.chain.waits()) {
-                        waiting.push(Question { to, id, created: true });
-                    } else {
-                        self.answer_live(to, &id, true);
-                    }
+                    created.push(Question { to, id, created: true });
                 }
-                self.answer_waiting(waiting, revision);
+                self.answer_confirmed(created, revision);
             }
             StateReply::Conflict { failed } => {
                 for (to, spec) in batch {
@@ -389,13 +387,8 @@
         self.users.in_flight -= polls.len();
         match reply {
             StateReply::Committed { revision } => {
-                let (waiting, rest): (Vec<_>, Vec<_>) =
-                    polls.into_iter().partition(|p| self.jobs.get(&p.1).is_some_and(|j| j.chain.waits()));
-                for (to, id) in rest {
-                    self.answer_live(to, &id, false);
-                }
-                let asked = |(to, id)| Question { to, id, created: false };
-                self.answer_waiting(waiting.into_iter().map(asked).collect(), revision);
+                let polls = polls.into_iter().map(|(to, id)| Question { to, id, created: false });
+                self.answer_confirmed(polls.collect(), revision);
             }
             StateReply::Conflict { failed } => {
                 for (to, id) in polls {
@@ -416,6 +409,21 @@
         }
     }
 
+    /// Answers about jobs that the store has confirmed to be live at this revision. What has left the view since
+    /// has ended, perhaps with a job that it needs, whose user was told of the cancellation long ago: it must not be
+    /// called queued, and the store is asked how it ended.
+    fn answer_confirmed(&mut self, questions: Vec<Question>, revision: u64) {
+        let mut waiting = Vec::new();
+        for q in questions {
+            match self.jobs.get(&q.id) {
+                Some(j) if j.chain.waits() => waiting.push(q),
+                None if self.users.ended.get(&q.id).is_none() => self.look_up(q.to, q.id, Wish::Poll),
+                _ => self.answer_live(q.to, &q.id, q.created),
+            }
+        }
+        self.answer_waiting(waiting, revision);
+    }
+
     pub(crate) fn job_appeared(&mut self, spec: Rc<JobSpec>, version: u64) {
         let Some(share) = self.cfg.share_of(&spec.team) else { return };
         let id = spec.id.clone();
--- a/crates/seamfront-core/tests/world/checks.rs
+++ b/crates/seamfront-core/tests/world/checks.rs
@@ -78,6 +78,7 @@
             .collect();
         for job in ended {
             self.ended.insert(job.clone(), self.now);
+            self.look_closely(&job);
             if self.now < self.cancel_at_completion && self.accepted.contains(&job) && !self.told.contains_key(&job) {
                 self.cover("a cancellation, a question and a submission met a job's end");
                 self.wants_cancel.insert(job.clone());
@@ -93,14 +94,94 @@
         }
     }
 
-    pub(super) fn follow_leadership(&mut self) {
-        let version = self.store.keys.get("leader").map(|v| v.1);
-        if version.is_some() && self.led_by != version {
-            self.led_by = version;
-            self.cover("leadership was taken");
+    pub(super) fn follow_claims(&mut self) {
+        let shares = (0..self.scale.nodes).map(|k| format!("share/{k}"));
+        for claim in shares.chain(["leader".to_owned()]) {
+            let version = self.store.keys.get(&claim).map(|v| v.1);
+            let known = self.claims.entry(claim.clone()).or_insert((None, self.now));
+            if known.0 == version {
+                continue;
+            }
+            *known = (version, self.now);
+            if version.is_some() {
+                if claim == "leader" {
+                    self.cover("leadership was taken");
+                }
+                self.deliver_kept_reports(&claim);
+            }
+        }
+    }
+
+    /// To every controller as the claim is taken, and once more to its holder when it has begun to act.
+    fn deliver_kept_reports(&mut self, claim: &str) {
+        let Some(holder) = self.holder(claim) else { return };
+        for (sent, report) in std::mem::take(&mut self.kept_reports) {
+            self.cover("an old report reached every controller as a claim was taken");
+            for node in 0..self.scale.nodes {
+                let soon = ms(self.rng.random_range(0..200));
+                self.after(soon, Event::DuplicateReport { node, sent, report: Box::new(report.clone()) });
+            }
+            let later = ms(self.rng.random_range(500..4_000));
+            self.after(later, Event::DuplicateReport { node: holder, sent, report: Box::new(report) });
+        }
+    }
+
+    /// A claim that nobody holds, or that was taken a moment ago.
+    pub(super) fn changes_hands(&self, claim: &str) -> bool {
+        self.claims.get(claim).is_some_and(|(v, since)| v.is_none() || self.now - *since < ms(3_000))
+    }
+
+    /// No controller orders a start of a job that it has itself called cancelled, however troubled the times.
+    pub(super) fn check_orders(&mut self, node: usize, orders: &[Order]) {
+        for o in orders {
+            let Order::Start { task, .. } = o else { continue };
+            if self.nodes[node].called_cancelled.contains(&task.job) {
+                let t = self.now.as_secs_decimal();
+                let bad = format!("{t:.3} start of {task} ordered by n{node}, which had called the job cancelled");
+                self.truth.broken.push(bad);
+            }
         }
     }
 
+    /// Starts after a confirmed cancellation are counted. Once the troubles are over, what was under way as the
+    /// job was called off is stopped with the next reply: no start comes later than that.
+    pub(super) fn check_late_starts(&mut self) {
+        let settled = self.quiet_from + ms(30_000);
+        let at_most = self.settings.report.times(5).over(2) + ms(1_000);
+        for (task, confirmed) in std::mem::take(&mut self.truth.started_cancelled) {
+            self.cover("a task started after its cancellation was confirmed");
+            if confirmed > settled && self.now - confirmed > at_most {
+                let t = self.now.as_secs_decimal();
+                self.truth.broken.push(format!("{t:.3} {task} started though cancelled at {confirmed:?}"));
+            }
+        }
+    }
+
+    /// What can never run is in no record of the state service.
+    pub(super) fn check_impossible_jobs(&mut self) {
+        for id in &self.impossible {
+            if self.store.keys.contains_key(&format!("job/{id}")) || self.store.keys.contains_key(&format!("end/{id}"))
+            {
+                self.truth.broken.push(format!("accepted though it can never run: {id}"));
+            }
+        }
+    }
+
+    /// Once all troubles are over, an accepted job is answered for at least every 75 s. Silence counts too.
+    pub(super) fn check_answered(&mut self) {
+        // Users poll on until then.
+        if self.now > self.quiet_from + ms(100_000) {
+            return;
+        }
+        let forgotten = |id: &&JobId| {
+            let last = self.answered.get(*id).copied().unwrap_or(Micros::ZERO).max(self.quiet_from);
+            !self.told.contains_key(*id) && self.now - last > ms(75_000)
+        };
+        let forgotten: Vec<String> =
+            self.accepted.iter().filter(forgotten).map(|id| format!("forgotten: {id} was not answered for")).collect();
+        self.truth.broken.extend(forgotten);
+    }
+
     /// Once the troubles are over, no job is left waiting for 90 s while a machine that fits has room and
     /// its team is under its limit. Gangs that need several places at once are not judged.
     pub(super) fn check_waiting_jobs(&mut self) {
--- a/crates/seamfront-core/tests/world/cloud.rs
+++ b/crates/seamfront-core/tests/world/cloud.rs
@@ -23,7 +23,8 @@
                 } else {
                     let mut ids = Vec::new();
                     for _ in 0..count.min(4) {
-                        let boot = ms(self.rng.random_range(500..9_000));
+                        let slowest = if self.now < self.fast_boots_until { 2_000 } else { 9_000 };
+                        let boot = ms(self.rng.random_range(500..slowest));
                         ids.push(self.rent(&kind, &zone, spot, boot));
                     }
                     self.rented.insert(name, ids.clone());
--- a/crates/seamfront-core/tests/world/faults.rs
+++ b/crates/seamfront-core/tests/world/faults.rs
@@ -123,6 +123,26 @@
     CancelAtCompletion {
         until: Micros,
     },
+    /// A part of direct commands is held up, unanswered, and carried out once, 2 to 16 s late.
+    DelayCommands {
+        until: Micros,
+    },
+    /// A part of the transactions is carried out at once, and only the answer is lost.
+    LoseCommitAnswers {
+        until: Micros,
+    },
+    /// Copies of a part of the reports are kept until a claim changes hands, and then reach every controller.
+    KeepReports {
+        until: Micros,
+    },
+    /// New machines are up within two seconds.
+    FastBoots {
+        until: Micros,
+    },
+    /// Users ask at all controllers within milliseconds after a job was accepted, ended or called off.
+    CloseLooks {
+        until: Micros,
+    },
     /// Unfinished jobs are submitted again, done ones cancelled, impossible ones submitted.
     InvalidRequests {
         until: Micros,
@@ -156,6 +176,23 @@
             let n = self.truth.jobs[id].tasks;
             (2..=3).contains(&n) && (done.len() as u32) < n && !self.told.contains_key(id)
         });
+        let mut limited = self.truth.teams.iter().filter(|t| t.limit.cpus > 0).peekable();
+        let all_at_limit = limited.peek().is_some() && limited.all(|t| full(&t));
+        let stopping = |id: &MachineId, w: &Worker| {
+            let called_off = |k: &TaskKey| self.truth.cancelled.contains_key(&k.job);
+            let silent = apart(id) || w.hung_until > now;
+            silent && w.tasks.iter().any(|(k, t)| t.on_machine() && called_off(k))
+        };
+        let stopping = up().any(|(id, w)| stopping(id, w));
+        let new_machine = |w: &Worker| w.up_at <= now && now - w.up_at < ms(4_000) && !w.tasks.is_empty();
+        let new_machine = up().any(|(_, w)| new_machine(w));
+        let writes_lag = now < self.slow_state.max(self.delay_writes_until);
+        if all_at_limit && stopping {
+            self.cover("every team stood at its limit, a cancelled task was out of reach and a controller ended");
+        }
+        if new_machine && writes_lag {
+            self.cover("a controller ended while a new machine had work and writes lagged");
+        }
         if out_of_reach {
             self.cover("a controller ended while machines with tasks were out of reach");
         }
@@ -228,6 +265,11 @@
             Fault::SlowNode { node, until } => self.nodes[node].slow = until,
             Fault::SlowState { until } => self.slow_state = until,
             Fault::CancelAtCompletion { until } => self.cancel_at_completion = until,
+            Fault::DelayCommands { until } => self.delay_commands_until = until,
+            Fault::LoseCommitAnswers { until } => self.lose_commit_answers_until = until,
+            Fault::KeepReports { until } => self.keep_reports_until = until,
+            Fault::FastBoots { until } => self.fast_boots_until = until,
+            Fault::CloseLooks { until } => self.close_looks_until = until,
             Fault::InvalidRequests { until } => {
                 self.invalid_requests = until;
                 self.at(self.now, Event::InvalidRequests);
--- a/crates/seamfront-core/tests/world/mod.rs
+++ b/crates/seamfront-core/tests/world/mod.rs
@@ -93,6 +93,10 @@
     Cancel {
         job: JobId,
     },
+    /// Users ask about the job at all controllers within milliseconds, and submit it again.
+    AskAll {
+        job: JobId,
+    },
     InvalidRequests,
     Fault(Fault),
 }
@@ -116,6 +120,8 @@
     slow: Micros,
     /// Revision of the last transaction of its that was carried out.
     wrote: u64,
+    /// Jobs that this process has called cancelled: it must not start anything of theirs.
+    called_cancelled: BTreeSet<JobId>,
 }
 
 /// A request of a user or worker that waits for its answer.
@@ -171,12 +177,23 @@
     slow_state: Micros,
     cancel_at_completion: Micros,
     invalid_requests: Micros,
-    /// Jobs whose last task has completed.
+    delay_commands_until: Micros,
+    lose_commit_answers_until: Micros,
+    keep_reports_until: Micros,
+    /// Copies of reports that the next holder of a claim gets, with when they were sent.
+    kept_reports: Vec<(Micros, Report)>,
+    fast_boots_until: Micros,
+    close_looks_until: Micros,
+    /// Jobs that can never run: submitted, and never to be accepted.
+    impossible: BTreeSet<JobId>,
+    /// What the state service still takes in requests and in writes, in thousandths, and when that was counted.
+    state_tokens: (i64, i64, Micros),
+    /// Jobs whose last task has completed. last task has completed.
     ended: BTreeMap<JobId, Micros>,
     /// How often what the tests are for really happened.
     pub coverage: script::Coverage,
-    /// Version of the last claim to leadership.
-    led_by: Option<u64>,
+    /// By claim: its last version, and since when it is held or free.
+    claims: BTreeMap<String, (Option<u64>, Micros)>,
     /// Since when a job waits though that machine has room for it.
     passed_over: BTreeMap<(JobId, MachineId), Micros>,
     pub truth: Truth,
@@ -209,6 +226,8 @@
     /// Requests and writes a second that the store takes.
     pub state_rps: i64,
     pub write_rps: i64,
+    /// Each team's limit in CPUs, 0 for none.
+    pub limits: [i64; 10],
     /// Workers' times in seconds: between reports, a lease, until a cancelled job's tasks are gone.
     pub times: (i64, i64, i64),
 }
@@ -226,6 +245,7 @@
     txn_ops: 48,
     state_rps: 250,
     write_rps: 100,
+    limits: [24, 10, 16, 0, 0, 0, 0, 0, 0, 0],
     times: (2, 12, 30),
 };
 
@@ -240,7 +260,7 @@
         me,
         teams: ["a", "b", "c", "d", "e", "f", "g", "h", "i", "j"]
             .into_iter()
-            .zip([24, 10, 16, 0, 0, 0, 0, 0, 0, 0])
+            .zip(scale.limits)
             .map(|(name, limit)| team(name, limit))
             .take(scale.teams)
             .collect(),
@@ -293,6 +313,7 @@
             lease: settings.lease,
             broken: Vec::new(),
             started: 0,
+            started_cancelled: Vec::new(),
             leases_ended: 0,
             began: BTreeMap::new(),
             holders: BTreeMap::new(),
@@ -308,6 +329,7 @@
             stalled: Micros::ZERO,
             slow: Micros::ZERO,
             wrote: 0,
+            called_cancelled: BTreeSet::new(),
         };
         let mut w = World {
             now: Micros::ZERO,
@@ -337,9 +359,17 @@
             slow_state: Micros::ZERO,
             cancel_at_completion: Micros::ZERO,
             invalid_requests: Micros::ZERO,
+            delay_commands_until: Micros::ZERO,
+            lose_commit_answers_until: Micros::ZERO,
+            keep_reports_until: Micros::ZERO,
+            kept_reports: Vec::new(),
+            fast_boots_until: Micros::ZERO,
+            close_looks_until: Micros::ZERO,
+            impossible: BTreeSet::new(),
+            state_tokens: (0, 0, Micros::ZERO),
             ended: BTreeMap::new(),
             coverage: BTreeMap::new(),
-            led_by: None,
+            claims: BTreeMap::new(),
             passed_over: BTreeMap::new(),
             truth,
             asked: BTreeMap::new(),
@@ -440,6 +470,7 @@
                     return;
                 }
                 n.life += 1;
+                n.called_cancelled.clear();
                 n.born = self.now;
                 n.engine = Some(Engine::new(settings(self.scale, node)));
                 self.after(ms(1), Event::Tick { node });
@@ -503,6 +534,7 @@
                     self.after(ms(2_000), Event::Cancel { job });
                 }
             }
+            Event::AskAll { job } => self.ask_all(&job),
             Event::InvalidRequests => self.invalid_requests(),
             Event::Fault(f) => self.inject(f),
         }
@@ -553,6 +585,7 @@
             }
             Effect::Cloud { call, request } => self.after(d, Event::Cloud { node, life, call, request, late: false }),
             Effect::Direct { call, machine, session, token, orders, .. } => {
+                self.check_orders(node, &orders);
                 let d = d + self.answer_delay();
                 self.after(d, Event::Direct { node, life, call, machine, session, token, orders, late: false })
             }
@@ -571,12 +604,16 @@
                 }
             }
             Effect::Orders { to, token, orders } => {
+                self.check_orders(node, &orders);
                 self.report_answered(node, life, to, ReportAnswer::Orders(token, orders))
             }
             Effect::Elsewhere { to, member } => self.report_answered(node, life, to, ReportAnswer::Elsewhere(member)),
             Effect::Healthy { .. } => {}
             Effect::Answer { to, answer } => {
                 if let Some((asked, at)) = self.asked.remove(&(node, life, to)) {
+                    if let Answer::Status { id, state: ShownState::Cancelled, .. } = &answer {
+                        self.nodes[node].called_cancelled.insert(id.clone());
+                    }
                     self.check_user_answer(asked, at, answer);
                 }
             }
--- a/crates/seamfront-core/tests/world/network.rs
+++ b/crates/seamfront-core/tests/world/network.rs
@@ -29,6 +29,12 @@
         Micros::ZERO
     }
 
+    /// Whether the process that sent a command has ended or no longer holds the claim that it sent it under.
+    fn is_former(&self, node: usize, life: u64, token: u64) -> bool {
+        let newer = |c: &(Option<u64>, Micros)| c.0.is_some_and(|v| v > token);
+        self.nodes[node].life != life || self.claims.values().any(newer)
+    }
+
     pub(super) fn unreachable(&self, node: usize, id: &MachineId) -> bool {
         let link = self.cut_links.get(&(node, id.clone()));
         link.or(self.cut_machines.get(id)).is_some_and(|t| *t > self.now)
@@ -85,6 +91,9 @@
             let node = self.rng.random_range(0..self.scale.nodes);
             self.after(late, Event::DuplicateReport { node, sent: self.now, report: Box::new(report.clone()) });
         }
+        if self.now < self.keep_reports_until && self.rng.random_range(0..3) == 0 {
+            self.kept_reports.push((self.now, report.clone()));
+        }
         let mute = self.loses_reports(&id);
         let w = self.truth.workers.get_mut(&id).unwrap();
         w.in_flight = Some((report.seq, self.now));
@@ -201,7 +210,19 @@
             let d = ms(self.rng.random_range(300..most));
             return self.after(d, Event::Direct { node, life, call, machine: id, session, token, orders, late: true });
         }
+        if !late && self.now < self.delay_commands_until && self.rng.random_range(0..2) == 0 {
+            unknown(self);
+            let d = ms(self.rng.random_range(2_000..16_000));
+            return self.after(d, Event::Direct { node, life, call, machine: id, session, token, orders, late: true });
+        }
         let mute = self.loses_reports(&id);
+        let former = late && self.is_former(node, life, token);
+        let w = self.truth.workers.get_mut(&id).unwrap();
+        if former && token < w.token {
+            self.cover("a former holder's command arrived after the new holder's and was refused");
+        } else if former {
+            self.cover("a former holder's command arrived before the new holder's");
+        }
         let w = self.truth.workers.get_mut(&id).unwrap();
         if token >= w.token && session == w.session {
             w.token = token;
@@ -241,8 +262,11 @@
         self.store.expire(now);
         self.serve_watches();
         self.follow_completions();
-        self.follow_leadership();
+        self.follow_claims();
         self.check_waiting_jobs();
+        self.check_late_starts();
+        self.check_impossible_jobs();
+        self.check_answered();
         self.after(ms(100), Event::Workers);
     }
 }
--- a/crates/seamfront-core/tests/world/state_service.rs
+++ b/crates/seamfront-core/tests/world/state_service.rs
@@ -45,6 +45,13 @@
                 self.largest.1 = self.largest.1.max(apply.iter().map(bytes).sum());
             }
         }
+        if !self.state_takes(&request) {
+            self.cover("the state service refused for its rate");
+            if !late {
+                self.tell(node, life, Command::State { call, reply: StateReply::Refused });
+            }
+            return;
+        }
         self.store.expire(self.now);
         let writes = matches!(&request, StateCall::Commit { apply, .. } if !apply.is_empty());
         if !late && writes && self.now < self.delay_writes_until && self.rng.random_range(0..4) == 0 {
@@ -52,6 +59,17 @@
             let d = ms(self.rng.random_range(2_000..12_000));
             return self.after(d, Event::State { node, life, call, request, late: true });
         }
+        if !late && writes && self.now < self.lose_commit_answers_until && self.rng.random_range(0..3) == 0 {
+            unknown(self);
+            let reply = self.store.execute(self.now, &request);
+            if matches!(reply, Some(StateReply::Committed { .. })) {
+                self.cover("a transaction was carried out and its answer lost");
+                if self.others_watch(node, &request) {
+                    self.cover("others read what was written by a transaction whose answer was lost");
+                }
+            }
+            return self.serve_watches();
+        }
         if !late && self.lost() {
             // Lost on the way there, or only its answer; now and then it is carried out much later.
             unknown(self);
@@ -89,6 +107,32 @@
         self.serve_watches();
     }
 
+    /// A token bucket a second deep for requests, and one for writes; what passes them is refused.
+    fn state_takes(&mut self, request: &StateCall) -> bool {
+        let (requests, writes, at) = self.state_tokens;
+        let passed = (self.now - at).0;
+        let fill = |have: i64, rate: i64| (have + rate * passed / 1_000).min(rate * 1_000);
+        let (requests, writes) = (fill(requests, self.scale.state_rps), fill(writes, self.scale.write_rps));
+        let asked = if let StateCall::Commit { apply, .. } = request { apply.len() as i64 * 1_000 } else { 0 };
+        let takes = requests >= 1_000 && writes >= asked;
+        let left = if takes { (requests - 1_000, writes - asked) } else { (requests, writes) };
+        self.state_tokens = (left.0, left.1, self.now);
+        takes
+    }
+
+    /// Whether another controller has a watch open on a key that this transaction writes.
+    fn others_watch(&self, node: usize, request: &StateCall) -> bool {
+        let StateCall::Commit { apply, .. } = request else { return false };
+        let written = |w: &Write, prefix: &str| match w {
+            Write::Put { key, .. } | Write::Delete { key } => key.starts_with(prefix),
+        };
+        let watches = self.watches.iter().filter(|w| w.0 != node);
+        watches.into_iter().any(|w| match &w.3 {
+            StateCall::Changes { prefix, .. } => apply.iter().any(|a| written(a, prefix)),
+            _ => false,
+        })
+    }
+
     pub(super) fn serve_watches(&mut self) {
         let watches = std::mem::take(&mut self.watches);
         for (node, life, call, request, until) in watches {
--- a/crates/seamfront-core/tests/world/users.rs
+++ b/crates/seamfront-core/tests/world/users.rs
@@ -29,6 +29,38 @@
         self.after(d, Event::ToNode { node, life, command: Box::new(command(to)) });
     }
 
+    /// One question to one controller, without a repetition.
+    fn ask_once(&mut self, node: usize, asked: Asked, command: impl FnOnce(ReplyTo) -> Command) {
+        self.next_reply += 1;
+        let (to, life) = (self.next_reply, self.nodes[node].life);
+        self.asked.insert((node, life, to), (asked, self.now));
+        let d = Micros(self.rng.random_range(200..4_000)) + self.processing_delay(node);
+        self.after(d, Event::ToNode { node, life, command: Box::new(command(to)) });
+    }
+
+    /// If users look closely now: they ask at all controllers, three times within milliseconds.
+    pub(super) fn look_closely(&mut self, job: &JobId) {
+        if self.now >= self.close_looks_until || !self.accepted.contains(job) {
+            return;
+        }
+        self.cover("users asked at all controllers within milliseconds");
+        for at in [0, 4, 25] {
+            self.after(ms(at), Event::AskAll { job: job.clone() });
+        }
+        if self.rng.random_range(0..5) == 0 {
+            self.wants_cancel.insert(job.clone());
+            self.after(ms(2), Event::Cancel { job: job.clone() });
+        }
+    }
+
+    pub(super) fn ask_all(&mut self, job: &JobId) {
+        for node in (0..self.scale.nodes).filter(|k| self.nodes[*k].engine.is_some()).collect::<Vec<_>>() {
+            let (id, spec) = (job.clone(), Box::new(self.truth.jobs[job].clone()));
+            self.ask_once(node, Asked::Poll { job: job.clone() }, |to| Command::Poll { to, id });
+            self.ask_once(node, Asked::Submit { job: job.clone() }, |to| Command::Submit { to, spec });
+        }
+    }
+
     /// What users do though it makes no sense.
     pub(super) fn invalid_requests(&mut self) {
         if self.now >= self.invalid_requests {
@@ -58,6 +90,7 @@
             1 => spec.team = "nobody".into(),
             _ => spec.types = Some(vec!["none".into()]),
         }
+        self.impossible.insert(spec.id.clone());
         self.ask(Asked::Impossible, |to| Command::Submit { to, spec: Box::new(spec) });
     }
 
@@ -75,12 +108,7 @@
             Asked::Report { .. } => return,
         };
         let mut bad = Vec::new();
-        // Once all troubles are over, an accepted job is answered for at least every 75 s.
         if self.accepted.contains(&job) && !self.told.contains_key(&job) {
-            let last = self.answered.get(&job).copied().unwrap_or(Micros::ZERO).max(self.quiet_from);
-            if self.now - last > ms(75_000) {
-                bad.push(format!("forgotten: {job} was not answered for since {:.3}", last.as_secs_decimal()));
-            }
             if !matches!(answer, Answer::Later { .. }) {
                 self.answered.insert(job.clone(), self.now);
             }
@@ -89,6 +117,7 @@
             Answer::Status { state, .. } => {
                 if submit {
                     if self.accepted.insert(job.clone()) {
+                        self.look_closely(&job);
                         self.after(ms(3_000), Event::Poll { job: job.clone() });
                     }
                 } else if !self.accepted.contains(&job) {
@@ -128,8 +157,15 @@
                                 self.cover("a running job was cancelled while a controller was refused");
                             }
                         }
+                        let first = !self.truth.cancelled.contains_key(&job);
+                        if first && runs && self.share_changes_hands(&job) {
+                            self.cover("a running job was cancelled as its share changed hands");
+                        }
                         self.truth.cancelled.entry(job.clone()).or_insert(self.now);
-                        self.told.entry(job).or_insert((state, self.now));
+                        self.told.entry(job.clone()).or_insert((state, self.now));
+                        if first {
+                            self.look_closely(&job);
+                        }
                     }
                     _ => {}
                 }
@@ -142,6 +178,11 @@
         self.truth.broken.extend(bad);
     }
 
+    fn share_changes_hands(&self, job: &JobId) -> bool {
+        let share = self.settings.share_of(&self.truth.jobs[job].team);
+        share.is_some_and(|k| self.changes_hands(&format!("share/{k}")))
+    }
+
     /// Whether users want a job cancelled that this one needs, directly or through others.
     pub(super) fn needs_unwanted(&self, id: &JobId) -> bool {
         self.truth.jobs[id].needs.iter().any(|n| self.wants_cancel.contains(n) || self.needs_unwanted(n))
--- a/crates/seamfront-core/tests/world/workers.rs
+++ b/crates/seamfront-core/tests/world/workers.rs
@@ -67,6 +67,8 @@
     pub lease: Micros,
     pub broken: Vec<String>,
     pub started: u64,
+    /// Tasks that started after their job's cancellation was confirmed, with when that was.
+    pub started_cancelled: Vec<(TaskKey, Micros)>,
     /// Leases that ended under tasks.
     pub leases_ended: u64,
     /// When the first task of a job began.
@@ -182,6 +184,9 @@
         if same > spec.zone_cap() {
             bad.push(format!("wrong_place: {key} makes {same} in one zone"));
         }
+        if let Some(confirmed) = self.cancelled.get(&key.job) {
+            self.started_cancelled.push((key.clone(), *confirmed));
+        }
         if self.cancelled.get(&key.job).is_some_and(|t| now - *t > self.cancel) {
             bad.push(format!("ran_cancelled: {key} started"));
         }
