--- a/crates/seamfront/tests/end_to_end.rs
+++ b/crates/seamfront/tests/end_to_end.rs
@@ -16,24 +16,35 @@
 use std::time::{Duration, Instant};
 
 fn read_message(r: &mut BufReader<TcpStream>) -> Option<(String, Vec<u8>)> {
+    let (first, _, body) = read_whole_message(r)?;
+    Some((first, body))
+}
+
+/// First line, value of `Retry-After`, body.
+fn read_whole_message(r: &mut BufReader<TcpStream>) -> Option<(String, Option<u64>, Vec<u8>)> {
     let mut first = String::new();
     if r.read_line(&mut first).ok()? == 0 {
         return None;
     }
     let mut length = 0;
+    let mut retry_after = None;
     loop {
         let mut line = String::new();
         r.read_line(&mut line).ok()?;
         if line.trim().is_empty() {
             break;
         }
-        if let Some(n) = line.to_ascii_lowercase().strip_prefix("content-length:") {
+        let line = line.to_ascii_lowercase();
+        if let Some(n) = line.strip_prefix("content-length:") {
             length = n.trim().parse().ok()?;
         }
+        if let Some(n) = line.strip_prefix("retry-after:") {
+            retry_after = Some(n.trim().parse().ok()?);
+        }
     }
     let mut body = vec![0; length];
     r.read_exact(&mut body).ok()?;
-    Some((first, body))
+    Some((first, retry_after, body))
 }
 
 /// A stand-in's server: one thread a connection.
@@ -64,13 +75,18 @@
 }
 
 fn call(to: SocketAddr, method: &str, path: &str, body: &str) -> Option<(u16, Value)> {
+    let (status, _, body) = call_with_retry_after(to, method, path, body)?;
+    Some((status, body))
+}
+
+fn call_with_retry_after(to: SocketAddr, method: &str, path: &str, body: &str) -> Option<(u16, Option<u64>, Value)> {
     let mut s = TcpStream::connect_timeout(&to, Duration::from_secs(1)).ok()?;
     s.set_read_timeout(Some(Duration::from_secs(6))).ok()?;
     let head = format!("{method} {path} HTTP/1.1\r\nhost: x\r\ncontent-length: {}\r\n\r\n", body.len());
     s.write_all(format!("{head}{body}").as_bytes()).ok()?;
-    let (first, body) = read_message(&mut BufReader::new(s))?;
+    let (first, retry_after, body) = read_whole_message(&mut BufReader::new(s))?;
     let status = first.split(' ').nth(1)?.parse().ok()?;
-    Some((status, serde_json::from_slice(&body).unwrap_or(Value::Null)))
+    Some((status, retry_after, serde_json::from_slice(&body).unwrap_or(Value::Null)))
 }
 
 // ---- stand-ins ---------------------------------------------------------------------------
@@ -333,6 +349,53 @@
     panic!("never happened: {what}");
 }
 
+fn job(id: &str, kind: &str, tasks: u32, team: &str) -> String {
+    json!({"id":id,"fornada":"c","equipe":team,"feitio":kind,"vez":"normal","paes":tasks,"cores":1.0,
+        "accelerators":0.0,"ram_gb":1.0,"receita":"img","pull_gb":0.1,"modelos":null,"praca":null,"one_zone":false,
+        "scatter":false,"emprestados":false,"assa_s":1.0,"vira_s":0.0,"guarda_s":0.0,"entrega_s":null})
+    .to_string()
+}
+
+/// That job with one field changed, or left out where the value is null.
+fn changed(id: &str, kind: &str, tasks: u32, field: &str, value: Value) -> String {
+    let mut body: Value = serde_json::from_str(&job(id, kind, tasks, "research")).unwrap();
+    match value {
+        Value::Null => body.as_object_mut().unwrap().remove(field),
+        value => body.as_object_mut().unwrap().insert(field.to_owned(), value),
+    };
+    body.to_string()
+}
+
+/// While the state service cannot be reached nothing can be decided: users are told at once to come back.
+#[test]
+fn what_cannot_be_decided_now_is_answered_at_once() {
+    let dir = std::env::temp_dir().join(format!("seamfront-e2e-away-{}", std::process::id()));
+    std::fs::create_dir_all(&dir).unwrap();
+    let (bind, mesh, peer, nobody) = (free_port(), free_port(), free_port(), free_port());
+    let text = include_str!("../../../docs/settings.example.toml")
+        .replace("127.0.0.1:8080", &bind.to_string())
+        .replace("127.0.0.1:8081", &mesh.to_string())
+        .replace("127.0.0.1:8091", &peer.to_string())
+        .replace("127.0.0.1:8443", &nobody.to_string())
+        .replace("127.0.0.1:2379", &nobody.to_string());
+    let controller = start(&dir, &text);
+    eventually("listening", || call(bind, "GET", "/up", ""));
+    let asked = [
+        ("POST", "/submissions", job("j-000001", "array", 1, "research")),
+        ("GET", "/submissions/j-000001", String::new()),
+        ("POST", "/submissions/j-000001/abort", String::new()),
+    ];
+    for (method, path, body) in asked {
+        let (status, retry_after, _) = call_with_retry_after(bind, method, path, &body).expect("an answer");
+        assert_eq!(status, 503, "{method} {path}");
+        assert!(retry_after.is_some_and(|s| (1..=30).contains(&s)), "{method} {path}: {retry_after:?}");
+    }
+    // A body that no state of things could make valid is refused all the same.
+    assert_eq!(call(bind, "POST", "/submissions", "{}").map(|r| r.0), Some(400));
+    drop(controller);
+    let _ = std::fs::remove_dir_all(&dir);
+}
+
 #[test]
 fn the_binary_serves_users_and_workers() {
     let dir = std::env::temp_dir().join(format!("seamfront-e2e-{}", std::process::id()));
@@ -349,17 +412,27 @@
     let controller = start(&dir, &text);
     eventually("healthy", || call(bind, "GET", "/up", "").filter(|r| r.0 == 200));
 
-    let job = |id: &str, kind: &str, tasks: u32, team: &str| {
-        json!({"id":id,"fornada":"c","equipe":team,"feitio":kind,"vez":"normal","paes":tasks,"cores":1.0,
-            "accelerators":0.0,"ram_gb":1.0,"receita":"img","pull_gb":0.1,"modelos":null,"praca":null,"one_zone":false,
-            "scatter":false,"emprestados":false,"assa_s":1.0,"vira_s":0.0,"guarda_s":0.0,"entrega_s":null})
-        .to_string()
-    };
     let submit = |body: &str| call(bind, "POST", "/submissions", body);
     let status = |r: Option<(u16, Value)>| r.map(|r| r.0);
     assert_eq!(status(submit("{}")), Some(400));
     assert_eq!(status(submit(&job("j-000001", "array", 3, "nobody"))), Some(422));
     assert_eq!(status(submit(&"x".repeat(70_000))), Some(400));
+    // Fits no machine type; more than its team's limit, for a gang and a service all tasks at once.
+    for (kind, tasks, field, value) in [
+        ("array", 1, "cores", json!(900.0)),
+        ("array", 1, "accelerators", json!(9.0)),
+        ("array", 1, "modelos", json!(["none"])),
+        ("array", 1, "praca", json!("nowhere")),
+        ("group", 70, "cores", json!(1.0)),
+        ("service", 70, "cores", json!(1.0)),
+    ] {
+        let body = changed("j-000002", kind, tasks, field, value);
+        assert_eq!(status(submit(&body)), Some(422), "{body}");
+    }
+    for field in ["feitio", "paes", "cores", "receita", "emprestados", "guarda_s"] {
+        assert_eq!(status(submit(&changed("j-000002", "array", 1, field, Value::Null))), Some(400), "{field}");
+    }
+    assert_eq!(status(call(bind, "GET", "/submissions/j-000002", "")), Some(404), "never accepted");
     assert_eq!(status(call(bind, "GET", "/submissions/j-777777", "")), Some(404));
     assert_eq!(status(call(bind, "GET", "/nothing", "")), Some(404));
     assert_eq!(status(call(bind, "DELETE", "/submissions/j-000001", "")), Some(405));
@@ -367,6 +440,9 @@
 
     assert_eq!(status(submit(&job("j-000010", "array", 6, "research"))), Some(201));
     assert_eq!(status(submit(&job("j-000010", "array", 6, "research"))), Some(200));
+    // A repetition is known, whatever its body says by now.
+    let repeated = changed("j-000010", "array", 6, "cores", json!(900.0));
+    assert_eq!(status(submit(&repeated)), Some(200));
     assert_eq!(status(submit(&job("j-000011", "group", 2, "research"))), Some(201));
     assert_eq!(status(submit(&job("j-900001", "service", 2, "research"))), Some(201));
     let state_of = |id: &str| {
--- a/crates/seamfront/tests/parsing.rs
+++ b/crates/seamfront/tests/parsing.rs
@@ -28,6 +28,35 @@
     assert!(job.types.is_none() && job.zone.is_none() && job.deadline.is_none());
 }
 
+#[test]
+fn a_submission_that_lacks_a_field_is_refused() {
+    let required = [
+        "id",
+        "fornada",
+        "equipe",
+        "feitio",
+        "vez",
+        "paes",
+        "cores",
+        "accelerators",
+        "ram_gb",
+        "receita",
+        "pull_gb",
+        "one_zone",
+        "scatter",
+        "emprestados",
+        "assa_s",
+        "vira_s",
+        "guarda_s",
+    ];
+    for field in required {
+        let mut v = submission();
+        v.as_object_mut().unwrap().remove(field);
+        let err = parse(&v).expect_err(field);
+        assert_eq!(err, format!("{field}: missing"));
+    }
+}
+
 #[test]
 fn every_bad_field_is_named() {
     let wrong: [(&str, Vec<Value>); 14] = [
