--- /dev/null
+++ b/crates/seamfront-core/src/engine/writes.rs
@@ -0,0 +1,176 @@
+//! The scheduler's own writes: their pace, their transactions and their outcomes.
+
+use super::*;
+
+impl Engine {
+    /// How many writes wait here: for tasks to start, for jobs to end, for machines to be adopted.
+    pub(super) fn writes_awaited(&self) -> usize {
+        self.shares.iter().flatten().map(Share::writes_awaited).sum::<usize>() + self.leader_writes_awaited()
+    }
+
+    /// This controller's part of what the store takes, in thousandths of a write a second. Most of
+    /// it is the schedulers', the rest is left to users. It is divided by what waits where, as the
+    /// controllers tell each other, since one share may need most of it while others need nothing;
+    /// who is not heard of keeps the part of the shares that it holds.
+    pub(crate) fn write_rate(&self) -> i64 {
+        let n = self.cfg.members.len() as i64;
+        let total = self.cfg.write_rps * 850;
+        let (mut own, mut all) = (0, 0);
+        let mut unheard = 0;
+        for (k, p) in self.peers.iter().enumerate() {
+            if k == self.cfg.me {
+                own = self.awaited as i64 + 1;
+                all += own;
+            } else if self.now - p.heard < Micros::from_secs(2) && p.heard > Micros::ZERO {
+                all += p.awaited as i64 + 1;
+            } else {
+                let holds = |c: &&Option<crate::link::Claim>| c.as_ref().is_some_and(|c| c.member == k);
+                unheard += self.link.claims[..self.leader_slot()].iter().filter(holds).count() as i64;
+            }
+        }
+        (total * (n - unheard) / n * own / all.max(1)).max(total / (4 * n))
+    }
+
+    pub(super) fn fill_write_budget(&mut self) {
+        let rate = self.write_rate();
+        let passed = (self.now - self.write_filled).0.clamp(0, 1_000_000);
+        self.write_filled = self.now;
+        self.write_budget = (self.write_budget + rate * passed / 1_000_000).min(rate / 2);
+    }
+
+    pub(super) fn flush_writes(&mut self) {
+        if self.now < self.write_rest.max(self.write_next) {
+            return;
+        }
+        // What gathers within a moment is written together.
+        self.write_next = self.now + self.cfg.ask_every().over(2);
+        // Where several shares are held, another is first each time.
+        self.write_first += 1;
+        let (first, shares) = (self.write_first, self.shares.len());
+        for k in (0..shares).map(|k| (k + first) % shares) {
+            let budget = (self.write_budget / 1_000).max(0) as usize;
+            let most = (self.cfg.txn_ops / 3).clamp(1, 12);
+            if budget == 0 || !self.acting(k) {
+                continue;
+            }
+            let now = self.now;
+            let bytes = self.cfg.value_bytes;
+            let ready = |s: &mut Share| match s.phase {
+                SharePhase::Ready => s.writes(now, budget.min(most), bytes),
+                _ => Vec::new(),
+            };
+            let Some((version, writes)) = self.with_share(k, |s, _| (s.version, ready(s))) else { continue };
+            let mut records = Vec::new();
+            let mut bytes = 0;
+            for w in writes {
+                match &w {
+                    // An end may fail for its user's sake; it must not take others with it.
+                    ShareWrite::End { .. } => {
+                        self.write_budget -= 3_000;
+                        self.send_share_writes(k, version, vec![w]);
+                    }
+                    ShareWrite::Read { job } => {
+                        let key = work_key(k, job);
+                        let pending = Pending::Share { share: k, version, writes: vec![w] };
+                        self.state(StateCall::Get { key }, pending);
+                    }
+                    _ => {
+                        self.write_budget -= 1_000;
+                        let size =
+                            if let ShareWrite::Record { value, .. } = &w { value.to_string().len() } else { 200 };
+                        if bytes + size > 40_000 && !records.is_empty() {
+                            self.send_share_writes(k, version, std::mem::take(&mut records));
+                            bytes = 0;
+                        }
+                        bytes += size;
+                        records.push(w);
+                    }
+                }
+            }
+            if !records.is_empty() {
+                self.send_share_writes(k, version, records);
+            }
+        }
+    }
+
+    /// Every write on behalf of a share carries its claim's version, so that one that is applied
+    /// late, after the share has passed on, fails.
+    pub(super) fn send_share_writes(&mut self, k: usize, version: u64, writes: Vec<ShareWrite>) {
+        let mut when = vec![(self.slot_key(k), version)];
+        let mut apply = Vec::new();
+        for w in &writes {
+            let key = self.write_key(k, w);
+            match w {
+                ShareWrite::Record { version, value, .. } => {
+                    when.push((key.clone(), *version));
+                    apply.push(Write::Put { key, value: value.clone(), lease: None });
+                }
+                ShareWrite::End { job, job_version, record_version, tasks } => {
+                    let end = EndRecord { cancelled: false, tasks: *tasks };
+                    let end_key = crate::users::end_key(job);
+                    when.push((crate::users::job_key(job), *job_version));
+                    when.push((end_key.clone(), 0));
+                    let value = serde_json::to_value(end).unwrap_or_default();
+                    apply.push(Write::Put { key: end_key, value, lease: None });
+                    apply.push(Write::Delete { key: crate::users::job_key(job) });
+                    if *record_version > 0 {
+                        when.push((key.clone(), *record_version));
+                        apply.push(Write::Delete { key });
+                    }
+                }
+                ShareWrite::DropRecord { version, .. } => {
+                    when.push((key.clone(), *version));
+                    apply.push(Write::Delete { key });
+                }
+                ShareWrite::Machine { machine, version, record } => {
+                    when.push((key, *version));
+                    apply.push(machine_write(machine, record));
+                }
+                ShareWrite::Read { .. } => {}
+            }
+        }
+        self.state(StateCall::Commit { when, apply }, Pending::Share { share: k, version, writes });
+    }
+
+    pub(super) fn write_key(&self, k: usize, w: &ShareWrite) -> String {
+        match w {
+            ShareWrite::Machine { machine, .. } => crate::fleet::machine_key(machine),
+            ShareWrite::Record { job, .. }
+            | ShareWrite::End { job, .. }
+            | ShareWrite::DropRecord { job, .. }
+            | ShareWrite::Read { job } => work_key(k, job),
+        }
+    }
+
+    pub(super) fn share_reply(&mut self, k: usize, version: u64, writes: &[ShareWrite], reply: &StateReply) {
+        if self.slot_version(k) != Some(version) {
+            return;
+        }
+        if let StateReply::Conflict { failed } = reply {
+            if failed.contains(&self.slot_key(k)) {
+                return self.drop_slot(k, "claim proven lost");
+            }
+        }
+        if matches!(reply, StateReply::Refused) {
+            self.write_rest = self.now + Micros::from_millis(200);
+        }
+        for w in writes {
+            let key = self.write_key(k, w);
+            let outcome = match (w, reply) {
+                (ShareWrite::Read { .. }, StateReply::Entry(e)) => WriteOutcome::Done(e.version),
+                (ShareWrite::Read { .. }, StateReply::Missing) => WriteOutcome::Done(0),
+                (_, StateReply::Committed { revision }) => WriteOutcome::Done(*revision),
+                (_, StateReply::Refused) => WriteOutcome::Refused,
+                // One failed condition fails all; those that held are simply made again.
+                (ShareWrite::End { .. }, StateReply::Conflict { .. }) => WriteOutcome::Unclear,
+                (_, StateReply::Conflict { failed }) if !failed.contains(&key) => WriteOutcome::Refused,
+                _ => WriteOutcome::Unclear,
+            };
+            if let (ShareWrite::End { job, tasks, .. }, WriteOutcome::Done(_)) = (w, outcome) {
+                self.users.ended.insert(job, EndRecord { cancelled: false, tasks: *tasks });
+                self.job_over(job);
+            }
+            self.with_share(k, |s, ctx| s.written(ctx, w, outcome));
+        }
+    }
+}
--- /dev/null
+++ b/crates/seamfront-core/src/link/mod.rs
@@ -0,0 +1,299 @@
+//! The node's standing with the state service: its lease, its views of what others wrote, the
+//! claims on shares and on leadership, and the proof that these still hold.
+
+use crate::engine::{Engine, Pending};
+use crate::fleet::MachineRecord;
+use crate::leader::Leader;
+use crate::port::*;
+use crate::share::{work_prefix, Share, SharePhase};
+use crate::types::*;
+use serde::{Deserialize, Serialize};
+use std::collections::BTreeMap;
+use std::rc::Rc;
+use tracing::{debug, info, warn};
+
+mod claims;
+mod takeover;
+
+/// Value of a claim's key. The lease tells one incarnation of a member from the next.
+#[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
+pub struct ClaimValue {
+    pub member: String,
+    pub lease: u64,
+}
+
+#[derive(Clone, Debug)]
+pub struct Claim {
+    pub version: u64,
+    pub member: usize,
+    pub lease: u64,
+}
+
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum Topic {
+    Jobs,
+    Machines,
+    Shares,
+    Leader,
+}
+
+pub const TOPICS: [Topic; 4] = [Topic::Jobs, Topic::Machines, Topic::Shares, Topic::Leader];
+const MACHINES: usize = 1;
+
+impl Topic {
+    fn prefix(self) -> &'static str {
+        match self {
+            Topic::Jobs => "job/",
+            Topic::Machines => "machine/",
+            Topic::Shares => "share/",
+            Topic::Leader => "leader",
+        }
+    }
+}
+
+/// A view of all keys with one prefix, kept up by long-lived requests. Everything up to `seen` is in.
+#[derive(Debug, Default)]
+pub struct Watch {
+    pub loaded: bool,
+    pub seen: u64,
+    listing: Option<(u64, BTreeMap<String, Entry>)>,
+    busy: bool,
+    retry_at: Micros,
+}
+
+#[derive(Debug)]
+pub struct Link {
+    pub lease: Option<u64>,
+    lease_busy: bool,
+    lease_next: Micros,
+    pub watches: [Watch; 4],
+    /// By slot: the shares, then leadership.
+    pub claims: Vec<Option<Claim>>,
+    free_since: Vec<Option<Micros>>,
+    claiming: Vec<bool>,
+    /// By slot: the version of the last claim that was given up here. It is never acted on again.
+    spent: Vec<u64>,
+    claim_next: Micros,
+    prove_busy: bool,
+    prove_next: Micros,
+    /// Shares whose former holder's records are being read, by slot.
+    loads: BTreeMap<usize, Load>,
+    pub last_ok: Micros,
+}
+
+/// What is read before a share can go on where its former holder stopped. All that that one recorded
+/// is older than our claim, machines before the tasks on them. So the view of machines must reach the
+/// claim: a placement on a machine that is not in it would be taken for lost and placed again, while it
+/// runs on a machine that was rented a moment ago.
+#[derive(Debug)]
+struct Load {
+    version: u64,
+    entries: Vec<Entry>,
+    busy: bool,
+    retry_at: Micros,
+}
+
+impl Link {
+    pub fn new(shares: usize) -> Link {
+        Link {
+            lease: None,
+            lease_busy: false,
+            lease_next: Micros::ZERO,
+            watches: Default::default(),
+            claims: vec![None; shares + 1],
+            free_since: vec![None; shares + 1],
+            claiming: vec![false; shares + 1],
+            spent: vec![0; shares + 1],
+            claim_next: Micros::ZERO,
+            prove_busy: false,
+            prove_next: Micros::ZERO,
+            loads: BTreeMap::new(),
+            last_ok: Micros::ZERO,
+        }
+    }
+
+    pub fn loaded(&self) -> bool {
+        self.watches.iter().all(|w| w.loaded)
+    }
+}
+
+const PROVE_EVERY: Micros = Micros::from_millis(1_000);
+const RETRY: Micros = Micros::from_millis(250);
+const HOLD: Micros = Micros::from_secs(20);
+const PAGE_LIMIT_HINT: usize = 1_000;
+
+impl Engine {
+    pub(crate) fn slot_key(&self, slot: usize) -> String {
+        if slot == self.leader_slot() {
+            "leader".to_owned()
+        } else {
+            format!("share/{slot}")
+        }
+    }
+
+    pub(crate) fn leader_slot(&self) -> usize {
+        self.cfg.members.len()
+    }
+
+    pub(crate) fn link_tick(&mut self) {
+        self.lease_tick();
+        for k in 0..TOPICS.len() {
+            self.watch_tick(k);
+        }
+        self.claims_tick();
+        self.prove_tick();
+        self.loads_tick();
+    }
+
+    // ---- lease ---------------------------------------------------------------------------
+
+    fn lease_tick(&mut self) {
+        if self.link.lease_busy || self.now < self.link.lease_next {
+            return;
+        }
+        self.link.lease_busy = true;
+        let ttl = self.cfg.tuning.claim_ttl;
+        match self.link.lease {
+            None => self.state(StateCall::Grant { ttl }, Pending::Grant),
+            Some(lease) => self.state(StateCall::Renew { lease }, Pending::Renew),
+        }
+    }
+
+    pub(crate) fn lease_reply(&mut self, reply: StateReply) {
+        self.link.lease_busy = false;
+        let every = self.cfg.tuning.claim_ttl.over(4);
+        self.link.lease_next = self.now + every;
+        match reply {
+            StateReply::Lease { id } => {
+                info!(lease = id, "lease granted");
+                self.link.lease = Some(id);
+            }
+            StateReply::Renewed => {}
+            StateReply::NoSuchLease => {
+                warn!("lease ended; all claims are lost");
+                self.link.lease = None;
+                self.link.lease_next = self.now;
+                for slot in 0..=self.leader_slot() {
+                    self.drop_slot(slot, "lease ended");
+                }
+            }
+            _ => self.link.lease_next = self.now + RETRY,
+        }
+    }
+
+    // ---- views ---------------------------------------------------------------------------
+
+    fn watch_tick(&mut self, k: usize) {
+        let w = &mut self.link.watches[k];
+        if w.busy || self.now < w.retry_at {
+            return;
+        }
+        w.busy = true;
+        let prefix = TOPICS[k].prefix().to_owned();
+        if w.loaded && w.listing.is_none() {
+            let after = w.seen;
+            self.state(StateCall::Changes { prefix, after, hold: HOLD }, Pending::Watch(k));
+        } else {
+            let after = w.listing.as_ref().and_then(|l| l.1.keys().next_back().cloned());
+            self.state(StateCall::List { prefix, after }, Pending::List(k));
+        }
+    }
+
+    pub(crate) fn list_reply(&mut self, k: usize, reply: StateReply) {
+        let w = &mut self.link.watches[k];
+        w.busy = false;
+        let StateReply::Page { entries, more, revision } = reply else {
+            w.retry_at = self.now + RETRY;
+            return;
+        };
+        debug_assert!(entries.len() <= PAGE_LIMIT_HINT);
+        let listing = w.listing.get_or_insert_with(|| (revision, BTreeMap::new()));
+        for e in entries {
+            listing.1.insert(e.key.clone(), e);
+        }
+        if more {
+            return;
+        }
+        let Some((revision, entries)) = w.listing.take() else { return };
+        (w.loaded, w.seen) = (true, w.seen.max(revision));
+        for key in self.viewed_keys(TOPICS[k]) {
+            if !entries.contains_key(&key) {
+                self.changed(TOPICS[k], &key, None, revision);
+            }
+        }
+        for (key, e) in entries {
+            self.changed(TOPICS[k], &key, Some(e.value), e.version);
+        }
+    }
+
+    pub(crate) fn watch_reply(&mut self, k: usize, reply: StateReply) {
+        self.link.watches[k].busy = false;
+        // Not reopened at once: every change would cost each controller a request.
+        let pause = if self.apply_changes(k, reply) { self.cfg.ask_every() } else { RETRY };
+        self.link.watches[k].retry_at = self.now + pause;
+    }
+
+    /// True if the view is now as new as the answer.
+    pub(crate) fn apply_changes(&mut self, k: usize, reply: StateReply) -> bool {
+        match reply {
+            StateReply::Changes { revision, events } => {
+                let seen = self.link.watches[k].seen;
+                for (key, value, version) in events {
+                    // Two answers may hold the same change; the older must not undo the newer.
+                    if version > seen {
+                        self.changed(TOPICS[k], &key, value, version);
+                    }
+                }
+                let w = &mut self.link.watches[k];
+                w.seen = w.seen.max(revision);
+                true
+            }
+            StateReply::TooOld => {
+                warn!(prefix = TOPICS[k].prefix(), "view too old; reading anew");
+                self.link.watches[k].loaded = false;
+                true
+            }
+            _ => false,
+        }
+    }
+
+    fn viewed_keys(&self, topic: Topic) -> Vec<String> {
+        match topic {
+            Topic::Jobs => self.jobs.keys().map(|j| format!("job/{j}")).collect(),
+            Topic::Machines => self.machines.keys().map(crate::fleet::machine_key).collect(),
+            Topic::Shares => (0..self.leader_slot()).map(|s| self.slot_key(s)).collect(),
+            Topic::Leader => vec!["leader".to_owned()],
+        }
+    }
+
+    fn changed(&mut self, topic: Topic, key: &str, value: Option<serde_json::Value>, version: u64) {
+        let name = key.strip_prefix(topic.prefix()).unwrap_or(key);
+        match topic {
+            Topic::Jobs => {
+                let id = JobId::from(name);
+                match value.map(serde_json::from_value::<JobSpec>) {
+                    Some(Ok(spec)) => self.job_appeared(Rc::new(spec), version),
+                    Some(Err(e)) => warn!(job = name, %e, "unreadable job record"),
+                    None => self.job_vanished(&id),
+                }
+            }
+            Topic::Machines => {
+                let id = MachineId::from(name);
+                match value.map(serde_json::from_value::<MachineRecord>) {
+                    Some(Ok(record)) => self.machine_changed(id, record, version),
+                    Some(Err(e)) => warn!(machine = name, %e, "unreadable machine record"),
+                    None => self.machine_vanished(&id),
+                }
+            }
+            Topic::Shares | Topic::Leader => {
+                let slot = if topic == Topic::Leader { Some(self.leader_slot()) } else { name.parse().ok() };
+                let Some(slot) = slot.filter(|s| *s <= self.leader_slot()) else { return };
+                let claim = value.and_then(|v| serde_json::from_value::<ClaimValue>(v).ok()).and_then(|c| {
+                    let member = self.cfg.members.iter().position(|m| *m == c.member)?;
+                    Some(Claim { version, member, lease: c.lease })
+                });
+                self.claim_changed(slot, claim, version);
+            }
+        }
+    }
+}
--- /dev/null
+++ b/crates/seamfront-core/src/rounds/preemption.rs
@@ -0,0 +1,156 @@
+//! Stopping lesser work so that more important work finds room.
+
+use super::*;
+
+impl Share {
+    /// See [`Lesser`].
+    pub(super) fn lesser_on(&self, inside: &BTreeSet<JobId>, room: &Room) -> Vec<Lesser> {
+        let mut on = vec![Lesser::default(); room.spots.len()];
+        for j in self.jobs.values().filter(|j| j.live()) {
+            let beyond = j.spec.kind != Kind::Service && !inside.contains(&j.spec.id);
+            for t in j.tasks.values().filter(|t| t.stop.is_none()) {
+                let p = j.standing(t);
+                if let Some(k) = room.find(&t.machine) {
+                    on[k].least = on[k].least.max(Some(p));
+                    on[k].beyond[p as usize] |= beyond;
+                }
+            }
+        }
+        on
+    }
+
+    /// Only work of higher priority stops other work, and of ordinary work only what would be late
+    /// otherwise: stopping costs progress.
+    pub(super) fn may_preempt(&self, ctx: &Ctx, spec: &JobSpec, inside: bool) -> bool {
+        match spec.priority {
+            Priority::Critical | Priority::Urgent => true,
+            Priority::Normal => {
+                let soon = ctx.wall + spec.estimate + Micros::from_secs(30);
+                inside || ctx.cfg.start_by(spec, ctx.wall).is_some_and(|t| t < soon)
+            }
+            Priority::BestEffort => inside,
+        }
+    }
+
+    /// Stops lesser work for `n` tasks of a job; returns for how many room will come.
+    /// With `at_once` only where its image is, and only what saves by itself, without the time to save.
+    pub(super) fn make_room(
+        &mut self,
+        ctx: &mut Ctx,
+        id: &JobId,
+        n: u32,
+        inside: &BTreeSet<JobId>,
+        round: &mut Round,
+        at_once: bool,
+    ) -> u32 {
+        let Some(job) = self.jobs.get(id) else { return 0 };
+        let spec = job.spec.clone();
+        let mut wish = Wish::of(job, ctx.now, ctx.types);
+        wish.cached = at_once;
+        let taken = job.zones(|m| self.machines.get(m).map(|m| m.record.zone.as_str()));
+        if round.lesser.is_none() {
+            round.lesser = Some(self.lesser_on(inside, &round.room));
+        }
+        let reclaims = inside.contains(&spec.id);
+        let lesser = round.lesser.as_deref().unwrap_or_default();
+        let stops = |k: usize| {
+            let on = &lesser[k];
+            on.least.is_some_and(|l| l > spec.priority) || (reclaims && on.beyond[spec.priority as usize])
+        };
+        let room = &round.room;
+        let mut slots: Vec<(i64, usize, Vec<TaskKey>)> = Vec::new();
+        for (k, m) in wish.places(&self.machines, room, |k, _| stops(k) && room.size(k).fits(spec.need) > 0) {
+            let free = room.left(k, When::Soon);
+            if let Some((cost, victims)) = self.victims(ctx, m, free, &spec, inside, at_once) {
+                // An image that must be fetched costs time as well.
+                slots.push((cost + wish.fetch_ms(m) + wish.kind_ms(m), k, victims));
+            }
+        }
+        slots.sort();
+        let zones: BTreeSet<&str> = slots.iter().map(|s| room.zone(s.1)).collect();
+        let mut best: Option<(i64, Vec<usize>)> = None;
+        let choices: Vec<Option<&str>> = if !spec.one_zone {
+            vec![None]
+        } else if let Some(z) = taken.keys().next() {
+            vec![Some(z.as_str())]
+        } else {
+            zones.into_iter().map(Some).collect()
+        };
+        for zone in choices {
+            let mut counts: BTreeMap<&str, u32> = taken.iter().map(|(z, n)| (z.as_str(), *n)).collect();
+            let mut pick = Vec::new();
+            for (k, s) in slots.iter().enumerate().filter(|(_, s)| zone.is_none_or(|z| z == room.zone(s.1))) {
+                let in_zone = counts.entry(room.zone(s.1)).or_insert(0);
+                if *in_zone < spec.zone_cap() && (pick.len() as u32) < n {
+                    *in_zone += 1;
+                    pick.push(k);
+                }
+            }
+            let enough = !pick.is_empty() && (spec.kind != Kind::Gang || pick.len() as u32 == n);
+            let cost: i64 = pick.iter().map(|k| slots[*k].0).sum();
+            if enough && best.as_ref().is_none_or(|b| (pick.len(), -cost) > (b.1.len(), -b.0)) {
+                best = Some((cost, pick));
+            }
+        }
+        let Some((_, pick)) = best else { return 0 };
+        let chosen: Vec<_> = pick.iter().map(|k| slots[*k].clone()).collect();
+        for (_, k, victims) in &chosen {
+            for v in victims {
+                let freed = self.jobs.get(&v.job).map_or(Amounts::default(), |j| j.spec.need);
+                if at_once {
+                    self.evict_with(ctx, v, Cause::Preempted, Micros::ZERO);
+                } else {
+                    self.evict(ctx, v, Cause::Preempted);
+                }
+                round.room.spots[*k].soon.add(freed);
+            }
+            round.room.hold(*k, spec.need);
+        }
+        info!(job = %id, tasks = chosen.len(), "making room");
+        chosen.len() as u32
+    }
+
+    /// The cheapest lesser work whose end lets one more task of `spec` fit on this machine.
+    /// Besides work of lower priority, a job within its team's guarantee may stop work of the same
+    /// priority that another team runs beyond its own.
+    pub(super) fn victims(
+        &self,
+        ctx: &Ctx,
+        m: &Machine,
+        free: Amounts,
+        spec: &JobSpec,
+        inside: &BTreeSet<JobId>,
+        at_once: bool,
+    ) -> Option<(i64, Vec<TaskKey>)> {
+        let reclaims = inside.contains(&spec.id);
+        let mut lesser: Vec<(Priority, i64, &TaskKey, Amounts)> = Vec::new();
+        for t in &m.tasks {
+            let Some(j) = self.jobs.get(&t.job) else { continue };
+            let Some(p) = j.tasks.get(&t.index) else { continue };
+            let beyond = reclaims
+                && j.standing(p) == spec.priority
+                && j.spec.kind != Kind::Service
+                && j.spec.team != spec.team
+                && !inside.contains(&t.job);
+            if at_once && (j.gang.is_some() || !j.spec.saves()) {
+                continue;
+            }
+            if j.live() && p.stop.is_none() && (j.standing(p) > spec.priority || beyond) {
+                let ran = p.running_since.map_or(0, |s| (ctx.now - s).0 / 1_000);
+                let lost = if j.spec.saves() { 2_000 } else { 1_000 + ran };
+                lesser.push((j.standing(p), lost, t, j.spec.need));
+            }
+        }
+        lesser.sort_by(|a, b| (b.0, a.1, a.2).cmp(&(a.0, b.1, b.2)));
+        let (mut free, mut cost, mut keys) = (free, 0, Vec::new());
+        for (_, lost, t, need) in lesser {
+            if free.fits(spec.need) > 0 {
+                break;
+            }
+            free.add(need);
+            cost += lost;
+            keys.push(t.clone());
+        }
+        (free.fits(spec.need) > 0 && !keys.is_empty()).then_some((cost, keys))
+    }
+}
--- /dev/null
+++ b/crates/seamfront-core/src/share/mod.rs
@@ -0,0 +1,359 @@
+//! A share as its one holder runs it: jobs of its teams on its machines.
+//!
+//! Order of things, always: decide → record → order → evidence → record → forget.
+
+use crate::fleet::{machine_key, Direct, Machine, MachineRecord};
+use crate::gang::{Member, Verdict};
+use crate::job::*;
+use crate::port::*;
+use crate::quota::Quota;
+use crate::types::*;
+use std::cell::Cell;
+use std::collections::{BTreeMap, BTreeSet};
+use std::rc::Rc;
+use tracing::{debug, info, warn};
+
+mod drain;
+mod evidence;
+mod records;
+mod reports;
+
+use records::{leftover_spec, stop_rest};
+pub use records::{machine_write, ShareWrite, WriteOutcome};
+
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum SharePhase {
+    /// Claimed, but the view of cancellations is not known to be as new as the claim.
+    Proving,
+    /// Reading the former holder's records.
+    Loading,
+    Ready,
+}
+
+pub struct Ctx<'a> {
+    pub cfg: &'a Settings,
+    pub now: Micros,
+    /// Time of day, only for order and deadlines of jobs.
+    pub wall: Micros,
+    pub types: &'a [MachineType],
+    pub fx: &'a mut Vec<Effect>,
+    /// The name of the next call.
+    pub calls: &'a mut CallId,
+    /// The claim was proven recently enough to answer reports and to send commands.
+    pub acting: bool,
+}
+
+/// Why a task is known to be gone.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum Gone {
+    Exited(Exit),
+    /// Its order never reached the worker, or its machine is gone.
+    Lost,
+}
+
+pub struct Share {
+    pub index: usize,
+    pub version: u64,
+    pub claimed_at: Micros,
+    pub phase: SharePhase,
+    pub jobs: BTreeMap<JobId, Job>,
+    pub machines: BTreeMap<MachineId, Machine>,
+    pub quota: Quota,
+    pub needs: Vec<Need>,
+    pub dirty: bool,
+    pub last_round: Micros,
+    /// What the last round looked at: the next one rests in proportion.
+    pub round_cost: i64,
+    /// What was looked at in all: machines, tasks and entries of lists, for the tests that bound it.
+    pub looked: Cell<i64>,
+    /// Machines that the last round held for gangs.
+    pub(crate) gathered: BTreeSet<MachineId>,
+    look_next: Micros,
+    /// Machines where tasks may wait for a direct start.
+    unsent: BTreeSet<MachineId>,
+    /// When machines are looked through again for what must be written of them.
+    machine_writes_next: Micros,
+}
+
+/// How long a machine stays released without the leader taking it.
+const RELEASE_KEPT: Micros = Micros::from_secs(5);
+
+/// How often machines are looked through for what time alone has changed.
+const LOOK_EVERY: Micros = Micros::from_millis(100);
+
+/// How often a job's record is written for the sake of results alone.
+const RESULTS_EVERY: Micros = Micros::from_secs(1);
+
+/// How long a machine may take to be emptied for another share before it is used again.
+const CLEARING_KEPT: Micros = Micros::from_secs(30);
+
+pub fn work_prefix(share: usize) -> String {
+    format!("work/{share}/")
+}
+
+pub fn work_key(share: usize, job: &JobId) -> String {
+    format!("work/{share}/{job}")
+}
+
+impl Share {
+    pub fn new(index: usize, version: u64, now: Micros) -> Share {
+        Share {
+            index,
+            version,
+            claimed_at: now,
+            phase: SharePhase::Proving,
+            jobs: BTreeMap::new(),
+            machines: BTreeMap::new(),
+            quota: Quota::default(),
+            needs: Vec::new(),
+            dirty: true,
+            last_round: Micros::ZERO,
+            round_cost: 0,
+            looked: Cell::new(0),
+            gathered: BTreeSet::new(),
+            look_next: Micros::ZERO,
+            unsent: BTreeSet::new(),
+            machine_writes_next: Micros::ZERO,
+        }
+    }
+
+    // ---- jobs ----------------------------------------------------------------------------
+
+    pub fn add_job(&mut self, spec: Rc<JobSpec>, version: u64, now: Micros) {
+        let id = spec.id.clone();
+        self.jobs.entry(id).or_insert_with(|| Job::new(spec, version, now));
+        self.dirty = true;
+    }
+
+    /// Whether a job waits for others to be done, and what it asks for as things stand: how important it is and
+    /// until when it must be done also follow from the jobs that need it.
+    pub fn chained(&mut self, id: &JobId, spec: Rc<JobSpec>, waits: bool, now: Micros) {
+        let Some(job) = self.jobs.get_mut(id) else { return };
+        if job.waits && !waits {
+            job.waiting_since = now;
+        }
+        (job.spec, job.waits) = (spec, waits);
+        self.dirty = true;
+    }
+
+    /// Takes over a record of the former holder's. A job that has ended since (it is missing from
+    /// the view of live jobs, which is newer than the claim) is only cleared away.
+    pub fn adopt_record(
+        &mut self,
+        id: JobId,
+        live: Option<(Rc<JobSpec>, u64)>,
+        record: WorkRecord,
+        version: u64,
+        now: Micros,
+    ) {
+        let ended = live.is_none();
+        let (spec, job_version) = live.unwrap_or_else(|| (Rc::new(leftover_spec(&id, &record)), 0));
+        let mut job = Job::new(spec, job_version, now);
+        job.adopt(record, version, now);
+        if ended {
+            job.ending = Some(Ending::Cancelled);
+        } else if job.done.count() == job.spec.tasks {
+            job.ending = Some(Ending::Completing);
+        }
+        for (i, p) in &mut job.tasks {
+            self.quota.take(&job.spec.team, job.spec.need);
+            if ended {
+                p.stop = Some(Stop { cause: Cause::Cancelled, grace: Micros::ZERO, since: now });
+            }
+            if let Some(m) = self.machines.get_mut(&p.machine) {
+                m.used.add(job.spec.need);
+                m.fetches_changed = true;
+                m.tasks.insert(TaskKey { job: id.clone(), index: *i });
+            }
+        }
+        self.jobs.insert(id, job);
+        self.dirty = true;
+    }
+
+    /// Machines that records name and this share does not have.
+    pub fn placed_elsewhere(&self) -> BTreeSet<MachineId> {
+        let named = self.jobs.values().flat_map(|j| j.tasks.values().map(|p| &p.machine));
+        named.filter(|id| !self.machines.contains_key(*id)).cloned().collect()
+    }
+
+    /// After all records are read: what stands on machines that no longer exist is gone.
+    pub fn loaded(&mut self, ctx: &mut Ctx) {
+        self.phase = SharePhase::Ready;
+        let lost: Vec<TaskKey> = self
+            .jobs
+            .iter()
+            .flat_map(|(id, j)| {
+                j.tasks
+                    .iter()
+                    .filter(|(_, p)| !self.machines.contains_key(&p.machine))
+                    .map(|(i, _)| TaskKey { job: id.clone(), index: *i })
+            })
+            .collect();
+        for t in lost {
+            self.gone(ctx, &t, Gone::Lost);
+        }
+        let ids: Vec<JobId> = self.jobs.keys().cloned().collect();
+        for id in ids {
+            self.settle_job(ctx, &id);
+        }
+        info!(share = self.index, jobs = self.jobs.len(), machines = self.machines.len(), "share ready");
+    }
+
+    /// `job/<id>` is gone from the store: the job has ended, by us or by its user.
+    pub fn job_ended(&mut self, ctx: &mut Ctx, id: &JobId) {
+        let Some(job) = self.jobs.get_mut(id) else { return };
+        match job.ending {
+            // Whatever became of our own unanswered write, all tasks are done.
+            Some(Ending::Completing) => {
+                job.ending = Some(Ending::Done);
+                stop_rest(job, ctx.now);
+            }
+            Some(_) => return,
+            None => {
+                info!(job = %id, "cancelled: stopping what runs");
+                job.ending = Some(Ending::Cancelled);
+                let mut never_sent = Vec::new();
+                for (i, p) in &mut job.tasks {
+                    if p.phase == Phase::Recording {
+                        never_sent.push(TaskKey { job: id.clone(), index: *i });
+                    }
+                    p.stop = Some(Stop { cause: Cause::Cancelled, grace: Micros::ZERO, since: ctx.now });
+                }
+                for t in never_sent {
+                    self.gone(ctx, &t, Gone::Lost);
+                }
+            }
+        }
+        self.settle_job(ctx, id);
+        self.dirty = true;
+    }
+
+    /// Drops a job that has ended once nothing of it is left, record included.
+    fn settle_job(&mut self, ctx: &mut Ctx, id: &JobId) {
+        self.check_gang(ctx, id);
+        let Some(job) = self.jobs.get(id) else { return };
+        let over = matches!(job.ending, Some(Ending::Done | Ending::Cancelled));
+        if over && job.tasks.is_empty() && job.record.version == Some(0) && !job.record.in_flight {
+            self.jobs.remove(id);
+        }
+    }
+
+    // ---- machines ------------------------------------------------------------------------
+
+    pub fn add_machine(&mut self, id: MachineId, record: MachineRecord, version: u64, size: Amounts, now: Micros) {
+        match self.machines.get_mut(&id) {
+            Some(m) => {
+                if version > m.version {
+                    m.version = version;
+                    // Kept or given back by the leader, or fenced anew by ourselves.
+                    m.released = None;
+                    m.clearing = None;
+                }
+                // The engine's view may be behind what we wrote ourselves: one that we gave up a moment ago
+                // would be used again.
+                if version >= m.version {
+                    m.record = record;
+                }
+                m.size = size;
+            }
+            None => {
+                let mut m = Machine::new(id.clone(), record, version, size, now);
+                for (job, j) in &self.jobs {
+                    for (i, _) in j.tasks.iter().filter(|(_, p)| p.machine == id) {
+                        m.used.add(j.spec.need);
+                        m.tasks.insert(TaskKey { job: job.clone(), index: *i });
+                    }
+                }
+                self.unsent.insert(id.clone());
+                self.machines.insert(id, m);
+            }
+        }
+        self.dirty = true;
+    }
+
+    /// The machine's record says that it is another share's or is being returned.
+    pub fn machine_moved(&mut self, id: &MachineId, record: MachineRecord, version: u64) {
+        let Some(m) = self.machines.get_mut(id) else { return };
+        if m.tasks.is_empty() && m.direct.is_none() {
+            self.machines.remove(id);
+        } else {
+            // Being returned with tasks on it: they are gone when the record is, or their lease.
+            m.record = MachineRecord { share: None, ..record };
+            m.version = version;
+        }
+        self.dirty = true;
+    }
+
+    /// The cloud has answered that it is deleted, so everything on it is gone.
+    pub fn machine_deleted(&mut self, ctx: &mut Ctx, id: &MachineId) {
+        let Some(m) = self.machines.remove(id) else { return };
+        info!(machine = %id, tasks = m.tasks.len(), "machine is gone");
+        for t in m.tasks {
+            self.gone(ctx, &t, Gone::Lost);
+        }
+        self.dirty = true;
+    }
+
+    pub(crate) fn look(&self, items: usize) {
+        self.looked.set(self.looked.get() + items as i64);
+    }
+
+    // ---- time ----------------------------------------------------------------------------
+
+    pub fn tick(&mut self, ctx: &mut Ctx) {
+        if self.phase != SharePhase::Ready || ctx.now < self.look_next {
+            return;
+        }
+        self.look_next = ctx.now + LOOK_EVERY;
+        self.look(4 * self.machines.len());
+        let acting = ctx.cfg.acting_time();
+        let version = self.version;
+        let over: Vec<MachineId> = self
+            .machines
+            .values()
+            // One placed just before the end is looked at again.
+            .filter(|m| !m.expired || !m.tasks.is_empty())
+            .filter(|m| m.lease_over_at(version, ctx.cfg.lease, acting) < ctx.now)
+            .map(|m| m.id.clone())
+            .collect();
+        for id in over {
+            let Some(m) = self.machines.get_mut(&id) else { continue };
+            m.expired = true;
+            m.direct = None;
+            m.strays.clear();
+            let tasks: Vec<TaskKey> = m.tasks.iter().cloned().collect();
+            if !tasks.is_empty() {
+                warn!(machine = %id, tasks = tasks.len(), "lease is over: its tasks are gone");
+            }
+            for t in tasks {
+                // Also what was never sent: it would never be, and would hold its number for ever.
+                self.gone(ctx, &t, Gone::Lost);
+            }
+        }
+        self.judge_machines(ctx);
+        for m in self.machines.values_mut() {
+            let idle = m.empty() && m.record.share.is_some();
+            // Time to boot is not idle time, or a machine would be returned as soon as it is up.
+            let up = m.last_report.is_some();
+            if let Some(since) = m.clearing {
+                if idle && m.released.is_none() {
+                    m.released = Some(ctx.now);
+                } else if !idle && ctx.now - since > CLEARING_KEPT {
+                    m.clearing = None;
+                }
+            }
+            let jobs = &self.jobs;
+            let uses = |t: &TaskKey| jobs.get(&t.job).is_some_and(|j| j.spec.need.gpus > 0);
+            if m.size.gpus == 0 || !up || m.tasks.iter().any(uses) {
+                m.unused_since = None;
+            } else if m.unused_since.is_none() {
+                m.unused_since = Some(ctx.now);
+            }
+            if !idle || !up {
+                m.idle_since = None;
+            } else if m.idle_since.is_none() {
+                m.idle_since = Some(m.unused_since.unwrap_or(ctx.now));
+            }
+        }
+    }
+}
--- /dev/null
+++ b/crates/seamfront-core/src/share/records.rs
@@ -0,0 +1,235 @@
+//! What a share has written to the state service, and what follows from the outcome.
+
+use super::*;
+
+/// A write that the engine should make for this share, with what it stands for.
+#[derive(Clone, Debug)]
+pub enum ShareWrite {
+    Record {
+        job: JobId,
+        gen: u64,
+        version: u64,
+        value: serde_json::Value,
+    },
+    End {
+        job: JobId,
+        job_version: u64,
+        record_version: u64,
+        tasks: u32,
+    },
+    DropRecord {
+        job: JobId,
+        version: u64,
+    },
+    Read {
+        job: JobId,
+    },
+    /// Raises a machine's token, or gives the machine up.
+    Machine {
+        machine: MachineId,
+        version: u64,
+        record: MachineRecord,
+    },
+}
+
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum WriteOutcome {
+    /// Applied, at this version. For a read: the version found, 0 if there is none.
+    Done(u64),
+    /// Not applied, and never will be.
+    Refused,
+    /// May be applied late, or the version was not the expected one.
+    Unclear,
+}
+
+impl Share {
+    /// How many jobs wait for a write: the demand by which controllers divide what the store takes.
+    pub fn writes_awaited(&self) -> usize {
+        self.jobs.values().filter(|j| j.record.awaited() || j.ending == Some(Ending::Completing)).count()
+    }
+
+    /// Up to `budget` writes that are due now: what somebody waits for comes first, and of that what
+    /// waits for longest. The engine makes them under this share's claim and reports back through
+    /// [`Share::written`].
+    pub fn writes(&mut self, now: Micros, budget: usize, value_bytes: usize) -> Vec<ShareWrite> {
+        let mut out = Vec::new();
+        let look = now >= self.machine_writes_next;
+        self.look(if look { self.machines.len() } else { 0 } + self.jobs.len());
+        for (id, m) in self.machines.iter_mut().filter(|_| look) {
+            if out.len() >= budget.div_ceil(2) {
+                // Tokens of a thousand machines must not keep tasks from being started.
+                break;
+            }
+            if m.writing || m.record.share.is_none() {
+                continue;
+            }
+            let mut record = m.record.clone();
+            let unsettled = m.direct.as_ref().is_some_and(|d| d.unknown && d.token == m.version.max(self.version));
+            let unsettled = unsettled || m.challenge;
+            // Released and not used by the leader: rewriting the record makes a late move of its fail.
+            let kept = m.released.is_some_and(|t| now - t > RELEASE_KEPT);
+            if m.hopeless {
+                record.share = None;
+            } else if !unsettled && !kept {
+                continue;
+            }
+            m.writing = true;
+            m.giving_up |= record.share.is_none();
+            out.push(ShareWrite::Machine { machine: id.clone(), version: m.version, record });
+        }
+        if look && out.is_empty() {
+            self.machine_writes_next = now + LOOK_EVERY;
+        }
+        // Results alone are recorded now and then: until then their workers keep them.
+        let rested = |j: &Job| now - j.record.asked_at >= RESULTS_EVERY;
+        let mut due: Vec<(bool, Priority, Micros, JobId)> = self
+            .jobs
+            .iter()
+            .filter(|(_, j)| !j.record.in_flight)
+            .filter(|(_, j)| match j.ending {
+                Some(Ending::Completing) => true,
+                Some(_) => j.tasks.is_empty() && j.record.version != Some(0),
+                None => j.record.dirty() && (j.record.awaited() || rested(j)),
+            })
+            .map(|(id, j)| {
+                let awaited = j.record.awaited() || j.ending == Some(Ending::Completing);
+                (!awaited, j.spec.priority, j.record.asked_at, id.clone())
+            })
+            .collect();
+        due.sort();
+        for (_, _, _, id) in due {
+            if out.len() >= budget {
+                break;
+            }
+            let Some(job) = self.jobs.get_mut(&id) else { continue };
+            job.record.in_flight = true;
+            job.record.asked_at = now;
+            let write = match (job.record.version, job.ending) {
+                (None, _) => ShareWrite::Read { job: id },
+                (Some(v), Some(Ending::Completing)) => {
+                    ShareWrite::End { job: id, job_version: job.version, record_version: v, tasks: job.spec.tasks }
+                }
+                (Some(v), Some(_)) => ShareWrite::DropRecord { job: id, version: v },
+                (Some(v), None) => match serde_json::to_value(job.to_record()) {
+                    // Written by a former holder for a store that took more: nothing is placed for it until enough
+                    // of it has gone. The old record names all that is placed meanwhile.
+                    Ok(value) if value.to_string().len() > value_bytes => {
+                        job.record.in_flight = false;
+                        continue;
+                    }
+                    Ok(value) => ShareWrite::Record { job: id, gen: job.record.gen, version: v, value },
+                    Err(_) => continue,
+                },
+            };
+            out.push(write);
+        }
+        out
+    }
+
+    /// The outcome of a record's write: the new version, or None if that must be read first.
+    pub fn written(&mut self, ctx: &mut Ctx, write: &ShareWrite, outcome: WriteOutcome) {
+        let (job_id, gen) = match write {
+            ShareWrite::Machine { machine, record, .. } => {
+                if let Some(m) = self.machines.get_mut(machine) {
+                    m.writing = false;
+                    // Giving it up may be applied late, when it has long come back: rewriting the record
+                    // makes that fail.
+                    m.challenge |= record.share.is_none() && outcome == WriteOutcome::Unclear;
+                    m.giving_up &= outcome != WriteOutcome::Refused || m.challenge;
+                    if let WriteOutcome::Done(v) = outcome {
+                        m.version = m.version.max(v);
+                        m.challenge = false;
+                        m.giving_up = false;
+                        m.released = None;
+                        m.clearing = None;
+                        m.record = record.clone();
+                    }
+                }
+                return;
+            }
+            ShareWrite::Record { job, gen, .. } => (job, *gen),
+            ShareWrite::End { job, .. } | ShareWrite::DropRecord { job, .. } | ShareWrite::Read { job } => (job, 0),
+        };
+        let Some(job) = self.jobs.get_mut(job_id) else { return };
+        job.record.in_flight = false;
+        match outcome {
+            WriteOutcome::Refused => return,
+            WriteOutcome::Unclear => {
+                job.record.version = None;
+                return;
+            }
+            WriteOutcome::Done(v) => match write {
+                ShareWrite::Record { .. } => {
+                    job.record.version = Some(v);
+                    job.record.written = job.record.written.max(gen);
+                    let placed: Vec<u32> = job
+                        .tasks
+                        .iter_mut()
+                        .filter(|(_, p)| p.phase == Phase::Recording && p.gen <= gen)
+                        .map(|(i, p)| {
+                            p.phase = Phase::Ordered;
+                            p.since = ctx.now;
+                            self.unsent.insert(p.machine.clone());
+                            *i
+                        })
+                        .collect();
+                    if let Some(g) = &mut job.gang {
+                        for i in placed {
+                            g.recorded(i);
+                        }
+                    }
+                }
+                ShareWrite::End { .. } => {
+                    info!(job = %job_id, "job recorded as done");
+                    job.ending = Some(Ending::Done);
+                    job.record.version = Some(0);
+                    stop_rest(job, ctx.now);
+                }
+                ShareWrite::DropRecord { .. } => job.record.version = Some(0),
+                ShareWrite::Read { .. } => job.record.version = Some(v),
+                ShareWrite::Machine { .. } => {}
+            },
+        }
+        let id = job_id.clone();
+        self.settle_job(ctx, &id);
+    }
+}
+
+/// Members of a gang complete together, so there is hardly ever anything left to stop.
+pub(super) fn stop_rest(job: &mut Job, now: Micros) {
+    for p in job.tasks.values_mut() {
+        p.stop = Some(Stop { cause: Cause::Cancelled, grace: Micros::ZERO, since: now });
+    }
+}
+
+/// What is known of an ended job from its work record alone, enough to clear it away.
+pub(super) fn leftover_spec(id: &JobId, r: &WorkRecord) -> JobSpec {
+    let placed = r.placed.values().flatten().map(|run| run.1).max().unwrap_or(0);
+    JobSpec {
+        id: id.clone(),
+        class: String::new(),
+        team: r.team.clone(),
+        kind: Kind::Array,
+        priority: Priority::BestEffort,
+        tasks: placed,
+        need: r.need,
+        types: None,
+        zone: None,
+        one_zone: false,
+        spread: false,
+        spot: true,
+        image: String::new(),
+        image_mb: 0,
+        estimate: Micros::ZERO,
+        checkpoint: Micros::ZERO,
+        save: Micros::ZERO,
+        deadline: None,
+        submitted: Micros::ZERO,
+        needs: Vec::new(),
+        needs_parts: 0,
+    }
+}
+
+pub fn machine_write(machine: &MachineId, record: &MachineRecord) -> Write {
+    Write::Put { key: machine_key(machine), value: serde_json::to_value(record).unwrap_or_default(), lease: None }
+}
--- /dev/null
+++ b/crates/seamfront-core/src/share/reports.rs
@@ -0,0 +1,289 @@
+//! Workers' reports, the orders in their replies, and direct commands.
+
+use super::*;
+
+impl Share {
+    /// Takes in what a worker shows. `hello` marks reports of its own, the only ones whose
+    /// omissions count: an answer to a command may overtake orders in an earlier reply.
+    /// Only a report that shows our present token proves anything: others may be copies that come
+    /// much later than they were sent, to a holder that has seen nothing newer.
+    /// Returns false for a message older than one already seen.
+    pub fn take_report(&mut self, ctx: &mut Ctx, report: &Report, hello: bool) -> bool {
+        let id = report.machine.clone();
+        let Some(m) = self.machines.get_mut(&id) else { return false };
+        if (report.session, report.seq) <= (m.session, m.seq) {
+            return false;
+        }
+        let new_session = report.session > m.session && m.session > 0;
+        if new_session {
+            info!(machine = %id, session = report.session, "worker began a new session");
+            // Answered all the time, and yet its lease ran out.
+            m.challenge |= m.last_ok.is_some_and(|t| ctx.now - t < ctx.cfg.lease);
+        }
+        if report.session > m.session {
+            m.session_seen = Some(ctx.now);
+        }
+        (m.session, m.seq) = (report.session, report.seq);
+        m.seen_token = m.seen_token.max(report.token);
+        let token = m.token(self.version);
+        let fresh = report.token == token;
+        // An answer to a command renews no lease: a worker that reaches no controller may answer commands
+        // until its lease ends, and after that in a new session, and must not be taken for one that reports.
+        if hello {
+            m.addr = Some(report.addr.clone());
+            m.last_report = Some(ctx.now);
+            if fresh {
+                (m.heeded, m.unheeded, m.expired) = (Some(ctx.now), None, false);
+            }
+        }
+        let had_notice = m.notice.is_some();
+        m.notice = report.notice.map(|n| ctx.now + n);
+        if let Some(d) = &m.direct {
+            // An older session's commands are refused, and so are those below the highest token.
+            if d.unknown && (report.session > d.session || report.token > d.token) {
+                debug!(machine = %id, token = d.token, "unanswered command can't arrive any more");
+                m.direct = None;
+            }
+        }
+        let settled = m.direct.is_none();
+        let evidence = hello && settled;
+        let first_notice = !had_notice && m.notice.is_some();
+
+        let placed: Vec<TaskKey> = m.tasks.iter().cloned().collect();
+        self.looked.set(self.looked.get() + (placed.len() + report.tasks.len()) as i64);
+        m.strays.clear();
+        let mut shown: BTreeMap<&TaskKey, &TaskReport> = BTreeMap::new();
+        for t in &report.tasks {
+            shown.insert(&t.task, t);
+        }
+        for key in placed.iter().filter(|_| fresh) {
+            let Some(p) = self.jobs.get(&key.job).and_then(|j| j.tasks.get(&key.index)) else { continue };
+            if p.phase > Phase::Recording && p.session > 0 && p.session < report.session && !shown.contains_key(key) {
+                // Sent for an earlier session: that one ended with all that was in it.
+                self.gone(ctx, key, Gone::Lost);
+                continue;
+            }
+            match shown.get(key) {
+                Some(t) if t.attempt == p.attempt => self.task_shown(ctx, &id, key, t.state),
+                _ if p.phase <= Phase::Recording || !evidence => {}
+                _ => self.task_omitted(ctx, &id, key),
+            }
+        }
+        for t in &report.tasks {
+            self.unplaced_shown(&id, t, fresh);
+        }
+        if first_notice {
+            info!(machine = %id, "machine will be taken back");
+            self.leave_machine(ctx, &id);
+        }
+        true
+    }
+
+    pub(super) fn task_shown(&mut self, ctx: &mut Ctx, machine: &MachineId, key: &TaskKey, state: TaskState) {
+        let Some(job) = self.jobs.get_mut(&key.job) else { return };
+        let spec = job.spec.clone();
+        let Some(p) = job.tasks.get_mut(&key.index) else { return };
+        if let TaskState::Exited(exit) = state {
+            return self.gone(ctx, key, Gone::Exited(exit));
+        }
+        let phase = match state {
+            TaskState::Fetching => Phase::Fetching,
+            TaskState::Waiting => Phase::Waiting,
+            TaskState::Saving => Phase::Saving,
+            _ => Phase::Running,
+        };
+        let m = self.machines.get_mut(machine);
+        if let Some(m) = m {
+            p.session = m.session;
+            if phase > Phase::Fetching && p.phase <= Phase::Fetching {
+                m.fetches_changed = true;
+                let cache = ctx.types.iter().find(|t| t.name == m.record.kind).map_or(0, |t| t.cache_mb);
+                m.used_image(&spec.image, spec.image_mb, cache);
+            }
+        }
+        if phase == Phase::Running && p.running_since.is_none() {
+            p.running_since = Some(ctx.now);
+            debug!(task = %key, machine = %machine, epoch = p.attempt, "task runs");
+        }
+        p.phase = phase;
+        if let Some(g) = &mut job.gang {
+            g.claimed(key.index);
+        }
+    }
+
+    /// A report that must show the task if it were there does not: it is not on the machine.
+    pub(super) fn task_omitted(&mut self, ctx: &mut Ctx, machine: &MachineId, key: &TaskKey) {
+        let Some(job) = self.jobs.get_mut(&key.job) else { return };
+        let Some(p) = job.tasks.get_mut(&key.index) else { return };
+        // What a former holder recorded may have ended long before it fell: it writes down what has gone with the
+        // next change, and may have given the place, and the team's limit, to another job by then. So what
+        // is adopted and not there is gone, and is decided anew like all that waits.
+        let (adopted, sent) = (p.gen == 0, p.session > 0);
+        if p.phase == Phase::Ordered && p.stop.is_none() && job.live() && !adopted {
+            // The order got lost on its way, or was never sent: it goes with the next reply.
+            if sent {
+                if let Some(m) = self.machines.get_mut(machine) {
+                    m.challenge = true;
+                }
+            }
+            return;
+        }
+        debug!(task = %key, machine = %machine, "omitted by a newer report");
+        self.gone(ctx, key, Gone::Lost);
+    }
+
+    /// Shown by the worker, but not (or not any more) placed there by us.
+    pub(super) fn unplaced_shown(&mut self, machine: &MachineId, t: &TaskReport, fresh: bool) {
+        let placement = self.jobs.get(&t.task.job).and_then(|j| j.tasks.get(&t.task.index));
+        if placement.is_some_and(|p| p.machine == *machine && p.attempt == t.attempt) {
+            return;
+        }
+        let job = self.jobs.get(&t.task.job);
+        if let TaskState::Exited(exit) = t.state {
+            let counts = job.is_some_and(|j| {
+                fresh
+                    && j.live()
+                    && j.spec.kind == Kind::Array
+                    && t.task.index < j.spec.tasks
+                    && !j.done.contains(t.task.index)
+                    && !j.tasks.contains_key(&t.task.index)
+            });
+            if exit == Exit::Done && counts {
+                self.task_done(&t.task);
+            }
+            return;
+        }
+        let need = job.map_or(Amounts::default(), |j| j.spec.need);
+        warn!(task = %t.task, machine = %machine, attempt = t.attempt, "task was not placed here; stopping it");
+        if let Some(m) = self.machines.get_mut(machine) {
+            m.strays.insert(t.task.clone(), (t.attempt, need));
+        }
+    }
+
+    /// Everything that can be saved leaves a machine that is about to be taken; what saves nothing
+    /// may as well run on, and ends with it at the worst.
+    pub(super) fn leave_machine(&mut self, ctx: &mut Ctx, id: &MachineId) {
+        let Some(m) = self.machines.get(id) else { return };
+        let tasks: Vec<TaskKey> = m.tasks.iter().cloned().collect();
+        for t in tasks {
+            let Some(job) = self.jobs.get(&t.job) else { continue };
+            let moves = job.spec.saves() || job.spec.kind != Kind::Array;
+            if moves {
+                self.evict(ctx, &t, Cause::Moving);
+            }
+        }
+    }
+
+    /// The orders for a reply to the worker's report, in the order it must carry them out.
+    pub fn orders(&mut self, ctx: &mut Ctx, report: &Report) -> Vec<Order> {
+        let id = &report.machine;
+        let Some(m) = self.machines.get(id) else { return Vec::new() };
+        let mut orders = Vec::new();
+        let unsettled = m.direct.is_some();
+        // What a late copy shows may be long over: it stops what has no place here, nothing else.
+        let fresh = report.token == m.token(self.version);
+        for t in &report.tasks {
+            let key = &t.task;
+            let job = self.jobs.get(&key.job);
+            match t.state {
+                TaskState::Exited(exit) => {
+                    // A result must be recorded first, and an unsettled command could start a
+                    // forgotten attempt anew.
+                    let recorded = job.is_none_or(|j| {
+                        matches!(j.ending, Some(Ending::Done | Ending::Cancelled))
+                            || exit != Exit::Done
+                            || (j.live() && j.record.written >= j.done_gen)
+                    });
+                    if fresh && recorded && !unsettled {
+                        orders.push(Order::Forget { task: key.clone(), attempt: t.attempt });
+                    }
+                }
+                _ if m.strays.contains_key(key) => {
+                    orders.push(Order::Stop { task: key.clone(), attempt: t.attempt, grace: Micros::ZERO });
+                }
+                _ => {}
+            }
+        }
+        let tasks: Vec<TaskKey> = m.tasks.iter().cloned().collect();
+        let session = m.session;
+        // A write that gives it up may be applied: what was started here then would be returned with it.
+        let usable = m.record.share.is_some() && !m.giving_up;
+        for key in tasks {
+            let Some(job) = self.jobs.get_mut(&key.job) else { continue };
+            let live = job.live();
+            let Some(p) = job.tasks.get_mut(&key.index) else { continue };
+            if p.phase == Phase::Recording {
+                continue;
+            }
+            if let Some(stop) = p.stop {
+                let waited = ctx.now - stop.since;
+                let overdue = waited > stop.grace + ctx.cfg.gang_peer + Micros::from_secs(2);
+                let grace = if overdue { Micros::ZERO } else { stop.grace };
+                orders.push(Order::Stop { task: key.clone(), attempt: p.attempt, grace });
+            } else if p.phase == Phase::Ordered && live && usable && fresh && p.not_before <= ctx.now {
+                p.session = session;
+                orders.push(Order::Start { task: key.clone(), attempt: p.attempt });
+            }
+        }
+        orders
+    }
+
+    /// Starts that should not wait for the next report go straight to the worker, at most one
+    /// message at a time, and only to one that has shown our token and reports.
+    pub fn send_directs(&mut self, ctx: &mut Ctx) {
+        if !ctx.acting || self.phase != SharePhase::Ready {
+            return;
+        }
+        self.look(self.unsent.len());
+        self.unsent.retain(|id| {
+            let Some(m) = self.machines.get_mut(id).filter(|m| !m.tasks.is_empty()) else { return false };
+            if m.direct.is_some() || !m.usable(ctx.now, ctx.cfg.report, self.version) {
+                return true;
+            }
+            let token = m.token(self.version);
+            let Some(addr) = m.addr.clone() else { return true };
+            let mut orders = Vec::new();
+            let mut later = false;
+            for key in &m.tasks {
+                let Some(job) = self.jobs.get_mut(&key.job).filter(|j| j.live()) else { continue };
+                let Some(p) = job.tasks.get_mut(&key.index) else { continue };
+                let fresh = p.phase == Phase::Ordered && p.session == 0 && p.stop.is_none();
+                later |= fresh && p.not_before > ctx.now;
+                if fresh && p.not_before <= ctx.now {
+                    p.session = m.session;
+                    orders.push(Order::Start { task: key.clone(), attempt: p.attempt });
+                }
+            }
+            if orders.is_empty() {
+                return later;
+            }
+            debug!(machine = %id, token, orders = orders.len(), "starting tasks directly");
+            let call = *ctx.calls;
+            *ctx.calls += 1;
+            m.direct = Some(Direct { call, token, session: m.session, unknown: false });
+            ctx.fx.push(Effect::Direct { call, machine: id.clone(), addr, session: m.session, token, orders });
+            later
+        });
+    }
+
+    /// The outcome of one call settles no other: one that was made before the machine left this share and
+    /// came back, or before the share did, says nothing of what is under way now.
+    pub fn direct_result(&mut self, ctx: &mut Ctx, call: CallId, id: &MachineId, outcome: DirectOutcome) {
+        let current = |m: &&mut Machine| m.direct.as_ref().is_some_and(|d| d.call == call);
+        let Some(m) = self.machines.get_mut(id).filter(current) else { return };
+        match outcome {
+            DirectOutcome::Settled { report } => {
+                m.direct = None;
+                self.take_report(ctx, &report, false);
+            }
+            DirectOutcome::NotSent => m.direct = None,
+            DirectOutcome::Unknown => {
+                if let Some(d) = &mut m.direct {
+                    warn!(machine = %id, token = d.token, "command unanswered; raising the token");
+                    d.unknown = true;
+                }
+            }
+        }
+        self.dirty = true;
+    }
+}
