--- a/crates/seamfront-core/src/chains.rs
+++ b/crates/seamfront-core/src/chains.rs
@@ -10,7 +10,7 @@
 use crate::port::*;
 use crate::share::SharePhase;
 use crate::types::*;
-use crate::users::{end_key, job_key, EndRecord, Wish};
+use crate::users::{end_conditions, end_key, end_writes, job_key, EndRecord, Wish};
 use std::collections::{BTreeMap, BTreeSet};
 use std::rc::Rc;
 use tracing::{debug, info, warn};
@@ -450,12 +450,8 @@
         let (mut when, mut apply) = (Vec::new(), Vec::new());
         for id in &ids {
             let Some(j) = self.jobs.get(id) else { continue };
-            when.push((job_key(id), j.version));
-            when.push((end_key(id), 0));
-            let end = EndRecord { cancelled: true, tasks: j.spec.tasks };
-            let value = serde_json::to_value(end).unwrap_or_default();
-            apply.push(Write::Put { key: end_key(id), value, lease: None });
-            apply.push(Write::Delete { key: job_key(id) });
+            when.extend(end_conditions(id, j.version));
+            apply.extend(end_writes(id, EndRecord { cancelled: true, tasks: j.spec.tasks }));
         }
         if !apply.is_empty() {
             self.state(StateCall::Commit { when, apply }, Pending::Orphans { ids });
--- a/crates/seamfront-core/src/engine/mod.rs
+++ b/crates/seamfront-core/src/engine/mod.rs
@@ -3,9 +3,11 @@
 
 use crate::chains::{Chain, Chains, Question};
 use crate::fleet::MachineRecord;
+use crate::formats::Formats;
 use crate::leader::{Leader, LeaderCall};
 use crate::link::Link;
 use crate::port::*;
+use crate::record::Layout;
 use crate::share::*;
 use crate::types::*;
 use crate::users::{EndRecord, Users, Wish};
@@ -63,6 +65,8 @@
     LookUpEnd { to: ReplyTo, id: JobId },
     Cancel { to: ReplyTo, id: JobId, end: EndRecord },
     Leader { version: u64, call: LeaderCall },
+    FormatsRead,
+    FormatWritten,
     TypesRead,
     TypesAsked,
 }
@@ -86,6 +90,7 @@
     pub(crate) proven: Vec<Option<Micros>>,
     pub(crate) users: Users,
     pub(crate) chains: Chains,
+    pub(crate) formats: Formats,
     pub(crate) types: Vec<MachineType>,
     types_busy: bool,
     types_next: Micros,
@@ -126,6 +131,7 @@
             proven: vec![None; n + 1],
             users: Users::default(),
             chains: Chains::default(),
+            formats: Formats::default(),
             types: Vec::new(),
             types_busy: false,
             types_next: Micros::ZERO,
@@ -185,6 +191,7 @@
         self.listen();
         self.link_tick();
         self.types_tick();
+        self.formats_tick();
         for k in 0..self.shares.len() {
             self.with_share(k, |s, ctx| {
                 s.tick(ctx);
@@ -215,15 +222,23 @@
     }
 
     pub(crate) fn with_share<R>(&mut self, k: usize, f: impl FnOnce(&mut Share, &mut Ctx) -> R) -> Option<R> {
-        let acting = self.acting(k);
+        let (acting, layout) = (self.acting(k), self.layout());
         let cfg = self.cfg.clone();
         let share = self.shares.get_mut(k)?.as_mut()?;
         let calls = &mut self.next_call;
         let types = &self.types;
-        let mut ctx = Ctx { cfg: &cfg, now: self.now, wall: self.wall, types, fx: &mut self.fx, calls, acting };
+        let mut ctx = Ctx { cfg: &cfg, now: self.now, wall: self.wall, types, fx: &mut self.fx, calls, acting, layout };
         Some(f(share, &mut ctx))
     }
 
+    /// How work records may be laid out now.
+    pub(crate) fn layout(&self) -> Layout {
+        if self.all_read_parts() {
+            return Layout::in_parts(self.cfg.value_bytes, self.cfg.txn_ops);
+        }
+        Layout::single(self.cfg.value_bytes)
+    }
+
     fn call(&mut self, pending: Pending) -> CallId {
         let id = self.next_call;
         self.next_call += 1;
@@ -280,6 +295,8 @@
             Pending::LookUpEnd { to, id } => self.look_up_end_reply(to, id, reply),
             Pending::Cancel { to, id, end } => self.cancel_reply(to, id, end, reply),
             Pending::Leader { version, call } => self.leader_state_reply(version, call, reply),
+            Pending::FormatsRead => self.formats_read(reply),
+            Pending::FormatWritten => self.format_written(),
             Pending::TypesRead => {
                 self.types_busy = false;
                 match reply {
--- a/crates/seamfront-core/src/engine/writes.rs
+++ b/crates/seamfront-core/src/engine/writes.rs
@@ -1,6 +1,13 @@
 //! The scheduler's own writes: their pace, their transactions and their outcomes.
 
 use super::*;
+use crate::record::part_key;
+use crate::users::{end_conditions, end_writes};
+
+/// Bytes of records in one transaction, well below what the state service takes.
+const TRANSACTION_BYTES: usize = 40_000;
+/// About what a write takes that is no record of a job.
+const SMALL_WRITE: usize = 200;
 
 impl Engine {
     /// How many writes wait here: for tasks to start, for jobs to end, for machines to be adopted.
@@ -54,9 +61,9 @@
                 continue;
             }
             let now = self.now;
-            let bytes = self.cfg.value_bytes;
+            let layout = self.layout();
             let ready = |s: &mut Share| match s.phase {
-                SharePhase::Ready => s.writes(now, budget.min(most), bytes),
+                SharePhase::Ready => s.writes(now, budget.min(most), &layout),
                 _ => Vec::new(),
             };
             let Some((version, writes)) = self.with_share(k, |s, _| (s.version, ready(s))) else { continue };
@@ -74,11 +81,15 @@
                         let pending = Pending::Share { share: k, version, writes: vec![w] };
                         self.state(StateCall::Get { key }, pending);
                     }
+                    // One in parts fills a transaction by itself.
+                    ShareWrite::Record { changes, .. } if !changes.is_empty() => {
+                        self.write_budget -= 1_000 * (1 + changes.len() as i64);
+                        self.send_share_writes(k, version, vec![w]);
+                    }
                     _ => {
                         self.write_budget -= 1_000;
-                        let size =
-                            if let ShareWrite::Record { value, .. } = &w { value.to_string().len() } else { 200 };
-                        if bytes + size > 40_000 && !records.is_empty() {
+                        let size = if let ShareWrite::Record { record, .. } = &w { record.bytes } else { SMALL_WRITE };
+                        if bytes + size > TRANSACTION_BYTES && !records.is_empty() {
                             self.send_share_writes(k, version, std::mem::take(&mut records));
                             bytes = 0;
                         }
@@ -101,26 +112,31 @@
         for w in &writes {
             let key = self.write_key(k, w);
             match w {
-                ShareWrite::Record { version, value, .. } => {
+                ShareWrite::Record { job, version, record, changes, .. } => {
                     when.push((key.clone(), *version));
-                    apply.push(Write::Put { key, value: value.clone(), lease: None });
+                    apply.push(Write::Put { key, value: record.head.clone(), lease: None });
+                    for (number, part) in changes {
+                        let key = part_key(k, job, *number);
+                        apply.push(match part {
+                            Some(value) => Write::Put { key, value: value.clone(), lease: None },
+                            None => Write::Delete { key },
+                        });
+                    }
                 }
-                ShareWrite::End { job, job_version, record_version, tasks } => {
+                ShareWrite::End { job, job_version, record_version, parts_end, tasks } => {
                     let end = EndRecord { cancelled: false, tasks: *tasks };
-                    let end_key = crate::users::end_key(job);
-                    when.push((crate::users::job_key(job), *job_version));
-                    when.push((end_key.clone(), 0));
-                    let value = serde_json::to_value(end).unwrap_or_default();
-                    apply.push(Write::Put { key: end_key, value, lease: None });
-                    apply.push(Write::Delete { key: crate::users::job_key(job) });
+                    when.extend(end_conditions(job, *job_version));
+                    apply.extend(end_writes(job, end));
                     if *record_version > 0 {
                         when.push((key.clone(), *record_version));
                         apply.push(Write::Delete { key });
+                        apply.extend(self.part_deletions(k, job, *parts_end));
                     }
                 }
-                ShareWrite::DropRecord { version, .. } => {
+                ShareWrite::DropRecord { job, version, parts_end } => {
                     when.push((key.clone(), *version));
                     apply.push(Write::Delete { key });
+                    apply.extend(self.part_deletions(k, job, *parts_end));
                 }
                 ShareWrite::Machine { machine, version, record } => {
                     when.push((key, *version));
@@ -132,6 +148,12 @@
         self.state(StateCall::Commit { when, apply }, Pending::Share { share: k, version, writes });
     }
 
+    /// A part without its head means nothing: should there be more than a transaction takes, the rest stays.
+    fn part_deletions(&self, k: usize, job: &JobId, parts_end: u32) -> Vec<Write> {
+        let most = self.cfg.txn_ops.saturating_sub(3);
+        (0..parts_end).rev().take(most).map(|number| Write::Delete { key: part_key(k, job, number) }).collect()
+    }
+
     pub(super) fn write_key(&self, k: usize, w: &ShareWrite) -> String {
         match w {
             ShareWrite::Machine { machine, .. } => crate::fleet::machine_key(machine),
--- a/crates/seamfront-core/src/fleet.rs
+++ b/crates/seamfront-core/src/fleet.rs
@@ -163,12 +163,18 @@
             && self.notice.is_none()
             && self.released.is_none()
             && self.clearing.is_none()
-            && !self.giving_up
+            && !self.leaving()
             && !self.expired
             && !self.suspect
             && self.full_until <= now
     }
 
+    /// It was judged hopeless, or a write that gives it up may be applied: whatever were started here now would be
+    /// returned with it.
+    pub fn leaving(&self) -> bool {
+        self.hopeless || self.giving_up
+    }
+
     pub fn silent_for(&self, now: Micros) -> Micros {
         now - self.last_report.unwrap_or(self.owned_since).max(self.owned_since)
     }
--- a/crates/seamfront-core/src/job.rs
+++ b/crates/seamfront-core/src/job.rs
@@ -2,8 +2,9 @@
 
 use crate::gang::{Gang, Member};
 use crate::ranges::Ranges;
+use crate::record::{Layout, Position, WorkRecord};
 use crate::types::*;
-use serde::{Deserialize, Serialize};
+use serde_json::Value;
 use std::collections::BTreeMap;
 use std::rc::Rc;
 
@@ -70,6 +71,12 @@
     pub placing: u64,
     /// When it was last written or read.
     pub asked_at: Micros,
+    /// The parts as they are stored, None where that is not known.
+    pub parts: Option<Vec<Value>>,
+    /// No part with this number or a higher one is stored.
+    pub parts_end: u32,
+    /// Where the parts were divided the last time.
+    pub boundaries: Vec<Position>,
 }
 
 impl RecordState {
@@ -188,12 +195,14 @@
         a
     }
 
-    /// How many more tasks may be placed before the record could outgrow a value. What is placed is counted as it
-    /// is written, a run of tasks on a machine at a time; what is to come as if each task had a machine of its own.
-    pub fn record_room(&self, value_bytes: usize) -> u32 {
+    /// How many more tasks may be placed before the record could outgrow what the state service takes of it. What is
+    /// placed is counted as it is written, a run of tasks on a machine at a time; what is to come as if each task
+    /// had a machine of its own.
+    pub fn record_room(&self, layout: &Layout) -> u32 {
         let digits = |n: u64| n.checked_ilog10().unwrap_or(0) as usize + 1;
         let run = 5 + 2 * digits(u64::from(self.spec.tasks)) + digits(self.next_attempt + 1);
-        let mut used = 200 + self.spec.team.len() + self.done.pieces() * (run + 1);
+        let fixed = 200 + self.spec.team.len();
+        let mut used = self.done.pieces() * (run + 1);
         if let Some(g) = &self.gang {
             used += g.attempts.iter().filter(|a| **a > 0).count() * run;
         }
@@ -205,7 +214,10 @@
             longest = longest.max(name);
             before = Some((&p.machine, *i + 1, p.attempt));
         }
-        (value_bytes.saturating_sub(used) / (run + longest + 6)) as u32
+        // Each member that is placed comes to have used an attempt.
+        let attempts = if self.gang.is_some() { run } else { 0 };
+        let room = layout.value_bytes.saturating_sub(fixed).max(layout.parts_room());
+        (room.saturating_sub(used) / (run + longest + 6 + attempts)) as u32
     }
 
     pub fn running(&self) -> u32 {
@@ -247,8 +259,8 @@
     }
 
     /// Takes over what the former holder recorded. Everything placed may be on its machine.
-    pub fn adopt(&mut self, record: WorkRecord, version: u64, now: Micros) {
-        self.record = RecordState { version: Some(version), ..Default::default() };
+    pub fn adopt(&mut self, record: WorkRecord, version: u64, parts_end: u32, now: Micros) {
+        self.record = RecordState { version: Some(version), parts_end, ..Default::default() };
         self.next_attempt = record.next_attempt;
         self.done = record.done;
         self.parks = record.parks;
@@ -287,25 +299,3 @@
         }
     }
 }
-
-/// `work/<share>/<job>`: one record per job, whatever its kind, arrays and services as a class.
-#[derive(Clone, Debug, Serialize, Deserialize)]
-pub struct WorkRecord {
-    pub team: String,
-    pub need: Amounts,
-    #[serde(rename = "e")]
-    pub epoch: u64,
-    #[serde(rename = "dr")]
-    pub draining: bool,
-    #[serde(rename = "a")]
-    pub attempts: Vec<(u32, u32)>,
-    #[serde(rename = "n")]
-    pub next_attempt: u64,
-    #[serde(rename = "d")]
-    pub done: Ranges,
-    /// By machine: runs of task numbers [from, to) with one attempt.
-    #[serde(rename = "p")]
-    pub placed: BTreeMap<MachineId, Vec<(u32, u32, u64)>>,
-    #[serde(rename = "pk")]
-    pub parks: u32,
-}
--- a/crates/seamfront-core/src/link/claims.rs
+++ b/crates/seamfront-core/src/link/claims.rs
@@ -230,7 +230,8 @@
             let share = self.shares.get_mut(*slot).and_then(|s| s.as_mut());
             if let Some(s) = share.filter(|s| s.phase == SharePhase::Proving) {
                 s.phase = SharePhase::Loading;
-                let load = Load { version: *version, entries: Vec::new(), busy: false, retry_at: Micros::ZERO };
+                let load =
+                    Load { version: *version, entries: Vec::new(), parts: None, busy: false, retry_at: Micros::ZERO };
                 self.link.loads.insert(*slot, load);
             }
         }
--- a/crates/seamfront-core/src/link/mod.rs
+++ b/crates/seamfront-core/src/link/mod.rs
@@ -88,7 +88,9 @@
 #[derive(Debug)]
 struct Load {
     version: u64,
+    /// Work records, then their parts, from when the former are read.
     entries: Vec<Entry>,
+    parts: Option<Vec<Entry>>,
     busy: bool,
     retry_at: Micros,
 }
--- a/crates/seamfront-core/src/link/takeover.rs
+++ b/crates/seamfront-core/src/link/takeover.rs
@@ -1,6 +1,8 @@
 //! Reading the former holder's records before a share goes on.
 
 use super::*;
+use crate::record::{decode, parse_part_key, parts_prefix};
+use crate::share::StoredRecord;
 
 impl Engine {
     pub(super) fn loads_tick(&mut self) {
@@ -9,7 +11,10 @@
         for slot in due {
             let Some(load) = self.link.loads.get_mut(&slot) else { continue };
             let version = load.version;
-            let after = load.entries.last().map(|e| e.key.clone());
+            let last =
+                if load.parts.is_some() { load.parts.as_ref().and_then(|p| p.last()) } else { load.entries.last() };
+            let after = last.map(|e| e.key.clone());
+            let reads_parts = load.parts.is_some();
             load.busy = true;
             if self.slot_version(slot) != Some(version) {
                 self.link.loads.remove(&slot);
@@ -17,7 +22,8 @@
             }
             let fleet = &self.link.watches[MACHINES];
             if fleet.loaded && fleet.seen >= version {
-                let request = StateCall::List { prefix: work_prefix(slot), after };
+                let prefix = if reads_parts { parts_prefix(slot) } else { work_prefix(slot) };
+                let request = StateCall::List { prefix, after };
                 self.state(request, Pending::Records { share: slot, version });
             } else {
                 let (prefix, after) = (Topic::Machines.prefix().to_owned(), fleet.seen);
@@ -48,8 +54,12 @@
         load.busy = false;
         match reply {
             StateReply::Page { entries, more, .. } => {
-                load.entries.extend(entries);
-                if more {
+                let first_part = load.parts.is_none() && !more;
+                load.parts.as_mut().unwrap_or(&mut load.entries).extend(entries);
+                if first_part {
+                    load.parts = Some(Vec::new());
+                }
+                if more || first_part {
                     return;
                 }
             }
@@ -59,28 +69,47 @@
                 return;
             }
         }
-        let entries = self.link.loads.remove(&slot).map(|l| l.entries).unwrap_or_default();
+        let Some(load) = self.link.loads.remove(&slot) else { return };
         if self.slot_version(slot) == Some(version) {
-            self.take_over(slot, entries);
+            self.take_over(slot, load.entries, load.parts.unwrap_or_default());
         }
     }
 
-    pub(super) fn take_over(&mut self, slot: usize, entries: Vec<Entry>) {
+    pub(super) fn take_over(&mut self, slot: usize, entries: Vec<Entry>, parts: Vec<Entry>) {
         let prefix = work_prefix(slot);
         let now = self.now;
         let Some(share) = self.shares[slot].as_mut() else { return };
+        let mut parts_of: BTreeMap<JobId, BTreeMap<u32, serde_json::Value>> = BTreeMap::new();
+        for e in parts {
+            if let Some((id, number)) = parse_part_key(slot, &e.key) {
+                parts_of.entry(id).or_default().insert(number, e.value);
+            }
+        }
+        let mut unreadable = Vec::new();
         for e in entries {
             let id = JobId::from(e.key.strip_prefix(&prefix).unwrap_or(&e.key));
             let live = self.jobs.get(&id).map(|j| (j.spec.clone(), j.version));
-            match serde_json::from_value(e.value) {
-                Ok(record) => share.adopt_record(id, live, record, e.version, now),
-                Err(err) => warn!(job = %id, %err, "unreadable work record"),
+            let parts = parts_of.remove(&id).unwrap_or_default();
+            let parts_end = parts.keys().next_back().map_or(0, |number| number + 1);
+            match decode(e.value, &parts) {
+                Ok(record) => {
+                    let stored = StoredRecord { record, version: e.version, parts_end };
+                    share.adopt_record(id, live, stored, now);
+                }
+                Err(err) => {
+                    warn!(job = %id, %err, "unreadable work record");
+                    unreadable.push(id);
+                }
             }
         }
         for (id, j) in self.jobs.iter().filter(|j| j.1.share == slot) {
             share.add_job(j.spec.clone(), j.version, now);
             share.chained(id, j.spec_now(), j.chain.waits(), now);
         }
+        let over = now + self.cfg.acting_time().with_drift() + self.cfg.lease.with_drift() + Micros::from_secs(1);
+        for id in unreadable {
+            share.hold_unreadable(&id, over);
+        }
         // A machine that is being returned is there until its record is removed, and so is what the
         // former holder placed on it. One that is another share's by now was let go empty.
         for id in share.placed_elsewhere() {
--- a/crates/seamfront-core/src/ranges.rs
+++ b/crates/seamfront-core/src/ranges.rs
@@ -13,6 +13,15 @@
         Ranges(vec![(0, n)])
     }
 
+    /// From sorted, disjoint, non-adjacent ranges.
+    pub fn from_pieces(pieces: Vec<(u32, u32)>) -> Ranges {
+        Ranges(pieces)
+    }
+
+    pub fn pieces_iter(&self) -> impl Iterator<Item = (u32, u32)> + '_ {
+        self.0.iter().copied()
+    }
+
     pub fn contains(&self, x: u32) -> bool {
         let at = self.0.partition_point(|r| r.1 <= x);
         self.0.get(at).is_some_and(|r| r.0 <= x)
--- a/crates/seamfront-core/src/rounds/mod.rs
+++ b/crates/seamfront-core/src/rounds/mod.rs
@@ -247,7 +247,7 @@
         let held = round.quota_held.get(&spec.team).copied().unwrap_or_default();
         let quota = self.quota.room(team, spec.need, held).min(i64::from(u32::MAX)) as u32;
         let overdue = job.overdue(ctx.wall);
-        let want = job.unplaced().min(quota).min(job.record_room(ctx.cfg.value_bytes));
+        let want = job.unplaced().min(quota).min(job.record_room(&ctx.layout));
         // The turn of an array is for its beginning; the rest of it goes by its own priority again.
         let want = if overdue && spec.kind == Kind::Array { want.min(1) } else { want };
         if want == 0 || (gang && want < spec.tasks) {
--- a/crates/seamfront-core/src/share/mod.rs
+++ b/crates/seamfront-core/src/share/mod.rs
@@ -7,6 +7,7 @@
 use crate::job::*;
 use crate::port::*;
 use crate::quota::Quota;
+use crate::record::{Layout, WorkRecord};
 use crate::types::*;
 use std::cell::Cell;
 use std::collections::{BTreeMap, BTreeSet};
@@ -41,6 +42,8 @@
     pub calls: &'a mut CallId,
     /// The claim was proven recently enough to answer reports and to send commands.
     pub acting: bool,
+    /// How records may be laid out now.
+    pub layout: Layout,
 }
 
 /// Why a task is known to be gone.
@@ -51,6 +54,15 @@
     Lost,
 }
 
+/// A former holder's record as it was read.
+pub struct StoredRecord {
+    pub record: WorkRecord,
+    /// Version of the record's own key.
+    pub version: u64,
+    /// No part with this number or a higher one is stored.
+    pub parts_end: u32,
+}
+
 pub struct Share {
     pub index: usize,
     pub version: u64,
@@ -138,18 +150,12 @@
 
     /// Takes over a record of the former holder's. A job that has ended since (it is missing from
     /// the view of live jobs, which is newer than the claim) is only cleared away.
-    pub fn adopt_record(
-        &mut self,
-        id: JobId,
-        live: Option<(Rc<JobSpec>, u64)>,
-        record: WorkRecord,
-        version: u64,
-        now: Micros,
-    ) {
+    pub fn adopt_record(&mut self, id: JobId, live: Option<(Rc<JobSpec>, u64)>, stored: StoredRecord, now: Micros) {
         let ended = live.is_none();
+        let StoredRecord { record, version, parts_end } = stored;
         let (spec, job_version) = live.unwrap_or_else(|| (Rc::new(leftover_spec(&id, &record)), 0));
         let mut job = Job::new(spec, job_version, now);
-        job.adopt(record, version, now);
+        job.adopt(record, version, parts_end, now);
         if ended {
             job.ending = Some(Ending::Cancelled);
         } else if job.done.count() == job.spec.tasks {
@@ -170,6 +176,16 @@
         self.dirty = true;
     }
 
+    /// A record of the former holder's that cannot be read. What it started may run anywhere: until a whole lease
+    /// after its last answer nothing of the job is started, and what machines show of it is stopped.
+    pub fn hold_unreadable(&mut self, id: &JobId, until: Micros) {
+        if let Some(job) = self.jobs.get_mut(id) {
+            job.paused_until = until;
+            job.record.version = None;
+            job.record.touch();
+        }
+    }
+
     /// Machines that records name and this share does not have.
     pub fn placed_elsewhere(&self) -> BTreeSet<MachineId> {
         let named = self.jobs.values().flat_map(|j| j.tasks.values().map(|p| &p.machine));
--- a/crates/seamfront-core/src/share/records.rs
+++ b/crates/seamfront-core/src/share/records.rs
@@ -1,6 +1,8 @@
 //! What a share has written to the state service, and what follows from the outcome.
 
 use super::*;
+use crate::record::{encode, EncodedRecord};
+use serde_json::Value;
 
 /// A write that the engine should make for this share, with what it stands for.
 #[derive(Clone, Debug)]
@@ -9,17 +11,23 @@
         job: JobId,
         gen: u64,
         version: u64,
-        value: serde_json::Value,
+        record: Box<EncodedRecord>,
+        /// Parts that are to change, by number: their value, or none for those that are removed.
+        changes: Vec<(u32, Option<Value>)>,
+        /// No part with this number or a higher one is left afterwards.
+        parts_end: u32,
     },
     End {
         job: JobId,
         job_version: u64,
         record_version: u64,
+        parts_end: u32,
         tasks: u32,
     },
     DropRecord {
         job: JobId,
         version: u64,
+        parts_end: u32,
     },
     Read {
         job: JobId,
@@ -51,7 +59,7 @@
     /// Up to `budget` writes that are due now: what somebody waits for comes first, and of that what
     /// waits for longest. The engine makes them under this share's claim and reports back through
     /// [`Share::written`].
-    pub fn writes(&mut self, now: Micros, budget: usize, value_bytes: usize) -> Vec<ShareWrite> {
+    pub fn writes(&mut self, now: Micros, budget: usize, layout: &Layout) -> Vec<ShareWrite> {
         let mut out = Vec::new();
         let look = now >= self.machine_writes_next;
         self.look(if look { self.machines.len() } else { 0 } + self.jobs.len());
@@ -104,21 +112,25 @@
             let Some(job) = self.jobs.get_mut(&id) else { continue };
             job.record.in_flight = true;
             job.record.asked_at = now;
+            let parts_end = job.record.parts_end;
             let write = match (job.record.version, job.ending) {
                 (None, _) => ShareWrite::Read { job: id },
-                (Some(v), Some(Ending::Completing)) => {
-                    ShareWrite::End { job: id, job_version: job.version, record_version: v, tasks: job.spec.tasks }
-                }
-                (Some(v), Some(_)) => ShareWrite::DropRecord { job: id, version: v },
-                (Some(v), None) => match serde_json::to_value(job.to_record()) {
+                (Some(v), Some(Ending::Completing)) => ShareWrite::End {
+                    job: id,
+                    job_version: job.version,
+                    record_version: v,
+                    parts_end,
+                    tasks: job.spec.tasks,
+                },
+                (Some(version), Some(_)) => ShareWrite::DropRecord { job: id, version, parts_end },
+                (Some(version), None) => match record_write(job, version, layout) {
+                    Some(write) => write,
                     // Written by a former holder for a store that took more: nothing is placed for it until enough
                     // of it has gone. The old record names all that is placed meanwhile.
-                    Ok(value) if value.to_string().len() > value_bytes => {
+                    None => {
                         job.record.in_flight = false;
                         continue;
                     }
-                    Ok(value) => ShareWrite::Record { job: id, gen: job.record.gen, version: v, value },
-                    Err(_) => continue,
                 },
             };
             out.push(write);
@@ -156,11 +168,18 @@
             WriteOutcome::Refused => return,
             WriteOutcome::Unclear => {
                 job.record.version = None;
+                job.record.parts = None;
+                if let ShareWrite::Record { record, .. } = write {
+                    job.record.parts_end = job.record.parts_end.max(record.parts.len() as u32);
+                }
                 return;
             }
             WriteOutcome::Done(v) => match write {
-                ShareWrite::Record { .. } => {
+                ShareWrite::Record { record, parts_end, .. } => {
                     job.record.version = Some(v);
+                    job.record.parts = Some(record.parts.clone());
+                    job.record.parts_end = *parts_end;
+                    job.record.boundaries.clone_from(&record.boundaries);
                     job.record.written = job.record.written.max(gen);
                     let placed: Vec<u32> = job
                         .tasks
@@ -183,6 +202,7 @@
                     info!(job = %job_id, "job recorded as done");
                     job.ending = Some(Ending::Done);
                     job.record.version = Some(0);
+                    job.record.parts_end = 0;
                     stop_rest(job, ctx.now);
                 }
                 ShareWrite::DropRecord { .. } => job.record.version = Some(0),
@@ -195,6 +215,26 @@
     }
 }
 
+/// The write of a job's record as it stands. Only parts that differ from what is stored are written. None if it does
+/// not fit.
+fn record_write(job: &mut Job, version: u64, layout: &Layout) -> Option<ShareWrite> {
+    let record = encode(&job.to_record(), layout, &job.record.boundaries)?;
+    let stored = job.record.parts.as_deref().unwrap_or_default();
+    let mut changes = Vec::new();
+    for (number, part) in record.parts.iter().enumerate() {
+        if stored.get(number) != Some(part) {
+            changes.push((number as u32, Some(part.clone())));
+        }
+    }
+    // From the highest down, as far as one transaction goes.
+    let superfluous = (record.parts.len() as u32..job.record.parts_end).rev();
+    let removed: Vec<u32> = superfluous.take(layout.parts.max(1).saturating_sub(changes.len())).collect();
+    let parts_end = removed.last().copied().unwrap_or(job.record.parts_end.max(record.parts.len() as u32));
+    changes.extend(removed.into_iter().map(|number| (number, None)));
+    let (job, gen) = (job.spec.id.clone(), job.record.gen);
+    Some(ShareWrite::Record { job, gen, version, record: Box::new(record), changes, parts_end })
+}
+
 /// Members of a gang complete together, so there is hardly ever anything left to stop.
 pub(super) fn stop_rest(job: &mut Job, now: Micros) {
     for p in job.tasks.values_mut() {
--- a/crates/seamfront-core/src/share/reports.rs
+++ b/crates/seamfront-core/src/share/reports.rs
@@ -206,8 +206,7 @@
         }
         let tasks: Vec<TaskKey> = m.tasks.iter().cloned().collect();
         let session = m.session;
-        // A write that gives it up may be applied: what was started here then would be returned with it.
-        let usable = m.record.share.is_some() && !m.giving_up;
+        let usable = m.record.share.is_some() && !m.leaving();
         for key in tasks {
             let Some(job) = self.jobs.get_mut(&key.job) else { continue };
             let live = job.live();
--- a/crates/seamfront-core/src/users.rs
+++ b/crates/seamfront-core/src/users.rs
@@ -31,6 +31,17 @@
     format!("end/{id}")
 }
 
+/// On what an end is written: the job is live, at this version, and has not ended.
+pub(crate) fn end_conditions(id: &JobId, job_version: u64) -> [(String, u64); 2] {
+    [(job_key(id), job_version), (end_key(id), 0)]
+}
+
+/// The changes that end a job.
+pub(crate) fn end_writes(id: &JobId, end: EndRecord) -> [Write; 2] {
+    let value = serde_json::to_value(end).unwrap_or_default();
+    [Write::Put { key: end_key(id), value, lease: None }, Write::Delete { key: job_key(id) }]
+}
+
 /// Remembers ended jobs; the oldest are forgotten here and then asked of the store again.
 #[derive(Default)]
 pub struct Ended {
@@ -180,13 +191,8 @@
 
     fn cancel_known(&mut self, to: ReplyTo, id: JobId, version: u64, tasks: u32) {
         let end = EndRecord { cancelled: true, tasks };
-        let request = StateCall::Commit {
-            when: vec![(job_key(&id), version), (end_key(&id), 0)],
-            apply: vec![
-                Write::Put { key: end_key(&id), value: serde_json::to_value(end).unwrap_or_default(), lease: None },
-                Write::Delete { key: job_key(&id) },
-            ],
-        };
+        let request =
+            StateCall::Commit { when: end_conditions(&id, version).into(), apply: end_writes(&id, end).into() };
         self.users.in_flight += 1;
         self.state(request, Pending::Cancel { to, id, end });
     }
--- a/crates/seamfront-core/tests/world/checks.rs
+++ b/crates/seamfront-core/tests/world/checks.rs
@@ -126,6 +126,17 @@
         }
     }
 
+    /// The claim on the share of a job's team.
+    pub fn share_key(&self, job: &JobId) -> &'static str {
+        let share = self.settings.share_of(&self.truth.jobs[job].team).expect("a known team");
+        ["share/0", "share/1", "share/2"][share]
+    }
+
+    /// How many keys with this prefix the state service holds.
+    pub fn stored(&self, prefix: &str) -> usize {
+        self.store.keys.keys().filter(|k| k.starts_with(prefix)).count()
+    }
+
     /// A claim that nobody holds, or that was taken a moment ago.
     pub(super) fn changes_hands(&self, claim: &str) -> bool {
         self.claims.get(claim).is_some_and(|(v, since)| v.is_none() || self.now - *since < ms(3_000))
--- a/crates/seamfront-core/tests/world/faults.rs
+++ b/crates/seamfront-core/tests/world/faults.rs
@@ -123,6 +123,11 @@
     CancelAtCompletion {
         until: Micros,
     },
+    /// Its process is killed and comes back with the new version.
+    Upgrade {
+        node: usize,
+        back: Micros,
+    },
     /// A part of direct commands is held up, unanswered, and carried out once, 2 to 16 s late.
     DelayCommands {
         until: Micros,
@@ -218,6 +223,9 @@
             Fault::Crash { nodes, back } => {
                 self.cover_crash();
                 for node in nodes {
+                    if self.nodes[node].old && self.nodes.iter().any(|n| !n.old) {
+                        self.cover("an old controller ended beside new ones");
+                    }
                     self.nodes[node].engine = None;
                     self.nodes[node].life += 1;
                     self.after(back, Event::Boot { node });
@@ -274,6 +282,13 @@
             Fault::SlowNode { node, until } => self.nodes[node].slow = until,
             Fault::SlowState { until } => self.slow_state = until,
             Fault::CancelAtCompletion { until } => self.cancel_at_completion = until,
+            Fault::Upgrade { node, back } => {
+                if self.nodes.iter().any(|n| !n.old) && self.nodes[node].old {
+                    self.cover("a controller was upgraded while others had been");
+                }
+                self.inject(Fault::Crash { nodes: vec![node], back });
+                self.nodes[node].old = false;
+            }
             Fault::DelayCommands { until } => self.delay_commands_until = until,
             Fault::LoseCommitAnswers { until } => self.lose_commit_answers_until = until,
             Fault::KeepReports { until } => self.keep_reports_until = until,
--- a/crates/seamfront-core/tests/world/mod.rs
+++ b/crates/seamfront-core/tests/world/mod.rs
@@ -5,6 +5,7 @@
 mod cloud;
 mod faults;
 mod network;
+mod old_version;
 pub mod script;
 mod state_service;
 pub mod store;
@@ -120,6 +121,8 @@
     slow: Micros,
     /// Revision of the last transaction of its that was carried out.
     wrote: u64,
+    /// Still runs the version in production.
+    old: bool,
     /// Jobs that this process has called cancelled: it must not start anything of theirs.
     called_cancelled: BTreeSet<JobId>,
 }
@@ -329,6 +332,7 @@
             stalled: Micros::ZERO,
             slow: Micros::ZERO,
             wrote: 0,
+            old: false,
             called_cancelled: BTreeSet::new(),
         };
         let mut w = World {
--- a/crates/seamfront-core/tests/world/store.rs
+++ b/crates/seamfront-core/tests/world/store.rs
@@ -5,6 +5,16 @@
 use serde_json::Value;
 use std::collections::BTreeMap;
 
+/// What the protocol allows in a transaction.
+const TRANSACTION_BYTES: usize = 64 * 1024;
+
+fn size_of(write: &Write) -> usize {
+    match write {
+        Write::Put { key, value, .. } => key.len() + value.to_string().len() + 40,
+        Write::Delete { key } => key.len() + 20,
+    }
+}
+
 #[derive(Default)]
 pub struct Store {
     pub keys: BTreeMap<String, (Value, u64, Option<u64>)>,
@@ -66,6 +76,8 @@
                     return Some(StateReply::Conflict { failed: bad });
                 }
                 let conditions = when.len();
+                let bytes: usize = apply.iter().map(size_of).sum();
+                assert!(bytes <= TRANSACTION_BYTES, "a transaction of {bytes} bytes");
                 assert!(apply.len() <= self.txn_ops && conditions <= 4 * self.txn_ops, "a transaction is too large");
                 if !apply.is_empty() {
                     self.revision += 1;
--- a/crates/seamfront/tests/parsing.rs
+++ b/crates/seamfront/tests/parsing.rs
@@ -177,7 +177,7 @@
 /// not know, and a job without needed jobs is written as it always was.
 #[test]
 fn records_of_the_version_in_production() {
-    use seamfront_core::job::WorkRecord;
+    use seamfront_core::record::WorkRecord;
     let job = r#"{"id":"j-000412","class":"c","team":"t","kind":"Array","priority":"Urgent","tasks":3,"need":{"c":1000,"g":0,"r":2000},"types":null,"zone":null,"one_zone":false,"spread":false,"spot":true,"image":"i","image_mb":100,"estimate":1000000,"checkpoint":0,"save":0,"deadline":null,"submitted":17}"#;
     let spec: seamfront_core::types::JobSpec = serde_json::from_str(job).unwrap();
     assert!(spec.needs.is_empty());
