--- a/crates/seamfront-core/tests/chains.rs
+++ b/crates/seamfront-core/tests/chains.rs
@@ -47,6 +47,29 @@
     assert!(count(&coverage, CALLED_OFF) > 20, "{coverage:?}");
 }
 
+/// What the scheduler adds between two steps of a chain, across shards and with room at hand: from the durable end of
+/// the last needed job to the order that starts the next.
+#[test]
+fn the_next_step_is_ordered_soon_after_the_last_needed_job_has_ended() {
+    let mut waits = Vec::new();
+    for seed in 2_800..2_808 {
+        let mut w = World::sized(seed, Scale { machines: 24, most: 40, limits: [0; 10], ..SMALL });
+        w.quiet_from = ms(1_000);
+        for k in 0..8 {
+            w.pipeline(200 + 10 * k, 5_000 + 6_000 * i64::from(k));
+        }
+        w.run_until(ms(200_000));
+        assert_eq!(w.owed(), Vec::<String>::new(), "seed {seed}");
+        waits.extend(w.waits_after_needs());
+    }
+    waits.sort();
+    let at = |percent: usize| waits[(waits.len() - 1) * percent / 100];
+    println!("{} steps: median {:?}, 90% {:?}, most {:?}", waits.len(), at(50), at(90), at(100));
+    assert!(waits.len() > 100, "{} steps", waits.len());
+    // Those that take longer wait for a machine of another share or for one that boots.
+    assert!(at(50) <= ms(250) && at(90) <= ms(5_000), "median {:?}, 90% {:?}", at(50), at(90));
+}
+
 /// The first jobs are called off as they end: `done` lets the rest go on, a cancellation ends it.
 #[test]
 fn a_cancellation_meets_the_end_of_what_others_need() {
--- a/crates/seamfront-core/tests/evidence.rs
+++ b/crates/seamfront-core/tests/evidence.rs
@@ -593,3 +593,33 @@
         assert!(room > 0 && serde_json::to_string(&record).unwrap().len() <= value, "{tasks} tasks, {value} bytes");
     }
 }
+
+/// The store confirmed that it is live, and before that answer comes the view shows that it has ended: it may have
+/// been cancelled with a job that it needed, whose user was told long ago.
+#[test]
+fn a_job_that_has_left_the_view_is_not_called_queued() {
+    use seamfront_core::users::{end_key, job_key, EndRecord};
+    let mut a = Alone::new();
+    let id: JobId = "j-2".into();
+    a.write(vec![put(&job_key(&id), &*job("j-2", 1))]);
+    a.run(2_000, 3_000);
+    let asked = a.engine.step(s(3), s(3), vec![Command::Poll { to: 9, id: id.clone() }]);
+    let confirms = |e: &Effect| match e {
+        Effect::State { call, request: StateCall::Commit { when, apply } } if apply.is_empty() => {
+            when.iter().any(|w| w.0 == job_key(&id)).then_some(*call)
+        }
+        _ => None,
+    };
+    let call = asked.iter().find_map(confirms).expect("the poll is confirmed by the store");
+    let revision = a.store.revision;
+    let end = EndRecord { cancelled: true, tasks: 1 };
+    a.write(vec![put(&end_key(&id), end), Write::Delete { key: job_key(&id) }]);
+    a.run(3_050, 3_500);
+    let confirmed = Command::State { call, reply: StateReply::Committed { revision } };
+    let answers = a.step(s(4), vec![confirmed]);
+    let told = answers.iter().find_map(|e| match e {
+        Effect::Answer { to: 9, answer: Answer::Status { state, .. } } => Some(*state),
+        _ => None,
+    });
+    assert_eq!(told, Some(ShownState::Cancelled), "{answers:?}");
+}
--- a/crates/seamfront-core/tests/world/checks.rs
+++ b/crates/seamfront-core/tests/world/checks.rs
@@ -132,6 +132,21 @@
         ["share/0", "share/1", "share/2"][share]
     }
 
+    /// Of each job that needs others and was started: from the durable end of the last of those, or its own submission
+    /// if that is later, to the order of its first start.
+    pub fn waits_after_needs(&self) -> Vec<Micros> {
+        let mut waits = Vec::new();
+        for (job, ordered) in &self.first_orders {
+            let needs = &self.truth.jobs[job].needs;
+            let last = needs.iter().filter_map(|n| self.durable_ends.get(n)).max();
+            if let Some(last) = last {
+                waits.push(*ordered - (*last).max(self.submitted[job]));
+            }
+        }
+        waits.sort();
+        waits
+    }
+
     /// How many keys with this prefix the state service holds.
     pub fn stored(&self, prefix: &str) -> usize {
         self.store.keys.keys().filter(|k| k.starts_with(prefix)).count()
@@ -146,6 +161,7 @@
     pub(super) fn check_orders(&mut self, node: usize, orders: &[Order]) {
         for o in orders {
             let Order::Start { task, .. } = o else { continue };
+            self.first_orders.entry(task.job.clone()).or_insert(self.now);
             if self.nodes[node].called_cancelled.contains(&task.job) {
                 let t = self.now.as_secs_decimal();
                 let bad = format!("{t:.3} start of {task} ordered by n{node}, which had called the job cancelled");
--- a/crates/seamfront-core/tests/world/mod.rs
+++ b/crates/seamfront-core/tests/world/mod.rs
@@ -193,6 +193,10 @@
     state_tokens: (i64, i64, Micros),
     /// Jobs whose last task has completed. last task has completed.
     ended: BTreeMap<JobId, Micros>,
+    /// When the end of a job was written to the state service.
+    durable_ends: BTreeMap<JobId, Micros>,
+    /// When the first start of a job was ordered.
+    first_orders: BTreeMap<JobId, Micros>,
     /// How often what the tests are for really happened.
     pub coverage: script::Coverage,
     /// By claim: its last version, and since when it is held or free.
@@ -372,6 +376,8 @@
             impossible: BTreeSet::new(),
             state_tokens: (0, 0, Micros::ZERO),
             ended: BTreeMap::new(),
+            durable_ends: BTreeMap::new(),
+            first_orders: BTreeMap::new(),
             coverage: BTreeMap::new(),
             claims: BTreeMap::new(),
             passed_over: BTreeMap::new(),
--- a/crates/seamfront-core/tests/world/state_service.rs
+++ b/crates/seamfront-core/tests/world/state_service.rs
@@ -95,6 +95,12 @@
             if apply.iter().any(in_parts) {
                 self.cover("a record was written in parts");
             }
+            for w in apply {
+                let Write::Put { key, .. } = w else { continue };
+                if let Some(job) = key.strip_prefix("end/") {
+                    self.durable_ends.entry(job.into()).or_insert(self.now);
+                }
+            }
         }
         if let (StateCall::List { prefix, .. }, Some(StateReply::Page { entries, .. })) = (&request, &reply) {
             if prefix.starts_with("part/") && !entries.is_empty() {
