--- a/crates/seamfront-core/src/capacity.rs
+++ b/crates/seamfront-core/src/capacity.rs
@@ -11,20 +11,32 @@
 /// under the same name instead of renting twice.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct RentRecord {
+    /// The shard that the machines are for.
     pub share: usize,
+    /// Machine type.
     pub kind: String,
+    /// Zone.
     pub zone: String,
+    /// Whether spot machines are asked for.
     pub spot: bool,
+    /// How many.
     pub count: u32,
 }
 
+/// Type, zone and spot or not: what the cloud may be asked for.
 pub type Offer = (String, String, bool);
 
+/// A machine as the plan sees it.
 pub struct Supply<'a> {
+    /// Name.
     pub id: &'a MachineId,
+    /// The shard that owns it.
     pub share: usize,
+    /// Its record in the state service.
     pub record: &'a MachineRecord,
+    /// What it has in all.
     pub size: Amounts,
+    /// What its owner last told of it.
     pub view: Option<&'a MachineView>,
     /// Since it was assigned to its share.
     pub age: Micros,
@@ -45,24 +57,36 @@
     }
 }
 
+/// All that a plan is made from.
 pub struct Picture<'a> {
+    /// The time of the plan.
     pub now: Micros,
+    /// What waits, with the shard in which it does.
     pub needs: Vec<(usize, &'a Need)>,
+    /// All machines that are assigned to a shard.
     pub machines: Vec<Supply<'a>>,
+    /// Rentals that are under way.
     pub rents: Vec<&'a RentRecord>,
+    /// Machine types on offer.
     pub types: &'a [MachineType],
+    /// Offers that the cloud has refused: until when, and how often in a row.
     pub refused: &'a BTreeMap<Offer, (Micros, u32)>,
+    /// Operators' settings.
     pub tuning: &'a Tuning,
     /// Machines that are being cleared for another share.
     pub clearing: &'a BTreeMap<MachineId, (usize, Micros)>,
 }
 
+/// What the leader should do now.
 #[derive(Debug, Default)]
 pub struct Plan {
+    /// Machines to be moved, with the shard that they go to.
     pub moves: Vec<(MachineId, usize)>,
+    /// Machines to be returned.
     pub returns: Vec<MachineId>,
     /// To be cleared of lesser work than that of this priority, for this share.
     pub clear: Vec<(MachineId, usize, Priority)>,
+    /// Rentals to be begun.
     pub rents: Vec<RentRecord>,
 }
 
@@ -118,6 +142,7 @@
     work: BTreeMap<(usize, bool), i64>,
 }
 
+/// Makes a plan; the same picture gives the same plan.
 pub fn plan(p: &Picture) -> Plan {
     let mut plan = Plan::default();
     let mut overview = Overview { stocks: stocks(p), by_zone: BTreeMap::new(), work: BTreeMap::new() };
--- a/crates/seamfront-core/src/chains.rs
+++ b/crates/seamfront-core/src/chains.rs
@@ -29,6 +29,7 @@
 }
 
 impl Chain {
+    /// Whether any job that it needs is not known to be done.
     pub fn waits(&self) -> bool {
         self.unread || !self.needs.is_empty()
     }
@@ -74,6 +75,7 @@
     alone: bool,
 }
 
+/// What this controller knows of chains.
 #[derive(Debug, Default)]
 pub struct Chains {
     /// By needed job: the live jobs that wait for it.
@@ -92,7 +94,9 @@
 /// A user's question about a job that waits.
 #[derive(Clone, Debug)]
 pub struct Question {
+    /// The request that waits for the answer.
     pub to: ReplyTo,
+    /// The job asked about.
     pub id: JobId,
     /// It was created for this very request.
     pub created: bool,
--- a/crates/seamfront-core/src/engine/mod.rs
+++ b/crates/seamfront-core/src/engine/mod.rs
@@ -18,18 +18,25 @@
 mod peers;
 mod writes;
 
+/// A live job in this controller's view.
 #[derive(Clone, Debug)]
 pub struct LiveJob {
+    /// The job as it was accepted.
     pub spec: Rc<JobSpec>,
     /// Version of `job/<id>`, which is written once only.
     pub version: u64,
+    /// The shard of its team.
     pub share: usize,
+    /// Its place in its chain.
     pub chain: Chain,
 }
 
+/// What is known of another controller.
 #[derive(Clone, Debug, Default)]
 pub struct Peer {
+    /// When it was last heard.
     pub heard: Micros,
+    /// Since when it has called itself ready.
     pub ready_since: Option<Micros>,
     /// Writes that it had waiting when it was last heard of.
     pub awaited: usize,
@@ -71,6 +78,7 @@
     TypesAsked,
 }
 
+/// The scheduler of one controller: commands in, effects out.
 pub struct Engine {
     pub(crate) cfg: Rc<Settings>,
     pub(crate) now: Micros,
@@ -114,6 +122,7 @@
 }
 
 impl Engine {
+    /// A controller that has just begun: it knows nothing of what it did before.
     pub fn new(cfg: Settings) -> Engine {
         let n = cfg.members.len();
         Engine {
--- a/crates/seamfront-core/src/fleet.rs
+++ b/crates/seamfront-core/src/fleet.rs
@@ -10,11 +10,15 @@
 pub struct MachineRecord {
     /// None while it is being returned to the cloud.
     pub share: Option<usize>,
+    /// Machine type.
     pub kind: String,
+    /// Zone.
     pub zone: String,
+    /// Whether it is a spot machine.
     pub spot: bool,
 }
 
+/// Key of a machine's record.
 pub fn machine_key(id: &MachineId) -> String {
     format!("machine/{id}")
 }
@@ -22,8 +26,11 @@
 /// Orders sent straight to a worker. While they are unsettled they may still be carried out.
 #[derive(Clone, Debug)]
 pub struct Direct {
+    /// The call that carries them.
     pub call: CallId,
+    /// The token that they carry.
     pub token: u64,
+    /// The worker's session that they are meant for.
     pub session: u64,
     /// No answer came. Settled only by a higher token seen, a new session, or the machine's end.
     pub unknown: bool,
@@ -35,23 +42,34 @@
 pub const PACE_TASKS: i64 = 10;
 const PACE_SLOW: i64 = 190;
 
+/// A machine of a shard, with the evidence of what is on it.
 #[derive(Clone, Debug)]
 pub struct Machine {
+    /// Name.
     pub id: MachineId,
+    /// Its record in the state service.
     pub record: MachineRecord,
+    /// Version of that record.
     pub version: u64,
+    /// What it has in all.
     pub size: Amounts,
+    /// What the tasks placed here take.
     pub used: Amounts,
     /// Tasks placed here.
     pub tasks: BTreeSet<TaskKey>,
     /// Not placed by us, yet shown by the worker as not ended: they take room and are stopped.
     pub strays: BTreeMap<TaskKey, (u64, Amounts)>,
+    /// Where its worker takes direct commands.
     pub addr: Option<String>,
+    /// Its worker's session, 0 if never heard.
     pub session: u64,
     /// When its present session was first heard of, by whatever message.
     pub session_seen: Option<Micros>,
+    /// Sequence number of the newest message seen in that session.
     pub seq: u64,
+    /// The highest token that its worker has shown.
     pub seen_token: u64,
+    /// Since when this holder has had it.
     pub owned_since: Micros,
     /// Any report newer than those seen before. It may be a copy that the network held back, or come
     /// from a machine that hears no answers.
@@ -65,16 +83,21 @@
     pub challenge: bool,
     /// Last 200 to a report of it by this holder: its lease counts from before that.
     pub last_ok: Option<Micros>,
+    /// The direct command that is not settled yet.
     pub direct: Option<Direct>,
+    /// When the cloud will take it back.
     pub notice: Option<Micros>,
+    /// Since when it has been let go for the leader.
     pub released: Option<Micros>,
     /// Being emptied for another share's more important work.
     pub clearing: Option<Micros>,
+    /// Since when nothing has been on it.
     pub idle_since: Option<Micros>,
     /// A gang that waits for more places holds this one: see [`crate::port::MachineView`].
     pub gathered: bool,
     /// Since when nothing here uses its accelerators, which are what it is paid for.
     pub unused_since: Option<Micros>,
+    /// Images that it has, with their size in MB, the least recently used first.
     pub images: Vec<(String, i64)>,
     /// Images that tasks placed here wait for. Fetches at the same time share the machine's rate.
     pub fetching: BTreeMap<String, i64>,
@@ -82,6 +105,7 @@
     pub fetches_changed: bool,
     /// Different jobs that failed here since something last went well.
     pub faults: BTreeSet<JobId>,
+    /// Not worth keeping: jobs fail here, or it is much slower than its kind.
     pub suspect: bool,
     /// Tasks completed here lately, and the sum of their run times in percent of their jobs' means.
     pub pace: (i64, i64),
@@ -94,10 +118,12 @@
     pub giving_up: bool,
     /// Refused for lack of room: our count and the worker's differ; wait for that to settle.
     pub full_until: Micros,
+    /// Its lease ended and its worker has not been heard since.
     pub expired: bool,
 }
 
 impl Machine {
+    /// A machine that has just come to this holder.
     pub fn new(id: MachineId, record: MachineRecord, version: u64, size: Amounts, now: Micros) -> Self {
         Machine {
             id,
@@ -144,12 +170,14 @@
         claim_version.max(self.version)
     }
 
+    /// What is not taken by tasks placed here.
     pub fn free(&self) -> Amounts {
         let mut f = self.size;
         f.sub(self.used);
         f
     }
 
+    /// Nothing is placed, shown or ordered here.
     pub fn empty(&self) -> bool {
         self.tasks.is_empty() && self.strays.is_empty() && self.direct.is_none()
     }
@@ -175,6 +203,7 @@
         self.hopeless || self.giving_up
     }
 
+    /// How long it has not been heard.
     pub fn silent_for(&self, now: Micros) -> Micros {
         now - self.last_report.unwrap_or(self.owned_since).max(self.owned_since)
     }
@@ -220,6 +249,7 @@
         self.size.gpus == 0 || self.unused_since.is_none_or(|t| now - t < keep.over(2))
     }
 
+    /// Whether an image is here.
     pub fn has_image(&self, image: &str) -> bool {
         self.images.iter().any(|(i, _)| i == image)
     }
--- a/crates/seamfront-core/src/gang.rs
+++ b/crates/seamfront-core/src/gang.rs
@@ -9,8 +9,10 @@
 
 use serde::{Deserialize, Serialize};
 
+/// State of a gang's member.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Member {
+    /// Not placed.
     Blocked,
     /// Chosen in this round; the record that allows it is not written yet, so nothing was ordered.
     Reserved,
@@ -18,28 +20,40 @@
     Pending,
     /// Its worker has shown it.
     Running,
+    /// Being stopped.
     Preempting,
     /// Known to be gone in this drain.
     Preempted,
+    /// Its work is complete.
     Done,
+    /// The gang has failed; it waits until it is readmitted.
     Failed,
 }
 
+/// What becomes of a gang once nothing of it runs.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Verdict {
+    /// It may be admitted again.
     Blocked,
+    /// A member has used up its attempts, or has ended.
     Failed,
 }
 
+/// A gang's drain state.
 #[derive(Clone, Debug)]
 pub struct Gang {
+    /// Rises with each drain; also the attempt number of all members.
     pub epoch: u64,
+    /// Whether a drain is under way.
     pub draining: bool,
+    /// State of each member.
     pub members: Vec<Member>,
+    /// Attempts that each member has used up.
     pub attempts: Vec<u32>,
 }
 
 impl Gang {
+    /// A gang of that size, none of it placed.
     pub fn new(size: u32) -> Gang {
         Gang {
             epoch: 1,
@@ -54,6 +68,7 @@
         !self.draining && self.members.iter().all(|m| *m == Member::Blocked)
     }
 
+    /// Chooses all members in one round.
     pub fn reserve_all(&mut self) {
         debug_assert!(self.admissible());
         self.members.fill(Member::Reserved);
--- a/crates/seamfront-core/src/job.rs
+++ b/crates/seamfront-core/src/job.rs
@@ -8,33 +8,46 @@
 use std::collections::BTreeMap;
 use std::rc::Rc;
 
+/// How far a placed task has come.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Phase {
     /// Waits for the record that allows it. Nothing was sent.
     Recording,
     /// Recorded; an order to start may be on its way.
     Ordered,
+    /// Its worker fetches the image.
     Fetching,
+    /// It waits for the other members of its gang.
     Waiting,
+    /// It runs.
     Running,
+    /// It saves before it ends.
     Saving,
 }
 
+/// Why a task is being stopped.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Cause {
+    /// Its job was cancelled.
     Cancelled,
+    /// For more important work.
     Preempted,
     /// The machine is being left: notice, return or suspicion.
     Moving,
     /// Its gang is drained for another member's sake.
     Peers,
+    /// It has no place where it is.
     Stray,
 }
 
+/// An order to stop a task, repeated until the task has gone.
 #[derive(Clone, Copy, Debug)]
 pub struct Stop {
+    /// Why.
     pub cause: Cause,
+    /// Time to save.
     pub grace: Micros,
+    /// Since when.
     pub since: Micros,
 }
 
@@ -42,17 +55,23 @@
 /// evidence says that it is gone.
 #[derive(Clone, Debug)]
 pub struct Placement {
+    /// Where.
     pub machine: MachineId,
+    /// Its attempt number.
     pub attempt: u64,
+    /// How far it has come.
     pub phase: Phase,
     /// The record generation that allows it.
     pub gen: u64,
+    /// Since when it has been in its place.
     pub since: Micros,
     /// The worker's session that the order was meant for.
     pub session: u64,
     /// Gang members with a cached image start later, so as not to wait out `gang_wait_s`.
     pub not_before: Micros,
+    /// When it was first seen to run.
     pub running_since: Option<Micros>,
+    /// Set while it is being stopped.
     pub stop: Option<Stop>,
     /// Its job had its turn, see [`turn`].
     pub by_turn: bool,
@@ -65,7 +84,9 @@
     pub version: Option<u64>,
     /// Raised with each change that must be recorded.
     pub gen: u64,
+    /// The generation that is stored.
     pub written: u64,
+    /// Whether a write is under way.
     pub in_flight: bool,
     /// The generation that allows the latest placements: these wait for it.
     pub placing: u64,
@@ -80,6 +101,7 @@
 }
 
 impl RecordState {
+    /// Notes that something has changed; returns the generation that will hold it.
     pub fn touch(&mut self) -> u64 {
         self.gen += 1;
         self.gen
@@ -90,11 +112,13 @@
         self.placing > self.written
     }
 
+    /// Whether anything is not stored yet.
     pub fn dirty(&self) -> bool {
         self.gen > self.written
     }
 }
 
+/// How a job that is live no more stands.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Ending {
     /// All tasks are done, but this is not recorded yet.
@@ -105,24 +129,33 @@
     Cancelled,
 }
 
+/// A job in its shard.
 #[derive(Clone, Debug)]
 pub struct Job {
+    /// The job as things stand.
     pub spec: Rc<JobSpec>,
     /// Version of `job/<id>`.
     pub version: u64,
+    /// None while it is live.
     pub ending: Option<Ending>,
     /// Waits for other jobs to be done: nothing of it may be placed, and it holds no part of its team's limit or
     /// guarantee.
     pub waits: bool,
+    /// Where its record stands.
     pub record: RecordState,
     /// Attempt numbers are never used twice within a job; for gangs the epoch serves.
     pub next_attempt: u64,
+    /// Tasks that are done.
     pub done: Ranges,
     /// The record generation that holds the latest `done`.
     pub done_gen: u64,
+    /// Tasks that are, or may be, on a machine.
     pub tasks: BTreeMap<u32, Placement>,
+    /// The drain state of a gang.
     pub gang: Option<Gang>,
+    /// How often its gang was parked.
     pub parks: u32,
+    /// Nothing of it is placed before.
     pub paused_until: Micros,
     /// Machines that this job should not use for a while, by when.
     pub avoid: BTreeMap<MachineId, Micros>,
@@ -130,10 +163,12 @@
     pub errors: u32,
     /// Run times of its completed tasks: how many, and their sum.
     pub ran: (i64, Micros),
+    /// Since when it has waited for a place.
     pub waiting_since: Micros,
 }
 
 impl Job {
+    /// A job of which nothing is placed.
     pub fn new(spec: Rc<JobSpec>, version: u64, now: Micros) -> Job {
         let gang = (spec.kind == Kind::Gang).then(|| Gang::new(spec.tasks));
         Job {
@@ -156,6 +191,7 @@
         }
     }
 
+    /// Whether it is still to be run.
     pub fn live(&self) -> bool {
         self.ending.is_none()
     }
@@ -189,6 +225,7 @@
             .collect()
     }
 
+    /// An attempt number that was never used before.
     pub fn take_attempt(&mut self) -> u64 {
         let a = self.next_attempt;
         self.next_attempt += 1;
@@ -220,6 +257,7 @@
         (room.saturating_sub(used) / (run + longest + 6 + attempts)) as u32
     }
 
+    /// Tasks that run and are not being stopped.
     pub fn running(&self) -> u32 {
         self.tasks.values().filter(|p| p.phase == Phase::Running && p.stop.is_none()).count() as u32
     }
@@ -235,6 +273,7 @@
         zones.into_iter().map(|(z, n)| (z.to_owned(), n)).collect()
     }
 
+    /// What is to be stored of it.
     pub fn to_record(&self) -> WorkRecord {
         let mut placed: BTreeMap<MachineId, Vec<(u32, u32, u64)>> = BTreeMap::new();
         for (i, p) in &self.tasks {
--- a/crates/seamfront-core/src/leader.rs
+++ b/crates/seamfront-core/src/leader.rs
@@ -27,18 +27,25 @@
     got: Vec<MachineId>,
 }
 
+/// What a shard's owner has told the leader.
 #[derive(Clone, Debug)]
 pub struct ShareView {
+    /// When it was told.
     pub at: Micros,
+    /// What waits there.
     pub needs: Vec<Need>,
+    /// Its machines.
     pub machines: BTreeMap<MachineId, MachineView>,
 }
 
+/// The leader's own state.
 pub struct Leader {
+    /// Version of its claim.
     pub version: u64,
     /// Requests left over by a former leader have been read.
     loaded: bool,
     loading: bool,
+    /// By shard: what its owner has told.
     pub views: Vec<Option<ShareView>>,
     rents: BTreeMap<String, Rent>,
     counter: u64,
@@ -74,6 +81,7 @@
 const REFUSED_FOR: Micros = Micros::from_secs(15);
 
 impl Leader {
+    /// A leader that has just begun.
     pub fn new(version: u64, now: Micros, shares: usize) -> Leader {
         Leader {
             version,
@@ -104,17 +112,53 @@
     }
 }
 
+/// What the answer to one of the leader's calls is for.
 pub enum LeaderCall {
-    Rents { entries: Vec<Entry> },
-    RecordRent { name: String },
-    SettleRent { name: String, ids: Vec<MachineId>, last: bool },
-    Machines { ids: Vec<MachineId> },
-    Forget { ids: Vec<MachineId> },
+    /// Reading of the rentals that a former leader began.
+    Rents {
+        /// Records read so far.
+        entries: Vec<Entry>,
+    },
+    /// The record of a rental, before the cloud is asked.
+    RecordRent {
+        /// Name of the rental.
+        name: String,
+    },
+    /// The records of rented machines.
+    SettleRent {
+        /// Name of the rental.
+        name: String,
+        /// Machines whose records are written.
+        ids: Vec<MachineId>,
+        /// Whether these are the last of the rental.
+        last: bool,
+    },
+    /// Records of machines that are assigned.
+    Machines {
+        /// Machines whose records are written.
+        ids: Vec<MachineId>,
+    },
+    /// Removal of the records of machines that are gone.
+    Forget {
+        /// Machines whose records are removed.
+        ids: Vec<MachineId>,
+    },
+    /// The record of machine types.
     TypesWritten,
+    /// The cloud's machine types.
     Types,
+    /// A page of the cloud's list of machines.
     List,
-    Rent { name: String },
-    Delete { ids: Vec<MachineId> },
+    /// A rental.
+    Rent {
+        /// Name of the rental.
+        name: String,
+    },
+    /// A return of machines.
+    Delete {
+        /// Machines that are returned.
+        ids: Vec<MachineId>,
+    },
 }
 
 impl Engine {
--- a/crates/seamfront-core/src/lib.rs
+++ b/crates/seamfront-core/src/lib.rs
@@ -1,6 +1,7 @@
 //! The scheduling core of seamfront: a deterministic engine without input or output, clock or
 //! threads. `docs/design.md` is the map.
 #![forbid(unsafe_code)]
+#![deny(missing_docs)]
 
 pub mod capacity;
 pub mod chains;
--- a/crates/seamfront-core/src/link/mod.rs
+++ b/crates/seamfront-core/src/link/mod.rs
@@ -18,25 +18,37 @@
 /// Value of a claim's key. The lease tells one incarnation of a member from the next.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ClaimValue {
+    /// Name of the member that holds it.
     pub member: String,
+    /// The lease that the key is attached to.
     pub lease: u64,
 }
 
+/// A claim as the view shows it.
 #[derive(Clone, Debug)]
 pub struct Claim {
+    /// Version of its key.
     pub version: u64,
+    /// Index of the member that holds it.
     pub member: usize,
+    /// The lease that the key is attached to.
     pub lease: u64,
 }
 
+/// What a view is of.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Topic {
+    /// Live jobs.
     Jobs,
+    /// Machines.
     Machines,
+    /// Claims on shards.
     Shares,
+    /// The claim to leadership.
     Leader,
 }
 
+/// All views, in the order of their watches.
 pub const TOPICS: [Topic; 4] = [Topic::Jobs, Topic::Machines, Topic::Shares, Topic::Leader];
 const MACHINES: usize = 1;
 
@@ -54,18 +66,23 @@
 /// A view of all keys with one prefix, kept up by long-lived requests. Everything up to `seen` is in.
 #[derive(Debug, Default)]
 pub struct Watch {
+    /// Whether all keys have been read once.
     pub loaded: bool,
+    /// The revision up to which all is in.
     pub seen: u64,
     listing: Option<(u64, BTreeMap<String, Entry>)>,
     busy: bool,
     retry_at: Micros,
 }
 
+/// A controller's standing with the state service.
 #[derive(Debug)]
 pub struct Link {
+    /// Its lease, while it has one.
     pub lease: Option<u64>,
     lease_busy: bool,
     lease_next: Micros,
+    /// Its views, in the order of [`TOPICS`].
     pub watches: [Watch; 4],
     /// By slot: the shares, then leadership.
     pub claims: Vec<Option<Claim>>,
@@ -78,6 +95,7 @@
     prove_next: Micros,
     /// Shares whose former holder's records are being read, by slot.
     loads: BTreeMap<usize, Load>,
+    /// When the state service last answered a request.
     pub last_ok: Micros,
 }
 
@@ -96,6 +114,7 @@
 }
 
 impl Link {
+    /// No lease, no view, no claim.
     pub fn new(shares: usize) -> Link {
         Link {
             lease: None,
@@ -114,6 +133,7 @@
         }
     }
 
+    /// Whether all views are loaded.
     pub fn loaded(&self) -> bool {
         self.watches.iter().all(|w| w.loaded)
     }
--- a/crates/seamfront-core/src/placement.rs
+++ b/crates/seamfront-core/src/placement.rs
@@ -6,6 +6,7 @@
 use std::cell::Cell;
 use std::collections::BTreeMap;
 
+/// Machines by name.
 pub type Machines = BTreeMap<MachineId, Machine>;
 
 /// Machines of one kind, in one zone, at one price: what a job may use is decided for all at once.
@@ -19,6 +20,7 @@
 /// A machine that may be used, with its room as seen in one round: lowered by what the round places or
 /// holds back.
 pub struct Spot {
+    /// The machine's name.
     pub id: MachineId,
     group: usize,
     /// Free now.
@@ -30,7 +32,9 @@
 /// Which room of a machine is meant.
 #[derive(Clone, Copy, PartialEq)]
 pub enum When {
+    /// Free now.
     Now,
+    /// Free once what is being stopped has gone.
     Soon,
 }
 
@@ -39,6 +43,7 @@
 #[derive(Default)]
 pub struct Room {
     groups: Vec<Group>,
+    /// The machines that may be used, by kind, zone and price.
     pub spots: Vec<Spot>,
     /// How much was looked at: machines, and the list's entries by the dozen.
     pub looked: Cell<i64>,
@@ -48,6 +53,7 @@
 const ENTRIES: i64 = 16;
 
 impl Room {
+    /// The room of these machines.
     pub fn of<'m>(machines: impl Iterator<Item = &'m Machine>) -> Room {
         let mut room = Room::default();
         for m in machines {
@@ -63,18 +69,22 @@
         room
     }
 
+    /// The place of a machine in `spots`.
     pub fn find(&self, id: &MachineId) -> Option<usize> {
         self.spots.binary_search_by(|s| s.id.cmp(id)).ok()
     }
 
+    /// Its zone.
     pub fn zone(&self, k: usize) -> &str {
         &self.groups[self.spots[k].group].zone
     }
 
+    /// What it has in all.
     pub fn size(&self, k: usize) -> Amounts {
         self.groups[self.spots[k].group].size
     }
 
+    /// What is left of it, less what is held.
     pub fn left(&self, k: usize, when: When) -> Amounts {
         match when {
             When::Now => self.spots[k].free,
@@ -82,6 +92,7 @@
         }
     }
 
+    /// Holds room for a task.
     pub fn hold(&mut self, k: usize, need: Amounts) {
         self.spots[k].free.sub(need);
         self.spots[k].soon.sub(need);
@@ -95,10 +106,15 @@
 /// What it is worth to find the better of spot and ordinary machines: about the fetch of an image.
 const WRONG_KIND_MS: i64 = 15_000;
 
+/// What a job looks for.
 pub struct Wish<'a> {
+    /// The job as things stand.
     pub spec: &'a JobSpec,
+    /// Machines that it should not use, by when.
     pub avoid: &'a BTreeMap<MachineId, Micros>,
+    /// The time of the round.
     pub now: Micros,
+    /// Machine types on offer.
     pub types: &'a [MachineType],
     /// Whether machines that do not suit the task (see `JobSpec::suits`) may be used all the same,
     /// as long as they are not about to be returned: idle machines are kept for so long.
@@ -117,6 +133,7 @@
 }
 
 impl<'a> Wish<'a> {
+    /// What this job looks for.
     pub fn of(job: &'a Job, now: Micros, types: &'a [MachineType]) -> Wish<'a> {
         Wish { spec: &job.spec, avoid: &job.avoid, now, types, any_size: None, cached: false }
     }
@@ -184,6 +201,7 @@
         }
     }
 
+    /// How long its image would take to fetch there, in milliseconds.
     pub fn fetch_ms(&self, m: &Machine) -> i64 {
         let rate = self.types.iter().find(|t| t.name == m.record.kind).map_or(100, |t| t.fetch_mb_s);
         m.to_fetch(&self.spec.image, self.spec.image_mb) * 1_000 / rate.max(1)
--- a/crates/seamfront-core/src/quota.rs
+++ b/crates/seamfront-core/src/quota.rs
@@ -4,22 +4,26 @@
 use crate::types::*;
 use std::collections::{BTreeMap, BTreeSet};
 
+/// What each team's tasks take.
 #[derive(Clone, Debug, Default)]
 pub struct Quota {
     used: BTreeMap<String, Amounts>,
 }
 
 impl Quota {
+    /// Counts a task that was placed.
     pub fn take(&mut self, team: &str, need: Amounts) {
         self.used.entry(team.to_owned()).or_default().add(need);
     }
 
+    /// Counts a task that has gone.
     pub fn give(&mut self, team: &str, need: Amounts) {
         if let Some(u) = self.used.get_mut(team) {
             u.sub(need);
         }
     }
 
+    /// What a team's tasks take.
     pub fn used(&self, team: &str) -> Amounts {
         self.used.get(team).copied().unwrap_or_default()
     }
--- a/crates/seamfront-core/src/ranges.rs
+++ b/crates/seamfront-core/src/ranges.rs
@@ -9,6 +9,7 @@
 pub struct Ranges(Vec<(u32, u32)>);
 
 impl Ranges {
+    /// All numbers below `n`.
     pub fn full(n: u32) -> Ranges {
         Ranges(vec![(0, n)])
     }
@@ -18,10 +19,12 @@
         Ranges(pieces)
     }
 
+    /// The ranges in order.
     pub fn pieces_iter(&self) -> impl Iterator<Item = (u32, u32)> + '_ {
         self.0.iter().copied()
     }
 
+    /// Whether a number is in the set.
     pub fn contains(&self, x: u32) -> bool {
         let at = self.0.partition_point(|r| r.1 <= x);
         self.0.get(at).is_some_and(|r| r.0 <= x)
@@ -45,10 +48,12 @@
         true
     }
 
+    /// How many numbers are in the set.
     pub fn count(&self) -> u32 {
         self.0.iter().map(|r| r.1 - r.0).sum()
     }
 
+    /// Of how many ranges the set consists.
     pub fn pieces(&self) -> usize {
         self.0.len()
     }
--- a/crates/seamfront-core/src/record.rs
+++ b/crates/seamfront-core/src/record.rs
@@ -109,8 +109,11 @@
 /// Where an entry of a record's lists stands in the order in which they are divided into parts.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Position {
+    /// Attempts of the member with this number.
     Attempts(u32),
+    /// The range of done tasks that begins here.
     Done(u32),
+    /// Placements on this machine.
     Placed(MachineId),
 }
 
@@ -168,10 +171,17 @@
 /// Why a stored record cannot be read.
 #[derive(Debug, thiserror::Error)]
 pub enum RecordError {
+    /// A value is not what is expected.
     #[error("unreadable: {0}")]
     Unreadable(#[from] serde_json::Error),
+    /// Not all parts of the record are there.
     #[error("{found} parts of {expected}")]
-    PartsMissing { found: usize, expected: u32 },
+    PartsMissing {
+        /// Parts that are there.
+        found: usize,
+        /// Parts that the head names.
+        expected: u32,
+    },
 }
 
 /// Prefix of all parts of a shard's records.
--- a/crates/seamfront-core/src/rounds/mod.rs
+++ b/crates/seamfront-core/src/rounds/mod.rs
@@ -106,6 +106,7 @@
 }
 
 impl Share {
+    /// One round, if it is time for it: places what waits, and stops lesser work for what may.
     pub fn round(&mut self, ctx: &mut Ctx) {
         // A round over many waiting jobs and machines costs much: the next one waits in proportion.
         let cost = Micros(self.round_cost * VISIT_REST);
--- a/crates/seamfront-core/src/share/drain.rs
+++ b/crates/seamfront-core/src/share/drain.rs
@@ -84,6 +84,7 @@
         self.evict_with(ctx, task, cause, grace);
     }
 
+    /// Stops one task with that much time to save; of a gang, all.
     pub fn evict_with(&mut self, ctx: &mut Ctx, task: &TaskKey, cause: Cause, grace: Micros) {
         let Some(job) = self.jobs.get_mut(&task.job) else { return };
         let Some(p) = job.tasks.get_mut(&task.index) else { return };
--- a/crates/seamfront-core/src/share/mod.rs
+++ b/crates/seamfront-core/src/share/mod.rs
@@ -22,21 +22,28 @@
 use records::{leftover_spec, stop_rest};
 pub use records::{machine_write, ShareWrite, WriteOutcome};
 
+/// How far a shard that was claimed has come.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SharePhase {
     /// Claimed, but the view of cancellations is not known to be as new as the claim.
     Proving,
     /// Reading the former holder's records.
     Loading,
+    /// Its jobs are placed.
     Ready,
 }
 
+/// What a shard needs of the engine in a step.
 pub struct Ctx<'a> {
+    /// Settings.
     pub cfg: &'a Settings,
+    /// Now, by the steady clock.
     pub now: Micros,
     /// Time of day, only for order and deadlines of jobs.
     pub wall: Micros,
+    /// Machine types on offer.
     pub types: &'a [MachineType],
+    /// Effects of this step.
     pub fx: &'a mut Vec<Effect>,
     /// The name of the next call.
     pub calls: &'a mut CallId,
@@ -49,6 +56,7 @@
 /// Why a task is known to be gone.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Gone {
+    /// Its worker showed it exited.
     Exited(Exit),
     /// Its order never reached the worker, or its machine is gone.
     Lost,
@@ -56,6 +64,7 @@
 
 /// A former holder's record as it was read.
 pub struct StoredRecord {
+    /// The record.
     pub record: WorkRecord,
     /// Version of the record's own key.
     pub version: u64,
@@ -63,16 +72,27 @@
     pub parts_end: u32,
 }
 
+/// A shard in the hand of its one holder.
 pub struct Share {
+    /// Its number.
     pub index: usize,
+    /// Version of the claim.
     pub version: u64,
+    /// When it was claimed.
     pub claimed_at: Micros,
+    /// How far it has come.
     pub phase: SharePhase,
+    /// Its jobs.
     pub jobs: BTreeMap<JobId, Job>,
+    /// Its machines.
     pub machines: BTreeMap<MachineId, Machine>,
+    /// What its teams' tasks take.
     pub quota: Quota,
+    /// What found no room in the last round.
     pub needs: Vec<Need>,
+    /// Whether anything has changed since the last round.
     pub dirty: bool,
+    /// When the last round was.
     pub last_round: Micros,
     /// What the last round looked at: the next one rests in proportion.
     pub round_cost: i64,
@@ -99,15 +119,18 @@
 /// How long a machine may take to be emptied for another share before it is used again.
 const CLEARING_KEPT: Micros = Micros::from_secs(30);
 
+/// Prefix of the work records of a shard.
 pub fn work_prefix(share: usize) -> String {
     format!("work/{share}/")
 }
 
+/// Key of a job's work record.
 pub fn work_key(share: usize, job: &JobId) -> String {
     format!("work/{share}/{job}")
 }
 
 impl Share {
+    /// A shard that has just been claimed.
     pub fn new(index: usize, version: u64, now: Micros) -> Share {
         Share {
             index,
@@ -131,6 +154,7 @@
 
     // ---- jobs ----------------------------------------------------------------------------
 
+    /// Takes in a live job, unless it is known.
     pub fn add_job(&mut self, spec: Rc<JobSpec>, version: u64, now: Micros) {
         let id = spec.id.clone();
         self.jobs.entry(id).or_insert_with(|| Job::new(spec, version, now));
@@ -256,6 +280,7 @@
 
     // ---- machines ------------------------------------------------------------------------
 
+    /// Takes in a machine, or what has changed in its record.
     pub fn add_machine(&mut self, id: MachineId, record: MachineRecord, version: u64, size: Amounts, now: Micros) {
         match self.machines.get_mut(&id) {
             Some(m) => {
@@ -316,6 +341,7 @@
 
     // ---- time ----------------------------------------------------------------------------
 
+    /// What follows from time alone.
     pub fn tick(&mut self, ctx: &mut Ctx) {
         if self.phase != SharePhase::Ready || ctx.now < self.look_next {
             return;
--- a/crates/seamfront-core/src/share/records.rs
+++ b/crates/seamfront-core/src/share/records.rs
@@ -7,39 +7,60 @@
 /// A write that the engine should make for this share, with what it stands for.
 #[derive(Clone, Debug)]
 pub enum ShareWrite {
+    /// A job's work record.
     Record {
+        /// The job.
         job: JobId,
+        /// The generation that it holds.
         gen: u64,
+        /// The version that it is written on.
         version: u64,
+        /// The record as it is to be stored.
         record: Box<EncodedRecord>,
         /// Parts that are to change, by number: their value, or none for those that are removed.
         changes: Vec<(u32, Option<Value>)>,
         /// No part with this number or a higher one is left afterwards.
         parts_end: u32,
     },
+    /// The end of a job whose tasks are all done.
     End {
+        /// The job.
         job: JobId,
+        /// Version of the job's own record.
         job_version: u64,
+        /// Version of its work record, 0 if there is none.
         record_version: u64,
+        /// No part with this number or a higher one is stored.
         parts_end: u32,
+        /// How many tasks it has.
         tasks: u32,
     },
+    /// Removal of the work record of a job that has ended.
     DropRecord {
+        /// The job.
         job: JobId,
+        /// The version that is removed.
         version: u64,
+        /// No part with this number or a higher one is stored.
         parts_end: u32,
     },
+    /// Reading of a work record whose version is not known.
     Read {
+        /// The job.
         job: JobId,
     },
     /// Raises a machine's token, or gives the machine up.
     Machine {
+        /// The machine.
         machine: MachineId,
+        /// The version that its record is written on.
         version: u64,
+        /// The record as it is to be.
         record: MachineRecord,
     },
 }
 
+/// What became of a write.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum WriteOutcome {
     /// Applied, at this version. For a read: the version found, 0 if there is none.
@@ -270,6 +291,7 @@
     }
 }
 
+/// The change that writes a machine's record.
 pub fn machine_write(machine: &MachineId, record: &MachineRecord) -> Write {
     Write::Put { key: machine_key(machine), value: serde_json::to_value(record).unwrap_or_default(), lease: None }
 }
--- a/crates/seamfront-core/src/types.rs
+++ b/crates/seamfront-core/src/types.rs
@@ -11,13 +11,17 @@
 pub struct Micros(pub i64);
 
 impl Micros {
+    /// No time.
     pub const ZERO: Micros = Micros(0);
+    /// Longer than anything lasts.
     pub const MAX: Micros = Micros(i64::MAX / 4);
 
+    /// From milliseconds.
     pub const fn from_millis(ms: i64) -> Micros {
         Micros(ms * 1_000)
     }
 
+    /// From seconds.
     pub const fn from_secs(s: i64) -> Micros {
         Micros(s * 1_000_000)
     }
@@ -27,14 +31,17 @@
         Micros((s * 1e6).round().clamp(0.0, Micros::MAX.0 as f64) as i64)
     }
 
+    /// As decimal seconds, for the wire and for logs.
     pub fn as_secs_decimal(self) -> f64 {
         self.0 as f64 / 1e6
     }
 
+    /// So many times as long.
     pub fn times(self, n: i64) -> Micros {
         Micros(self.0.saturating_mul(n))
     }
 
+    /// A part of it.
     pub fn over(self, n: i64) -> Micros {
         Micros(self.0 / n)
     }
@@ -83,6 +90,7 @@
             text: Arc<str>,
         }
         impl $name {
+            /// The name as text.
             pub fn as_str(&self) -> &str {
                 &self.text
             }
@@ -147,7 +155,9 @@
 /// One task of a job.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct TaskKey {
+    /// The job.
     pub job: JobId,
+    /// Number of the task within it.
     pub index: u32,
 }
 
@@ -160,10 +170,13 @@
 /// What a task takes or a machine has, in thousandths so that sums are exact.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Amounts {
+    /// Thousandths of a CPU.
     #[serde(rename = "c")]
     pub cpus: i64,
+    /// Thousandths of an accelerator.
     #[serde(rename = "g")]
     pub gpus: i64,
+    /// Thousandths of a GB.
     #[serde(rename = "r")]
     pub ram: i64,
 }
@@ -181,18 +194,21 @@
         Amounts { cpus: down(cpus), gpus: down(gpus), ram: down(ram) }
     }
 
+    /// Adds.
     pub fn add(&mut self, o: Amounts) {
         self.cpus += o.cpus;
         self.gpus += o.gpus;
         self.ram += o.ram;
     }
 
+    /// Subtracts; may go below zero.
     pub fn sub(&mut self, o: Amounts) {
         self.cpus -= o.cpus;
         self.gpus -= o.gpus;
         self.ram -= o.ram;
     }
 
+    /// So many times as much.
     pub fn times(self, n: i64) -> Amounts {
         Amounts { cpus: self.cpus * n, gpus: self.gpus * n, ram: self.ram * n }
     }
@@ -204,19 +220,27 @@
     }
 }
 
+/// Shape of a job.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Kind {
+    /// Independent tasks, each runs to completion.
     Array,
+    /// All tasks run at the same time or none does.
     Gang,
+    /// Replicas that run until the job is cancelled.
     Service,
 }
 
 /// Declared from the most to the least important, so that sorting puts the important first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum Priority {
+    /// Live services.
     Critical,
+    /// Before ordinary work.
     Urgent,
+    /// Ordinary work.
     Normal,
+    /// What room is left.
     BestEffort,
 }
 
@@ -240,23 +264,41 @@
 /// A job as accepted; stored whole in its `job/` record.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct JobSpec {
+    /// Name, chosen by its user.
     pub id: JobId,
+    /// The class that objectives are set for.
     pub class: String,
+    /// The team whose limit and guarantee apply.
     pub team: String,
+    /// Its shape.
     pub kind: Kind,
+    /// How important it is.
     pub priority: Priority,
+    /// Number of tasks.
     pub tasks: u32,
+    /// What one task takes.
     pub need: Amounts,
+    /// Allowed machine types, or any.
     pub types: Option<Vec<String>>,
+    /// The only allowed zone, or any.
     pub zone: Option<String>,
+    /// Whether all tasks must be in one zone.
     pub one_zone: bool,
+    /// Whether at most half of the tasks may be in one zone.
     pub spread: bool,
+    /// Whether spot machines may be used.
     pub spot: bool,
+    /// The image that its tasks need.
     pub image: String,
+    /// Size of the image in MB.
     pub image_mb: i64,
+    /// Its owner's estimate of a task's run time.
     pub estimate: Micros,
+    /// Progress after which a running task saves by itself; none: it never saves.
     pub checkpoint: Micros,
+    /// Time a task needs to save when it is stopped.
     pub save: Micros,
+    /// When it should be complete, from its submission.
     pub deadline: Option<Micros>,
     /// Time of day of the first acceptance, so that order and deadlines outlive a controller.
     pub submitted: Micros,
@@ -288,10 +330,12 @@
         suits(self.need, self.types.as_deref(), size, types)
     }
 
+    /// Whether its tasks can save.
     pub fn saves(&self) -> bool {
         self.checkpoint > Micros::ZERO
     }
 
+    /// Whether a task may run on such a machine.
     pub fn allows(&self, kind: &str, zone: &str, spot: bool) -> bool {
         (self.spot || !spot)
             && self.zone.as_deref().is_none_or(|z| z == zone)
@@ -299,16 +343,24 @@
     }
 }
 
+/// A machine type on offer.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct MachineType {
+    /// Name.
     pub name: String,
+    /// What such a machine has.
     pub size: Amounts,
+    /// Room for images, in MB.
     pub cache_mb: i64,
+    /// Rate of fetching images, in MB a second.
     pub fetch_mb_s: i64,
     /// Thousandths of the currency unit per hour.
     pub price: i64,
+    /// Price of a spot machine.
     pub spot_price: i64,
+    /// Usual time until it is up.
     pub boot: Micros,
+    /// Zones in which there are any.
     pub zones: Vec<String>,
 }
 
@@ -319,9 +371,12 @@
     need.gpus > 0 || size.gpus == 0 || !types.iter().any(plain)
 }
 
+/// A team with what it is granted.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Team {
+    /// Name.
     pub name: String,
+    /// What its unfinished jobs need not wait for.
     pub guarantee: Amounts,
     /// Zero in a field means no limit there.
     pub limit: Amounts,
@@ -330,8 +385,11 @@
 /// What operators state of a class of jobs: tasks started, or jobs finished, within a time.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Objective {
+    /// The class that it is set for.
     pub class: String,
+    /// Whether it is about starting, or about finishing.
     pub started: bool,
+    /// Within what time.
     pub within: Micros,
 }
 
@@ -340,29 +398,48 @@
 pub struct Settings {
     /// All member names in order, this one included.
     pub members: Vec<String>,
+    /// Index of this controller in `members`.
     pub me: usize,
+    /// All teams.
     pub teams: Vec<Team>,
+    /// What is aimed at for classes of jobs.
     pub objectives: Vec<Objective>,
+    /// Time between a worker's reports.
     pub report: Micros,
+    /// A worker's lease.
     pub lease: Micros,
+    /// How long a gang's member waits for the others.
     pub gang_wait: Micros,
+    /// Time in which gang members notice that one is missing.
     pub gang_peer: Micros,
+    /// Time until nothing of a cancelled job may be left.
     pub cancel: Micros,
+    /// Requests a second that the state service takes.
     pub state_rps: i64,
+    /// Writes a second that it takes.
     pub write_rps: i64,
+    /// Bytes that it takes in a value.
     pub value_bytes: usize,
+    /// Changes that it takes in a transaction.
     pub txn_ops: usize,
+    /// Requests a second that the cloud takes.
     pub cloud_rps: i64,
+    /// How far the cloud's list lags behind.
     pub list_lag: Micros,
+    /// Operators' own settings.
     pub tuning: Tuning,
 }
 
 /// The operators' own settings (INI).
 #[derive(Clone, Debug)]
 pub struct Tuning {
+    /// Lease of a claim.
     pub claim_ttl: Micros,
+    /// Time between moves of machines from one shard to another.
     pub move_every: Micros,
+    /// How long an idle machine is kept.
     pub idle_keep: Micros,
+    /// Attempts after which a gang is parked.
     pub retry_limit: u32,
 }
 
@@ -426,6 +503,7 @@
         order.iter().position(|t| t.name == team).map(|i| i % self.members.len())
     }
 
+    /// A team by its name.
     pub fn team(&self, name: &str) -> Option<&Team> {
         self.teams.iter().find(|t| t.name == name)
     }
--- a/crates/seamfront-core/src/users.rs
+++ b/crates/seamfront-core/src/users.rs
@@ -14,7 +14,9 @@
 /// `end/<id>`: created once, by whoever ends the job first.
 #[derive(Clone, Copy, Debug, Serialize, Deserialize)]
 pub struct EndRecord {
+    /// Cancelled, or done.
     pub cancelled: bool,
+    /// How many tasks the job has.
     pub tasks: u32,
 }
 
@@ -23,10 +25,12 @@
     record.get("needs").is_some()
 }
 
+/// Key of a live job.
 pub fn job_key(id: &JobId) -> String {
     format!("job/{id}")
 }
 
+/// Key of a job's end.
 pub fn end_key(id: &JobId) -> String {
     format!("end/{id}")
 }
@@ -55,10 +59,12 @@
 const SUBMIT_BATCH: usize = 16;
 
 impl Ended {
+    /// How a job ended, if that is remembered.
     pub fn get(&self, id: &JobId) -> Option<EndRecord> {
         self.known.get(id).copied()
     }
 
+    /// Remembers an end, for good as far as there is room.
     pub fn insert(&mut self, id: &JobId, end: EndRecord) {
         if self.known.insert(id.clone(), end).is_none() {
             self.age.push_back(id.clone());
@@ -71,16 +77,21 @@
     }
 }
 
+/// What a user wishes of a job.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Wish {
+    /// To be told its state.
     Poll,
+    /// To have it cancelled.
     Cancel,
 }
 
+/// Requests of users, and what answers them without the state service.
 #[derive(Default)]
 pub struct Users {
     submits: VecDeque<(ReplyTo, Rc<JobSpec>)>,
     polls: VecDeque<(ReplyTo, JobId)>,
+    /// Ends that are remembered.
     pub ended: Ended,
     /// Display counts as the jobs' holders told them.
     pub progress: BTreeMap<JobId, (u32, u32)>,
--- a/crates/seamfront/src/cloud.rs
+++ b/crates/seamfront/src/cloud.rs
@@ -97,6 +97,7 @@
     })
 }
 
+/// Carries out a request of the engine's to the cloud.
 pub async fn call(client: &Client, to: SocketAddr, request: &CloudCall) -> CloudReply {
     let (method, path, body) = match request {
         CloudCall::Types => (Method::Get, "/machine_types".to_owned(), None),
--- a/crates/seamfront/src/driver.rs
+++ b/crates/seamfront/src/driver.rs
@@ -19,8 +19,10 @@
 use thiserror::Error;
 use tracing::{error, info, warn};
 
+/// Why the program cannot run.
 #[derive(Debug, Error)]
 pub enum RunError {
+    /// A socket cannot be opened.
     #[error("can't listen: {0}")]
     Listen(#[from] std::io::Error),
 }
@@ -153,6 +155,7 @@
     }
 }
 
+/// Runs a controller until its process ends.
 pub fn run(settings: Service) -> Result<(), RunError> {
     // Lives as long as the process, which ends only by being killed.
     let ex: &'static LocalExecutor<'static> = Box::leak(Box::new(LocalExecutor::new()));
--- a/crates/seamfront/src/http.rs
+++ b/crates/seamfront/src/http.rs
@@ -13,6 +13,7 @@
 use std::time::{Duration, Instant};
 use tracing::{debug, error, info};
 
+/// Bytes of a request's body at the most.
 pub const BODY_MAX: u64 = 64 * 1024;
 const BODY_TIME: Duration = Duration::from_secs(5);
 /// A request or a silence on one connection may take no longer than this.
@@ -30,6 +31,7 @@
 
 // ---- client ------------------------------------------------------------------------------
 
+/// How a call failed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Failure {
     /// No connection was made: the request can't arrive.
@@ -79,6 +81,7 @@
         });
     }
 
+    /// One request and its answer, within a time limit.
     pub async fn call(
         &self,
         to: SocketAddr,
@@ -144,30 +147,42 @@
     }
 }
 
+/// A request that came in.
 pub struct Incoming {
+    /// Its method.
     pub method: Method,
+    /// Its path, with the query.
     pub path: String,
     /// None: longer than allowed.
     pub body: Option<Vec<u8>>,
 }
 
+/// An answer.
 pub struct Reply {
+    /// Status.
     pub status: u16,
+    /// JSON.
     pub body: String,
+    /// Seconds after which the client is to come back.
     pub retry_after: Option<u64>,
+    /// Whether it goes to a worker.
     pub worker: bool,
+    /// Whether the connection is closed afterwards.
     pub close: bool,
 }
 
 impl Reply {
+    /// An answer with a body.
     pub fn json(status: u16, body: String) -> Reply {
         Reply { status, body, retry_after: None, worker: false, close: false }
     }
 
+    /// An answer that names an error.
     pub fn error(status: u16, why: &str) -> Reply {
         Reply::json(status, serde_json::json!({ "error": why }).to_string())
     }
 
+    /// To come back later.
     pub fn later(seconds: u64) -> Reply {
         let mut r = Reply::error(503, "come back later");
         r.retry_after = Some(seconds.max(1));
@@ -175,6 +190,7 @@
     }
 }
 
+/// Serves connections until the listener fails.
 pub async fn serve<F, Fut>(
     ex: &'static async_executor::LocalExecutor<'static>,
     bind: SocketAddr,
--- a/crates/seamfront/src/mesh.rs
+++ b/crates/seamfront/src/mesh.rs
@@ -33,12 +33,16 @@
 const AGAIN: Duration = Duration::from_millis(400);
 const MESSAGE_MAX: usize = 1 << 20;
 
+/// A message with its sender.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Envelope {
+    /// Name of the sender.
     pub from: String,
+    /// The message.
     pub message: MeshMessage,
 }
 
+/// The answer to a message: that it has arrived.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Receipt {}
 
@@ -51,7 +55,9 @@
     }
 }
 
+/// Writes messages as JSON.
 pub struct JsonEncoder<E>(PhantomData<E>);
+/// Reads messages from JSON.
 pub struct JsonDecoder<D>(PhantomData<D>);
 
 impl<E: Serialize + Send + 'static, D: DeserializeOwned + Send + 'static> Codec for JsonCodec<E, D> {
@@ -141,6 +147,7 @@
 
 const CONNECTIONS_MAX: usize = 32;
 
+/// Takes messages of the other controllers.
 pub async fn serve(
     ex: &'static LocalExecutor<'static>,
     bind: SocketAddr,
--- a/crates/seamfront/src/settings.rs
+++ b/crates/seamfront/src/settings.rs
@@ -7,12 +7,25 @@
 use std::path::Path;
 use thiserror::Error;
 
+/// What is wrong with the settings.
 #[derive(Debug, Error)]
 pub enum SettingsError {
+    /// A file cannot be read.
     #[error("{path}: {why}")]
-    Unreadable { path: String, why: String },
+    Unreadable {
+        /// The file.
+        path: String,
+        /// What the system says.
+        why: String,
+    },
+    /// A field is missing or makes no sense.
     #[error("{field}: {why}")]
-    Invalid { field: String, why: String },
+    Invalid {
+        /// The field.
+        field: String,
+        /// What it must be.
+        why: String,
+    },
 }
 
 fn invalid(field: impl Into<String>, why: impl Into<String>) -> SettingsError {
@@ -22,13 +35,19 @@
 /// Everything a process needs: the core's settings and the addresses round it.
 #[derive(Clone, Debug)]
 pub struct Service {
+    /// What the core is to know.
     pub core: Settings,
+    /// Where users, workers and health checks connect.
     pub bind: SocketAddr,
+    /// Where the other controllers connect.
     pub mesh: SocketAddr,
     /// By member; this node's own is its mesh address.
     pub peers: Vec<SocketAddr>,
+    /// Address of the cloud.
     pub cloud: SocketAddr,
+    /// Address of the state service.
     pub state: SocketAddr,
+    /// Sockets that the process may have open.
     pub sockets: usize,
 }
 
@@ -138,6 +157,7 @@
     fd_limit: i64,
 }
 
+/// Reads the settings file, and the operators' own beside it.
 pub fn load(path: &Path) -> Result<Service, SettingsError> {
     let unreadable = |p: &Path, why: String| SettingsError::Unreadable { path: p.display().to_string(), why };
     let text = std::fs::read_to_string(path).map_err(|e| unreadable(path, e.to_string()))?;
@@ -150,6 +170,7 @@
     parse(&text, ini.as_deref())
 }
 
+/// Reads settings from their texts.
 pub fn parse(toml_text: &str, ini_text: Option<&str>) -> Result<Service, SettingsError> {
     let file: File = toml::from_str(toml_text).map_err(|e| {
         // The parser's message names the field; one line is enough.
--- a/crates/seamfront/src/state.rs
+++ b/crates/seamfront/src/state.rs
@@ -83,6 +83,7 @@
     }
 }
 
+/// Carries out a request of the engine's to the state service.
 pub async fn call(client: &Client, to: SocketAddr, request: &StateCall) -> StateReply {
     let (method, path, body, limit) = match request {
         StateCall::Get { key } => (Method::Get, format!("/kv/{key}"), None, CALL_TIME),
--- a/crates/seamfront/src/users.rs
+++ b/crates/seamfront/src/users.rs
@@ -5,6 +5,7 @@
 use seamfront_core::types::*;
 use serde_json::{json, Map, Value};
 
+/// Tasks of a job at the most.
 pub const TASKS_MAX: u64 = 100_000;
 const NAME_MAX: usize = 200;
 const TYPES_MAX: usize = 200;
@@ -133,6 +134,7 @@
     Ok(needs.into_iter().collect())
 }
 
+/// What a user is told.
 pub fn reply(answer: &Answer) -> Reply {
     match answer {
         Answer::Status { created, id, state, done, running } => {
--- a/crates/seamfront/src/workers.rs
+++ b/crates/seamfront/src/workers.rs
@@ -39,6 +39,7 @@
     saved: Option<bool>,
 }
 
+/// Reads a task's name on the wire.
 pub fn task_key(s: &str) -> Option<TaskKey> {
     let (job, index) = s.rsplit_once('/')?;
     Some(TaskKey { job: job.into(), index: index.parse().ok()? })
@@ -101,17 +102,20 @@
     orders.iter().take(ORDERS_MAX).map(one).collect()
 }
 
+/// The answer to a report, with orders.
 pub fn orders_reply(token: u64, orders: &[Order]) -> Reply {
     let mut r = Reply::json(200, json!({"bastao": token, "ordens": orders_json(orders)}).to_string());
     r.worker = true;
     r
 }
 
+/// The answer to a report that another controller should get.
 pub fn elsewhere_reply(member: Option<&str>) -> Reply {
     let body = member.map_or_else(|| json!({}), |m| json!({ "mestre": m }));
     Reply::json(421, body.to_string())
 }
 
+/// Sends orders straight to a worker.
 pub async fn direct(client: &Client, addr: &str, session: u64, token: u64, orders: &[Order]) -> DirectOutcome {
     let Ok(to) = addr.parse::<SocketAddr>() else { return DirectOutcome::NotSent };
     let body = json!({"bastao": token, "turno": session, "ordens": orders_json(orders)});
--- a/crates/seamfront/tests/parsing.rs
+++ b/crates/seamfront/tests/parsing.rs
@@ -186,9 +186,22 @@
     let work = r#"{"team":"t","need":{"c":1000,"g":0,"r":2000},"e":1,"dr":false,"a":[[0,2]],"n":7,"d":[[0,2],[4,5]],"p":{"i-000231":[[2,4,6]]},"pk":0}"#;
     let record: WorkRecord = serde_json::from_str(work).unwrap();
     assert_eq!(serde_json::to_value(&record).unwrap(), as_value(work));
-    let alive = r#"{"Alive":{"ready":true,"claims":[["share/0",7]],"awaited":3}}"#;
-    let message: seamfront_core::port::MeshMessage = serde_json::from_str(alive).unwrap();
-    assert_eq!(serde_json::to_value(&message).unwrap(), as_value(alive));
+    for text in [
+        r#"{"Alive":{"ready":true,"claims":[["share/0",7]],"awaited":3}}"#,
+        r#"{"Share":{"share":1,"version":7,"needs":[{"job":"j-1","task":{"c":1,"g":0,"r":2},"count":2,"total":3,"together":true,"one_zone":false,"gathering":null,"spread":false,"priority":"Normal","guaranteed":true,"overdue":false,"types":["g8"],"zone":null,"spot":true,"image_mb":5,"estimate":6,"waited":7,"left":null,"service":false}],"machines":[{"i":"i-1","v":4,"n":true,"u":{"c":1,"g":0,"r":2},"p":{"c":1,"g":0,"r":2},"e":9,"g":true,"r":true,"b":true,"t":true,"l":"Urgent","w":3}]}}"#,
+        r#"{"Release":{"share":1,"machines":["i-1"],"above":"Urgent"}}"#,
+        r#"{"Cancelled":{"job":"j-1","tasks":3}}"#,
+        r#"{"Progress":{"jobs":[["j-1",2,1]]}}"#,
+    ] {
+        let message: seamfront_core::port::MeshMessage = serde_json::from_str(text).unwrap();
+        assert_eq!(serde_json::to_value(&message).unwrap(), as_value(text));
+    }
+    let machine = r#"{"share":1,"kind":"g8","zone":"a","spot":true}"#;
+    let record: seamfront_core::fleet::MachineRecord = serde_json::from_str(machine).unwrap();
+    assert_eq!(serde_json::to_value(&record).unwrap(), as_value(machine));
+    let claim = r#"{"member":"n0","lease":4}"#;
+    let value: seamfront_core::link::ClaimValue = serde_json::from_str(claim).unwrap();
+    assert_eq!(serde_json::to_value(&value).unwrap(), as_value(claim));
     for end in [r#"{"cancelled":true,"tasks":3}"#, r#"{"cancelled":false,"tasks":3}"#] {
         let record: seamfront_core::users::EndRecord = serde_json::from_str(end).unwrap();
         assert_eq!(serde_json::to_value(record).unwrap(), as_value(end));
