--- a/crates/seamfront-core/src/capacity.rs
+++ b/crates/seamfront-core/src/capacity.rs
@@ -1,4 +1,4 @@
-//! How many machines of which kind: a pure plan from what the shares tell. Carrying it out is the
+//! How many machines of which kind: a pure plan from what the shards tell. Carrying it out is the
 //! leader's business.
 
 use crate::fleet::MachineRecord;
@@ -12,7 +12,8 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct RentRecord {
     /// The shard that the machines are for.
-    pub share: usize,
+    #[serde(rename = "share")]
+    pub shard: usize,
     /// Machine type.
     pub kind: String,
     /// Zone.
@@ -31,14 +32,14 @@
     /// Name.
     pub id: &'a MachineId,
     /// The shard that owns it.
-    pub share: usize,
+    pub shard: usize,
     /// Its record in the state service.
     pub record: &'a MachineRecord,
     /// What it has in all.
     pub size: Amounts,
     /// What its owner last told of it.
     pub view: Option<&'a MachineView>,
-    /// Since it was assigned to its share.
+    /// Since it was assigned to its shard.
     pub age: Micros,
 }
 
@@ -73,7 +74,7 @@
     pub refused: &'a BTreeMap<Offer, (Micros, u32)>,
     /// Operators' settings.
     pub tuning: &'a Tuning,
-    /// Machines that are being cleared for another share.
+    /// Machines that are being cleared for another shard.
     pub clearing: &'a BTreeMap<MachineId, (usize, Micros)>,
 }
 
@@ -84,7 +85,7 @@
     pub moves: Vec<(MachineId, usize)>,
     /// Machines to be returned.
     pub returns: Vec<MachineId>,
-    /// To be cleared of lesser work than that of this priority, for this share.
+    /// To be cleared of lesser work than that of this priority, for this shard.
     pub clear: Vec<(MachineId, usize, Priority)>,
     /// Rentals to be begun.
     pub rents: Vec<RentRecord>,
@@ -106,10 +107,10 @@
 const CHEAP_FACTOR: i64 = 4;
 const RENT_MAX: u32 = 20;
 
-/// Machines that a plan can't tell from each other: of one share, kind, zone and price, with as much taken
+/// Machines that a plan can't tell from each other: of one shard, kind, zone and price, with as much taken
 /// by services. A far larger fleet has hardly more of these than a small one.
 struct Stock<'a> {
-    share: usize,
+    shard: usize,
     record: &'a MachineRecord,
     size: Amounts,
     /// Taken by services.
@@ -124,9 +125,9 @@
     for m in p.machines.iter().filter(|m| !m.bad()) {
         let pinned = m.view.map_or(Amounts::default(), |v| v.pinned);
         let r = m.record;
-        let key = (m.share, r.kind.as_str(), r.zone.as_str(), r.spot, pinned.cpus, pinned.gpus, pinned.ram);
+        let key = (m.shard, r.kind.as_str(), r.zone.as_str(), r.spot, pinned.cpus, pinned.gpus, pinned.ram);
         let stock =
-            found.entry(key).or_insert(Stock { share: m.share, record: r, size: m.size, pinned, count: 0, busy: 0 });
+            found.entry(key).or_insert(Stock { shard: m.shard, record: r, size: m.size, pinned, count: 0, busy: 0 });
         stock.count += 1;
         stock.busy += m.view.map_or(0, |v| v.used.cpus - v.pinned.cpus);
     }
@@ -137,7 +138,7 @@
 struct Overview<'a> {
     stocks: Vec<Stock<'a>>,
     by_zone: BTreeMap<&'a str, i64>,
-    /// Waiting work so far, by share and whether it needs accelerators, in thousandths of a processor
+    /// Waiting work so far, by shard and whether it needs accelerators, in thousandths of a processor
     /// times microseconds.
     work: BTreeMap<(usize, bool), i64>,
 }
@@ -162,7 +163,7 @@
     for r in &p.rents {
         if let Some(t) = p.types.iter().find(|t| t.name == r.kind) {
             for _ in 0..r.count {
-                coming.push((r.share, r.kind.clone(), r.zone.clone(), r.spot, t.size));
+                coming.push((r.shard, r.kind.clone(), r.zone.clone(), r.spot, t.size));
             }
         }
     }
@@ -177,7 +178,7 @@
         }
         let never = m.view.is_none_or(|v| !v.up) && !m.bad();
         if never && m.age < boot.times(2) + Micros::from_secs(10) {
-            coming.push((m.share, m.record.kind.clone(), m.record.zone.clone(), m.record.spot, m.size));
+            coming.push((m.shard, m.record.kind.clone(), m.record.zone.clone(), m.record.spot, m.size));
         }
     }
     let mut idle: Vec<&Supply> =
@@ -186,7 +187,7 @@
     let mut wanted: BTreeSet<&MachineId> = BTreeSet::new();
     let mut cleared: BTreeSet<&MachineId> = BTreeSet::new();
 
-    for (share, need) in &needs {
+    for (shard, need) in &needs {
         let mut rest = need.count;
         // Where nothing can be rented any more in the zone that it gathers in, another zone must
         // hold all of it.
@@ -202,7 +203,7 @@
         // What it holds already is not for those that come after it. What those hold is for it: gangs
         // that each hold a part of what none of them can do with would all wait for ever.
         let mut held = if need.together { need.total.saturating_sub(need.count) } else { 0 };
-        for m in idle.iter().filter(|m| m.share == *share && m.gathered()) {
+        for m in idle.iter().filter(|m| m.shard == *shard && m.gathered()) {
             if held > 0 && m.size.fits(need.task) > 0 && allowed(&m.record.kind, &m.record.zone, m.record.spot) {
                 wanted.insert(m.id);
                 held = held.saturating_sub(m.size.fits(need.task).min(i64::from(held)) as u32);
@@ -211,7 +212,7 @@
         // What lies idle elsewhere: it is there now, while what is on its way may take long.
         let mut zone_pick: Option<&str> = None;
         for m in &idle {
-            if rest == 0 || wanted.contains(m.id) || m.share == *share {
+            if rest == 0 || wanted.contains(m.id) || m.shard == *shard {
                 continue;
             }
             let fit = m.size.fits(need.task) > 0 && suits(need.task, need.types.as_deref(), m.size, p.types);
@@ -223,14 +224,14 @@
             }
             zone_pick = Some(&m.record.zone);
             wanted.insert(m.id);
-            plan.moves.push((m.id.clone(), *share));
+            plan.moves.push((m.id.clone(), *shard));
             rest -= m.size.fits(need.task).min(i64::from(rest)) as u32;
         }
         if rest == 0 {
             continue;
         }
-        // What is on its way to this share.
-        for c in coming.iter_mut().filter(|c| c.0 == *share) {
+        // What is on its way to this shard.
+        for c in coming.iter_mut().filter(|c| c.0 == *shard) {
             let suits = suits(need.task, need.types.as_deref(), c.4, p.types);
             if rest > 0 && suits && allowed(&c.1, &c.2, c.3) {
                 let n = c.4.fits(need.task).min(i64::from(rest));
@@ -242,7 +243,7 @@
             continue;
         }
         let rented = plan.rents.len();
-        rent_for(p, &mut overview, &mut plan, *share, need, rest, &allowed);
+        rent_for(p, &mut overview, &mut plan, *shard, need, rest, &allowed);
         // Live services do not wait for a machine to boot, nor does urgent work that would be late by
         // then; other work is helped at lesser work's cost only if there is nothing to rent.
         if need.service
@@ -252,7 +253,7 @@
                 if rest == 0 || cleared.len() >= CLEAR_MAX {
                     break;
                 }
-                let helps = m.share != *share
+                let helps = m.shard != *shard
                     && m.view.is_some_and(|v| v.least.is_some_and(|l| l > need.priority))
                     && m.size.fits(need.task) > 0
                     && !cleared.contains(m.id)
@@ -262,7 +263,7 @@
                     continue;
                 }
                 cleared.insert(m.id);
-                plan.clear.push((m.id.clone(), *share, need.priority));
+                plan.clear.push((m.id.clone(), *shard, need.priority));
                 rest -= m.size.fits(need.task).min(i64::from(rest)) as u32;
             }
         }
@@ -305,18 +306,18 @@
     p: &Picture,
     overview: &mut Overview,
     plan: &mut Plan,
-    share: usize,
+    shard: usize,
     need: &Need,
     rest: u32,
     allowed: &dyn Fn(&str, &str, bool) -> bool,
 ) {
     let mut want = rest;
     if !need.service {
-        // Slots of the share that could serve it sooner or later, and what they still have to do.
+        // Slots of the shard that could serve it sooner or later, and what they still have to do.
         let mut slots: i64 = 0;
         let mut busy: i64 = 0;
         let mut by_zone: BTreeMap<&str, i64> = BTreeMap::new();
-        for s in overview.stocks.iter().filter(|s| s.share == share) {
+        for s in overview.stocks.iter().filter(|s| s.shard == shard) {
             let mut size = s.size;
             size.sub(s.pinned);
             let (fit, r) = (size.fits(need.task), s.record);
@@ -330,7 +331,7 @@
         let unit = need.task.cpus.max(1);
         let estimate = need.estimate.max(Micros::from_secs(5)).0 / 1_000;
         // What runs is half through on average.
-        let sum = overview.work.entry((share, need.task.gpus > 0)).or_default();
+        let sum = overview.work.entry((shard, need.task.gpus > 0)).or_default();
         *sum += i64::from(need.count) * estimate * unit / 1_000;
         let todo = *sum + busy * estimate / 2_000;
         let prices = p
@@ -391,7 +392,7 @@
             // One request per offer and round; the rest follows when the answer is known.
             return;
         }
-        plan.rents.push(RentRecord { share, kind: t.name.clone(), zone: zone.to_owned(), spot, count });
+        plan.rents.push(RentRecord { shard, kind: t.name.clone(), zone: zone.to_owned(), spot, count });
         want = want.saturating_sub(count * fit as u32);
     }
 }
--- a/crates/seamfront-core/src/chains.rs
+++ b/crates/seamfront-core/src/chains.rs
@@ -8,7 +8,7 @@
 
 use crate::engine::{Engine, LiveJob, Pending};
 use crate::port::*;
-use crate::share::SharePhase;
+use crate::shard::ShardPhase;
 use crate::types::*;
 use crate::users::{end_conditions, end_key, end_writes, job_key, EndRecord, Wish};
 use std::collections::{BTreeMap, BTreeSet};
@@ -60,7 +60,7 @@
 }
 
 #[derive(Debug, Default)]
-struct Asked {
+struct RetryState {
     busy: bool,
     at: Micros,
 }
@@ -81,11 +81,11 @@
     /// By needed job: the live jobs that wait for it.
     waiters: BTreeMap<JobId, BTreeSet<JobId>>,
     /// Needed jobs that are not live in the view: the store is asked how they ended.
-    unknown: BTreeMap<JobId, Asked>,
+    unknown: BTreeMap<JobId, RetryState>,
     /// Live jobs that need a cancelled one.
     orphans: BTreeMap<JobId, Orphan>,
     /// Live jobs whose list is to be read on.
-    unread: BTreeMap<JobId, Asked>,
+    unread: BTreeMap<JobId, RetryState>,
     /// Users who ask about a job that waits while it is not known yet how one that it needs ended, and until when
     /// the answer is worth waiting for.
     unclear: Vec<(Question, Micros)>,
@@ -107,7 +107,7 @@
 const AGAIN: Micros = Micros::from_millis(400);
 /// An answer of the store, as a rule; users wait 2 s.
 const UNCLEAR_FOR: Micros = Micros::from_millis(1_000);
-/// Whoever holds the share cancels at once; others see to it if nobody did.
+/// Whoever holds the shard cancels at once; others see to it if nobody did.
 const OTHERS_AFTER: Micros = Micros::from_secs(3);
 /// A step that follows another needs so long besides its own run: to be placed, to fetch, to be reported.
 const STEP: Micros = Micros::from_secs(10);
@@ -181,7 +181,7 @@
                 let key = end_key(&n);
                 self.state(StateCall::Get { key }, Pending::NeedKnown { to, spec, left, end: true });
             }
-            StateReply::Missing => self.doubt(to, spec, format!("espera: {n} was never accepted")),
+            StateReply::Missing => self.verify_unknown(to, spec, format!("espera: {n} was never accepted")),
             _ => self.later(to),
         }
     }
@@ -288,7 +288,7 @@
         }
         if j.spec.needs_parts > 0 {
             j.chain.unread = true;
-            self.chains.unread.insert(id.clone(), Asked::default());
+            self.chains.unread.insert(id.clone(), RetryState::default());
         }
         debug!(job = %id, needs = ?needs, "waits for other jobs");
         self.wait_for(id, needs);
@@ -357,7 +357,7 @@
 
     fn orphaned(&mut self, id: &JobId, of: &JobId) {
         let Some(j) = self.jobs.get(id) else { return };
-        let wait = if self.shares[j.share].is_some() { Micros::ZERO } else { OTHERS_AFTER };
+        let wait = if self.shards[j.shard].is_some() { Micros::ZERO } else { OTHERS_AFTER };
         let orphan = Orphan { of: of.clone(), busy: false, at: self.now + wait, alone: false };
         self.chains.orphans.entry(id.clone()).or_insert(orphan);
     }
@@ -370,15 +370,15 @@
             j.chain.ready = Some(wall);
             info!(job = %id, "all that it needs is done");
         }
-        self.tell_share(id);
+        self.tell_shard(id);
     }
 
-    pub(crate) fn tell_share(&mut self, id: &JobId) {
+    pub(crate) fn tell_shard(&mut self, id: &JobId) {
         let Some(j) = self.jobs.get(id) else { return };
-        let (spec, waits, share) = (j.spec_now(), j.chain.waits(), j.share);
+        let (spec, waits, shard) = (j.spec_now(), j.chain.waits(), j.shard);
         let now = self.now;
-        self.with_share(share, |s, _| {
-            if s.phase == SharePhase::Ready {
+        self.with_shard(shard, |s, _| {
+            if s.phase == ShardPhase::Ready {
                 s.chained(id, spec, waits, now);
             }
         });
@@ -399,7 +399,7 @@
                 let after = Some((p.min(priority), d.into_iter().chain(due).min()));
                 if after != before {
                     need.chain.urgency = after;
-                    self.tell_share(&n);
+                    self.tell_shard(&n);
                     todo.push(n);
                 }
             }
@@ -412,7 +412,7 @@
         let unclear = std::mem::take(&mut self.chains.unclear);
         self.answer_clear(unclear);
         let now = self.now;
-        let due = |a: &Asked| !a.busy && a.at <= now;
+        let due = |a: &RetryState| !a.busy && a.at <= now;
         let asking = self.chains.unknown.values().filter(|a| a.busy).count();
         let ask: Vec<JobId> = self
             .chains
@@ -423,13 +423,13 @@
             .take(ASKED_MAX.saturating_sub(asking))
             .collect();
         for id in ask {
-            self.chains.unknown.insert(id.clone(), Asked { busy: true, at: now });
+            self.chains.unknown.insert(id.clone(), RetryState { busy: true, at: now });
             self.state(StateCall::Get { key: end_key(&id) }, Pending::NeedEnd { id });
         }
         let read: Vec<JobId> = self.chains.unread.iter().filter(|a| due(a.1)).map(|a| a.0.clone()).take(2).collect();
         for id in read {
             let Some(version) = self.jobs.get(&id).map(|j| j.version) else { continue };
-            self.chains.unread.insert(id.clone(), Asked { busy: true, at: now });
+            self.chains.unread.insert(id.clone(), RetryState { busy: true, at: now });
             let request = StateCall::List { prefix: needs_prefix(&id), after: None };
             self.state(request, Pending::NeedsRead { id, version, got: Vec::new() });
         }
@@ -505,7 +505,7 @@
         if polls.is_empty() {
             return;
         }
-        let view = &self.link.watches[0];
+        let view = &self.store.watches[0];
         if view.loaded && view.seen < revision {
             self.users.in_flight += polls.len();
             let request = StateCall::Changes { prefix: "job/".to_owned(), after: view.seen, hold: Micros::ZERO };
@@ -531,7 +531,7 @@
     pub(crate) fn refresh_reply(&mut self, polls: Vec<Question>, revision: u64, reply: StateReply) {
         self.users.in_flight -= polls.len();
         let new = self.apply_changes(0, reply);
-        if new && self.link.watches[0].loaded && self.link.watches[0].seen >= revision {
+        if new && self.store.watches[0].loaded && self.store.watches[0].seen >= revision {
             return self.answer_waiting(polls, revision);
         }
         for q in polls {
--- a/crates/seamfront-core/src/engine/mod.rs
+++ b/crates/seamfront-core/src/engine/mod.rs
@@ -5,10 +5,10 @@
 use crate::fleet::MachineRecord;
 use crate::formats::Formats;
 use crate::leader::{Leader, LeaderCall};
-use crate::link::Link;
 use crate::port::*;
 use crate::record::Layout;
-use crate::share::*;
+use crate::shard::*;
+use crate::store_session::StoreSession;
 use crate::types::*;
 use crate::users::{EndRecord, Users, Wish};
 use std::collections::BTreeMap;
@@ -26,7 +26,7 @@
     /// Version of `job/<id>`, which is written once only.
     pub version: u64,
     /// The shard of its team.
-    pub share: usize,
+    pub shard: usize,
     /// Its place in its chain.
     pub chain: Chain,
 }
@@ -55,11 +55,11 @@
     HandBack { slot: usize, version: u64 },
     Prove { sent: Micros, claims: Vec<(usize, u64)> },
     ProveView { sent: Micros, claims: Vec<(usize, u64)>, revision: u64 },
-    Fleet { share: usize, version: u64 },
-    Records { share: usize, version: u64 },
-    Share { share: usize, version: u64, writes: Vec<ShareWrite> },
+    Fleet { shard: usize, version: u64 },
+    Records { shard: usize, version: u64 },
+    Shard { shard: usize, version: u64, writes: Vec<ShardWrite> },
     Submit { batch: Vec<(ReplyTo, Rc<JobSpec>)> },
-    Doubt { to: ReplyTo, spec: Rc<JobSpec>, why: String, end: bool },
+    VerifyUnknown { to: ReplyTo, spec: Rc<JobSpec>, why: String, end: bool },
     NeedKnown { to: ReplyTo, spec: Rc<JobSpec>, left: Vec<JobId>, end: bool },
     NeedsWritten { to: ReplyTo, spec: Rc<JobSpec>, parts: Vec<Vec<JobId>>, next: usize },
     SubmitCancelled { to: ReplyTo, spec: Rc<JobSpec> },
@@ -83,15 +83,15 @@
     pub(crate) cfg: Rc<Settings>,
     pub(crate) now: Micros,
     pub(crate) wall: Micros,
-    pub(crate) fx: Vec<Effect>,
+    pub(crate) effects: Vec<Effect>,
     calls: BTreeMap<CallId, Pending>,
     next_call: CallId,
-    pub(crate) link: Link,
+    pub(crate) store: StoreSession,
     pub(crate) jobs: BTreeMap<JobId, LiveJob>,
     pub(crate) machines: BTreeMap<MachineId, (MachineRecord, u64)>,
-    /// Since when each has been the share's that it is.
+    /// Since when each has been the shard's that it is.
     pub(crate) machine_since: BTreeMap<MachineId, Micros>,
-    pub(crate) shares: Vec<Option<Share>>,
+    pub(crate) shards: Vec<Option<Shard>>,
     pub(crate) leader: Option<Leader>,
     /// By slot: sending time of the last state request that proved the claim with a view of
     /// cancellations as new.
@@ -128,14 +128,14 @@
         Engine {
             now: Micros::ZERO,
             wall: Micros::ZERO,
-            fx: Vec::new(),
+            effects: Vec::new(),
             calls: BTreeMap::new(),
             next_call: 1,
-            link: Link::new(n),
+            store: StoreSession::new(n),
             jobs: BTreeMap::new(),
             machines: BTreeMap::new(),
             machine_since: BTreeMap::new(),
-            shares: (0..n).map(|_| None).collect(),
+            shards: (0..n).map(|_| None).collect(),
             leader: None,
             proven: vec![None; n + 1],
             users: Users::default(),
@@ -170,7 +170,7 @@
             self.take(c);
         }
         self.tick();
-        std::mem::take(&mut self.fx)
+        std::mem::take(&mut self.effects)
     }
 
     fn take(&mut self, command: Command) {
@@ -180,10 +180,10 @@
             Command::Cancel { to, id } => self.cancel(to, id),
             Command::Report { to, report } => self.report(to, &report),
             Command::Direct { call, machine, outcome } => {
-                let share =
-                    self.shares.iter().position(|s| s.as_ref().is_some_and(|s| s.machines.contains_key(&machine)));
-                if let Some(k) = share {
-                    self.with_share(k, |s, ctx| s.direct_result(ctx, call, &machine, outcome));
+                let shard =
+                    self.shards.iter().position(|s| s.as_ref().is_some_and(|s| s.machines.contains_key(&machine)));
+                if let Some(k) = shard {
+                    self.with_shard(k, |s, context| s.direct_result(context, call, &machine, outcome));
                 }
             }
             Command::State { call, reply } => self.state_reply(call, reply),
@@ -191,20 +191,20 @@
             Command::Mesh { from, message } => self.mesh(from, message),
             Command::Health { to } => {
                 let yes = self.healthy();
-                self.fx.push(Effect::Healthy { to, yes });
+                self.effects.push(Effect::Healthy { to, yes });
             }
         }
     }
 
     fn tick(&mut self) {
         self.listen();
-        self.link_tick();
+        self.store_session_tick();
         self.types_tick();
         self.formats_tick();
-        for k in 0..self.shares.len() {
-            self.with_share(k, |s, ctx| {
-                s.tick(ctx);
-                s.round(ctx);
+        for k in 0..self.shards.len() {
+            self.with_shard(k, |s, context| {
+                s.tick(context);
+                s.round(context);
             });
         }
         self.fill_write_budget();
@@ -212,16 +212,16 @@
         self.chains_tick();
         self.users_flush();
         self.flush_writes();
-        for k in 0..self.shares.len() {
-            self.with_share(k, |s, ctx| s.send_directs(ctx));
+        for k in 0..self.shards.len() {
+            self.with_shard(k, |s, context| s.send_directs(context));
         }
         self.talk();
     }
 
-    /// How much was looked at since the start by the shares held now and by the leader. What a step costs
+    /// How much was looked at since the start by the shards held now and by the leader. What a step costs
     /// follows from it, and unlike time it is the same on every machine.
     pub fn looked(&self) -> i64 {
-        self.leader_looked + self.shares.iter().flatten().map(|s| s.looked.get()).sum::<i64>()
+        self.leader_looked + self.shards.iter().flatten().map(|s| s.looked.get()).sum::<i64>()
     }
 
     // ---- plumbing ------------------------------------------------------------------------
@@ -230,14 +230,23 @@
         self.proven[slot].is_some_and(|t| self.now - t < self.cfg.acting_time())
     }
 
-    pub(crate) fn with_share<R>(&mut self, k: usize, f: impl FnOnce(&mut Share, &mut Ctx) -> R) -> Option<R> {
+    pub(crate) fn with_shard<R>(&mut self, k: usize, f: impl FnOnce(&mut Shard, &mut Context) -> R) -> Option<R> {
         let (acting, layout) = (self.acting(k), self.layout());
         let cfg = self.cfg.clone();
-        let share = self.shares.get_mut(k)?.as_mut()?;
+        let shard = self.shards.get_mut(k)?.as_mut()?;
         let calls = &mut self.next_call;
         let types = &self.types;
-        let mut ctx = Ctx { cfg: &cfg, now: self.now, wall: self.wall, types, fx: &mut self.fx, calls, acting, layout };
-        Some(f(share, &mut ctx))
+        let mut context = Context {
+            cfg: &cfg,
+            now: self.now,
+            wall: self.wall,
+            types,
+            effects: &mut self.effects,
+            calls,
+            acting,
+            layout,
+        };
+        Some(f(shard, &mut context))
     }
 
     /// How work records may be laid out now.
@@ -257,16 +266,16 @@
 
     pub(crate) fn state(&mut self, request: StateCall, pending: Pending) {
         let call = self.call(pending);
-        self.fx.push(Effect::State { call, request });
+        self.effects.push(Effect::State { call, request });
     }
 
     pub(crate) fn cloud(&mut self, request: CloudCall, pending: Pending) {
         let call = self.call(pending);
-        self.fx.push(Effect::Cloud { call, request });
+        self.effects.push(Effect::Cloud { call, request });
     }
 
     pub(crate) fn answer(&mut self, to: ReplyTo, answer: Answer) {
-        self.fx.push(Effect::Answer { to, answer });
+        self.effects.push(Effect::Answer { to, answer });
     }
 
     pub(crate) fn type_size(&self, kind: &str) -> Amounts {
@@ -277,7 +286,7 @@
         let Some(pending) = self.calls.remove(&call) else { return };
         trace!(call, ?reply, "state answered");
         if !matches!(reply, StateReply::Refused | StateReply::Unknown) {
-            self.link.last_ok = self.now;
+            self.store.last_ok = self.now;
         }
         match pending {
             Pending::Grant | Pending::Renew => self.lease_reply(reply),
@@ -287,11 +296,11 @@
             Pending::HandBack { slot, version } => self.hand_back_reply(slot, version, &reply),
             Pending::Prove { sent, claims } => self.prove_reply(sent, claims, reply),
             Pending::ProveView { sent, claims, revision } => self.prove_view_reply(sent, claims, revision, reply),
-            Pending::Fleet { share, version } => self.fleet_reply(share, version, reply),
-            Pending::Records { share, version } => self.records_reply(share, version, reply),
-            Pending::Share { share, version, writes } => self.share_reply(share, version, &writes, &reply),
+            Pending::Fleet { shard, version } => self.fleet_reply(shard, version, reply),
+            Pending::Records { shard, version } => self.records_reply(shard, version, reply),
+            Pending::Shard { shard, version, writes } => self.shard_reply(shard, version, &writes, &reply),
             Pending::Submit { batch } => self.submit_reply(batch, reply),
-            Pending::Doubt { to, spec, why, end } => self.doubt_reply(to, spec, why, end, reply),
+            Pending::VerifyUnknown { to, spec, why, end } => self.verify_unknown_reply(to, spec, why, end, reply),
             Pending::NeedKnown { to, spec, left, end } => self.need_known_reply(to, spec, left, end, reply),
             Pending::NeedsWritten { to, spec, parts, next } => self.needs_written(to, spec, parts, next, &reply),
             Pending::SubmitCancelled { to, spec } => self.submit_cancelled_reply(to, &spec, &reply),
@@ -369,14 +378,14 @@
     pub(crate) fn machine_changed(&mut self, id: MachineId, record: MachineRecord, version: u64) {
         let size = self.type_size(&record.kind);
         let before = self.machines.insert(id.clone(), (record.clone(), version));
-        if before.is_none_or(|b| b.0.share != record.share) {
+        if before.is_none_or(|b| b.0.shard != record.shard) {
             self.machine_since.insert(id.clone(), self.now);
         }
-        for k in 0..self.shares.len() {
+        for k in 0..self.shards.len() {
             let (id, record) = (id.clone(), record.clone());
             let now = self.now;
-            self.with_share(k, |s, _| {
-                if record.share == Some(k) {
+            self.with_shard(k, |s, _| {
+                if record.shard == Some(k) {
                     s.add_machine(id, record, version, size, now);
                 } else {
                     s.machine_moved(&id, record, version);
@@ -388,8 +397,8 @@
     pub(crate) fn machine_vanished(&mut self, id: &MachineId) {
         self.machines.remove(id);
         self.machine_since.remove(id);
-        for k in 0..self.shares.len() {
-            self.with_share(k, |s, ctx| s.machine_deleted(ctx, id));
+        for k in 0..self.shards.len() {
+            self.with_shard(k, |s, context| s.machine_deleted(context, id));
         }
     }
 
@@ -397,17 +406,17 @@
     /// naming the owner.
     fn report(&mut self, to: ReplyTo, report: &Report) {
         self.last_hello = self.now;
-        let owner = self.machines.get(&report.machine).and_then(|m| m.0.share);
+        let owner = self.machines.get(&report.machine).and_then(|m| m.0.shard);
         let Some(k) = owner else {
-            return self.fx.push(Effect::Elsewhere { to, member: None });
+            return self.effects.push(Effect::Elsewhere { to, member: None });
         };
         let acting = self.acting(k);
-        if self.shares[k].is_none() {
-            let member = self.link.claims[k].as_ref().map(|c| c.member).filter(|m| *m != self.cfg.me);
-            return self.fx.push(Effect::Elsewhere { to, member });
+        if self.shards[k].is_none() {
+            let member = self.store.claims[k].as_ref().map(|c| c.member).filter(|m| *m != self.cfg.me);
+            return self.effects.push(Effect::Elsewhere { to, member });
         }
         let now = self.now;
-        let held = self.shares[k].as_ref();
+        let held = self.shards[k].as_ref();
         let known = held.and_then(|s| Some((s.machines.get(&report.machine)?.token(s.version), s.claimed_at)));
         if let Some((_, claimed_at)) = known.filter(|k| k.0 < report.token) {
             // Somebody newer commands it, and would wait for its lease to end if we held it here. Where
@@ -416,25 +425,25 @@
             if now - proven > self.cfg.tuning.claim_ttl {
                 self.drop_slot(k, "a worker has seen a newer token");
             }
-            return self.fx.push(Effect::Elsewhere { to, member: None });
+            return self.effects.push(Effect::Elsewhere { to, member: None });
         }
-        let orders = self.with_share(k, |s, ctx| {
+        let orders = self.with_shard(k, |s, context| {
             let m = s.machines.get(&report.machine)?;
             if !acting || (m.hears_nothing() && report.token != m.token(s.version)) {
                 return None;
             }
-            let ready = s.phase == SharePhase::Ready;
-            if !s.take_report(ctx, report, true) {
+            let ready = s.phase == ShardPhase::Ready;
+            if !s.take_report(context, report, true) {
                 return None;
             }
-            let orders = if ready { s.orders(ctx, report) } else { Vec::new() };
+            let orders = if ready { s.orders(context, report) } else { Vec::new() };
             let m = s.machines.get_mut(&report.machine)?;
             m.answered(now, s.version);
             Some((m.token(s.version), orders))
         });
         match orders.flatten() {
-            Some((token, orders)) => self.fx.push(Effect::Orders { to, token, orders }),
-            None => self.fx.push(Effect::Elsewhere { to, member: None }),
+            Some((token, orders)) => self.effects.push(Effect::Orders { to, token, orders }),
+            None => self.effects.push(Effect::Elsewhere { to, member: None }),
         }
     }
 }
--- a/crates/seamfront-core/src/engine/peers.rs
+++ b/crates/seamfront-core/src/engine/peers.rs
@@ -8,11 +8,11 @@
         self.deaf_since.is_some()
     }
 
-    /// Without shares a node hears of no worker in any case, so it is believed again after a while.
+    /// Without shards a node hears of no worker in any case, so it is believed again after a while.
     pub(super) fn listen(&mut self) {
         let quiet = self.now - self.last_hello > self.cfg.report.times(3) + Micros::from_secs(2);
-        let heard_once = |s: &Share| s.machines.values().any(|m| m.last_report.is_some() && m.record.share.is_some());
-        let own = self.shares.iter().flatten().any(heard_once);
+        let heard_once = |s: &Shard| s.machines.values().any(|m| m.last_report.is_some() && m.record.shard.is_some());
+        let own = self.shards.iter().flatten().any(heard_once);
         match self.deaf_since {
             None if quiet && own => {
                 warn!("no worker reaches this controller");
@@ -32,10 +32,10 @@
     }
 
     pub(super) fn ready(&self) -> bool {
-        self.link.loaded()
-            && self.link.lease.is_some()
+        self.store.loaded()
+            && self.store.lease.is_some()
             && !self.types.is_empty()
-            && self.now - self.link.last_ok < Micros::from_millis(2_500)
+            && self.now - self.store.last_ok < Micros::from_millis(2_500)
     }
 
     /// Can this node really take requests? When the store answers nobody, being taken out helps
@@ -46,7 +46,7 @@
         let me = self.cfg.me;
         let hears = |(k, p): (usize, &Peer)| k != me && self.now - p.heard < Micros::from_secs(2);
         let alone = self.peers.len() > 1 && !self.peers.iter().enumerate().any(hears);
-        self.ready() || (self.link.loaded() && !self.types.is_empty() && !self.peer_ready() && !alone)
+        self.ready() || (self.store.loaded() && !self.types.is_empty() && !self.peer_ready() && !alone)
     }
 
     pub(super) fn talk(&mut self) {
@@ -60,31 +60,31 @@
             self.awaited = awaited;
             for to in (0..self.peers.len()).filter(|k| *k != me) {
                 let message = MeshMessage::Alive { ready, claims: claims.clone(), awaited };
-                self.fx.push(Effect::Mesh { to, message });
+                self.effects.push(Effect::Mesh { to, message });
             }
         }
         if self.now >= self.tell_next {
             self.tell_next = self.now + Micros::from_millis(400);
-            for k in 0..self.shares.len() {
-                let told = self.with_share(k, |s, ctx| {
-                    (s.phase == SharePhase::Ready).then(|| (s.version, s.needs.clone(), s.views(ctx)))
+            for k in 0..self.shards.len() {
+                let told = self.with_shard(k, |s, context| {
+                    (s.phase == ShardPhase::Ready).then(|| (s.version, s.needs.clone(), s.views(context)))
                 });
                 if let Some((version, mut needs, machines)) = told.flatten() {
                     if needs.len() > NEEDS_MAX {
                         // The most important are first, and what is served makes room for the rest.
                         warn!(
-                            share = k,
+                            shard = k,
                             waiting = needs.len(),
                             told = NEEDS_MAX,
                             "more jobs wait than the leader is told of"
                         );
                         needs.truncate(NEEDS_MAX);
                     }
-                    let message = MeshMessage::Share { share: k, version, needs, machines };
+                    let message = MeshMessage::Shard { shard: k, version, needs, machines };
                     if self.leader.is_some() {
                         self.mesh(me, message);
-                    } else if let Some(to) = self.link.claims[self.leader_slot()].as_ref().map(|c| c.member) {
-                        self.fx.push(Effect::Mesh { to, message });
+                    } else if let Some(to) = self.store.claims[self.leader_slot()].as_ref().map(|c| c.member) {
+                        self.effects.push(Effect::Mesh { to, message });
                     }
                 }
             }
@@ -92,7 +92,7 @@
         if self.now >= self.progress_next {
             self.progress_next = self.now + Micros::from_secs(1);
             let mut changed = Vec::new();
-            for s in self.shares.iter().flatten() {
+            for s in self.shards.iter().flatten() {
                 for (id, j) in s.jobs.iter().filter(|j| j.1.live()) {
                     let counts = (j.done.count(), j.running());
                     if self.told.get(id) != Some(&counts) {
@@ -107,19 +107,19 @@
             }
             if !changed.is_empty() {
                 for to in (0..self.peers.len()).filter(|k| *k != me) {
-                    self.fx.push(Effect::Mesh { to, message: MeshMessage::Progress { jobs: changed.clone() } });
+                    self.effects.push(Effect::Mesh { to, message: MeshMessage::Progress { jobs: changed.clone() } });
                 }
             }
         }
     }
 
-    pub(crate) fn tell_holder(&mut self, share: usize, message: MeshMessage) {
-        if self.shares[share].is_some() {
+    pub(crate) fn tell_holder(&mut self, shard: usize, message: MeshMessage) {
+        if self.shards[shard].is_some() {
             let me = self.cfg.me;
             self.mesh(me, message);
-        } else if let Some(to) = self.link.claims[share].as_ref().map(|c| c.member) {
+        } else if let Some(to) = self.store.claims[shard].as_ref().map(|c| c.member) {
             if to != self.cfg.me {
-                self.fx.push(Effect::Mesh { to, message });
+                self.effects.push(Effect::Mesh { to, message });
             }
         }
     }
@@ -142,21 +142,22 @@
                         // Told of a newer claim: ours is lost, whatever the store lets us know.
                         if self.slot_key(slot) == key && self.slot_version(slot).is_some_and(|v| v < version) {
                             self.drop_slot(slot, "a peer holds a newer claim");
-                            self.link.claims[slot] = Some(crate::link::Claim { version, member: from, lease: 0 });
+                            self.store.claims[slot] =
+                                Some(crate::store_session::Claim { version, member: from, lease: 0 });
                         }
                     }
                 }
             }
-            MeshMessage::Share { share, version, needs, machines } => {
-                // Held back by the network, a former holder's word may come after its share has passed
+            MeshMessage::Shard { shard, version, needs, machines } => {
+                // Held back by the network, a former holder's word may come after its shard has passed
                 // on: it must not count, least of all its opinion of machines.
-                if self.link.claims.get(share).is_some_and(|c| c.as_ref().is_some_and(|c| c.version == version)) {
-                    self.share_told(share, needs, machines);
+                if self.store.claims.get(shard).is_some_and(|c| c.as_ref().is_some_and(|c| c.version == version)) {
+                    self.shard_told(shard, needs, machines);
                 }
             }
-            MeshMessage::Release { share, machines, above } => {
+            MeshMessage::Release { shard, machines, above } => {
                 let now = self.now;
-                self.with_share(share, |s, ctx| s.release(ctx, &machines, above));
+                self.with_shard(shard, |s, context| s.release(context, &machines, above));
                 self.tell_next = now;
             }
             MeshMessage::Cancelled { job, tasks } => {
--- a/crates/seamfront-core/src/engine/writes.rs
+++ b/crates/seamfront-core/src/engine/writes.rs
@@ -12,13 +12,13 @@
 impl Engine {
     /// How many writes wait here: for tasks to start, for jobs to end, for machines to be adopted.
     pub(super) fn writes_awaited(&self) -> usize {
-        self.shares.iter().flatten().map(Share::writes_awaited).sum::<usize>() + self.leader_writes_awaited()
+        self.shards.iter().flatten().map(Shard::writes_awaited).sum::<usize>() + self.leader_writes_awaited()
     }
 
     /// This controller's part of what the store takes, in thousandths of a write a second. Most of
     /// it is the schedulers', the rest is left to users. It is divided by what waits where, as the
-    /// controllers tell each other, since one share may need most of it while others need nothing;
-    /// who is not heard of keeps the part of the shares that it holds.
+    /// controllers tell each other, since one shard may need most of it while others need nothing;
+    /// who is not heard of keeps the part of the shards that it holds.
     pub(crate) fn write_rate(&self) -> i64 {
         let n = self.cfg.members.len() as i64;
         let total = self.cfg.write_rps * 850;
@@ -31,8 +31,8 @@
             } else if self.now - p.heard < Micros::from_secs(2) && p.heard > Micros::ZERO {
                 all += p.awaited as i64 + 1;
             } else {
-                let holds = |c: &&Option<crate::link::Claim>| c.as_ref().is_some_and(|c| c.member == k);
-                unheard += self.link.claims[..self.leader_slot()].iter().filter(holds).count() as i64;
+                let holds = |c: &&Option<crate::store_session::Claim>| c.as_ref().is_some_and(|c| c.member == k);
+                unheard += self.store.claims[..self.leader_slot()].iter().filter(holds).count() as i64;
             }
         }
         (total * (n - unheard) / n * own / all.max(1)).max(total / (4 * n))
@@ -51,10 +51,10 @@
         }
         // What gathers within a moment is written together.
         self.write_next = self.now + self.cfg.ask_every().over(2);
-        // Where several shares are held, another is first each time.
+        // Where several shards are held, another is first each time.
         self.write_first += 1;
-        let (first, shares) = (self.write_first, self.shares.len());
-        for k in (0..shares).map(|k| (k + first) % shares) {
+        let (first, shards) = (self.write_first, self.shards.len());
+        for k in (0..shards).map(|k| (k + first) % shards) {
             let budget = (self.write_budget / 1_000).max(0) as usize;
             let most = (self.cfg.txn_ops / 3).clamp(1, 12);
             if budget == 0 || !self.acting(k) {
@@ -62,35 +62,35 @@
             }
             let now = self.now;
             let layout = self.layout();
-            let ready = |s: &mut Share| match s.phase {
-                SharePhase::Ready => s.writes(now, budget.min(most), &layout),
+            let ready = |s: &mut Shard| match s.phase {
+                ShardPhase::Ready => s.writes(now, budget.min(most), &layout),
                 _ => Vec::new(),
             };
-            let Some((version, writes)) = self.with_share(k, |s, _| (s.version, ready(s))) else { continue };
+            let Some((version, writes)) = self.with_shard(k, |s, _| (s.version, ready(s))) else { continue };
             let mut records = Vec::new();
             let mut bytes = 0;
             for w in writes {
                 match &w {
                     // An end may fail for its user's sake; it must not take others with it.
-                    ShareWrite::End { .. } => {
+                    ShardWrite::End { .. } => {
                         self.write_budget -= 3_000;
-                        self.send_share_writes(k, version, vec![w]);
+                        self.send_shard_writes(k, version, vec![w]);
                     }
-                    ShareWrite::Read { job } => {
+                    ShardWrite::Read { job } => {
                         let key = work_key(k, job);
-                        let pending = Pending::Share { share: k, version, writes: vec![w] };
+                        let pending = Pending::Shard { shard: k, version, writes: vec![w] };
                         self.state(StateCall::Get { key }, pending);
                     }
                     // One in parts fills a transaction by itself.
-                    ShareWrite::Record { changes, .. } if !changes.is_empty() => {
+                    ShardWrite::Record { changes, .. } if !changes.is_empty() => {
                         self.write_budget -= 1_000 * (1 + changes.len() as i64);
-                        self.send_share_writes(k, version, vec![w]);
+                        self.send_shard_writes(k, version, vec![w]);
                     }
                     _ => {
                         self.write_budget -= 1_000;
-                        let size = if let ShareWrite::Record { record, .. } = &w { record.bytes } else { SMALL_WRITE };
+                        let size = if let ShardWrite::Record { record, .. } = &w { record.bytes } else { SMALL_WRITE };
                         if bytes + size > TRANSACTION_BYTES && !records.is_empty() {
-                            self.send_share_writes(k, version, std::mem::take(&mut records));
+                            self.send_shard_writes(k, version, std::mem::take(&mut records));
                             bytes = 0;
                         }
                         bytes += size;
@@ -99,20 +99,20 @@
                 }
             }
             if !records.is_empty() {
-                self.send_share_writes(k, version, records);
+                self.send_shard_writes(k, version, records);
             }
         }
     }
 
-    /// Every write on behalf of a share carries its claim's version, so that one that is applied
-    /// late, after the share has passed on, fails.
-    pub(super) fn send_share_writes(&mut self, k: usize, version: u64, writes: Vec<ShareWrite>) {
+    /// Every write on behalf of a shard carries its claim's version, so that one that is applied
+    /// late, after the shard has passed on, fails.
+    pub(super) fn send_shard_writes(&mut self, k: usize, version: u64, writes: Vec<ShardWrite>) {
         let mut when = vec![(self.slot_key(k), version)];
         let mut apply = Vec::new();
         for w in &writes {
             let key = self.write_key(k, w);
             match w {
-                ShareWrite::Record { job, version, record, changes, .. } => {
+                ShardWrite::Record { job, version, record, changes, .. } => {
                     when.push((key.clone(), *version));
                     apply.push(Write::Put { key, value: record.head.clone(), lease: None });
                     for (number, part) in changes {
@@ -123,7 +123,7 @@
                         });
                     }
                 }
-                ShareWrite::End { job, job_version, record_version, parts_end, tasks } => {
+                ShardWrite::End { job, job_version, record_version, parts_end, tasks } => {
                     let end = EndRecord { cancelled: false, tasks: *tasks };
                     when.extend(end_conditions(job, *job_version));
                     apply.extend(end_writes(job, end));
@@ -133,19 +133,19 @@
                         apply.extend(self.part_deletions(k, job, *parts_end));
                     }
                 }
-                ShareWrite::DropRecord { job, version, parts_end } => {
+                ShardWrite::DropRecord { job, version, parts_end } => {
                     when.push((key.clone(), *version));
                     apply.push(Write::Delete { key });
                     apply.extend(self.part_deletions(k, job, *parts_end));
                 }
-                ShareWrite::Machine { machine, version, record } => {
+                ShardWrite::Machine { machine, version, record } => {
                     when.push((key, *version));
                     apply.push(machine_write(machine, record));
                 }
-                ShareWrite::Read { .. } => {}
+                ShardWrite::Read { .. } => {}
             }
         }
-        self.state(StateCall::Commit { when, apply }, Pending::Share { share: k, version, writes });
+        self.state(StateCall::Commit { when, apply }, Pending::Shard { shard: k, version, writes });
     }
 
     /// A part without its head means nothing: should there be more than a transaction takes, the rest stays.
@@ -154,17 +154,17 @@
         (0..parts_end).rev().take(most).map(|number| Write::Delete { key: part_key(k, job, number) }).collect()
     }
 
-    pub(super) fn write_key(&self, k: usize, w: &ShareWrite) -> String {
+    pub(super) fn write_key(&self, k: usize, w: &ShardWrite) -> String {
         match w {
-            ShareWrite::Machine { machine, .. } => crate::fleet::machine_key(machine),
-            ShareWrite::Record { job, .. }
-            | ShareWrite::End { job, .. }
-            | ShareWrite::DropRecord { job, .. }
-            | ShareWrite::Read { job } => work_key(k, job),
+            ShardWrite::Machine { machine, .. } => crate::fleet::machine_key(machine),
+            ShardWrite::Record { job, .. }
+            | ShardWrite::End { job, .. }
+            | ShardWrite::DropRecord { job, .. }
+            | ShardWrite::Read { job } => work_key(k, job),
         }
     }
 
-    pub(super) fn share_reply(&mut self, k: usize, version: u64, writes: &[ShareWrite], reply: &StateReply) {
+    pub(super) fn shard_reply(&mut self, k: usize, version: u64, writes: &[ShardWrite], reply: &StateReply) {
         if self.slot_version(k) != Some(version) {
             return;
         }
@@ -179,20 +179,20 @@
         for w in writes {
             let key = self.write_key(k, w);
             let outcome = match (w, reply) {
-                (ShareWrite::Read { .. }, StateReply::Entry(e)) => WriteOutcome::Done(e.version),
-                (ShareWrite::Read { .. }, StateReply::Missing) => WriteOutcome::Done(0),
+                (ShardWrite::Read { .. }, StateReply::Entry(e)) => WriteOutcome::Done(e.version),
+                (ShardWrite::Read { .. }, StateReply::Missing) => WriteOutcome::Done(0),
                 (_, StateReply::Committed { revision }) => WriteOutcome::Done(*revision),
                 (_, StateReply::Refused) => WriteOutcome::Refused,
                 // One failed condition fails all; those that held are simply made again.
-                (ShareWrite::End { .. }, StateReply::Conflict { .. }) => WriteOutcome::Unclear,
+                (ShardWrite::End { .. }, StateReply::Conflict { .. }) => WriteOutcome::Unclear,
                 (_, StateReply::Conflict { failed }) if !failed.contains(&key) => WriteOutcome::Refused,
                 _ => WriteOutcome::Unclear,
             };
-            if let (ShareWrite::End { job, tasks, .. }, WriteOutcome::Done(_)) = (w, outcome) {
+            if let (ShardWrite::End { job, tasks, .. }, WriteOutcome::Done(_)) = (w, outcome) {
                 self.users.ended.insert(job, EndRecord { cancelled: false, tasks: *tasks });
                 self.job_over(job);
             }
-            self.with_share(k, |s, ctx| s.written(ctx, w, outcome));
+            self.with_shard(k, |s, context| s.written(context, w, outcome));
         }
     }
 }
--- a/crates/seamfront-core/src/fleet.rs
+++ b/crates/seamfront-core/src/fleet.rs
@@ -1,4 +1,4 @@
-//! Machines of a share, and the evidence of what is on them.
+//! Machines of a shard, and the evidence of what is on them.
 
 use crate::port::CallId;
 use crate::types::*;
@@ -9,7 +9,8 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct MachineRecord {
     /// None while it is being returned to the cloud.
-    pub share: Option<usize>,
+    #[serde(rename = "share")]
+    pub shard: Option<usize>,
     /// Machine type.
     pub kind: String,
     /// Zone.
@@ -89,7 +90,7 @@
     pub notice: Option<Micros>,
     /// Since when it has been let go for the leader.
     pub released: Option<Micros>,
-    /// Being emptied for another share's more important work.
+    /// Being emptied for another shard's more important work.
     pub clearing: Option<Micros>,
     /// Since when nothing has been on it.
     pub idle_since: Option<Micros>,
@@ -185,7 +186,7 @@
     /// May new tasks be put here? Only where the worker has shown our present token: a report
     /// without it may be late by any time, or come from a machine that hears nothing.
     pub fn usable(&self, now: Micros, report: Micros, claim_version: u64) -> bool {
-        self.record.share.is_some()
+        self.record.shard.is_some()
             && self.seen_token == self.token(claim_version)
             && self.heeded.is_some_and(|t| now - t <= report.times(2) + Micros::from_secs(1))
             && self.notice.is_none()
--- a/crates/seamfront-core/src/formats.rs
+++ b/crates/seamfront-core/src/formats.rs
@@ -42,7 +42,7 @@
     }
 
     pub(crate) fn formats_tick(&mut self) {
-        if self.formats.busy || self.now < self.formats.ask_at || !self.link.loaded() || self.all_read_parts() {
+        if self.formats.busy || self.now < self.formats.ask_at || !self.store.loaded() || self.all_read_parts() {
             return;
         }
         self.formats.busy = true;
--- a/crates/seamfront-core/src/gang.rs
+++ b/crates/seamfront-core/src/gang.rs
@@ -1,5 +1,5 @@
 //! The coordinated drain of a gang, after "Gang Preemption in Workron". This module is only the
-//! state machine; placements, orders and records are the share's.
+//! state machine; placements, orders and records are the shard's.
 //!
 //! A gang is admitted whole. When a member fails, is preempted or must move, all members that may
 //! have a process go to `Preempting` and get stop orders until they are known to be gone; the
--- a/crates/seamfront-core/src/job.rs
+++ b/crates/seamfront-core/src/job.rs
@@ -1,4 +1,4 @@
-//! A job as its share's controller runs it, and the one record that a successor reads.
+//! A job as its shard's controller runs it, and the one record that a successor reads.
 
 use crate::gang::{Gang, Member};
 use crate::ranges::Ranges;
--- a/crates/seamfront-core/src/leader.rs
+++ b/crates/seamfront-core/src/leader.rs
@@ -1,4 +1,4 @@
-//! The leader: the only one to act on the cloud and to assign machines to shares.
+//! The leader: the only one to act on the cloud and to assign machines to shards.
 
 use crate::capacity::{self, Offer, Picture, RentRecord, Supply};
 use crate::engine::{Engine, Pending};
@@ -29,7 +29,7 @@
 
 /// What a shard's owner has told the leader.
 #[derive(Clone, Debug)]
-pub struct ShareView {
+pub struct ShardView {
     /// When it was told.
     pub at: Micros,
     /// What waits there.
@@ -46,7 +46,7 @@
     loaded: bool,
     loading: bool,
     /// By shard: what its owner has told.
-    pub views: Vec<Option<ShareView>>,
+    pub views: Vec<Option<ShardView>>,
     rents: BTreeMap<String, Rent>,
     counter: u64,
     refused: BTreeMap<Offer, (Micros, u32)>,
@@ -69,25 +69,25 @@
     /// Machines that are to be returned; those that were let go empty can wait for the others.
     deletes_waiting: usize,
     emptied: BTreeSet<MachineId>,
-    /// Asked to be cleared for a share, since when.
+    /// Asked to be cleared for a shard, since when.
     clearing: BTreeMap<MachineId, (usize, Micros)>,
     cloud_rest: Micros,
 }
 
 const TICK: Micros = Micros::from_millis(250);
-/// A share's word counts as long as it is not older than this.
+/// A shard's word counts as long as it is not older than this.
 const VIEW_AGE: Micros = Micros::from_secs(4);
 const DELETE_EVERY: Micros = Micros::from_millis(500);
 const REFUSED_FOR: Micros = Micros::from_secs(15);
 
 impl Leader {
     /// A leader that has just begun.
-    pub fn new(version: u64, now: Micros, shares: usize) -> Leader {
+    pub fn new(version: u64, now: Micros, shards: usize) -> Leader {
         Leader {
             version,
             loaded: false,
             loading: false,
-            views: vec![None; shares],
+            views: vec![None; shards],
             rents: BTreeMap::new(),
             counter: 0,
             refused: BTreeMap::new(),
@@ -214,7 +214,7 @@
             // Moved, refused by its owner, or too slow: whoever still needs it asks again.
             let machines = &self.machines;
             l.clearing.retain(|id, (to, t)| {
-                now - *t < Micros::from_secs(20) && machines.get(id).is_some_and(|m| m.0.share != Some(*to))
+                now - *t < Micros::from_secs(20) && machines.get(id).is_some_and(|m| m.0.shard != Some(*to))
             });
             l.gone.retain(|_, t| now - *t < Micros::from_secs(180));
             self.carry_out_plan();
@@ -265,7 +265,7 @@
         let last = new.len() <= most;
         new.truncate(most);
         let record = MachineRecord {
-            share: Some(r.record.share),
+            shard: Some(r.record.shard),
             kind: r.record.kind.clone(),
             zone: r.record.zone.clone(),
             spot: r.record.spot,
@@ -291,8 +291,8 @@
             return;
         }
         l.delete_next = now + DELETE_EVERY;
-        l.emptied.retain(|id| self.machines.get(id).is_some_and(|m| m.0.share.is_none()));
-        let given_up = self.machines.iter().filter(|(_, (r, _))| r.share.is_none()).map(|(id, _)| id);
+        l.emptied.retain(|id| self.machines.get(id).is_some_and(|m| m.0.shard.is_none()));
+        let given_up = self.machines.iter().filter(|(_, (r, _))| r.shard.is_none()).map(|(id, _)| id);
         let (last, mut ids): (Vec<MachineId>, Vec<MachineId>) =
             given_up.cloned().partition(|id| l.emptied.contains(id));
         ids.extend(last);
@@ -319,14 +319,14 @@
         }
         let mut machines = Vec::new();
         for (id, (record, version)) in &self.machines {
-            let Some(share) = record.share else { continue };
+            let Some(shard) = record.shard else { continue };
             if l.writing.contains(id) {
                 continue;
             }
-            let view = l.views.get(share).and_then(|v| v.as_ref()).filter(|v| now - v.at < VIEW_AGE);
+            let view = l.views.get(shard).and_then(|v| v.as_ref()).filter(|v| now - v.at < VIEW_AGE);
             let view = view.and_then(|v| v.machines.get(id)).filter(|v| v.version == *version);
             let age = now - self.machine_since.get(id).copied().unwrap_or(now);
-            machines.push(Supply { id, share, record, size: self.type_size(&record.kind), view, age });
+            machines.push(Supply { id, shard, record, size: self.type_size(&record.kind), view, age });
         }
         let picture = Picture {
             now,
@@ -345,7 +345,7 @@
         drop(picture);
         self.leader_looked += looked as i64;
         if !heard {
-            // A share that nobody speaks for may need what looks idle.
+            // A shard that nobody speaks for may need what looks idle.
             plan.returns.retain(|id| released.contains(id));
         }
         let asked_before = l.rents.len() >= 6;
@@ -362,8 +362,8 @@
         for (id, to) in moves.chain(returns) {
             if released.contains(&id) {
                 writes.push((id, to));
-            } else if let Some(share) = self.machines.get(&id).and_then(|m| m.0.share).filter(|_| may_ask) {
-                asks.entry(share).or_default().push(id);
+            } else if let Some(shard) = self.machines.get(&id).and_then(|m| m.0.shard).filter(|_| may_ask) {
+                asks.entry(shard).or_default().push(id);
             }
         }
         if may_ask && !asks.is_empty() {
@@ -371,15 +371,15 @@
                 l.move_next = now + self.cfg.tuning.move_every;
             }
         }
-        for (share, machines) in asks {
-            self.tell_holder(share, MeshMessage::Release { share, machines, above: None });
+        for (shard, machines) in asks {
+            self.tell_holder(shard, MeshMessage::Release { shard, machines, above: None });
         }
         for (id, to, above) in plan.clear {
-            let Some(share) = self.machines.get(&id).and_then(|m| m.0.share) else { continue };
+            let Some(shard) = self.machines.get(&id).and_then(|m| m.0.shard) else { continue };
             if let Some(l) = self.leader.as_mut() {
                 l.clearing.insert(id.clone(), (to, now));
             }
-            self.tell_holder(share, MeshMessage::Release { share, machines: vec![id], above: Some(above) });
+            self.tell_holder(shard, MeshMessage::Release { shard, machines: vec![id], above: Some(above) });
         }
         // What the store does not take now is planned again.
         let room = self.cfg.txn_ops.min((self.write_budget / 1_000).max(0) as usize);
@@ -395,10 +395,10 @@
         let (mut when, mut apply, mut ids, mut emptied) = (Vec::new(), Vec::new(), Vec::new(), Vec::new());
         for (id, to) in writes {
             let Some((record, version)) = self.machines.get(&id) else { continue };
-            let record = MachineRecord { share: to, ..record.clone() };
+            let record = MachineRecord { shard: to, ..record.clone() };
             info!(machine = %id, to = ?to, "machine assigned");
             when.push((machine_key(&id), *version));
-            apply.push(crate::share::machine_write(&id, &record));
+            apply.push(crate::shard::machine_write(&id, &record));
             if to.is_none() {
                 emptied.push(id.clone());
             }
@@ -419,7 +419,7 @@
         l.counter += 1;
         // Unique for ever: no two leaders have the same claim version.
         let name = format!("r-{}-{}", l.version, l.counter);
-        info!(name, kind = %record.kind, zone = %record.zone, spot = record.spot, count = record.count, share = record.share, "renting");
+        info!(name, kind = %record.kind, zone = %record.zone, spot = record.spot, count = record.count, shard = record.shard, "renting");
         let value = serde_json::to_value(&record).unwrap_or_default();
         let rent = Rent { record, step: RentStep::Recording, retry_at: Micros::ZERO, got: Vec::new() };
         l.rents.insert(name.clone(), rent);
@@ -434,7 +434,7 @@
         let Some(l) = self.leader.as_ref() else { return };
         let mut counts: Vec<BTreeMap<(String, String, bool), usize>> = vec![BTreeMap::new(); self.cfg.members.len()];
         for (r, _) in self.machines.values() {
-            if let Some(s) = r.share {
+            if let Some(s) = r.shard {
                 *counts[s].entry((r.kind.clone(), r.zone.clone(), r.spot)).or_default() += 1;
             }
         }
@@ -448,7 +448,7 @@
                 continue;
             }
             if self.machines.contains_key(&m.id) {
-                if m.state == ListedState::Failed && self.machines[&m.id].0.share.is_some() {
+                if m.state == ListedState::Failed && self.machines[&m.id].0.shard.is_some() {
                     failed.push((m.id.clone(), None));
                 }
                 continue;
@@ -460,11 +460,11 @@
             let all = |c: &BTreeMap<_, usize>| c.values().sum::<usize>();
             let least =
                 (0..counts.len()).min_by_key(|s| (counts[*s].get(&key).copied().unwrap_or(0), all(&counts[*s])));
-            let share = least.filter(|_| m.state != ListedState::Failed);
-            if let Some(s) = share {
+            let shard = least.filter(|_| m.state != ListedState::Failed);
+            if let Some(s) = shard {
                 *counts[s].entry(key).or_default() += 1;
             }
-            new.push((m.id.clone(), MachineRecord { share, kind: m.kind.clone(), zone: m.zone.clone(), spot: m.spot }));
+            new.push((m.id.clone(), MachineRecord { shard, kind: m.kind.clone(), zone: m.zone.clone(), spot: m.spot }));
         }
         self.assign(failed);
         if let Some(l) = self.leader.as_mut() {
@@ -478,7 +478,7 @@
         self.leader.as_ref().map_or(0, |l| l.adopting.len() + l.moves_waiting + l.deletes_waiting + rented(l))
     }
 
-    /// How many records the leader may write now; half of what there is, so that shares held here can
+    /// How many records the leader may write now; half of what there is, so that shards held here can
     /// go on.
     fn leader_writes(&self) -> usize {
         (self.write_budget / 2_000).max(0) as usize
@@ -493,19 +493,19 @@
         let (mut when, mut apply) = (Vec::new(), Vec::new());
         for id in &ids {
             let Some(record) = l.adopting.remove(id) else { continue };
-            info!(machine = %id, share = ?record.share, "adopting a listed machine");
+            info!(machine = %id, shard = ?record.shard, "adopting a listed machine");
             when.push((machine_key(id), 0));
-            apply.push(crate::share::machine_write(id, &record));
+            apply.push(crate::shard::machine_write(id, &record));
         }
         l.writing.extend(ids.iter().cloned());
         self.leader_commit(when, apply, LeaderCall::Machines { ids });
     }
 
-    pub(crate) fn share_told(&mut self, share: usize, needs: Vec<Need>, machines: Vec<MachineView>) {
+    pub(crate) fn shard_told(&mut self, shard: usize, needs: Vec<Need>, machines: Vec<MachineView>) {
         let now = self.now;
-        if let Some(v) = self.leader.as_mut().and_then(|l| l.views.get_mut(share)) {
+        if let Some(v) = self.leader.as_mut().and_then(|l| l.views.get_mut(shard)) {
             let machines = machines.into_iter().map(|m| (m.id.clone(), m)).collect();
-            *v = Some(ShareView { at: now, needs, machines });
+            *v = Some(ShardView { at: now, needs, machines });
         }
     }
 
--- a/crates/seamfront-core/src/lib.rs
+++ b/crates/seamfront-core/src/lib.rs
@@ -11,14 +11,14 @@
 pub mod gang;
 pub mod job;
 pub mod leader;
-pub mod link;
 pub mod placement;
 pub mod port;
 pub mod quota;
 pub mod ranges;
 pub mod record;
 mod rounds;
-pub mod share;
+pub mod shard;
+pub mod store_session;
 pub mod types;
 pub mod users;
 
--- a/crates/seamfront-core/src/port.rs
+++ b/crates/seamfront-core/src/port.rs
@@ -324,7 +324,7 @@
     pub age: Micros,
 }
 
-/// Tasks of one size that find no room in a share: a class, not single tasks.
+/// Tasks of one size that find no room in a shard: a class, not single tasks.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Need {
     /// The job that waits.
@@ -428,10 +428,12 @@
         #[serde(default)]
         awaited: usize,
     },
-    /// A share's state of affairs, for the leader.
-    Share {
+    /// A shard's state of affairs, for the leader.
+    #[serde(rename = "Share")]
+    Shard {
         /// Number of the shard.
-        share: usize,
+        #[serde(rename = "share")]
+        shard: usize,
         /// Version of its holder's claim.
         version: u64,
         /// What finds no room there.
@@ -443,13 +445,14 @@
     /// that is less important.
     Release {
         /// Number of the shard.
-        share: usize,
+        #[serde(rename = "share")]
+        shard: usize,
         /// The machines asked for.
         machines: Vec<MachineId>,
         /// Priority of the work that they are for, where they may be cleared.
         above: Option<Priority>,
     },
-    /// To the holder of a job's share, once its end is recorded: its view shows that a moment later, and starts
+    /// To the holder of a job's shard, once its end is recorded: its view shows that a moment later, and starts
     /// nothing meanwhile. Nothing rests on its arriving.
     Cancelled {
         /// The job.
--- a/crates/seamfront-core/src/quota.rs
+++ b/crates/seamfront-core/src/quota.rs
@@ -1,4 +1,4 @@
-//! Teams' use, limits and guarantees. A team belongs to one share, so its holder alone counts.
+//! Teams' use, limits and guarantees. A team belongs to one shard, so its holder alone counts.
 
 use crate::job::Job;
 use crate::types::*;
--- a/crates/seamfront-core/src/rounds/machines.rs
+++ b/crates/seamfront-core/src/rounds/machines.rs
@@ -2,18 +2,18 @@
 
 use super::*;
 
-impl Share {
+impl Shard {
     /// Marks machines that should be returned with whatever may be on them. Only their owner can
     /// tell, and only while its claim stands: the mark is written under that claim.
-    pub fn judge_machines(&mut self, ctx: &Ctx) {
-        let silent_limit = ctx.cfg.report.times(4) + Micros::from_secs(4);
+    pub fn judge_machines(&mut self, context: &Context) {
+        let silent_limit = context.cfg.report.times(4) + Micros::from_secs(4);
         // What has reported, or what the former holder's records show tasks on, was up. Until it shows
         // our token, its worker may be content with that holder's answers for as long as these may come.
-        let former = ctx.cfg.acting_time().with_drift();
+        let former = context.cfg.acting_time().with_drift();
         let was_up = |m: &Machine| m.last_report.is_some() || !m.tasks.is_empty();
         // Spot machines are taken without a notice far more often than networks fail: of them only one
         // lost report is forgiven, whose worker waits 4 s for the answer and 1 s to try elsewhere.
-        let spot_limit = silent_limit.min(ctx.cfg.report.times(3).over(2) + Micros::from_secs(5));
+        let spot_limit = silent_limit.min(context.cfg.report.times(3).over(2) + Micros::from_secs(5));
         let limit_of = |m: &Machine| match (m.heeded, m.record.spot) {
             (None, _) => silent_limit + former,
             (_, true) => spot_limit,
@@ -24,52 +24,52 @@
         let (mut up, mut silent, mut deaf) = (0, 0, 0);
         for m in self.machines.values().filter(|m| was_up(m)) {
             up += 1;
-            silent += usize::from(m.silent_for(ctx.now) > limit_of(m));
-            deaf += usize::from(m.deaf_for(ctx.now) > limit_of(m));
+            silent += usize::from(m.silent_for(context.now) > limit_of(m));
+            deaf += usize::from(m.deaf_for(context.now) > limit_of(m));
         }
         let many = |n: usize| n * 3 > up && n > 2;
         let (many_silent, many_deaf) = (many(silent), many(deaf));
         // Where the settings leave the leases no room to end a cancelled task in time, a machine that
         // does not report while it may hold one is deleted before the cancellation falls due.
-        let no_room = !ctx.cfg.acting_time_fits();
+        let no_room = !context.cfg.acting_time_fits();
         let jobs = &self.jobs;
         let cancelled_on = |m: &Machine| {
             m.tasks
                 .iter()
                 .filter_map(|t| jobs.get(&t.job)?.tasks.get(&t.index)?.stop)
-                .any(|s| s.cause == Cause::Cancelled && ctx.now - s.since > ctx.cfg.cancel.over(2))
+                .any(|s| s.cause == Cause::Cancelled && context.now - s.since > context.cfg.cancel.over(2))
         };
         for m in self.machines.values_mut() {
-            let quiet = m.silent_for(ctx.now);
-            let due = no_room && quiet > ctx.cfg.report.times(2) && cancelled_on(m);
-            let kind = ctx.types.iter().find(|t| t.name == m.record.kind);
+            let quiet = m.silent_for(context.now);
+            let due = no_room && quiet > context.cfg.report.times(2) && cancelled_on(m);
+            let kind = context.types.iter().find(|t| t.name == m.record.kind);
             let boot = kind.map_or(Micros::from_secs(60), |t| t.boot);
             let gone = if was_up(m) {
                 (quiet > limit_of(m) && !many_silent)
-                    || (m.deaf_for(ctx.now) > limit_of(m) && !many_deaf)
-                    || quiet > former + ctx.cfg.lease.times(3).over(2)
+                    || (m.deaf_for(context.now) > limit_of(m) && !many_deaf)
+                    || quiet > former + context.cfg.lease.times(3).over(2)
             } else {
                 quiet > boot.times(4) + Micros::from_secs(30)
             };
-            let taken =
-                m.notice.is_some_and(|t| t + ctx.cfg.report.times(2) < ctx.now) && quiet > ctx.cfg.report.times(2);
-            let hopeless = ctx.acting && (gone || taken || due || (m.suspect && m.empty()));
+            let taken = m.notice.is_some_and(|t| t + context.cfg.report.times(2) < context.now)
+                && quiet > context.cfg.report.times(2);
+            let hopeless = context.acting && (gone || taken || due || (m.suspect && m.empty()));
             if hopeless && !m.hopeless {
-                warn!(machine = %m.id, gone, taken, due, suspect = m.suspect, quiet_ms = quiet.0 / 1_000, deaf_ms = m.deaf_for(ctx.now).0 / 1_000, "machine given up");
+                warn!(machine = %m.id, gone, taken, due, suspect = m.suspect, quiet_ms = quiet.0 / 1_000, deaf_ms = m.deaf_for(context.now).0 / 1_000, "machine given up");
             }
             m.hopeless = hopeless;
         }
     }
 
     /// What the leader is told of the machines.
-    pub fn views(&self, ctx: &Ctx) -> Vec<MachineView> {
+    pub fn views(&self, context: &Context) -> Vec<MachineView> {
         self.look(self.machines.len());
         self.machines
             .values()
-            .filter(|m| m.record.share.is_some())
+            .filter(|m| m.record.shard.is_some())
             .map(|m| {
-                let quiet = m.silent_for(ctx.now);
-                let (least, loss, pinned) = self.lesser(ctx, m);
+                let quiet = m.silent_for(context.now);
+                let (least, loss, pinned) = self.lesser(context, m);
                 MachineView {
                     least,
                     loss,
@@ -80,9 +80,9 @@
                     // idle, and it will serve what waits here.
                     up: m.seen_token == m.token(self.version)
                         && m.last_report.is_some()
-                        && quiet < ctx.cfg.report.times(3),
+                        && quiet < context.cfg.report.times(3),
                     used: m.used,
-                    idle: m.idle_since.filter(|_| m.empty()).map(|t| ctx.now - t),
+                    idle: m.idle_since.filter(|_| m.empty()).map(|t| context.now - t),
                     gathered: m.gathered,
                     released: m.released.is_some() && m.empty(),
                     bad: m.hopeless,
@@ -94,7 +94,7 @@
 
     /// The most important priority on a machine, how much work would be lost by leaving it, and what
     /// services take of it.
-    pub(super) fn lesser(&self, ctx: &Ctx, m: &Machine) -> (Option<Priority>, Micros, Amounts) {
+    pub(super) fn lesser(&self, context: &Context, m: &Machine) -> (Option<Priority>, Micros, Amounts) {
         let (mut least, mut loss, mut pinned) = (None, Micros::ZERO, Amounts::default());
         for t in &m.tasks {
             let Some(j) = self.jobs.get(&t.job) else { continue };
@@ -103,24 +103,25 @@
                 pinned.add(j.spec.need);
             }
             least = Some(least.map_or(j.standing(p), |l: Priority| l.min(j.standing(p))));
-            loss += if j.spec.saves() { j.spec.save } else { p.running_since.map_or(Micros::ZERO, |s| ctx.now - s) };
+            loss +=
+                if j.spec.saves() { j.spec.save } else { p.running_since.map_or(Micros::ZERO, |s| context.now - s) };
         }
         (least, loss, pinned)
     }
 
     /// The leader wants these. Only what is empty, with nothing unsettled, is let go; for work of
     /// higher priority than all that is on it, a machine is cleared first.
-    pub fn release(&mut self, ctx: &mut Ctx, ids: &[MachineId], above: Option<Priority>) {
+    pub fn release(&mut self, context: &mut Context, ids: &[MachineId], above: Option<Priority>) {
         // Until the former holder's records are read every machine looks empty.
-        if self.phase != SharePhase::Ready {
+        if self.phase != ShardPhase::Ready {
             return;
         }
         for id in ids {
-            let Some(m) = self.machines.get_mut(id).filter(|m| m.record.share.is_some()) else { continue };
+            let Some(m) = self.machines.get_mut(id).filter(|m| m.record.shard.is_some()) else { continue };
             if m.empty() {
                 if m.released.is_none() {
                     debug!(machine = %id, "released for the leader");
-                    m.released = Some(ctx.now);
+                    m.released = Some(context.now);
                 }
                 continue;
             }
@@ -135,10 +136,10 @@
             }
             info!(machine = %id, tasks = tasks.len(), ?above, "clearing machine for another share");
             if let Some(m) = self.machines.get_mut(id) {
-                m.clearing = Some(ctx.now);
+                m.clearing = Some(context.now);
             }
             for t in tasks {
-                self.evict(ctx, &t, Cause::Preempted);
+                self.evict(context, &t, Cause::Preempted);
             }
         }
     }
--- a/crates/seamfront-core/src/rounds/mod.rs
+++ b/crates/seamfront-core/src/rounds/mod.rs
@@ -1,4 +1,4 @@
-//! The share's rounds: who gets room, in which order, and who must make room. Tasks of one job are
+//! The shard's rounds: who gets room, in which order, and who must make room. Tasks of one job are
 //! alike and are decided together, as a class.
 
 use crate::fleet::Machine;
@@ -7,7 +7,7 @@
 use crate::placement::{Machines, Room, When, Wish};
 use crate::port::{MachineView, Need};
 use crate::quota;
-use crate::share::{Ctx, Share, SharePhase};
+use crate::shard::{Context, Shard, ShardPhase};
 use crate::types::*;
 use std::collections::{BTreeMap, BTreeSet};
 use std::rc::Rc;
@@ -105,29 +105,29 @@
     seated
 }
 
-impl Share {
+impl Shard {
     /// One round, if it is time for it: places what waits, and stops lesser work for what may.
-    pub fn round(&mut self, ctx: &mut Ctx) {
+    pub fn round(&mut self, context: &mut Context) {
         // A round over many waiting jobs and machines costs much: the next one waits in proportion.
         let cost = Micros(self.round_cost * VISIT_REST);
         let gap = if self.dirty { ROUND_GAP.max(cost.min(ROUND_IDLE)) } else { ROUND_IDLE };
-        if self.phase != SharePhase::Ready || !ctx.acting || ctx.now - self.last_round < gap {
+        if self.phase != ShardPhase::Ready || !context.acting || context.now - self.last_round < gap {
             return;
         }
-        self.last_round = ctx.now;
+        self.last_round = context.now;
         self.dirty = false;
         self.needs.clear();
-        let inside = quota::guaranteed(&ctx.cfg.teams, self.jobs.values());
+        let inside = quota::guaranteed(&context.cfg.teams, self.jobs.values());
         self.note_fetches();
-        let mut round = self.survey(ctx);
+        let mut round = self.survey(context);
         let mut kept_free = false;
-        for id in self.order(ctx, &inside) {
+        for id in self.order(context, &inside) {
             let critical = self.jobs.get(&id).is_some_and(|j| j.spec.priority == Priority::Critical);
             if !critical && !kept_free {
                 kept_free = true;
-                self.keep_free(ctx, &mut round);
+                self.keep_free(context, &mut round);
             }
-            self.place_job(ctx, &id, &inside, &mut round);
+            self.place_job(context, &id, &inside, &mut round);
         }
         for id in std::mem::replace(&mut self.gathered, round.gathered) {
             if let Some(m) = self.machines.get_mut(&id) {
@@ -147,19 +147,19 @@
     /// for those that will come before room could be made or rented, and for one like the largest at
     /// least: where the images are that such services have here, since a fetch takes longer than they
     /// may. Nothing is stopped for that.
-    fn keep_free(&self, ctx: &Ctx, round: &mut Round) {
+    fn keep_free(&self, context: &Context, round: &mut Round) {
         let live = |j: &&Job| j.live() && j.spec.kind == Kind::Service && j.spec.priority == Priority::Critical;
         let services: Vec<&Job> = self.jobs.values().filter(live).collect();
         let size = |j: &&&Job| (i64::from(j.spec.tasks) * j.spec.need.cpus, j.spec.id.clone());
         let Some(largest) = services.iter().max_by_key(size) else { return };
         let spec = &largest.spec;
-        let fits = |t: &&MachineType| t.size.fits(spec.need) > 0 && spec.suits(t.size, ctx.types);
-        let ahead = ctx.types.iter().filter(fits).map(|t| t.boot).min().unwrap_or(Micros::ZERO).times(3).over(2);
-        let recent = services.iter().filter(|j| ctx.wall - j.spec.submitted < COUNTED_FOR);
+        let fits = |t: &&MachineType| t.size.fits(spec.need) > 0 && spec.suits(t.size, context.types);
+        let ahead = context.types.iter().filter(fits).map(|t| t.boot).min().unwrap_or(Micros::ZERO).times(3).over(2);
+        let recent = services.iter().filter(|j| context.wall - j.spec.submitted < COUNTED_FOR);
         let recent: i64 = recent.map(|j| i64::from(j.spec.tasks)).sum();
         let expected = (recent * ahead.0 / COUNTED_FOR.0).max(i64::from(spec.tasks)) as u32;
         let images: BTreeSet<&str> = services.iter().map(|j| j.spec.image.as_str()).collect();
-        let wish = Wish::of(largest, ctx.now, ctx.types);
+        let wish = Wish::of(largest, context.now, context.types);
         let free = wish.places(&self.machines, &round.room, |_, s| s.free.fits(spec.need) > 0);
         let here = |m: &Machine| m.images.iter().filter(|i| images.contains(i.0.as_str())).count();
         let mut best: Vec<(usize, usize)> = free.into_iter().map(|(k, m)| (usize::MAX - here(m), k)).collect();
@@ -183,8 +183,8 @@
     /// time that way, while by age all would be late together. The largest have their turn in the end.
     /// Where machines are what is lacking it is otherwise: a gang holds those that it finds, and to let a
     /// smaller one take them back leaves them idle for longer.
-    fn order(&self, ctx: &Ctx, inside: &BTreeSet<JobId>) -> Vec<JobId> {
-        let waiting = |j: &&Job| j.unplaced() > 0 && j.paused_until <= ctx.now;
+    fn order(&self, context: &Context, inside: &BTreeSet<JobId>) -> Vec<JobId> {
+        let waiting = |j: &&Job| j.unplaced() > 0 && j.paused_until <= context.now;
         let ready = |j: &&Job| j.gang.as_ref().is_none_or(|g| g.admissible());
         let waiting: Vec<&Job> = self.jobs.values().filter(waiting).filter(ready).collect();
         let mut asked: BTreeMap<&str, Amounts> = BTreeMap::new();
@@ -193,16 +193,16 @@
         }
         let over =
             |t: &Team| asked.get(t.name.as_str()).is_some_and(|a| self.quota.room(t, *a, Amounts::default()) < 1);
-        let over: BTreeSet<&str> = ctx.cfg.teams.iter().filter(|t| over(t)).map(|t| t.name.as_str()).collect();
+        let over: BTreeSet<&str> = context.cfg.teams.iter().filter(|t| over(t)).map(|t| t.name.as_str()).collect();
         let mut order: Vec<_> = waiting
             .into_iter()
             .map(|j| {
-                let overdue = j.overdue(ctx.wall);
-                let due = ctx.cfg.start_by(&j.spec, ctx.wall).filter(|_| !overdue).unwrap_or(Micros::MAX);
+                let overdue = j.overdue(context.wall);
+                let due = context.cfg.start_by(&j.spec, context.wall).filter(|_| !overdue).unwrap_or(Micros::MAX);
                 let spec = &j.spec;
                 let size = match spec.kind {
                     Kind::Gang if !over.contains(spec.team.as_str()) => 0,
-                    Kind::Gang if ctx.cfg.late(spec, ctx.wall) => u32::MAX,
+                    Kind::Gang if context.cfg.late(spec, context.wall) => u32::MAX,
                     Kind::Gang => spec.tasks.ilog2(),
                     Kind::Array | Kind::Service => 0,
                 };
@@ -227,8 +227,8 @@
         }
     }
 
-    fn survey(&self, ctx: &Ctx) -> Round {
-        let usable = |m: &&Machine| m.usable(ctx.now, ctx.cfg.report, self.version);
+    fn survey(&self, context: &Context) -> Round {
+        let usable = |m: &&Machine| m.usable(context.now, context.cfg.report, self.version);
         let mut room = Room::of(self.machines.values().filter(usable));
         for j in self.jobs.values() {
             for p in j.tasks.values().filter(|p| p.stop.is_some()) {
@@ -240,15 +240,15 @@
         Round { room, gathered: BTreeSet::new(), lesser: None, in_vain: Vec::new(), quota_held: BTreeMap::new() }
     }
 
-    fn place_job(&mut self, ctx: &mut Ctx, id: &JobId, inside: &BTreeSet<JobId>, round: &mut Round) {
+    fn place_job(&mut self, context: &mut Context, id: &JobId, inside: &BTreeSet<JobId>, round: &mut Round) {
         let Some(job) = self.jobs.get(id) else { return };
-        let Some(team) = ctx.cfg.team(&job.spec.team) else { return };
+        let Some(team) = context.cfg.team(&job.spec.team) else { return };
         let spec = job.spec.clone();
         let gang = job.gang.is_some();
         let held = round.quota_held.get(&spec.team).copied().unwrap_or_default();
         let quota = self.quota.room(team, spec.need, held).min(i64::from(u32::MAX)) as u32;
-        let overdue = job.overdue(ctx.wall);
-        let want = job.unplaced().min(quota).min(job.record_room(&ctx.layout));
+        let overdue = job.overdue(context.wall);
+        let want = job.unplaced().min(quota).min(job.record_room(&context.layout));
         // The turn of an array is for its beginning; the rest of it goes by its own priority again.
         let want = if overdue && spec.kind == Kind::Array { want.min(1) } else { want };
         if want == 0 || (gang && want < spec.tasks) {
@@ -259,8 +259,8 @@
         }
         // Like tasks are decided as a class: arrays that can't be told from one that found nothing.
         let within = inside.contains(id);
-        let in_time = ctx.cfg.start_by(&spec, ctx.wall).is_some();
-        let terms = (within, in_time, self.may_preempt(ctx, &spec, within));
+        let in_time = context.cfg.start_by(&spec, context.wall).is_some();
+        let terms = (within, in_time, self.may_preempt(context, &spec, within));
         let alike = match spec.kind {
             Kind::Array => !spec.one_zone && !spec.spread,
             Kind::Gang => true,
@@ -270,28 +270,28 @@
         let vain =
             alike && round.in_vain.iter().any(|(b, t)| *t == terms && b.team == spec.team && no_easier(&spec, b));
         if vain && !gang {
-            let need = self.need(ctx, id, want, within);
+            let need = self.need(context, id, want, within);
             return self.needs.extend(need);
         }
         let mut rest = want;
         if !vain {
-            rest -= self.seat_where_cached(ctx, id, want, inside, round);
+            rest -= self.seat_where_cached(context, id, want, inside, round);
         }
         if rest == 0 {
             return;
         }
         let Some(job) = self.jobs.get(id).filter(|_| !vain) else {
-            return self.wait_for_room(ctx, id, (rest, want), (within, overdue), round);
+            return self.wait_for_room(context, id, (rest, want), (within, overdue), round);
         };
         let mut taken = job.zones(|m| self.machines.get(m).map(|m| m.record.zone.as_str()));
-        let mut wish = Wish::of(job, ctx.now, ctx.types);
+        let mut wish = Wish::of(job, context.now, context.types);
         let mut plan: Vec<(MachineId, i64)> = Vec::new();
         // Services rather stop lesser work on plain machines than settle on accelerators for good;
         // arrays leave soon, and what saves can be moved at little loss.
         let sizes: &[bool] = if spec.kind == Kind::Service || spec.need.gpus > 0 { &[false] } else { &[false, true] };
         for any_size in sizes {
             // Work that can still be in time is worth keeping such a machine for; other work is not.
-            let keep = if in_time { Micros::MAX } else { ctx.cfg.tuning.idle_keep };
+            let keep = if in_time { Micros::MAX } else { context.cfg.tuning.idle_keep };
             wish.any_size = any_size.then_some(keep);
             rest -= seat(&wish, &self.machines, &mut round.room, &mut taken, rest, !gang, &mut plan);
             if rest == 0 {
@@ -299,16 +299,16 @@
             }
         }
         if !plan.is_empty() {
-            self.place(ctx, id, &plan);
+            self.place(context, id, &plan);
         }
         if rest > 0 && terms.2 {
-            rest -= self.make_room(ctx, id, rest, inside, round, false);
+            rest -= self.make_room(context, id, rest, inside, round, false);
         }
         if alike && rest == want {
             round.in_vain.push((spec.clone(), terms));
         }
         if rest > 0 {
-            self.wait_for_room(ctx, id, (rest, want), (within, overdue), round);
+            self.wait_for_room(context, id, (rest, want), (within, overdue), round);
         }
     }
 
@@ -316,7 +316,7 @@
     /// is told to the leader.
     fn wait_for_room(
         &mut self,
-        ctx: &Ctx,
+        context: &Context,
         id: &JobId,
         (rest, want): (u32, u32),
         (within, overdue): (bool, bool),
@@ -325,12 +325,12 @@
         let Some(job) = self.jobs.get(id) else { return };
         let (mut rest, mut zone) = (rest, None);
         if job.gang.is_some() {
-            (rest, zone) = self.gather(ctx, id, want, round);
+            (rest, zone) = self.gather(context, id, want, round);
             if overdue {
                 round.hold_quota(&job.spec);
             }
         }
-        if let Some(mut need) = self.need(ctx, id, rest, within) {
+        if let Some(mut need) = self.need(context, id, rest, within) {
             need.gathering = zone.or(need.gathering);
             self.needs.push(need);
         }
@@ -341,16 +341,16 @@
     /// Returns how many tasks are placed, or have room made for them.
     fn seat_where_cached(
         &mut self,
-        ctx: &mut Ctx,
+        context: &mut Context,
         id: &JobId,
         want: u32,
         inside: &BTreeSet<JobId>,
         round: &mut Round,
     ) -> u32 {
         let Some(job) = self.jobs.get(id) else { return 0 };
-        let mut wish = Wish::of(job, ctx.now, ctx.types);
+        let mut wish = Wish::of(job, context.now, context.types);
         let live = job.spec.kind == Kind::Service && job.spec.priority == Priority::Critical;
-        let stopped_in = ctx.cfg.report.times(5).over(4) + Micros::from_secs(1);
+        let stopped_in = context.cfg.report.times(5).over(4) + Micros::from_secs(1);
         if !live || wish.fetch_at_best() <= stopped_in {
             return 0;
         }
@@ -359,21 +359,21 @@
         let mut plan = Vec::new();
         let seated = seat(&wish, &self.machines, &mut round.room, &mut taken, want, true, &mut plan);
         if !plan.is_empty() {
-            self.place(ctx, id, &plan);
+            self.place(context, id, &plan);
         }
         if seated == want {
             return seated;
         }
-        seated + self.make_room(ctx, id, want - seated, inside, round, true)
+        seated + self.make_room(context, id, want - seated, inside, round, true)
     }
 
     /// A gang that does not find room for all holds what there is, or smaller ones would take every
     /// place that comes free and it would wait for ever. Returns how many places are missing, and
     /// in which zone if it must be one.
-    fn gather(&self, ctx: &Ctx, id: &JobId, want: u32, round: &mut Round) -> (u32, Option<String>) {
+    fn gather(&self, context: &Context, id: &JobId, want: u32, round: &mut Round) -> (u32, Option<String>) {
         let Some(job) = self.jobs.get(id) else { return (want, None) };
         let spec = &job.spec;
-        let wish = Wish::of(job, ctx.now, ctx.types);
+        let wish = Wish::of(job, context.now, context.types);
         let of = |zone: &'_ str| if spec.one_zone { zone.to_owned() } else { String::new() };
         let fits = |k: usize| round.room.left(k, When::Soon).fits(spec.need).clamp(0, i64::from(want)) as u32;
         let mut by_zone: BTreeMap<String, Vec<(usize, u32)>> = BTreeMap::new();
@@ -397,7 +397,7 @@
         (missing, (spec.one_zone && missing < want).then_some(zone))
     }
 
-    fn place(&mut self, ctx: &mut Ctx, id: &JobId, plan: &[(MachineId, i64)]) {
+    fn place(&mut self, context: &mut Context, id: &JobId, plan: &[(MachineId, i64)]) {
         let Some(job) = self.jobs.get_mut(id) else { return };
         let spec = job.spec.clone();
         let gen = job.record.touch();
@@ -409,9 +409,9 @@
             }
             None => job.take_attempt(),
         };
-        let by_turn = job.overdue(ctx.wall);
+        let by_turn = job.overdue(context.wall);
         let slowest = plan.iter().map(|p| p.1).max().unwrap_or(0);
-        let patience = ctx.cfg.gang_wait.over(3).0 / 1_000;
+        let patience = context.cfg.gang_wait.over(3).0 / 1_000;
         for (i, (machine, fetch_ms)) in job.next_tasks(plan.len() as u32).into_iter().zip(plan) {
             // A member whose image is there would wait for the others' fetches and give up.
             let early = if job.gang.is_some() { (slowest - fetch_ms - patience).max(0) } else { 0 };
@@ -424,9 +424,9 @@
                     attempt,
                     phase: Phase::Recording,
                     gen,
-                    since: ctx.now,
+                    since: context.now,
                     session: 0,
-                    not_before: ctx.now + Micros::from_millis(early),
+                    not_before: context.now + Micros::from_millis(early),
                     running_since: None,
                     stop: None,
                     by_turn,
@@ -445,7 +445,7 @@
         }
     }
 
-    fn need(&self, ctx: &Ctx, id: &JobId, count: u32, guaranteed: bool) -> Option<Need> {
+    fn need(&self, context: &Context, id: &JobId, count: u32, guaranteed: bool) -> Option<Need> {
         let job = self.jobs.get(id)?;
         let s = &job.spec;
         // The rest of what must be in one zone can only go where a part of it is.
@@ -462,14 +462,14 @@
             spread: s.spread,
             priority: s.priority,
             guaranteed,
-            overdue: job.overdue(ctx.wall),
+            overdue: job.overdue(context.wall),
             types: s.types.clone(),
             zone: s.zone.clone(),
             spot: s.spot,
             image_mb: s.image_mb,
             estimate: s.estimate,
-            waited: ctx.now - job.waiting_since,
-            left: ctx.cfg.start_by(s, ctx.wall).map(|t| t - ctx.wall),
+            waited: context.now - job.waiting_since,
+            left: context.cfg.start_by(s, context.wall).map(|t| t - context.wall),
             service: s.kind == Kind::Service,
         })
     }
--- a/crates/seamfront-core/src/rounds/preemption.rs
+++ b/crates/seamfront-core/src/rounds/preemption.rs
@@ -2,7 +2,7 @@
 
 use super::*;
 
-impl Share {
+impl Shard {
     /// See [`Lesser`].
     pub(super) fn lesser_on(&self, inside: &BTreeSet<JobId>, room: &Room) -> Vec<Lesser> {
         let mut on = vec![Lesser::default(); room.spots.len()];
@@ -21,12 +21,12 @@
 
     /// Only work of higher priority stops other work, and of ordinary work only what would be late
     /// otherwise: stopping costs progress.
-    pub(super) fn may_preempt(&self, ctx: &Ctx, spec: &JobSpec, inside: bool) -> bool {
+    pub(super) fn may_preempt(&self, context: &Context, spec: &JobSpec, inside: bool) -> bool {
         match spec.priority {
             Priority::Critical | Priority::Urgent => true,
             Priority::Normal => {
-                let soon = ctx.wall + spec.estimate + Micros::from_secs(30);
-                inside || ctx.cfg.start_by(spec, ctx.wall).is_some_and(|t| t < soon)
+                let soon = context.wall + spec.estimate + Micros::from_secs(30);
+                inside || context.cfg.start_by(spec, context.wall).is_some_and(|t| t < soon)
             }
             Priority::BestEffort => inside,
         }
@@ -36,7 +36,7 @@
     /// With `at_once` only where its image is, and only what saves by itself, without the time to save.
     pub(super) fn make_room(
         &mut self,
-        ctx: &mut Ctx,
+        context: &mut Context,
         id: &JobId,
         n: u32,
         inside: &BTreeSet<JobId>,
@@ -45,7 +45,7 @@
     ) -> u32 {
         let Some(job) = self.jobs.get(id) else { return 0 };
         let spec = job.spec.clone();
-        let mut wish = Wish::of(job, ctx.now, ctx.types);
+        let mut wish = Wish::of(job, context.now, context.types);
         wish.cached = at_once;
         let taken = job.zones(|m| self.machines.get(m).map(|m| m.record.zone.as_str()));
         if round.lesser.is_none() {
@@ -61,7 +61,7 @@
         let mut slots: Vec<(i64, usize, Vec<TaskKey>)> = Vec::new();
         for (k, m) in wish.places(&self.machines, room, |k, _| stops(k) && room.size(k).fits(spec.need) > 0) {
             let free = room.left(k, When::Soon);
-            if let Some((cost, victims)) = self.victims(ctx, m, free, &spec, inside, at_once) {
+            if let Some((cost, victims)) = self.victims(context, m, free, &spec, inside, at_once) {
                 // An image that must be fetched costs time as well.
                 slots.push((cost + wish.fetch_ms(m) + wish.kind_ms(m), k, victims));
             }
@@ -98,9 +98,9 @@
             for v in victims {
                 let freed = self.jobs.get(&v.job).map_or(Amounts::default(), |j| j.spec.need);
                 if at_once {
-                    self.evict_with(ctx, v, Cause::Preempted, Micros::ZERO);
+                    self.evict_with(context, v, Cause::Preempted, Micros::ZERO);
                 } else {
-                    self.evict(ctx, v, Cause::Preempted);
+                    self.evict(context, v, Cause::Preempted);
                 }
                 round.room.spots[*k].soon.add(freed);
             }
@@ -115,7 +115,7 @@
     /// priority that another team runs beyond its own.
     pub(super) fn victims(
         &self,
-        ctx: &Ctx,
+        context: &Context,
         m: &Machine,
         free: Amounts,
         spec: &JobSpec,
@@ -136,7 +136,7 @@
                 continue;
             }
             if j.live() && p.stop.is_none() && (j.standing(p) > spec.priority || beyond) {
-                let ran = p.running_since.map_or(0, |s| (ctx.now - s).0 / 1_000);
+                let ran = p.running_since.map_or(0, |s| (context.now - s).0 / 1_000);
                 let lost = if j.spec.saves() { 2_000 } else { 1_000 + ran };
                 lesser.push((j.standing(p), lost, t, j.spec.need));
             }
--- a/crates/seamfront-core/src/share/evidence.rs
+++ b/crates/seamfront-core/src/shard/evidence.rs
@@ -2,19 +2,19 @@
 
 use super::*;
 
-impl Share {
+impl Shard {
     /// The task is on no machine any more: frees its place, quota, zone and number.
-    pub(super) fn gone(&mut self, ctx: &mut Ctx, task: &TaskKey, why: Gone) {
-        self.take_away(ctx, task, why);
-        self.settle_job(ctx, &task.job);
+    pub(super) fn remove_task(&mut self, context: &mut Context, task: &TaskKey, why: Removal) {
+        self.remove_placement(context, task, why);
+        self.settle_job(context, &task.job);
     }
 
-    pub(super) fn take_away(&mut self, ctx: &mut Ctx, task: &TaskKey, why: Gone) {
+    pub(super) fn remove_placement(&mut self, context: &mut Context, task: &TaskKey, why: Removal) {
         let Some(job) = self.jobs.get_mut(&task.job) else { return };
         let Some(p) = job.tasks.remove(&task.index) else { return };
         self.quota.give(&job.spec.team, job.spec.need);
         let machine = self.machines.get_mut(&p.machine);
-        let silent = machine.as_ref().is_none_or(|m| m.silent_for(ctx.now) > ctx.cfg.report.times(2));
+        let silent = machine.as_ref().is_none_or(|m| m.silent_for(context.now) > context.cfg.report.times(2));
         if let Some(m) = machine {
             if m.tasks.remove(task) {
                 m.used.sub(job.spec.need);
@@ -25,17 +25,17 @@
         job.record.touch();
         self.dirty = true;
         if job.waiting_since == Micros::ZERO || job.tasks.is_empty() {
-            job.waiting_since = ctx.now;
+            job.waiting_since = context.now;
         }
-        let blamed = why == Gone::Exited(Exit::Error);
+        let blamed = why == Removal::Exited(Exit::Error);
         if blamed {
             let after = Micros::from_secs(120);
-            job.avoid.insert(p.machine.clone(), ctx.now + after);
+            job.avoid.insert(p.machine.clone(), context.now + after);
             job.errors += 1;
             // A job that fails wherever it goes is slowed down, so that it harms nobody.
             if job.errors >= 3 {
                 let pause = Micros::from_secs(2 << (job.errors - 3).min(5));
-                job.paused_until = ctx.now + pause;
+                job.paused_until = context.now + pause;
             }
             warn!(job = %task.job, machine = %p.machine, errors = job.errors, "task failed");
             if job.errors <= 3 {
@@ -50,9 +50,9 @@
         }
         let Some(job) = self.jobs.get_mut(&task.job) else { return };
         match why {
-            Gone::Exited(Exit::Done) => {
+            Removal::Exited(Exit::Done) => {
                 job.errors = 0;
-                let ran = p.running_since.map(|t| ctx.now - t).filter(|_| job.spec.kind == Kind::Array);
+                let ran = p.running_since.map(|t| context.now - t).filter(|_| job.spec.kind == Kind::Array);
                 if let Some(m) = self.machines.get_mut(&p.machine) {
                     m.faults.clear();
                     if let Some(ran) = ran.filter(|_| job.ran.0 >= 3) {
@@ -71,14 +71,14 @@
                 }
                 return;
             }
-            Gone::Exited(Exit::NoRoom) => {
+            Removal::Exited(Exit::NoRoom) => {
                 if let Some(m) = self.machines.get_mut(&p.machine) {
-                    m.full_until = ctx.now + Micros::from_secs(3);
+                    m.full_until = context.now + Micros::from_secs(3);
                 }
             }
-            Gone::Exited(Exit::Busy | Exit::Unknown) => {
-                job.avoid.insert(p.machine.clone(), ctx.now + Micros::from_secs(5));
-                job.paused_until = job.paused_until.max(ctx.now + Micros::from_secs(1));
+            Removal::Exited(Exit::Busy | Exit::Unknown) => {
+                job.avoid.insert(p.machine.clone(), context.now + Micros::from_secs(5));
+                job.paused_until = job.paused_until.max(context.now + Micros::from_secs(1));
             }
             _ => {}
         }
@@ -86,13 +86,13 @@
             let trigger = match (why, p.stop) {
                 (_, Some(_)) => None,
                 // Told by a sibling: the one that failed is the one whose machine is silent.
-                (Gone::Exited(Exit::Peers), _) => self.silent_member(ctx, &task.job),
-                (Gone::Exited(Exit::Error | Exit::Alone), _) => Some(task.index),
+                (Removal::Exited(Exit::Peers), _) => self.silent_member(context, &task.job),
+                (Removal::Exited(Exit::Error | Exit::Alone), _) => Some(task.index),
                 // A reserved member that was never ordered did not fail.
-                (Gone::Lost, _) if p.phase > Phase::Recording && silent => Some(task.index),
+                (Removal::Lost, _) if p.phase > Phase::Recording && silent => Some(task.index),
                 _ => None,
             };
-            self.drain_gang(ctx, &task.job, trigger, Cause::Peers, Micros::ZERO);
+            self.drain_gang(context, &task.job, trigger, Cause::Peers, Micros::ZERO);
             if let Some(g) = self.jobs.get_mut(&task.job).and_then(|j| j.gang.as_mut()) {
                 g.gone(task.index);
             }
--- a/crates/seamfront-core/src/share/mod.rs
+++ b/crates/seamfront-core/src/shard/mod.rs
@@ -1,4 +1,4 @@
-//! A share as its one holder runs it: jobs of its teams on its machines.
+//! A shard as its one holder runs it: jobs of its teams on its machines.
 //!
 //! Order of things, always: decide → record → order → evidence → record → forget.
 
@@ -20,11 +20,11 @@
 mod reports;
 
 use records::{leftover_spec, stop_rest};
-pub use records::{machine_write, ShareWrite, WriteOutcome};
+pub use records::{machine_write, ShardWrite, WriteOutcome};
 
 /// How far a shard that was claimed has come.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum SharePhase {
+pub enum ShardPhase {
     /// Claimed, but the view of cancellations is not known to be as new as the claim.
     Proving,
     /// Reading the former holder's records.
@@ -34,7 +34,7 @@
 }
 
 /// What a shard needs of the engine in a step.
-pub struct Ctx<'a> {
+pub struct Context<'a> {
     /// Settings.
     pub cfg: &'a Settings,
     /// Now, by the steady clock.
@@ -44,7 +44,7 @@
     /// Machine types on offer.
     pub types: &'a [MachineType],
     /// Effects of this step.
-    pub fx: &'a mut Vec<Effect>,
+    pub effects: &'a mut Vec<Effect>,
     /// The name of the next call.
     pub calls: &'a mut CallId,
     /// The claim was proven recently enough to answer reports and to send commands.
@@ -55,7 +55,7 @@
 
 /// Why a task is known to be gone.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Gone {
+pub enum Removal {
     /// Its worker showed it exited.
     Exited(Exit),
     /// Its order never reached the worker, or its machine is gone.
@@ -73,7 +73,7 @@
 }
 
 /// A shard in the hand of its one holder.
-pub struct Share {
+pub struct Shard {
     /// Its number.
     pub index: usize,
     /// Version of the claim.
@@ -81,7 +81,7 @@
     /// When it was claimed.
     pub claimed_at: Micros,
     /// How far it has come.
-    pub phase: SharePhase,
+    pub phase: ShardPhase,
     /// Its jobs.
     pub jobs: BTreeMap<JobId, Job>,
     /// Its machines.
@@ -116,27 +116,27 @@
 /// How often a job's record is written for the sake of results alone.
 const RESULTS_EVERY: Micros = Micros::from_secs(1);
 
-/// How long a machine may take to be emptied for another share before it is used again.
+/// How long a machine may take to be emptied for another shard before it is used again.
 const CLEARING_KEPT: Micros = Micros::from_secs(30);
 
 /// Prefix of the work records of a shard.
-pub fn work_prefix(share: usize) -> String {
-    format!("work/{share}/")
+pub fn work_prefix(shard: usize) -> String {
+    format!("work/{shard}/")
 }
 
 /// Key of a job's work record.
-pub fn work_key(share: usize, job: &JobId) -> String {
-    format!("work/{share}/{job}")
+pub fn work_key(shard: usize, job: &JobId) -> String {
+    format!("work/{shard}/{job}")
 }
 
-impl Share {
+impl Shard {
     /// A shard that has just been claimed.
-    pub fn new(index: usize, version: u64, now: Micros) -> Share {
-        Share {
+    pub fn new(index: usize, version: u64, now: Micros) -> Shard {
+        Shard {
             index,
             version,
             claimed_at: now,
-            phase: SharePhase::Proving,
+            phase: ShardPhase::Proving,
             jobs: BTreeMap::new(),
             machines: BTreeMap::new(),
             quota: Quota::default(),
@@ -210,15 +210,15 @@
         }
     }
 
-    /// Machines that records name and this share does not have.
+    /// Machines that records name and this shard does not have.
     pub fn placed_elsewhere(&self) -> BTreeSet<MachineId> {
         let named = self.jobs.values().flat_map(|j| j.tasks.values().map(|p| &p.machine));
         named.filter(|id| !self.machines.contains_key(*id)).cloned().collect()
     }
 
     /// After all records are read: what stands on machines that no longer exist is gone.
-    pub fn loaded(&mut self, ctx: &mut Ctx) {
-        self.phase = SharePhase::Ready;
+    pub fn loaded(&mut self, context: &mut Context) {
+        self.phase = ShardPhase::Ready;
         let lost: Vec<TaskKey> = self
             .jobs
             .iter()
@@ -230,23 +230,23 @@
             })
             .collect();
         for t in lost {
-            self.gone(ctx, &t, Gone::Lost);
+            self.remove_task(context, &t, Removal::Lost);
         }
         let ids: Vec<JobId> = self.jobs.keys().cloned().collect();
         for id in ids {
-            self.settle_job(ctx, &id);
+            self.settle_job(context, &id);
         }
-        info!(share = self.index, jobs = self.jobs.len(), machines = self.machines.len(), "share ready");
+        info!(shard = self.index, jobs = self.jobs.len(), machines = self.machines.len(), "share ready");
     }
 
     /// `job/<id>` is gone from the store: the job has ended, by us or by its user.
-    pub fn job_ended(&mut self, ctx: &mut Ctx, id: &JobId) {
+    pub fn job_ended(&mut self, context: &mut Context, id: &JobId) {
         let Some(job) = self.jobs.get_mut(id) else { return };
         match job.ending {
             // Whatever became of our own unanswered write, all tasks are done.
             Some(Ending::Completing) => {
                 job.ending = Some(Ending::Done);
-                stop_rest(job, ctx.now);
+                stop_rest(job, context.now);
             }
             Some(_) => return,
             None => {
@@ -257,20 +257,20 @@
                     if p.phase == Phase::Recording {
                         never_sent.push(TaskKey { job: id.clone(), index: *i });
                     }
-                    p.stop = Some(Stop { cause: Cause::Cancelled, grace: Micros::ZERO, since: ctx.now });
+                    p.stop = Some(Stop { cause: Cause::Cancelled, grace: Micros::ZERO, since: context.now });
                 }
                 for t in never_sent {
-                    self.gone(ctx, &t, Gone::Lost);
+                    self.remove_task(context, &t, Removal::Lost);
                 }
             }
         }
-        self.settle_job(ctx, id);
+        self.settle_job(context, id);
         self.dirty = true;
     }
 
     /// Drops a job that has ended once nothing of it is left, record included.
-    fn settle_job(&mut self, ctx: &mut Ctx, id: &JobId) {
-        self.check_gang(ctx, id);
+    fn settle_job(&mut self, context: &mut Context, id: &JobId) {
+        self.check_gang(context, id);
         let Some(job) = self.jobs.get(id) else { return };
         let over = matches!(job.ending, Some(Ending::Done | Ending::Cancelled));
         if over && job.tasks.is_empty() && job.record.version == Some(0) && !job.record.in_flight {
@@ -312,25 +312,25 @@
         self.dirty = true;
     }
 
-    /// The machine's record says that it is another share's or is being returned.
+    /// The machine's record says that it is another shard's or is being returned.
     pub fn machine_moved(&mut self, id: &MachineId, record: MachineRecord, version: u64) {
         let Some(m) = self.machines.get_mut(id) else { return };
         if m.tasks.is_empty() && m.direct.is_none() {
             self.machines.remove(id);
         } else {
             // Being returned with tasks on it: they are gone when the record is, or their lease.
-            m.record = MachineRecord { share: None, ..record };
+            m.record = MachineRecord { shard: None, ..record };
             m.version = version;
         }
         self.dirty = true;
     }
 
     /// The cloud has answered that it is deleted, so everything on it is gone.
-    pub fn machine_deleted(&mut self, ctx: &mut Ctx, id: &MachineId) {
+    pub fn machine_deleted(&mut self, context: &mut Context, id: &MachineId) {
         let Some(m) = self.machines.remove(id) else { return };
         info!(machine = %id, tasks = m.tasks.len(), "machine is gone");
         for t in m.tasks {
-            self.gone(ctx, &t, Gone::Lost);
+            self.remove_task(context, &t, Removal::Lost);
         }
         self.dirty = true;
     }
@@ -342,20 +342,20 @@
     // ---- time ----------------------------------------------------------------------------
 
     /// What follows from time alone.
-    pub fn tick(&mut self, ctx: &mut Ctx) {
-        if self.phase != SharePhase::Ready || ctx.now < self.look_next {
+    pub fn tick(&mut self, context: &mut Context) {
+        if self.phase != ShardPhase::Ready || context.now < self.look_next {
             return;
         }
-        self.look_next = ctx.now + LOOK_EVERY;
+        self.look_next = context.now + LOOK_EVERY;
         self.look(4 * self.machines.len());
-        let acting = ctx.cfg.acting_time();
+        let acting = context.cfg.acting_time();
         let version = self.version;
         let over: Vec<MachineId> = self
             .machines
             .values()
             // One placed just before the end is looked at again.
             .filter(|m| !m.expired || !m.tasks.is_empty())
-            .filter(|m| m.lease_over_at(version, ctx.cfg.lease, acting) < ctx.now)
+            .filter(|m| m.lease_over_at(version, context.cfg.lease, acting) < context.now)
             .map(|m| m.id.clone())
             .collect();
         for id in over {
@@ -369,18 +369,18 @@
             }
             for t in tasks {
                 // Also what was never sent: it would never be, and would hold its number for ever.
-                self.gone(ctx, &t, Gone::Lost);
+                self.remove_task(context, &t, Removal::Lost);
             }
         }
-        self.judge_machines(ctx);
+        self.judge_machines(context);
         for m in self.machines.values_mut() {
-            let idle = m.empty() && m.record.share.is_some();
+            let idle = m.empty() && m.record.shard.is_some();
             // Time to boot is not idle time, or a machine would be returned as soon as it is up.
             let up = m.last_report.is_some();
             if let Some(since) = m.clearing {
                 if idle && m.released.is_none() {
-                    m.released = Some(ctx.now);
-                } else if !idle && ctx.now - since > CLEARING_KEPT {
+                    m.released = Some(context.now);
+                } else if !idle && context.now - since > CLEARING_KEPT {
                     m.clearing = None;
                 }
             }
@@ -389,12 +389,12 @@
             if m.size.gpus == 0 || !up || m.tasks.iter().any(uses) {
                 m.unused_since = None;
             } else if m.unused_since.is_none() {
-                m.unused_since = Some(ctx.now);
+                m.unused_since = Some(context.now);
             }
             if !idle || !up {
                 m.idle_since = None;
             } else if m.idle_since.is_none() {
-                m.idle_since = Some(m.unused_since.unwrap_or(ctx.now));
+                m.idle_since = Some(m.unused_since.unwrap_or(context.now));
             }
         }
     }
--- a/crates/seamfront-core/src/share/records.rs
+++ b/crates/seamfront-core/src/shard/records.rs
@@ -1,12 +1,12 @@
-//! What a share has written to the state service, and what follows from the outcome.
+//! What a shard has written to the state service, and what follows from the outcome.
 
 use super::*;
 use crate::record::{encode, EncodedRecord};
 use serde_json::Value;
 
-/// A write that the engine should make for this share, with what it stands for.
+/// A write that the engine should make for this shard, with what it stands for.
 #[derive(Clone, Debug)]
-pub enum ShareWrite {
+pub enum ShardWrite {
     /// A job's work record.
     Record {
         /// The job.
@@ -71,16 +71,16 @@
     Unclear,
 }
 
-impl Share {
+impl Shard {
     /// How many jobs wait for a write: the demand by which controllers divide what the store takes.
     pub fn writes_awaited(&self) -> usize {
         self.jobs.values().filter(|j| j.record.awaited() || j.ending == Some(Ending::Completing)).count()
     }
 
     /// Up to `budget` writes that are due now: what somebody waits for comes first, and of that what
-    /// waits for longest. The engine makes them under this share's claim and reports back through
-    /// [`Share::written`].
-    pub fn writes(&mut self, now: Micros, budget: usize, layout: &Layout) -> Vec<ShareWrite> {
+    /// waits for longest. The engine makes them under this shard's claim and reports back through
+    /// [`Shard::written`].
+    pub fn writes(&mut self, now: Micros, budget: usize, layout: &Layout) -> Vec<ShardWrite> {
         let mut out = Vec::new();
         let look = now >= self.machine_writes_next;
         self.look(if look { self.machines.len() } else { 0 } + self.jobs.len());
@@ -89,7 +89,7 @@
                 // Tokens of a thousand machines must not keep tasks from being started.
                 break;
             }
-            if m.writing || m.record.share.is_none() {
+            if m.writing || m.record.shard.is_none() {
                 continue;
             }
             let mut record = m.record.clone();
@@ -98,13 +98,13 @@
             // Released and not used by the leader: rewriting the record makes a late move of its fail.
             let kept = m.released.is_some_and(|t| now - t > RELEASE_KEPT);
             if m.hopeless {
-                record.share = None;
+                record.shard = None;
             } else if !unsettled && !kept {
                 continue;
             }
             m.writing = true;
-            m.giving_up |= record.share.is_none();
-            out.push(ShareWrite::Machine { machine: id.clone(), version: m.version, record });
+            m.giving_up |= record.shard.is_none();
+            out.push(ShardWrite::Machine { machine: id.clone(), version: m.version, record });
         }
         if look && out.is_empty() {
             self.machine_writes_next = now + LOOK_EVERY;
@@ -135,15 +135,15 @@
             job.record.asked_at = now;
             let parts_end = job.record.parts_end;
             let write = match (job.record.version, job.ending) {
-                (None, _) => ShareWrite::Read { job: id },
-                (Some(v), Some(Ending::Completing)) => ShareWrite::End {
+                (None, _) => ShardWrite::Read { job: id },
+                (Some(v), Some(Ending::Completing)) => ShardWrite::End {
                     job: id,
                     job_version: job.version,
                     record_version: v,
                     parts_end,
                     tasks: job.spec.tasks,
                 },
-                (Some(version), Some(_)) => ShareWrite::DropRecord { job: id, version, parts_end },
+                (Some(version), Some(_)) => ShardWrite::DropRecord { job: id, version, parts_end },
                 (Some(version), None) => match record_write(job, version, layout) {
                     Some(write) => write,
                     // Written by a former holder for a store that took more: nothing is placed for it until enough
@@ -160,14 +160,14 @@
     }
 
     /// The outcome of a record's write: the new version, or None if that must be read first.
-    pub fn written(&mut self, ctx: &mut Ctx, write: &ShareWrite, outcome: WriteOutcome) {
+    pub fn written(&mut self, context: &mut Context, write: &ShardWrite, outcome: WriteOutcome) {
         let (job_id, gen) = match write {
-            ShareWrite::Machine { machine, record, .. } => {
+            ShardWrite::Machine { machine, record, .. } => {
                 if let Some(m) = self.machines.get_mut(machine) {
                     m.writing = false;
                     // Giving it up may be applied late, when it has long come back: rewriting the record
                     // makes that fail.
-                    m.challenge |= record.share.is_none() && outcome == WriteOutcome::Unclear;
+                    m.challenge |= record.shard.is_none() && outcome == WriteOutcome::Unclear;
                     m.giving_up &= outcome != WriteOutcome::Refused || m.challenge;
                     if let WriteOutcome::Done(v) = outcome {
                         m.version = m.version.max(v);
@@ -180,8 +180,8 @@
                 }
                 return;
             }
-            ShareWrite::Record { job, gen, .. } => (job, *gen),
-            ShareWrite::End { job, .. } | ShareWrite::DropRecord { job, .. } | ShareWrite::Read { job } => (job, 0),
+            ShardWrite::Record { job, gen, .. } => (job, *gen),
+            ShardWrite::End { job, .. } | ShardWrite::DropRecord { job, .. } | ShardWrite::Read { job } => (job, 0),
         };
         let Some(job) = self.jobs.get_mut(job_id) else { return };
         job.record.in_flight = false;
@@ -190,13 +190,13 @@
             WriteOutcome::Unclear => {
                 job.record.version = None;
                 job.record.parts = None;
-                if let ShareWrite::Record { record, .. } = write {
+                if let ShardWrite::Record { record, .. } = write {
                     job.record.parts_end = job.record.parts_end.max(record.parts.len() as u32);
                 }
                 return;
             }
             WriteOutcome::Done(v) => match write {
-                ShareWrite::Record { record, parts_end, .. } => {
+                ShardWrite::Record { record, parts_end, .. } => {
                     job.record.version = Some(v);
                     job.record.parts = Some(record.parts.clone());
                     job.record.parts_end = *parts_end;
@@ -208,7 +208,7 @@
                         .filter(|(_, p)| p.phase == Phase::Recording && p.gen <= gen)
                         .map(|(i, p)| {
                             p.phase = Phase::Ordered;
-                            p.since = ctx.now;
+                            p.since = context.now;
                             self.unsent.insert(p.machine.clone());
                             *i
                         })
@@ -219,26 +219,26 @@
                         }
                     }
                 }
-                ShareWrite::End { .. } => {
+                ShardWrite::End { .. } => {
                     info!(job = %job_id, "job recorded as done");
                     job.ending = Some(Ending::Done);
                     job.record.version = Some(0);
                     job.record.parts_end = 0;
-                    stop_rest(job, ctx.now);
+                    stop_rest(job, context.now);
                 }
-                ShareWrite::DropRecord { .. } => job.record.version = Some(0),
-                ShareWrite::Read { .. } => job.record.version = Some(v),
-                ShareWrite::Machine { .. } => {}
+                ShardWrite::DropRecord { .. } => job.record.version = Some(0),
+                ShardWrite::Read { .. } => job.record.version = Some(v),
+                ShardWrite::Machine { .. } => {}
             },
         }
         let id = job_id.clone();
-        self.settle_job(ctx, &id);
+        self.settle_job(context, &id);
     }
 }
 
 /// The write of a job's record as it stands. Only parts that differ from what is stored are written. None if it does
 /// not fit.
-fn record_write(job: &mut Job, version: u64, layout: &Layout) -> Option<ShareWrite> {
+fn record_write(job: &mut Job, version: u64, layout: &Layout) -> Option<ShardWrite> {
     let record = encode(&job.to_record(), layout, &job.record.boundaries)?;
     let stored = job.record.parts.as_deref().unwrap_or_default();
     let mut changes = Vec::new();
@@ -253,7 +253,7 @@
     let parts_end = removed.last().copied().unwrap_or(job.record.parts_end.max(record.parts.len() as u32));
     changes.extend(removed.into_iter().map(|number| (number, None)));
     let (job, gen) = (job.spec.id.clone(), job.record.gen);
-    Some(ShareWrite::Record { job, gen, version, record: Box::new(record), changes, parts_end })
+    Some(ShardWrite::Record { job, gen, version, record: Box::new(record), changes, parts_end })
 }
 
 /// Members of a gang complete together, so there is hardly ever anything left to stop.
--- a/crates/seamfront-core/src/share/reports.rs
+++ b/crates/seamfront-core/src/shard/reports.rs
@@ -2,13 +2,13 @@
 
 use super::*;
 
-impl Share {
+impl Shard {
     /// Takes in what a worker shows. `hello` marks reports of its own, the only ones whose
     /// omissions count: an answer to a command may overtake orders in an earlier reply.
     /// Only a report that shows our present token proves anything: others may be copies that come
     /// much later than they were sent, to a holder that has seen nothing newer.
     /// Returns false for a message older than one already seen.
-    pub fn take_report(&mut self, ctx: &mut Ctx, report: &Report, hello: bool) -> bool {
+    pub fn take_report(&mut self, context: &mut Context, report: &Report, hello: bool) -> bool {
         let id = report.machine.clone();
         let Some(m) = self.machines.get_mut(&id) else { return false };
         if (report.session, report.seq) <= (m.session, m.seq) {
@@ -18,10 +18,10 @@
         if new_session {
             info!(machine = %id, session = report.session, "worker began a new session");
             // Answered all the time, and yet its lease ran out.
-            m.challenge |= m.last_ok.is_some_and(|t| ctx.now - t < ctx.cfg.lease);
+            m.challenge |= m.last_ok.is_some_and(|t| context.now - t < context.cfg.lease);
         }
         if report.session > m.session {
-            m.session_seen = Some(ctx.now);
+            m.session_seen = Some(context.now);
         }
         (m.session, m.seq) = (report.session, report.seq);
         m.seen_token = m.seen_token.max(report.token);
@@ -31,13 +31,13 @@
         // until its lease ends, and after that in a new session, and must not be taken for one that reports.
         if hello {
             m.addr = Some(report.addr.clone());
-            m.last_report = Some(ctx.now);
+            m.last_report = Some(context.now);
             if fresh {
-                (m.heeded, m.unheeded, m.expired) = (Some(ctx.now), None, false);
+                (m.heeded, m.unheeded, m.expired) = (Some(context.now), None, false);
             }
         }
         let had_notice = m.notice.is_some();
-        m.notice = report.notice.map(|n| ctx.now + n);
+        m.notice = report.notice.map(|n| context.now + n);
         if let Some(d) = &m.direct {
             // An older session's commands are refused, and so are those below the highest token.
             if d.unknown && (report.session > d.session || report.token > d.token) {
@@ -60,13 +60,13 @@
             let Some(p) = self.jobs.get(&key.job).and_then(|j| j.tasks.get(&key.index)) else { continue };
             if p.phase > Phase::Recording && p.session > 0 && p.session < report.session && !shown.contains_key(key) {
                 // Sent for an earlier session: that one ended with all that was in it.
-                self.gone(ctx, key, Gone::Lost);
+                self.remove_task(context, key, Removal::Lost);
                 continue;
             }
             match shown.get(key) {
-                Some(t) if t.attempt == p.attempt => self.task_shown(ctx, &id, key, t.state),
+                Some(t) if t.attempt == p.attempt => self.task_shown(context, &id, key, t.state),
                 _ if p.phase <= Phase::Recording || !evidence => {}
-                _ => self.task_omitted(ctx, &id, key),
+                _ => self.task_omitted(context, &id, key),
             }
         }
         for t in &report.tasks {
@@ -74,17 +74,17 @@
         }
         if first_notice {
             info!(machine = %id, "machine will be taken back");
-            self.leave_machine(ctx, &id);
+            self.leave_machine(context, &id);
         }
         true
     }
 
-    pub(super) fn task_shown(&mut self, ctx: &mut Ctx, machine: &MachineId, key: &TaskKey, state: TaskState) {
+    pub(super) fn task_shown(&mut self, context: &mut Context, machine: &MachineId, key: &TaskKey, state: TaskState) {
         let Some(job) = self.jobs.get_mut(&key.job) else { return };
         let spec = job.spec.clone();
         let Some(p) = job.tasks.get_mut(&key.index) else { return };
         if let TaskState::Exited(exit) = state {
-            return self.gone(ctx, key, Gone::Exited(exit));
+            return self.remove_task(context, key, Removal::Exited(exit));
         }
         let phase = match state {
             TaskState::Fetching => Phase::Fetching,
@@ -97,12 +97,12 @@
             p.session = m.session;
             if phase > Phase::Fetching && p.phase <= Phase::Fetching {
                 m.fetches_changed = true;
-                let cache = ctx.types.iter().find(|t| t.name == m.record.kind).map_or(0, |t| t.cache_mb);
+                let cache = context.types.iter().find(|t| t.name == m.record.kind).map_or(0, |t| t.cache_mb);
                 m.used_image(&spec.image, spec.image_mb, cache);
             }
         }
         if phase == Phase::Running && p.running_since.is_none() {
-            p.running_since = Some(ctx.now);
+            p.running_since = Some(context.now);
             debug!(task = %key, machine = %machine, epoch = p.attempt, "task runs");
         }
         p.phase = phase;
@@ -112,7 +112,7 @@
     }
 
     /// A report that must show the task if it were there does not: it is not on the machine.
-    pub(super) fn task_omitted(&mut self, ctx: &mut Ctx, machine: &MachineId, key: &TaskKey) {
+    pub(super) fn task_omitted(&mut self, context: &mut Context, machine: &MachineId, key: &TaskKey) {
         let Some(job) = self.jobs.get_mut(&key.job) else { return };
         let Some(p) = job.tasks.get_mut(&key.index) else { return };
         // What a former holder recorded may have ended long before it fell: it writes down what has gone with the
@@ -129,7 +129,7 @@
             return;
         }
         debug!(task = %key, machine = %machine, "omitted by a newer report");
-        self.gone(ctx, key, Gone::Lost);
+        self.remove_task(context, key, Removal::Lost);
     }
 
     /// Shown by the worker, but not (or not any more) placed there by us.
@@ -162,20 +162,20 @@
 
     /// Everything that can be saved leaves a machine that is about to be taken; what saves nothing
     /// may as well run on, and ends with it at the worst.
-    pub(super) fn leave_machine(&mut self, ctx: &mut Ctx, id: &MachineId) {
+    pub(super) fn leave_machine(&mut self, context: &mut Context, id: &MachineId) {
         let Some(m) = self.machines.get(id) else { return };
         let tasks: Vec<TaskKey> = m.tasks.iter().cloned().collect();
         for t in tasks {
             let Some(job) = self.jobs.get(&t.job) else { continue };
             let moves = job.spec.saves() || job.spec.kind != Kind::Array;
             if moves {
-                self.evict(ctx, &t, Cause::Moving);
+                self.evict(context, &t, Cause::Moving);
             }
         }
     }
 
     /// The orders for a reply to the worker's report, in the order it must carry them out.
-    pub fn orders(&mut self, ctx: &mut Ctx, report: &Report) -> Vec<Order> {
+    pub fn orders(&mut self, context: &mut Context, report: &Report) -> Vec<Order> {
         let id = &report.machine;
         let Some(m) = self.machines.get(id) else { return Vec::new() };
         let mut orders = Vec::new();
@@ -206,7 +206,7 @@
         }
         let tasks: Vec<TaskKey> = m.tasks.iter().cloned().collect();
         let session = m.session;
-        let usable = m.record.share.is_some() && !m.leaving();
+        let usable = m.record.shard.is_some() && !m.leaving();
         for key in tasks {
             let Some(job) = self.jobs.get_mut(&key.job) else { continue };
             let live = job.live();
@@ -215,11 +215,11 @@
                 continue;
             }
             if let Some(stop) = p.stop {
-                let waited = ctx.now - stop.since;
-                let overdue = waited > stop.grace + ctx.cfg.gang_peer + Micros::from_secs(2);
+                let waited = context.now - stop.since;
+                let overdue = waited > stop.grace + context.cfg.gang_peer + Micros::from_secs(2);
                 let grace = if overdue { Micros::ZERO } else { stop.grace };
                 orders.push(Order::Stop { task: key.clone(), attempt: p.attempt, grace });
-            } else if p.phase == Phase::Ordered && live && usable && fresh && p.not_before <= ctx.now {
+            } else if p.phase == Phase::Ordered && live && usable && fresh && p.not_before <= context.now {
                 p.session = session;
                 orders.push(Order::Start { task: key.clone(), attempt: p.attempt });
             }
@@ -229,14 +229,14 @@
 
     /// Starts that should not wait for the next report go straight to the worker, at most one
     /// message at a time, and only to one that has shown our token and reports.
-    pub fn send_directs(&mut self, ctx: &mut Ctx) {
-        if !ctx.acting || self.phase != SharePhase::Ready {
+    pub fn send_directs(&mut self, context: &mut Context) {
+        if !context.acting || self.phase != ShardPhase::Ready {
             return;
         }
         self.look(self.unsent.len());
         self.unsent.retain(|id| {
             let Some(m) = self.machines.get_mut(id).filter(|m| !m.tasks.is_empty()) else { return false };
-            if m.direct.is_some() || !m.usable(ctx.now, ctx.cfg.report, self.version) {
+            if m.direct.is_some() || !m.usable(context.now, context.cfg.report, self.version) {
                 return true;
             }
             let token = m.token(self.version);
@@ -247,8 +247,8 @@
                 let Some(job) = self.jobs.get_mut(&key.job).filter(|j| j.live()) else { continue };
                 let Some(p) = job.tasks.get_mut(&key.index) else { continue };
                 let fresh = p.phase == Phase::Ordered && p.session == 0 && p.stop.is_none();
-                later |= fresh && p.not_before > ctx.now;
-                if fresh && p.not_before <= ctx.now {
+                later |= fresh && p.not_before > context.now;
+                if fresh && p.not_before <= context.now {
                     p.session = m.session;
                     orders.push(Order::Start { task: key.clone(), attempt: p.attempt });
                 }
@@ -257,23 +257,23 @@
                 return later;
             }
             debug!(machine = %id, token, orders = orders.len(), "starting tasks directly");
-            let call = *ctx.calls;
-            *ctx.calls += 1;
+            let call = *context.calls;
+            *context.calls += 1;
             m.direct = Some(Direct { call, token, session: m.session, unknown: false });
-            ctx.fx.push(Effect::Direct { call, machine: id.clone(), addr, session: m.session, token, orders });
+            context.effects.push(Effect::Direct { call, machine: id.clone(), addr, session: m.session, token, orders });
             later
         });
     }
 
-    /// The outcome of one call settles no other: one that was made before the machine left this share and
-    /// came back, or before the share did, says nothing of what is under way now.
-    pub fn direct_result(&mut self, ctx: &mut Ctx, call: CallId, id: &MachineId, outcome: DirectOutcome) {
+    /// The outcome of one call settles no other: one that was made before the machine left this shard and
+    /// came back, or before the shard did, says nothing of what is under way now.
+    pub fn direct_result(&mut self, context: &mut Context, call: CallId, id: &MachineId, outcome: DirectOutcome) {
         let current = |m: &&mut Machine| m.direct.as_ref().is_some_and(|d| d.call == call);
         let Some(m) = self.machines.get_mut(id).filter(current) else { return };
         match outcome {
             DirectOutcome::Settled { report } => {
                 m.direct = None;
-                self.take_report(ctx, &report, false);
+                self.take_report(context, &report, false);
             }
             DirectOutcome::NotSent => m.direct = None,
             DirectOutcome::Unknown => {
--- a/crates/seamfront-core/src/link/mod.rs
+++ b/crates/seamfront-core/src/store_session/mod.rs
@@ -1,11 +1,11 @@
 //! The node's standing with the state service: its lease, its views of what others wrote, the
-//! claims on shares and on leadership, and the proof that these still hold.
+//! claims on shards and on leadership, and the proof that these still hold.
 
 use crate::engine::{Engine, Pending};
 use crate::fleet::MachineRecord;
 use crate::leader::Leader;
 use crate::port::*;
-use crate::share::{work_prefix, Share, SharePhase};
+use crate::shard::{work_prefix, Shard, ShardPhase};
 use crate::types::*;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
@@ -43,13 +43,13 @@
     /// Machines.
     Machines,
     /// Claims on shards.
-    Shares,
+    Shards,
     /// The claim to leadership.
     Leader,
 }
 
 /// All views, in the order of their watches.
-pub const TOPICS: [Topic; 4] = [Topic::Jobs, Topic::Machines, Topic::Shares, Topic::Leader];
+pub const TOPICS: [Topic; 4] = [Topic::Jobs, Topic::Machines, Topic::Shards, Topic::Leader];
 const MACHINES: usize = 1;
 
 impl Topic {
@@ -57,7 +57,7 @@
         match self {
             Topic::Jobs => "job/",
             Topic::Machines => "machine/",
-            Topic::Shares => "share/",
+            Topic::Shards => "share/",
             Topic::Leader => "leader",
         }
     }
@@ -77,14 +77,14 @@
 
 /// A controller's standing with the state service.
 #[derive(Debug)]
-pub struct Link {
+pub struct StoreSession {
     /// Its lease, while it has one.
     pub lease: Option<u64>,
     lease_busy: bool,
     lease_next: Micros,
     /// Its views, in the order of [`TOPICS`].
     pub watches: [Watch; 4],
-    /// By slot: the shares, then leadership.
+    /// By slot: the shards, then leadership.
     pub claims: Vec<Option<Claim>>,
     free_since: Vec<Option<Micros>>,
     claiming: Vec<bool>,
@@ -99,7 +99,7 @@
     pub last_ok: Micros,
 }
 
-/// What is read before a share can go on where its former holder stopped. All that that one recorded
+/// What is read before a shard can go on where its former holder stopped. All that that one recorded
 /// is older than our claim, machines before the tasks on them. So the view of machines must reach the
 /// claim: a placement on a machine that is not in it would be taken for lost and placed again, while it
 /// runs on a machine that was rented a moment ago.
@@ -113,18 +113,18 @@
     retry_at: Micros,
 }
 
-impl Link {
+impl StoreSession {
     /// No lease, no view, no claim.
-    pub fn new(shares: usize) -> Link {
-        Link {
+    pub fn new(shards: usize) -> StoreSession {
+        StoreSession {
             lease: None,
             lease_busy: false,
             lease_next: Micros::ZERO,
             watches: Default::default(),
-            claims: vec![None; shares + 1],
-            free_since: vec![None; shares + 1],
-            claiming: vec![false; shares + 1],
-            spent: vec![0; shares + 1],
+            claims: vec![None; shards + 1],
+            free_since: vec![None; shards + 1],
+            claiming: vec![false; shards + 1],
+            spent: vec![0; shards + 1],
             claim_next: Micros::ZERO,
             prove_busy: false,
             prove_next: Micros::ZERO,
@@ -157,7 +157,7 @@
         self.cfg.members.len()
     }
 
-    pub(crate) fn link_tick(&mut self) {
+    pub(crate) fn store_session_tick(&mut self) {
         self.lease_tick();
         for k in 0..TOPICS.len() {
             self.watch_tick(k);
@@ -170,43 +170,43 @@
     // ---- lease ---------------------------------------------------------------------------
 
     fn lease_tick(&mut self) {
-        if self.link.lease_busy || self.now < self.link.lease_next {
+        if self.store.lease_busy || self.now < self.store.lease_next {
             return;
         }
-        self.link.lease_busy = true;
+        self.store.lease_busy = true;
         let ttl = self.cfg.tuning.claim_ttl;
-        match self.link.lease {
+        match self.store.lease {
             None => self.state(StateCall::Grant { ttl }, Pending::Grant),
             Some(lease) => self.state(StateCall::Renew { lease }, Pending::Renew),
         }
     }
 
     pub(crate) fn lease_reply(&mut self, reply: StateReply) {
-        self.link.lease_busy = false;
+        self.store.lease_busy = false;
         let every = self.cfg.tuning.claim_ttl.over(4);
-        self.link.lease_next = self.now + every;
+        self.store.lease_next = self.now + every;
         match reply {
             StateReply::Lease { id } => {
                 info!(lease = id, "lease granted");
-                self.link.lease = Some(id);
+                self.store.lease = Some(id);
             }
             StateReply::Renewed => {}
             StateReply::NoSuchLease => {
                 warn!("lease ended; all claims are lost");
-                self.link.lease = None;
-                self.link.lease_next = self.now;
+                self.store.lease = None;
+                self.store.lease_next = self.now;
                 for slot in 0..=self.leader_slot() {
                     self.drop_slot(slot, "lease ended");
                 }
             }
-            _ => self.link.lease_next = self.now + RETRY,
+            _ => self.store.lease_next = self.now + RETRY,
         }
     }
 
     // ---- views ---------------------------------------------------------------------------
 
     fn watch_tick(&mut self, k: usize) {
-        let w = &mut self.link.watches[k];
+        let w = &mut self.store.watches[k];
         if w.busy || self.now < w.retry_at {
             return;
         }
@@ -222,7 +222,7 @@
     }
 
     pub(crate) fn list_reply(&mut self, k: usize, reply: StateReply) {
-        let w = &mut self.link.watches[k];
+        let w = &mut self.store.watches[k];
         w.busy = false;
         let StateReply::Page { entries, more, revision } = reply else {
             w.retry_at = self.now + RETRY;
@@ -249,30 +249,30 @@
     }
 
     pub(crate) fn watch_reply(&mut self, k: usize, reply: StateReply) {
-        self.link.watches[k].busy = false;
+        self.store.watches[k].busy = false;
         // Not reopened at once: every change would cost each controller a request.
         let pause = if self.apply_changes(k, reply) { self.cfg.ask_every() } else { RETRY };
-        self.link.watches[k].retry_at = self.now + pause;
+        self.store.watches[k].retry_at = self.now + pause;
     }
 
     /// True if the view is now as new as the answer.
     pub(crate) fn apply_changes(&mut self, k: usize, reply: StateReply) -> bool {
         match reply {
             StateReply::Changes { revision, events } => {
-                let seen = self.link.watches[k].seen;
+                let seen = self.store.watches[k].seen;
                 for (key, value, version) in events {
                     // Two answers may hold the same change; the older must not undo the newer.
                     if version > seen {
                         self.changed(TOPICS[k], &key, value, version);
                     }
                 }
-                let w = &mut self.link.watches[k];
+                let w = &mut self.store.watches[k];
                 w.seen = w.seen.max(revision);
                 true
             }
             StateReply::TooOld => {
                 warn!(prefix = TOPICS[k].prefix(), "view too old; reading anew");
-                self.link.watches[k].loaded = false;
+                self.store.watches[k].loaded = false;
                 true
             }
             _ => false,
@@ -283,7 +283,7 @@
         match topic {
             Topic::Jobs => self.jobs.keys().map(|j| format!("job/{j}")).collect(),
             Topic::Machines => self.machines.keys().map(crate::fleet::machine_key).collect(),
-            Topic::Shares => (0..self.leader_slot()).map(|s| self.slot_key(s)).collect(),
+            Topic::Shards => (0..self.leader_slot()).map(|s| self.slot_key(s)).collect(),
             Topic::Leader => vec!["leader".to_owned()],
         }
     }
@@ -307,7 +307,7 @@
                     None => self.machine_vanished(&id),
                 }
             }
-            Topic::Shares | Topic::Leader => {
+            Topic::Shards | Topic::Leader => {
                 let slot = if topic == Topic::Leader { Some(self.leader_slot()) } else { name.parse().ok() };
                 let Some(slot) = slot.filter(|s| *s <= self.leader_slot()) else { return };
                 let claim = value.and_then(|v| serde_json::from_value::<ClaimValue>(v).ok()).and_then(|c| {
--- a/crates/seamfront-core/src/link/takeover.rs
+++ b/crates/seamfront-core/src/store_session/takeover.rs
@@ -1,15 +1,15 @@
-//! Reading the former holder's records before a share goes on.
+//! Reading the former holder's records before a shard goes on.
 
 use super::*;
 use crate::record::{decode, parse_part_key, parts_prefix};
-use crate::share::StoredRecord;
+use crate::shard::StoredRecord;
 
 impl Engine {
     pub(super) fn loads_tick(&mut self) {
         let due: Vec<usize> =
-            self.link.loads.iter().filter(|(_, l)| !l.busy && l.retry_at <= self.now).map(|l| *l.0).collect();
+            self.store.loads.iter().filter(|(_, l)| !l.busy && l.retry_at <= self.now).map(|l| *l.0).collect();
         for slot in due {
-            let Some(load) = self.link.loads.get_mut(&slot) else { continue };
+            let Some(load) = self.store.loads.get_mut(&slot) else { continue };
             let version = load.version;
             let last =
                 if load.parts.is_some() { load.parts.as_ref().and_then(|p| p.last()) } else { load.entries.last() };
@@ -17,29 +17,29 @@
             let reads_parts = load.parts.is_some();
             load.busy = true;
             if self.slot_version(slot) != Some(version) {
-                self.link.loads.remove(&slot);
+                self.store.loads.remove(&slot);
                 continue;
             }
-            let fleet = &self.link.watches[MACHINES];
+            let fleet = &self.store.watches[MACHINES];
             if fleet.loaded && fleet.seen >= version {
                 let prefix = if reads_parts { parts_prefix(slot) } else { work_prefix(slot) };
                 let request = StateCall::List { prefix, after };
-                self.state(request, Pending::Records { share: slot, version });
+                self.state(request, Pending::Records { shard: slot, version });
             } else {
                 let (prefix, after) = (Topic::Machines.prefix().to_owned(), fleet.seen);
                 let request = StateCall::Changes { prefix, after, hold: Micros::ZERO };
-                self.state(request, Pending::Fleet { share: slot, version });
+                self.state(request, Pending::Fleet { shard: slot, version });
             }
         }
     }
 
     /// The load that an answer is for, if that still counts.
     pub(super) fn load(&mut self, slot: usize, version: u64) -> Option<&mut Load> {
-        self.link.loads.get_mut(&slot).filter(|l| l.version == version)
+        self.store.loads.get_mut(&slot).filter(|l| l.version == version)
     }
 
     pub(crate) fn fleet_reply(&mut self, slot: usize, version: u64, reply: StateReply) {
-        let new = self.link.watches[MACHINES].loaded && self.apply_changes(MACHINES, reply);
+        let new = self.store.watches[MACHINES].loaded && self.apply_changes(MACHINES, reply);
         let again = self.now + RETRY;
         let Some(load) = self.load(slot, version) else { return };
         load.busy = false;
@@ -69,7 +69,7 @@
                 return;
             }
         }
-        let Some(load) = self.link.loads.remove(&slot) else { return };
+        let Some(load) = self.store.loads.remove(&slot) else { return };
         if self.slot_version(slot) == Some(version) {
             self.take_over(slot, load.entries, load.parts.unwrap_or_default());
         }
@@ -78,7 +78,7 @@
     pub(super) fn take_over(&mut self, slot: usize, entries: Vec<Entry>, parts: Vec<Entry>) {
         let prefix = work_prefix(slot);
         let now = self.now;
-        let Some(share) = self.shares[slot].as_mut() else { return };
+        let Some(shard) = self.shards[slot].as_mut() else { return };
         let mut parts_of: BTreeMap<JobId, BTreeMap<u32, serde_json::Value>> = BTreeMap::new();
         for e in parts {
             if let Some((id, number)) = parse_part_key(slot, &e.key) {
@@ -94,7 +94,7 @@
             match decode(e.value, &parts) {
                 Ok(record) => {
                     let stored = StoredRecord { record, version: e.version, parts_end };
-                    share.adopt_record(id, live, stored, now);
+                    shard.adopt_record(id, live, stored, now);
                 }
                 Err(err) => {
                     warn!(job = %id, %err, "unreadable work record");
@@ -102,23 +102,23 @@
                 }
             }
         }
-        for (id, j) in self.jobs.iter().filter(|j| j.1.share == slot) {
-            share.add_job(j.spec.clone(), j.version, now);
-            share.chained(id, j.spec_now(), j.chain.waits(), now);
+        for (id, j) in self.jobs.iter().filter(|j| j.1.shard == slot) {
+            shard.add_job(j.spec.clone(), j.version, now);
+            shard.chained(id, j.spec_now(), j.chain.waits(), now);
         }
         let over = now + self.cfg.acting_time().with_drift() + self.cfg.lease.with_drift() + Micros::from_secs(1);
         for id in unreadable {
-            share.hold_unreadable(&id, over);
+            shard.hold_unreadable(&id, over);
         }
         // A machine that is being returned is there until its record is removed, and so is what the
-        // former holder placed on it. One that is another share's by now was let go empty.
-        for id in share.placed_elsewhere() {
-            if let Some((record, v)) = self.machines.get(&id).filter(|m| m.0.share.is_none()) {
+        // former holder placed on it. One that is another shard's by now was let go empty.
+        for id in shard.placed_elsewhere() {
+            if let Some((record, v)) = self.machines.get(&id).filter(|m| m.0.shard.is_none()) {
                 let size = self.types.iter().find(|t| t.name == record.kind).map(|t| t.size).unwrap_or_default();
-                share.add_machine(id, record.clone(), *v, size, now);
+                shard.add_machine(id, record.clone(), *v, size, now);
             }
         }
-        self.with_share(slot, |s, ctx| s.loaded(ctx));
-        debug!(share = slot, "records read");
+        self.with_shard(slot, |s, context| s.loaded(context));
+        debug!(shard = slot, "records read");
     }
 }
--- a/crates/seamfront-core/src/types.rs
+++ b/crates/seamfront-core/src/types.rs
@@ -495,8 +495,8 @@
         of_class.chain(spec.deadline.map(|d| spec.submitted + d - spec.estimate))
     }
 
-    /// Teams are dealt to shares like cards, the largest first, so that shares are alike.
-    pub fn share_of(&self, team: &str) -> Option<usize> {
+    /// Teams are dealt to shards like cards, the largest first, so that shards are alike.
+    pub fn shard_of(&self, team: &str) -> Option<usize> {
         let mut order: Vec<&Team> = self.teams.iter().collect();
         let size = |t: &Team| t.guarantee.cpus + 8 * t.guarantee.gpus;
         order.sort_by(|a, b| size(b).cmp(&size(a)).then(a.name.cmp(&b.name)));
--- a/crates/seamfront-core/src/users.rs
+++ b/crates/seamfront-core/src/users.rs
@@ -116,7 +116,7 @@
         if let Some(end) = self.users.ended.get(id) {
             return self.answer_end(to, id, end);
         }
-        let own = self.jobs.get(id).and_then(|j| self.shares[j.share].as_ref()).and_then(|s| s.jobs.get(id));
+        let own = self.jobs.get(id).and_then(|j| self.shards[j.shard].as_ref()).and_then(|s| s.jobs.get(id));
         let (done, running) = match own {
             Some(j) => (j.done.count(), j.running()),
             None => self.users.progress.get(id).copied().unwrap_or_default(),
@@ -128,7 +128,7 @@
     /// The store has not answered lately: nothing can be taken or confirmed, and waiting for it
     /// would only hold the user back.
     fn store_away(&self) -> bool {
-        !self.link.loaded() || self.now - self.link.last_ok > Micros::from_millis(2_500)
+        !self.store.loaded() || self.now - self.store.last_ok > Micros::from_millis(2_500)
     }
 
     fn crowded(&self) -> bool {
@@ -213,9 +213,9 @@
         match reply {
             StateReply::Committed { .. } => {
                 info!(job = %id, "cancelled by its user");
-                let share = self.jobs.get(&id).map(|j| j.share).filter(|k| self.shares[*k].is_none());
-                if let Some(share) = share {
-                    self.tell_holder(share, MeshMessage::Cancelled { job: id.clone(), tasks: end.tasks });
+                let shard = self.jobs.get(&id).map(|j| j.shard).filter(|k| self.shards[*k].is_none());
+                if let Some(shard) = shard {
+                    self.tell_holder(shard, MeshMessage::Cancelled { job: id.clone(), tasks: end.tasks });
                 }
                 self.end_learned(&id, end);
                 self.answer_end(to, &id, end);
@@ -325,7 +325,7 @@
         let (mut when, mut apply, mut sent) = (Vec::new(), Vec::new(), Vec::new());
         for (to, spec) in batch {
             if let Some(why) = self.impossible(&spec) {
-                self.doubt(to, spec, why);
+                self.verify_unknown(to, spec, why);
                 continue;
             }
             when.push((job_key(&spec.id), 0));
@@ -341,14 +341,21 @@
     }
 
     /// An accepted job's repetition never gets 422: the store says whether it is known.
-    pub(crate) fn doubt(&mut self, to: ReplyTo, spec: Rc<JobSpec>, why: String) {
+    pub(crate) fn verify_unknown(&mut self, to: ReplyTo, spec: Rc<JobSpec>, why: String) {
         self.users.in_flight += 1;
         let key = job_key(&spec.id);
-        self.state(StateCall::Get { key }, Pending::Doubt { to, spec, why, end: false });
+        self.state(StateCall::Get { key }, Pending::VerifyUnknown { to, spec, why, end: false });
     }
 
     /// A job that can never run, unless it is known already (settings may have changed since).
-    pub(crate) fn doubt_reply(&mut self, to: ReplyTo, spec: Rc<JobSpec>, why: String, end: bool, reply: StateReply) {
+    pub(crate) fn verify_unknown_reply(
+        &mut self,
+        to: ReplyTo,
+        spec: Rc<JobSpec>,
+        why: String,
+        end: bool,
+        reply: StateReply,
+    ) {
         self.users.in_flight -= 1;
         match reply {
             StateReply::Entry(_) if !end => self.look_up(to, spec.id.clone(), Wish::Poll),
@@ -362,7 +369,7 @@
             StateReply::Missing if !end => {
                 self.users.in_flight += 1;
                 let key = end_key(&spec.id);
-                self.state(StateCall::Get { key }, Pending::Doubt { to, spec, why, end: true });
+                self.state(StateCall::Get { key }, Pending::VerifyUnknown { to, spec, why, end: true });
             }
             StateReply::Missing => self.answer(to, Answer::Impossible { why }),
             _ => self.later(to),
@@ -378,7 +385,7 @@
                     info!(job = %spec.id, class = %spec.class, tasks = spec.tasks, "accepted");
                     let id = spec.id.clone();
                     // If the view is past this revision it knows better, be it of the job's end.
-                    if self.link.watches[0].seen < revision {
+                    if self.store.watches[0].seen < revision {
                         self.job_appeared(spec, revision);
                     }
                     created.push(Question { to, id, created: true });
@@ -444,26 +451,26 @@
     }
 
     pub(crate) fn job_appeared(&mut self, spec: Rc<JobSpec>, version: u64) {
-        let Some(share) = self.cfg.share_of(&spec.team) else { return };
+        let Some(shard) = self.cfg.shard_of(&spec.team) else { return };
         let id = spec.id.clone();
         // An end is for ever: a view that is behind may still show the job.
         if self.users.ended.get(&id).is_some() || self.jobs.get(&id).is_some_and(|j| j.version >= version) {
             return;
         }
-        self.jobs.insert(id.clone(), LiveJob { spec: spec.clone(), version, share, chain: Default::default() });
+        self.jobs.insert(id.clone(), LiveJob { spec: spec.clone(), version, shard, chain: Default::default() });
         let waits = self.chain_appeared(&id);
-        if let Some(s) = self.shares[share].as_mut() {
-            if s.phase == crate::share::SharePhase::Ready {
+        if let Some(s) = self.shards[shard].as_mut() {
+            if s.phase == crate::shard::ShardPhase::Ready {
                 s.add_job(spec, version, self.now);
                 if waits {
-                    self.tell_share(&id);
+                    self.tell_shard(&id);
                 }
             }
         }
         self.urge(&id);
     }
 
-    /// It has ended and is live no more. Its share, where it is ours, knows by itself.
+    /// It has ended and is live no more. Its shard, where it is ours, knows by itself.
     pub(crate) fn job_over(&mut self, id: &JobId) -> Option<LiveJob> {
         let j = self.jobs.remove(id)?;
         self.users.progress.remove(id);
@@ -480,6 +487,6 @@
 
     pub(crate) fn job_vanished(&mut self, id: &JobId) {
         let Some(j) = self.job_over(id) else { return };
-        self.with_share(j.share, |s, ctx| s.job_ended(ctx, id));
+        self.with_shard(j.shard, |s, context| s.job_ended(context, id));
     }
 }
--- a/crates/seamfront-core/tests/chains.rs
+++ b/crates/seamfront-core/tests/chains.rs
@@ -66,7 +66,7 @@
     let at = |percent: usize| waits[(waits.len() - 1) * percent / 100];
     println!("{} steps: median {:?}, 90% {:?}, most {:?}", waits.len(), at(50), at(90), at(100));
     assert!(waits.len() > 100, "{} steps", waits.len());
-    // Those that take longer wait for a machine of another share or for one that boots.
+    // Those that take longer wait for a machine of another shard or for one that boots.
     assert!(at(50) <= ms(250) && at(90) <= ms(5_000), "median {:?}, 90% {:?}", at(50), at(90));
 }
 
--- a/crates/seamfront-core/tests/evidence.rs
+++ b/crates/seamfront-core/tests/evidence.rs
@@ -12,7 +12,7 @@
 use seamfront_core::job::Job;
 use seamfront_core::port::*;
 use seamfront_core::record::{Layout, WorkRecord};
-use seamfront_core::share::{SharePhase, ShareWrite, StoredRecord};
+use seamfront_core::shard::{ShardPhase, ShardWrite, StoredRecord};
 use seamfront_core::types::*;
 use seamfront_core::Engine;
 use store::Store;
@@ -29,7 +29,7 @@
             let orders = h.hello(s(101), &report("i-0", session, 88, 12, &shown));
             assert!(h.placed("j-0"), "{shown:?} counted as evidence");
             assert!(orders.is_empty(), "{orders:?} ordered on the word of what may be a copy");
-            assert!(h.share.jobs[&JobId::from("j-0")].done.count() == 0);
+            assert!(h.shard.jobs[&JobId::from("j-0")].done.count() == 0);
         }
     }
     // The same from a worker that has heard us counts.
@@ -42,7 +42,7 @@
 #[test]
 fn a_machine_is_used_only_once_it_has_shown_our_token() {
     let mut h = Held::new(1, 0);
-    let usable = |h: &Held, now| h.share.machines[&MachineId::from("i-0")].usable(now, s(2), CLAIM);
+    let usable = |h: &Held, now| h.shard.machines[&MachineId::from("i-0")].usable(now, s(2), CLAIM);
     h.hello(s(101), &report("i-0", 1, 88, 12, &[]));
     assert!(!usable(&h, s(101)));
     h.hello(s(102), &report("i-0", 1, 89, CLAIM, &[]));
@@ -61,8 +61,8 @@
         }
         h.hello(s(t), &report("i-0", 1, 90 + n as u64, 12, &[("j-0", 3, TaskState::Running)]));
     }
-    assert!(h.share.machines[&MachineId::from("i-0")].hears_nothing());
-    h.with(s(150), |s, ctx| s.tick(ctx));
+    assert!(h.shard.machines[&MachineId::from("i-0")].hears_nothing());
+    h.with(s(150), |s, context| s.tick(context));
     assert_eq!(h.machine_writes(s(150), 60), [("i-0".to_owned(), false)]);
 }
 
@@ -76,7 +76,7 @@
             h.hello(s(t), &report(&format!("i-{k}"), 1, 90 + n as u64, token, &[]));
         }
     }
-    h.with(s(160), |s, ctx| s.tick(ctx));
+    h.with(s(160), |s, context| s.tick(context));
     assert_eq!(h.machine_writes(s(160), 60), []);
 }
 
@@ -93,7 +93,7 @@
                 }
             }
         }
-        h.with(s(at), |s, ctx| s.tick(ctx));
+        h.with(s(at), |s, context| s.tick(context));
         let writes = h.machine_writes(s(at), 60);
         assert_eq!(writes.len(), given_up, "{silent} silent, {} s later", at - 101);
         assert!(writes.iter().all(|(_, ours)| !ours));
@@ -105,7 +105,7 @@
 /// world, seed 27 of the random troubles, when prices were asked anew in that moment).
 #[test]
 fn a_machine_that_comes_back_as_it_is_given_up_is_not_used() {
-    use seamfront_core::share::WriteOutcome::*;
+    use seamfront_core::shard::WriteOutcome::*;
     for (outcomes, usable) in
         [(vec![], false), (vec![Refused], true), (vec![Unclear], false), (vec![Unclear, Done(60)], true)]
     {
@@ -117,23 +117,23 @@
                 }
             }
         }
-        h.with(s(140), |s, ctx| s.tick(ctx));
+        h.with(s(140), |s, context| s.tick(context));
         let mut token = CLAIM;
-        let mut writes = h.share.writes(s(140), 100, &Layout::single(32 * 1024));
+        let mut writes = h.shard.writes(s(140), 100, &Layout::single(32 * 1024));
         h.hello(s(141), &report("i-0", 1, 141, CLAIM, &[]));
-        h.with(s(141), |s, ctx| s.tick(ctx));
+        h.with(s(141), |s, context| s.tick(context));
         for outcome in outcomes {
             for w in &writes {
-                h.with(s(142), |s, ctx| s.written(ctx, w, outcome));
+                h.with(s(142), |s, context| s.written(context, w, outcome));
             }
             if let Done(version) = outcome {
                 token = version;
             }
-            writes = h.share.writes(s(143), 100, &Layout::single(32 * 1024));
+            writes = h.shard.writes(s(143), 100, &Layout::single(32 * 1024));
         }
         h.hello(s(144), &report("i-0", 1, 144, token, &[]));
-        h.share.add_machine("i-0".into(), machine_of(Some(0)), 7, Amounts::offered(8.0, 0.0, 32.0), s(144));
-        let m = &h.share.machines[&MachineId::from("i-0")];
+        h.shard.add_machine("i-0".into(), machine_of(Some(0)), 7, Amounts::offered(8.0, 0.0, 32.0), s(144));
+        let m = &h.shard.machines[&MachineId::from("i-0")];
         assert_eq!(m.usable(s(144), s(2), CLAIM), usable);
     }
 }
@@ -145,7 +145,7 @@
     let mut h = Held::new(8, 1);
     let task = TaskKey { job: "j-0".into(), index: 0 };
     // Placed by this holder, and to be started when the machine is silent already.
-    let placed = h.share.jobs.get_mut(&task.job).unwrap().tasks.get_mut(&0).unwrap();
+    let placed = h.shard.jobs.get_mut(&task.job).unwrap().tasks.get_mut(&0).unwrap();
     (placed.gen, placed.not_before) = (1, s(110));
     for t in (101..140).step_by(2) {
         for k in 0..8 {
@@ -156,18 +156,18 @@
     }
     // Silent for longer than is forgiven, its lease not over yet.
     let silent = Micros::from_millis(113_100);
-    h.with(silent, |s, ctx| s.tick(ctx));
-    let writes = h.share.writes(silent, 100, &Layout::single(32 * 1024));
-    assert!(writes.iter().any(|w| matches!(w, ShareWrite::Machine { record, .. } if record.share.is_none())));
+    h.with(silent, |s, context| s.tick(context));
+    let writes = h.shard.writes(silent, 100, &Layout::single(32 * 1024));
+    assert!(writes.iter().any(|w| matches!(w, ShardWrite::Machine { record, .. } if record.shard.is_none())));
     let start = Order::Start { task, attempt: 3 };
     assert!(!h.hello(silent, &report("i-0", 1, 141, CLAIM, &[])).contains(&start));
     // The store refused: it is ours as before.
     for w in &writes {
-        h.with(silent, |s, ctx| s.written(ctx, w, seamfront_core::share::WriteOutcome::Refused));
+        h.with(silent, |s, context| s.written(context, w, seamfront_core::shard::WriteOutcome::Refused));
     }
     // Judged anew once it has been heard.
     let heard = silent + Micros::from_millis(150);
-    h.with(heard, |s, ctx| s.tick(ctx));
+    h.with(heard, |s, context| s.tick(context));
     assert!(h.hello(heard, &report("i-0", 1, 142, CLAIM, &[])).contains(&start));
 }
 
@@ -181,10 +181,10 @@
     assert_eq!(h.machine_writes(s(103), 60), []);
     h.hello(s(112), &report("i-0", 2, 95, CLAIM, &[]));
     assert_eq!(h.machine_writes(s(112), 60), [("i-0".to_owned(), true)]);
-    let m = &h.share.machines[&MachineId::from("i-0")];
+    let m = &h.shard.machines[&MachineId::from("i-0")];
     assert!(!m.usable(s(112), s(2), CLAIM), "60 is not shown yet");
     h.hello(s(114), &report("i-0", 2, 96, 60, &[]));
-    assert!(h.share.machines[&MachineId::from("i-0")].usable(s(114), s(2), CLAIM));
+    assert!(h.shard.machines[&MachineId::from("i-0")].usable(s(114), s(2), CLAIM));
 }
 
 /// A copy never takes back what a newer report has shown.
@@ -193,12 +193,12 @@
     let mut h = Held::new(1, 1);
     h.hello(s(101), &report("i-0", 2, 88, CLAIM, &[("j-0", 3, TaskState::Running)]));
     let newest = |h: &Held| {
-        let m = &h.share.machines[&MachineId::from("i-0")];
+        let m = &h.shard.machines[&MachineId::from("i-0")];
         (m.session, m.seq, m.seen_token, m.last_report, m.notice)
     };
     let before = newest(&h);
     for (session, seq) in [(1, 500), (2, 88), (2, 3)] {
-        h.with(s(120), |s, ctx| assert!(!s.take_report(ctx, &report("i-0", session, seq, CLAIM, &[]), true)));
+        h.with(s(120), |s, context| assert!(!s.take_report(context, &report("i-0", session, seq, CLAIM, &[]), true)));
         assert_eq!(newest(&h), before);
         assert!(h.placed("j-0"));
     }
@@ -218,8 +218,8 @@
     Write::Put { key: key.to_owned(), value: serde_json::to_value(value).unwrap(), lease: None }
 }
 
-fn machine_of(share: Option<usize>) -> MachineRecord {
-    MachineRecord { share, kind: "m".into(), zone: "z".into(), spot: false }
+fn machine_of(shard: Option<usize>) -> MachineRecord {
+    MachineRecord { shard, kind: "m".into(), zone: "z".into(), spot: false }
 }
 
 /// One task of attempt 3 on a machine.
@@ -375,7 +375,7 @@
     a.run(0, 2_000);
     assert!(!a.starts_on_first(2, 9), "i-9 is still there");
     a.write(vec![Write::Delete { key: machine_key(&"i-9".into()) }]);
-    // The view of machines lags in this store; it is read anew by whoever takes the share.
+    // The view of machines lags in this store; it is read anew by whoever takes the shard.
     a.engine = Engine::new(settings());
     a.run(9_000, 15_000);
     assert!(a.starts_on_first(15, 25), "gone for certain, it runs again");
@@ -409,17 +409,17 @@
 fn nothing_is_released_before_the_records_are_read() {
     let mut h = Held::new(1, 1);
     let id = MachineId::from("i-0");
-    h.share.phase = SharePhase::Loading;
-    h.share.machines.get_mut(&id).unwrap().tasks.clear();
-    h.with(s(101), |s, ctx| s.release(ctx, &["i-0".into()], None));
-    assert!(h.share.machines[&id].released.is_none());
+    h.shard.phase = ShardPhase::Loading;
+    h.shard.machines.get_mut(&id).unwrap().tasks.clear();
+    h.with(s(101), |s, context| s.release(context, &["i-0".into()], None));
+    assert!(h.shard.machines[&id].released.is_none());
     // Nor is one that has tasks shown as released, whatever came before.
-    h.share.phase = SharePhase::Ready;
+    h.shard.phase = ShardPhase::Ready;
     let task = TaskKey { job: "j-0".into(), index: 0 };
-    let m = h.share.machines.get_mut(&id).unwrap();
+    let m = h.shard.machines.get_mut(&id).unwrap();
     m.tasks.insert(task);
     m.released = Some(s(101));
-    assert!(h.with(s(102), |s, ctx| s.views(ctx)).iter().all(|v| !v.released));
+    assert!(h.with(s(102), |s, context| s.views(context)).iter().all(|v| !v.released));
 }
 
 /// The former holder knew that the task was gone, gave its part of the team's limit to another job, and fell
@@ -442,33 +442,33 @@
     let id = MachineId::from("i-0");
     h.hello(s(101), &report("i-0", 1, 88, CLAIM, &[]));
     let direct = |h: &mut Held, now, session, seq| {
-        let m = h.share.machines.get_mut(&id).unwrap();
+        let m = h.shard.machines.get_mut(&id).unwrap();
         m.direct = Some(Direct { call: 7, token: CLAIM, session, unknown: false });
         let outcome = DirectOutcome::Settled { report: Box::new(report("i-0", session, seq, CLAIM, &[])) };
-        h.with(now, |s, ctx| s.direct_result(ctx, 7, &id, outcome));
+        h.with(now, |s, context| s.direct_result(context, 7, &id, outcome));
     };
     for (n, t) in (102..113).enumerate() {
         direct(&mut h, s(t), 1, 89 + n as u64);
     }
-    let m = &h.share.machines[&id];
+    let m = &h.shard.machines[&id];
     assert!(!m.usable(s(112), s(2), CLAIM), "no report of its own for eleven seconds");
     assert_eq!(m.silent_for(s(112)), s(11));
     // A session that only an answer showed may have begun at that moment, and lasts as long as any.
     direct(&mut h, s(113), 2, 1);
-    let m = &h.share.machines[&id];
+    let m = &h.shard.machines[&id];
     assert!(m.lease_over_at(CLAIM, s(12), s(5)) >= s(125));
 }
 
-/// An outcome that comes after the share, or the machine, has gone and come back settles nothing of now.
+/// An outcome that comes after the shard, or the machine, has gone and come back settles nothing of now.
 #[test]
 fn an_outcome_settles_only_its_own_command() {
     let mut h = Held::new(1, 0);
     let id = MachineId::from("i-0");
-    h.share.machines.get_mut(&id).unwrap().direct = Some(Direct { call: 9, token: CLAIM, session: 1, unknown: false });
-    h.with(s(101), |s, ctx| s.direct_result(ctx, 8, &id, DirectOutcome::NotSent));
-    assert!(h.share.machines[&id].direct.is_some());
-    h.with(s(101), |s, ctx| s.direct_result(ctx, 9, &id, DirectOutcome::NotSent));
-    assert!(h.share.machines[&id].direct.is_none());
+    h.shard.machines.get_mut(&id).unwrap().direct = Some(Direct { call: 9, token: CLAIM, session: 1, unknown: false });
+    h.with(s(101), |s, context| s.direct_result(context, 8, &id, DirectOutcome::NotSent));
+    assert!(h.shard.machines[&id].direct.is_some());
+    h.with(s(101), |s, context| s.direct_result(context, 9, &id, DirectOutcome::NotSent));
+    assert!(h.shard.machines[&id].direct.is_none());
 }
 
 /// The worst case of a cancellation that the holder does not hear of: it is confirmed right after the sending of
@@ -529,7 +529,7 @@
 }
 
 /// Given up, though the store still has it as ours: what was sent under that version may still be answered, reports
-/// that show it may still come, and names of rentals made with it are used. So the share is claimed under a new
+/// that show it may still come, and names of rentals made with it are used. So the shard is claimed under a new
 /// one.
 #[test]
 fn a_claim_that_was_given_up_is_not_acted_on_again() {
@@ -554,25 +554,25 @@
     for k in 0..100 {
         record.placed.insert(format!("i-{:06}", 500 + k).as_str().into(), vec![(k, k + 1, 100 + u64::from(k))]);
     }
-    h.share.adopt_record(
+    h.shard.adopt_record(
         spec.id.clone(),
         Some((spec.clone(), 5)),
         StoredRecord { record, version: 9, parts_end: 0 },
         s(100),
     );
-    h.share.jobs.get_mut(&spec.id).unwrap().record.touch();
-    assert_eq!(h.share.jobs[&spec.id].record_room(&Layout::single(2_048)), 0);
-    assert!(h.share.writes(s(105), 100, &Layout::single(2_048)).is_empty());
+    h.shard.jobs.get_mut(&spec.id).unwrap().record.touch();
+    assert_eq!(h.shard.jobs[&spec.id].record_room(&Layout::single(2_048)), 0);
+    assert!(h.shard.writes(s(105), 100, &Layout::single(2_048)).is_empty());
     assert!(h
-        .share
+        .shard
         .writes(s(106), 100, &Layout::single(32 * 1024))
         .iter()
-        .any(|w| matches!(w, ShareWrite::Record { .. })));
-    let job = h.share.jobs.get_mut(&spec.id).unwrap();
+        .any(|w| matches!(w, ShardWrite::Record { .. })));
+    let job = h.shard.jobs.get_mut(&spec.id).unwrap();
     job.record.in_flight = false;
     job.tasks.retain(|i, _| *i < 30);
     assert!(job.record_room(&Layout::single(2_048)) > 0);
-    assert!(h.share.writes(s(110), 100, &Layout::single(2_048)).iter().any(|w| matches!(w, ShareWrite::Record { .. })));
+    assert!(h.shard.writes(s(110), 100, &Layout::single(2_048)).iter().any(|w| matches!(w, ShardWrite::Record { .. })));
 }
 
 /// What may be placed at once is counted as it will be written: the record of that many fits.
--- a/crates/seamfront-core/tests/fault_combinations.rs
+++ b/crates/seamfront-core/tests/fault_combinations.rs
@@ -23,7 +23,7 @@
     w.draw(0..NODES as i64) as usize
 }
 
-const SHARES: [&str; 3] = ["share/0", "share/1", "share/2"];
+const SHARDS: [&str; 3] = ["share/0", "share/1", "share/2"];
 
 /// Before all others: the state service refuses one holder alone, jobs are cancelled through the others, and a
 /// second later it is down for everybody, for longer than a cancellation has. Workers still report to the
@@ -31,7 +31,7 @@
 #[test]
 fn cancelled_as_one_is_refused_and_then_all() {
     let coverage = play(1_000..1_016, |w, _| {
-        for (k, claim) in [(0, SHARES[0]), (1, SHARES[1])] {
+        for (k, claim) in [(0, SHARDS[0]), (1, SHARDS[1])] {
             let at = 14_000 + 38_000 * k;
             let spell = w.draw(700..4_500);
             w.fault(ms(at), Fault::RefuseHolder { claim, until: ms(at + 14_000) });
@@ -56,7 +56,7 @@
         w.fault(ms(5_000), Fault::DelayWrites { until: ms(troubles) });
         for k in 0..4 {
             let at = 12_000 + 18_000 * k + w.draw(0..6_000);
-            let claim = SHARES[w.draw(0..3) as usize];
+            let claim = SHARDS[w.draw(0..3) as usize];
             let back = ms(w.draw(100..6_000));
             w.fault(ms(at), Fault::CrashHolder { claim, back });
         }
@@ -100,11 +100,11 @@
     let coverage = play(1_080..1_092, |w, _| {
         for k in 0..5 {
             let at = 9_000 + 15_000 * k + w.draw(0..3_000);
-            let claim = SHARES[(k % 3) as usize];
+            let claim = SHARDS[(k % 3) as usize];
             let back = ms(w.draw(4_500..6_500));
             w.fault(ms(at), Fault::CrashHolder { claim, back });
             let back = ms(w.draw(50..900));
-            // As the share goes home: its home member, or all, and one of them is back within a second.
+            // As the shard goes home: its home member, or all, and one of them is back within a second.
             let home = at + 7_500 + w.draw(0..3_000);
             w.fault(ms(home), Fault::CrashHolder { claim, back });
             if k % 2 == 0 {
@@ -187,7 +187,7 @@
                 _ => Fault::LoseAnswers { count: 4, lasts },
             };
             w.fault(ms(at), fault);
-            w.fault(ms(at + 300), Fault::CrashHolder { claim: SHARES[(k % 3) as usize], back });
+            w.fault(ms(at + 300), Fault::CrashHolder { claim: SHARDS[(k % 3) as usize], back });
             w.fault(ms(at + 600), Fault::CrashHolder { claim: "leader", back });
         }
     });
@@ -217,7 +217,7 @@
     let coverage = play(1_240..1_252, |w, _| {
         for k in 0..2 {
             let at = 10_000 + 40_000 * k;
-            let claim = if k == 0 { "leader" } else { SHARES[w.draw(0..3) as usize] };
+            let claim = if k == 0 { "leader" } else { SHARDS[w.draw(0..3) as usize] };
             w.fault(ms(at), Fault::IsolateHolder { claim, until: ms(at + 34_000) });
             for n in 0..3 {
                 let hang = ms(w.draw(0..9_000));
@@ -265,7 +265,7 @@
             let at = 10_000 + 18_000 * k;
             let lasts = ms(w.draw(5_000..20_000));
             w.fault(ms(at), Fault::CutMachines { count: 5, lasts });
-            w.fault(ms(at + 1_000), Fault::CrashHolder { claim: SHARES[(k % 3) as usize], back: ms(5_500) });
+            w.fault(ms(at + 1_000), Fault::CrashHolder { claim: SHARDS[(k % 3) as usize], back: ms(5_500) });
             w.fault(ms(at + 2_000), Fault::CancelRunning { count: 4, hang: ms(3_000) });
         }
     });
@@ -279,7 +279,7 @@
         for k in 0..9 {
             let at = 8_000 + 9_000 * k;
             let back = ms(if k % 2 == 0 { 300 } else { 5_500 });
-            w.fault(ms(at), Fault::CrashHolder { claim: SHARES[(k % 3) as usize], back });
+            w.fault(ms(at), Fault::CrashHolder { claim: SHARDS[(k % 3) as usize], back });
         }
     });
     assert!(count(&coverage, "a copy arrived at a controller that began after it was sent") > 5, "{coverage:?}");
@@ -295,7 +295,7 @@
         for k in 0..8 {
             let at = 8_000 + 10_000 * k;
             let back = ms(w.draw(100..6_000));
-            w.fault(ms(at), Fault::CrashHolder { claim: SHARES[(k % 3) as usize], back });
+            w.fault(ms(at), Fault::CrashHolder { claim: SHARDS[(k % 3) as usize], back });
         }
     });
     assert!(count(&coverage, "a controller ended between the ends of a small job's tasks") > 10, "{coverage:?}");
@@ -355,7 +355,7 @@
             let at = 9_000 + 19_000 * k;
             // Its claim ends within 4 s, and goes back to it 3 s after it is ready again.
             let back = ms(w.draw(300..6_000));
-            w.fault(ms(at), Fault::CrashHolder { claim: SHARES[(k % 3) as usize], back });
+            w.fault(ms(at), Fault::CrashHolder { claim: SHARDS[(k % 3) as usize], back });
             for n in 0..5 {
                 let soon = w.draw(0..1_800);
                 w.fault(ms(at + 1_800 * n + soon), Fault::CancelRunning { count: 3, hang: Micros::ZERO });
@@ -383,7 +383,7 @@
         w.fault(ms(3_000), Fault::DelayCommands { until: ms(troubles) });
         for k in 0..6 {
             let at = 8_000 + 13_000 * k + w.draw(0..3_000);
-            let claim = SHARES[(k % 3) as usize];
+            let claim = SHARDS[(k % 3) as usize];
             let back = ms(w.draw(100..6_000));
             let fault = match k % 2 {
                 0 => Fault::CrashHolder { claim, back },
@@ -408,7 +408,7 @@
             // Most machines go, so that new ones are rented.
             w.fault(ms(at), Fault::KillMachines { count: 6 });
             for n in 0..4 {
-                let claim = if n % 2 == 0 { "leader" } else { SHARES[w.draw(0..3) as usize] };
+                let claim = if n % 2 == 0 { "leader" } else { SHARDS[w.draw(0..3) as usize] };
                 let back = ms(w.draw(50..900));
                 w.fault(ms(at + 2_000 + 2_000 * n), Fault::CrashHolder { claim, back });
             }
@@ -424,7 +424,7 @@
         w.fault(ms(1_000), Fault::KeepReports { until: ms(troubles) });
         for k in 0..6 {
             let at = 9_000 + 13_000 * k;
-            let claim = if k % 2 == 0 { "leader" } else { SHARES[(k % 3) as usize] };
+            let claim = if k % 2 == 0 { "leader" } else { SHARDS[(k % 3) as usize] };
             let back = ms(if k % 2 == 0 { 300 } else { 5_500 });
             w.fault(ms(at), Fault::CrashHolder { claim, back });
             w.fault(ms(at - 1_000), Fault::RestartMachines { count: 2 });
@@ -442,7 +442,7 @@
         w.fault(ms(3_000), Fault::CloseLooks { until: ms(troubles) });
         for k in 0..3 {
             let at = 15_000 + 22_000 * k;
-            let claim = SHARES[(k % 3) as usize];
+            let claim = SHARDS[(k % 3) as usize];
             let back = ms(w.draw(100..6_000));
             w.fault(ms(at), Fault::CrashHolder { claim, back });
             w.fault(ms(at + 3_000), Fault::CancelRunning { count: 3, hang: Micros::ZERO });
@@ -462,9 +462,9 @@
             w.fault(ms(at), Fault::CancelRunning { count: 3, hang: Micros::ZERO });
             let fault = match k {
                 0 => Fault::SlowState { until: ms(at + 8_000) },
-                1 => Fault::RefuseHolder { claim: SHARES[1], until: ms(at + 8_000) },
+                1 => Fault::RefuseHolder { claim: SHARDS[1], until: ms(at + 8_000) },
                 2 => Fault::DelayWrites { until: ms(at + 8_000) },
-                _ => Fault::CrashHolder { claim: SHARES[2], back: ms(400) },
+                _ => Fault::CrashHolder { claim: SHARDS[2], back: ms(400) },
             };
             w.fault(ms(at), fault);
         }
--- a/crates/seamfront-core/tests/held/mod.rs
+++ b/crates/seamfront-core/tests/held/mod.rs
@@ -4,7 +4,7 @@
 use seamfront_core::job::Job;
 use seamfront_core::port::*;
 use seamfront_core::record::{Layout, WorkRecord};
-use seamfront_core::share::{Ctx, Share, ShareWrite, StoredRecord, WriteOutcome};
+use seamfront_core::shard::{Context, Shard, ShardWrite, StoredRecord, WriteOutcome};
 use seamfront_core::types::*;
 use std::rc::Rc;
 
@@ -79,22 +79,22 @@
     }
 }
 
-/// A share that has just been taken over: `machines` machines, one task of attempt 3 recorded on
+/// A shard that has just been taken over: `machines` machines, one task of attempt 3 recorded on
 /// each of the first `placed`.
 pub struct Held {
     pub cfg: Settings,
-    pub share: Share,
-    pub fx: Vec<Effect>,
+    pub shard: Shard,
+    pub effects: Vec<Effect>,
     pub calls: CallId,
 }
 
 impl Held {
     pub fn new(machines: usize, placed: usize) -> Held {
-        let mut share = Share::new(0, CLAIM, s(100));
+        let mut shard = Shard::new(0, CLAIM, s(100));
         let size = Amounts::offered(8.0, 0.0, 32.0);
         for k in 0..machines {
-            let record = MachineRecord { share: Some(0), kind: "m".into(), zone: "z".into(), spot: false };
-            share.add_machine(format!("i-{k}").as_str().into(), record, 7, size, s(100));
+            let record = MachineRecord { shard: Some(0), kind: "m".into(), zone: "z".into(), spot: false };
+            shard.add_machine(format!("i-{k}").as_str().into(), record, 7, size, s(100));
         }
         for k in 0..placed {
             let spec = job(&format!("j-{k}"), 1);
@@ -103,39 +103,40 @@
             let mut record: WorkRecord = former.to_record();
             record.placed.insert(format!("i-{k}").as_str().into(), vec![(0, 1, 3)]);
             let stored = StoredRecord { record, version: 9, parts_end: 0 };
-            share.adopt_record(spec.id.clone(), Some((spec, 5)), stored, s(100));
+            shard.adopt_record(spec.id.clone(), Some((spec, 5)), stored, s(100));
         }
-        let mut held = Held { cfg: settings(), share, fx: Vec::new(), calls: 1 };
-        held.with(s(100), |s, ctx| s.loaded(ctx));
+        let mut held = Held { cfg: settings(), shard, effects: Vec::new(), calls: 1 };
+        held.with(s(100), |s, context| s.loaded(context));
         held
     }
 
-    pub fn with<R>(&mut self, now: Micros, f: impl FnOnce(&mut Share, &mut Ctx) -> R) -> R {
-        let (fx, calls) = (&mut self.fx, &mut self.calls);
+    pub fn with<R>(&mut self, now: Micros, f: impl FnOnce(&mut Shard, &mut Context) -> R) -> R {
+        let (effects, calls) = (&mut self.effects, &mut self.calls);
         let layout = Layout::single(self.cfg.value_bytes);
-        let mut ctx = Ctx { cfg: &self.cfg, now, wall: now, types: &[], fx, calls, acting: true, layout };
-        f(&mut self.share, &mut ctx)
+        let mut context = Context { cfg: &self.cfg, now, wall: now, types: &[], effects, calls, acting: true, layout };
+        f(&mut self.shard, &mut context)
     }
 
     /// A report that is answered with 200, as the engine does it.
     pub fn hello(&mut self, now: Micros, r: &Report) -> Vec<Order> {
-        let orders = self.with(now, |s, ctx| if s.take_report(ctx, r, true) { s.orders(ctx, r) } else { vec![] });
-        let version = self.share.version;
-        self.share.machines.get_mut(&r.machine).unwrap().answered(now, version);
+        let orders =
+            self.with(now, |s, context| if s.take_report(context, r, true) { s.orders(context, r) } else { vec![] });
+        let version = self.shard.version;
+        self.shard.machines.get_mut(&r.machine).unwrap().answered(now, version);
         orders
     }
 
     pub fn placed(&self, job: &str) -> bool {
-        self.share.jobs.get(&JobId::from(job)).is_some_and(|j| !j.tasks.is_empty())
+        self.shard.jobs.get(&JobId::from(job)).is_some_and(|j| !j.tasks.is_empty())
     }
 
-    /// Carries out what the share wants written of its machines; returns (name, still ours).
+    /// Carries out what the shard wants written of its machines; returns (name, still ours).
     pub fn machine_writes(&mut self, now: Micros, version: u64) -> Vec<(String, bool)> {
         let mut seen = Vec::new();
-        for w in self.share.writes(now, 100, &Layout::single(32 * 1024)) {
-            if let ShareWrite::Machine { machine, record, .. } = &w {
-                seen.push((machine.to_string(), record.share.is_some()));
-                self.with(now, |s, ctx| s.written(ctx, &w, WriteOutcome::Done(version)));
+        for w in self.shard.writes(now, 100, &Layout::single(32 * 1024)) {
+            if let ShardWrite::Machine { machine, record, .. } = &w {
+                seen.push((machine.to_string(), record.shard.is_some()));
+                self.with(now, |s, context| s.written(context, &w, WriteOutcome::Done(version)));
             }
         }
         seen
--- a/crates/seamfront-core/tests/machines.rs
+++ b/crates/seamfront-core/tests/machines.rs
@@ -4,7 +4,7 @@
 use seamfront_core::types::*;
 
 fn machine() -> Machine {
-    let record = MachineRecord { share: Some(0), kind: "m".into(), zone: "z".into(), spot: false };
+    let record = MachineRecord { shard: Some(0), kind: "m".into(), zone: "z".into(), spot: false };
     Machine::new("i-1".into(), record, 7, Amounts::offered(4.0, 0.0, 16.0), Micros::ZERO)
 }
 
--- a/crates/seamfront-core/tests/placement.rs
+++ b/crates/seamfront-core/tests/placement.rs
@@ -44,7 +44,7 @@
             .map(|k| {
                 let pick = |rng: &mut StdRng, of: [&str; 2]| of[rng.random_range(0..2)].to_owned();
                 let record = MachineRecord {
-                    share: Some(0),
+                    shard: Some(0),
                     kind: pick(&mut rng, ["a", "b"]),
                     zone: pick(&mut rng, ["x", "y"]),
                     spot: rng.random_range(0..2) == 0,
--- a/crates/seamfront-core/tests/records.rs
+++ b/crates/seamfront-core/tests/records.rs
@@ -123,11 +123,11 @@
         let mut w = World::sized(seed, small_values(210));
         w.quiet_from = ms(90_000);
         let first = large_gang(&mut w, 1, 200);
-        let share = w.share_key(&first);
-        w.fault(ms(24_000), Fault::CrashHolder { claim: share, back: ms(5_000) });
+        let shard = w.shard_key(&first);
+        w.fault(ms(24_000), Fault::CrashHolder { claim: shard, back: ms(5_000) });
         w.fault(ms(40_000), Fault::KillMachines { count: 1 });
         w.fault(ms(44_000), Fault::DelayWrites { until: ms(60_000) });
-        w.fault(ms(50_000), Fault::CrashHolder { claim: share, back: ms(300) });
+        w.fault(ms(50_000), Fault::CrashHolder { claim: shard, back: ms(300) });
         let second = large_gang(&mut w, 2, 180);
         w.cancel(ms(70_000), second);
         w.run_until(ms(400_000));
--- a/crates/seamfront-core/tests/rules.rs
+++ b/crates/seamfront-core/tests/rules.rs
@@ -42,10 +42,10 @@
 /// Bites: each of these guards, taken out by hand, made one or more of the tests in this file fail.
 /// - a placement is ordered only after its record is written (`Phase::Recording`): ran_twice
 /// - omissions count only in a report that shows the present token, with no command unsettled
-///   (`Share::take_report`): quota
-/// - an unanswered command stays unsettled (`Share::direct_result`): quota, jobs never done
+///   (`Shard::take_report`): quota
+/// - an unanswered command stays unsettled (`Shard::direct_result`): quota, jobs never done
 /// - the time of `Machine::lease_over_at`: ran_twice
-/// - orders for an earlier session only are void in a later one (`Share::take_report`): ran_twice
+/// - orders for an earlier session only are void in a later one (`Shard::take_report`): ran_twice
 /// - the limit of acting without proof (`Settings::acting_time`): ran_cancelled
 /// - the token as the larger of claim and record (`Machine::token`): jobs never done
 /// - the team's limit in a round: quota
@@ -181,7 +181,7 @@
 }
 
 /// Reports come a second time, seconds to well over a lease late, also at holders that have just
-/// taken the share and have seen nothing newer.
+/// taken the shard and have seen nothing newer.
 #[test]
 fn late_copies_of_reports_prove_nothing() {
     for seed in 700..720 {
--- a/crates/seamfront-core/tests/size.rs
+++ b/crates/seamfront-core/tests/size.rs
@@ -60,7 +60,7 @@
 }
 
 /// Work follows what changes, not how many machines there are: with twice as many and the same jobs, a
-/// step looks at hardly more. (There are more steps, since each report is one.) A walk over a share's machines
+/// step looks at hardly more. (There are more steps, since each report is one.) A walk over a shard's machines
 /// in each step fails this.
 #[test]
 fn a_step_looks_at_no_more_in_a_fleet_twice_as_large() {
--- a/crates/seamfront-core/tests/turns.rs
+++ b/crates/seamfront-core/tests/turns.rs
@@ -17,7 +17,7 @@
 fn after_a_round(machines: usize, now: Micros, jobs: Vec<JobSpec>) -> Held {
     let mut h = Held::new(machines, 0);
     for spec in jobs {
-        h.share.add_job(Rc::new(spec), 5, now);
+        h.shard.add_job(Rc::new(spec), 5, now);
     }
     rounds(&mut h, now, 1);
     h
@@ -26,15 +26,15 @@
 fn rounds(h: &mut Held, now: Micros, n: i64) {
     for k in 0..n {
         let now = now + Micros::from_millis(600).times(k);
-        for m in 0..h.share.machines.len() {
+        for m in 0..h.shard.machines.len() {
             h.hello(now, &report(&format!("i-{m}"), 1, 100 + now.0 as u64, CLAIM, &[]));
         }
-        h.with(now, |s, ctx| s.round(ctx));
+        h.with(now, |s, context| s.round(context));
     }
 }
 
 fn placed(h: &Held, id: &str) -> usize {
-    h.share.jobs[&JobId::from(id)].tasks.len()
+    h.shard.jobs[&JobId::from(id)].tasks.len()
 }
 
 /// By age alone all that ask for more than their team's limit leaves would be late together. Arrays take
@@ -54,7 +54,7 @@
         let mut h = Held::new(1, 0);
         h.cfg.teams[0].limit = Amounts::offered(limit, 0.0, 0.0);
         for spec in [large, small] {
-            h.share.add_job(Rc::new(spec), 5, s(120));
+            h.shard.add_job(Rc::new(spec), 5, s(120));
         }
         rounds(&mut h, s(120), 1);
         assert_eq!((placed(&h, "j-0"), placed(&h, "j-1")), expected, "{kind:?}, {limit}, {late}");
@@ -72,7 +72,7 @@
     let mut h = after_a_round(1, now, vec![old, urgent]);
     rounds(&mut h, now + s(1), 3);
     assert_eq!((placed(&h, "j-0"), placed(&h, "j-1")), (1, 0));
-    let job = &h.share.jobs[&JobId::from("j-0")];
+    let job = &h.shard.jobs[&JobId::from("j-0")];
     assert!(job.tasks.values().all(|p| p.stop.is_none() && p.attempt == 1), "it was stopped and placed anew");
 }
 
@@ -83,13 +83,13 @@
     let mut h = Held::new(3, 0);
     let live =
         JobSpec { kind: Kind::Service, priority: Priority::Critical, image: "live".into(), ..(*job("j-0", 4)).clone() };
-    h.share.add_job(Rc::new(live), 5, now);
+    h.shard.add_job(Rc::new(live), 5, now);
     let busy = MachineId::from("i-1");
-    h.share.machines.get_mut(&busy).unwrap().used_image("live", 100, 1_000);
-    h.share.add_job(Rc::new(array("j-1", 200, Priority::BestEffort, now)), 5, now);
+    h.shard.machines.get_mut(&busy).unwrap().used_image("live", 100, 1_000);
+    h.shard.add_job(Rc::new(array("j-1", 200, Priority::BestEffort, now)), 5, now);
     rounds(&mut h, now, 1);
     assert_eq!(placed(&h, "j-0"), 4, "it starts at once");
-    let free = h.share.machines[&busy].free().cpus;
+    let free = h.shard.machines[&busy].free().cpus;
     assert_eq!(free, 4_000, "room for one more like it is left where its image is");
     assert_eq!(placed(&h, "j-1"), 16, "and the rest is used");
 }
--- a/crates/seamfront-core/tests/world/checks.rs
+++ b/crates/seamfront-core/tests/world/checks.rs
@@ -95,8 +95,8 @@
     }
 
     pub(super) fn follow_claims(&mut self) {
-        let shares = (0..self.scale.nodes).map(|k| format!("share/{k}"));
-        for claim in shares.chain(["leader".to_owned()]) {
+        let shards = (0..self.scale.nodes).map(|k| format!("share/{k}"));
+        for claim in shards.chain(["leader".to_owned()]) {
             let version = self.store.keys.get(&claim).map(|v| v.1);
             let known = self.claims.entry(claim.clone()).or_insert((None, self.now));
             if known.0 == version {
@@ -127,9 +127,9 @@
     }
 
     /// The claim on the share of a job's team.
-    pub fn share_key(&self, job: &JobId) -> &'static str {
-        let share = self.settings.share_of(&self.truth.jobs[job].team).expect("a known team");
-        ["share/0", "share/1", "share/2"][share]
+    pub fn shard_key(&self, job: &JobId) -> &'static str {
+        let shard = self.settings.shard_of(&self.truth.jobs[job].team).expect("a known team");
+        ["share/0", "share/1", "share/2"][shard]
     }
 
     /// Of each job that needs others and was started: from the durable end of the last of those, or its own submission
--- a/crates/seamfront-core/tests/world/mod.rs
+++ b/crates/seamfront-core/tests/world/mod.rs
@@ -577,7 +577,7 @@
         let Some(engine) = n.engine.as_mut() else { return };
         let before = engine.looked();
         let effects = engine.step(own, wall, commands);
-        // A share that is dropped takes its count along.
+        // A shard that is dropped takes its count along.
         self.steps = (self.steps.0 + 1, self.steps.1 + (engine.looked() - before).max(0));
         let life = n.life;
         for f in effects {
--- a/crates/seamfront-core/tests/world/users.rs
+++ b/crates/seamfront-core/tests/world/users.rs
@@ -156,7 +156,7 @@
                             }
                         }
                         let first = !self.truth.cancelled.contains_key(&job);
-                        if first && runs && self.share_changes_hands(&job) {
+                        if first && runs && self.shard_changes_hands(&job) {
                             self.cover("a running job was cancelled as its share changed hands");
                         }
                         self.truth.cancelled.entry(job.clone()).or_insert(self.now);
@@ -176,9 +176,9 @@
         self.truth.broken.extend(bad);
     }
 
-    fn share_changes_hands(&self, job: &JobId) -> bool {
-        let share = self.settings.share_of(&self.truth.jobs[job].team);
-        share.is_some_and(|k| self.changes_hands(&format!("share/{k}")))
+    fn shard_changes_hands(&self, job: &JobId) -> bool {
+        let shard = self.settings.shard_of(&self.truth.jobs[job].team);
+        shard.is_some_and(|k| self.changes_hands(&format!("share/{k}")))
     }
 
     /// Whether users want a job cancelled that this one needs, directly or through others.
--- a/crates/seamfront/tests/parsing.rs
+++ b/crates/seamfront/tests/parsing.rs
@@ -200,7 +200,7 @@
     let record: seamfront_core::fleet::MachineRecord = serde_json::from_str(machine).unwrap();
     assert_eq!(serde_json::to_value(&record).unwrap(), as_value(machine));
     let claim = r#"{"member":"n0","lease":4}"#;
-    let value: seamfront_core::link::ClaimValue = serde_json::from_str(claim).unwrap();
+    let value: seamfront_core::store_session::ClaimValue = serde_json::from_str(claim).unwrap();
     assert_eq!(serde_json::to_value(&value).unwrap(), as_value(claim));
     for end in [r#"{"cancelled":true,"tasks":3}"#, r#"{"cancelled":false,"tasks":3}"#] {
         let record: seamfront_core::users::EndRecord = serde_json::from_str(end).unwrap();
