--- a/crates/seamfront-core/src/chains.rs
+++ b/crates/seamfront-core/src/chains.rs
@@ -126,7 +126,7 @@
     /// A submission may name only jobs that were accepted. What neither the view nor our memory knows is asked of
     /// the store, one after the other; what was found is remembered for the user's next try.
     pub(crate) fn check_needs(&mut self, to: ReplyTo, spec: Rc<JobSpec>) {
-        let left = if self.impossible(&spec).is_some() { Vec::new() } else { spec.needs.clone() };
+        let left = spec.needs.clone();
         self.check_left(to, spec, left);
     }
 
@@ -138,7 +138,7 @@
             return self.state(StateCall::Get { key }, Pending::NeedKnown { to, spec, left, end: false });
         }
         let cancelled = spec.needs.iter().find(|n| self.users.ended.get(n).is_some_and(|e| e.cancelled));
-        if let Some(n) = cancelled.filter(|_| self.impossible(&spec).is_none()) {
+        if let Some(n) = cancelled {
             info!(job = %spec.id, needs = %n, "accepted and cancelled: a job that it needs is cancelled");
             let end = EndRecord { cancelled: true, tasks: spec.tasks };
             let when = vec![(job_key(&spec.id), 0), (end_key(&spec.id), 0)];
@@ -181,7 +181,7 @@
                 let key = end_key(&n);
                 self.state(StateCall::Get { key }, Pending::NeedKnown { to, spec, left, end: true });
             }
-            StateReply::Missing => self.verify_unknown(to, spec, format!("espera: {n} was never accepted")),
+            StateReply::Missing => self.verify_unknown(to, spec, Impossible::NeedNeverAccepted(n)),
             _ => self.later(to),
         }
     }
--- a/crates/seamfront-core/src/engine/mod.rs
+++ b/crates/seamfront-core/src/engine/mod.rs
@@ -59,7 +59,7 @@
     Records { shard: usize, version: u64 },
     Shard { shard: usize, version: u64, writes: Vec<ShardWrite> },
     Submit { batch: Vec<(ReplyTo, Rc<JobSpec>)> },
-    VerifyUnknown { to: ReplyTo, spec: Rc<JobSpec>, why: String, end: bool },
+    VerifyUnknown { to: ReplyTo, spec: Rc<JobSpec>, why: Impossible, end: bool },
     NeedKnown { to: ReplyTo, spec: Rc<JobSpec>, left: Vec<JobId>, end: bool },
     NeedsWritten { to: ReplyTo, spec: Rc<JobSpec>, parts: Vec<Vec<JobId>>, next: usize },
     SubmitCancelled { to: ReplyTo, spec: Rc<JobSpec> },
--- a/crates/seamfront-core/src/port.rs
+++ b/crates/seamfront-core/src/port.rs
@@ -467,6 +467,23 @@
     },
 }
 
+/// Why a job can never run.
+#[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
+pub enum Impossible {
+    /// No such team is in the settings.
+    #[error("equipe: unknown team")]
+    UnknownTeam,
+    /// A task is larger than every allowed machine.
+    #[error("no allowed machine type fits a task")]
+    NoMachineFits,
+    /// One task of an array, or all tasks of another job, exceed the limit.
+    #[error("the job needs more than its team's limit")]
+    OverLimit,
+    /// It names a job that was never accepted.
+    #[error("espera: {0} was never accepted")]
+    NeedNeverAccepted(JobId),
+}
+
 /// An answer to a user.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Answer {
@@ -486,10 +503,7 @@
     /// There is no such job.
     NotFound,
     /// The job can never run.
-    Impossible {
-        /// The reason, for its user.
-        why: String,
-    },
+    Impossible(Impossible),
     /// Cannot be known or taken now; come back.
     Later {
         /// When to come back.
--- a/crates/seamfront-core/src/users.rs
+++ b/crates/seamfront-core/src/users.rs
@@ -150,7 +150,10 @@
             return self.later(to);
         }
         spec.submitted = self.wall;
-        self.check_needs(to, Rc::new(spec));
+        match self.check_possible(&spec) {
+            Ok(()) => self.check_needs(to, Rc::new(spec)),
+            Err(why) => self.verify_unknown(to, Rc::new(spec), why),
+        }
     }
 
     /// What it needs is known: it can be created.
@@ -158,20 +161,18 @@
         self.users.submits.push_back((to, spec));
     }
 
-    /// Why a job can never run here.
-    pub(crate) fn impossible(&self, spec: &JobSpec) -> Option<String> {
-        let Some(team) = self.cfg.team(&spec.team) else {
-            return Some("equipe: unknown team".to_owned());
-        };
+    /// Whether a job can ever run here.
+    fn check_possible(&self, spec: &JobSpec) -> Result<(), Impossible> {
+        let team = self.cfg.team(&spec.team).ok_or(Impossible::UnknownTeam)?;
         let fits =
             |t: &MachineType| t.size.fits(spec.need) > 0 && t.zones.iter().any(|z| spec.allows(&t.name, z, false));
         if !self.types.iter().any(fits) {
-            return Some("no allowed machine type fits a task".to_owned());
+            return Err(Impossible::NoMachineFits);
         }
         if !within_limit(team, spec) {
-            return Some("the job needs more than its team's limit".to_owned());
+            return Err(Impossible::OverLimit);
         }
-        None
+        Ok(())
     }
 
     pub(crate) fn poll(&mut self, to: ReplyTo, id: JobId) {
@@ -324,10 +325,6 @@
     fn send_submits(&mut self, batch: Vec<(ReplyTo, Rc<JobSpec>)>) {
         let (mut when, mut apply, mut sent) = (Vec::new(), Vec::new(), Vec::new());
         for (to, spec) in batch {
-            if let Some(why) = self.impossible(&spec) {
-                self.verify_unknown(to, spec, why);
-                continue;
-            }
             when.push((job_key(&spec.id), 0));
             when.push((end_key(&spec.id), 0));
             let value = serde_json::to_value(&*spec).unwrap_or_default();
@@ -341,7 +338,7 @@
     }
 
     /// An accepted job's repetition never gets 422: the store says whether it is known.
-    pub(crate) fn verify_unknown(&mut self, to: ReplyTo, spec: Rc<JobSpec>, why: String) {
+    pub(crate) fn verify_unknown(&mut self, to: ReplyTo, spec: Rc<JobSpec>, why: Impossible) {
         self.users.in_flight += 1;
         let key = job_key(&spec.id);
         self.state(StateCall::Get { key }, Pending::VerifyUnknown { to, spec, why, end: false });
@@ -352,7 +349,7 @@
         &mut self,
         to: ReplyTo,
         spec: Rc<JobSpec>,
-        why: String,
+        why: Impossible,
         end: bool,
         reply: StateReply,
     ) {
@@ -371,7 +368,7 @@
                 let key = end_key(&spec.id);
                 self.state(StateCall::Get { key }, Pending::VerifyUnknown { to, spec, why, end: true });
             }
-            StateReply::Missing => self.answer(to, Answer::Impossible { why }),
+            StateReply::Missing => self.answer(to, Answer::Impossible(why)),
             _ => self.later(to),
         }
     }
--- a/crates/seamfront-core/tests/world/users.rs
+++ b/crates/seamfront-core/tests/world/users.rs
@@ -168,7 +168,7 @@
                     _ => {}
                 }
             }
-            Answer::NotFound | Answer::Impossible { .. } if self.accepted.contains(&job) => {
+            Answer::NotFound | Answer::Impossible(_) if self.accepted.contains(&job) => {
                 bad.push(format!("forgotten: {job}"))
             }
             _ => {}
--- a/crates/seamfront/src/users.rs
+++ b/crates/seamfront/src/users.rs
@@ -148,7 +148,7 @@
             Reply::json(if *created { 201 } else { 200 }, body.to_string())
         }
         Answer::NotFound => Reply::error(404, "no such job"),
-        Answer::Impossible { why } => Reply::error(422, why),
+        Answer::Impossible(why) => Reply::error(422, &why.to_string()),
         Answer::Later { after } => Reply::later((after.0 / 1_000_000).max(1) as u64),
     }
 }
