--- a/crates/seamfront-core/src/engine/peers.rs
+++ b/crates/seamfront-core/src/engine/peers.rs
@@ -2,6 +2,13 @@
 
 use super::*;
 
+/// How often the others are told that this controller is alive.
+const ALIVE_EVERY: Micros = Micros::from_millis(500);
+/// How often the leader is told of a shard.
+const TELL_EVERY: Micros = Micros::from_millis(400);
+/// How often the others are told how far jobs are.
+const PROGRESS_EVERY: Micros = Micros::from_secs(1);
+
 impl Engine {
     /// No worker reaches this node, though some of its own did. Another node may hear them.
     pub(crate) fn deaf(&self) -> bool {
@@ -50,67 +57,78 @@
     }
 
     pub(super) fn talk(&mut self) {
-        let me = self.cfg.me;
         if self.now >= self.alive_next {
-            self.alive_next = self.now + Micros::from_millis(500);
-            let claims: Vec<(String, u64)> =
-                (0..=self.leader_slot()).filter_map(|s| self.slot_version(s).map(|v| (self.slot_key(s), v))).collect();
-            let ready = self.ready() && !self.deaf();
-            let awaited = self.writes_awaited();
-            self.awaited = awaited;
-            for to in (0..self.peers.len()).filter(|k| *k != me) {
-                let message = MeshMessage::Alive { ready, claims: claims.clone(), awaited };
-                self.effects.push(Effect::Mesh { to, message });
-            }
+            self.alive_next = self.now + ALIVE_EVERY;
+            self.announce();
         }
         if self.now >= self.tell_next {
-            self.tell_next = self.now + Micros::from_millis(400);
+            self.tell_next = self.now + TELL_EVERY;
             for k in 0..self.shards.len() {
-                let told = self.with_shard(k, |s, context| {
-                    (s.phase == ShardPhase::Ready).then(|| (s.version, s.needs.clone(), s.views(context)))
-                });
-                if let Some((version, mut needs, machines)) = told.flatten() {
-                    if needs.len() > NEEDS_MAX {
-                        // The most important are first, and what is served makes room for the rest.
-                        warn!(
-                            shard = k,
-                            waiting = needs.len(),
-                            told = NEEDS_MAX,
-                            "more jobs wait than the leader is told of"
-                        );
-                        needs.truncate(NEEDS_MAX);
-                    }
-                    let message = MeshMessage::Shard { shard: k, version, needs, machines };
-                    if self.leader.is_some() {
-                        self.mesh(me, message);
-                    } else if let Some(to) = self.store.claims[self.leader_slot()].as_ref().map(|c| c.member) {
-                        self.effects.push(Effect::Mesh { to, message });
-                    }
-                }
+                self.tell_leader(k);
             }
         }
         if self.now >= self.progress_next {
-            self.progress_next = self.now + Micros::from_secs(1);
-            let mut changed = Vec::new();
-            for s in self.shards.iter().flatten() {
-                for (id, j) in s.jobs.iter().filter(|j| j.1.live()) {
-                    let counts = (j.done.count(), j.running());
-                    if self.told.get(id) != Some(&counts) {
-                        changed.push((id.clone(), counts.0, counts.1));
-                    }
-                }
-            }
-            let live = &self.jobs;
-            self.told.retain(|id, _| live.contains_key(id));
-            for c in &changed {
-                self.told.insert(c.0.clone(), (c.1, c.2));
-            }
-            if !changed.is_empty() {
-                for to in (0..self.peers.len()).filter(|k| *k != me) {
-                    self.effects.push(Effect::Mesh { to, message: MeshMessage::Progress { jobs: changed.clone() } });
+            self.progress_next = self.now + PROGRESS_EVERY;
+            self.tell_progress();
+        }
+    }
+
+    fn tell_peers(&mut self, message: &MeshMessage) {
+        let me = self.cfg.me;
+        for to in (0..self.peers.len()).filter(|k| *k != me) {
+            self.effects.push(Effect::Mesh { to, message: message.clone() });
+        }
+    }
+
+    /// That this controller is alive, which claims it holds and how many writes wait here.
+    fn announce(&mut self) {
+        let claims: Vec<(String, u64)> =
+            (0..=self.leader_slot()).filter_map(|s| self.slot_version(s).map(|v| (self.slot_key(s), v))).collect();
+        let ready = self.ready() && !self.deaf();
+        let awaited = self.writes_awaited();
+        self.awaited = awaited;
+        self.tell_peers(&MeshMessage::Alive { ready, claims, awaited });
+    }
+
+    /// What waits in a shard, and its machines.
+    fn tell_leader(&mut self, k: usize) {
+        let told = self.with_shard(k, |s, context| {
+            (s.phase == ShardPhase::Ready).then(|| (s.version, s.needs.clone(), s.views(context)))
+        });
+        let Some((version, mut needs, machines)) = told.flatten() else { return };
+        if needs.len() > NEEDS_MAX {
+            // The most important are first, and what is served makes room for the rest.
+            warn!(shard = k, waiting = needs.len(), told = NEEDS_MAX, "more jobs wait than the leader is told of");
+            needs.truncate(NEEDS_MAX);
+        }
+        let message = MeshMessage::Shard { shard: k, version, needs, machines };
+        if self.leader.is_some() {
+            let me = self.cfg.me;
+            self.mesh(me, message);
+        } else if let Some(to) = self.store.claims[self.leader_slot()].as_ref().map(|c| c.member) {
+            self.effects.push(Effect::Mesh { to, message });
+        }
+    }
+
+    /// Display counts that have changed since they were last told.
+    fn tell_progress(&mut self) {
+        let mut changed = Vec::new();
+        for s in self.shards.iter().flatten() {
+            for (id, j) in s.jobs.iter().filter(|j| j.1.live()) {
+                let counts = (j.done.count(), j.running());
+                if self.told.get(id) != Some(&counts) {
+                    changed.push((id.clone(), counts.0, counts.1));
                 }
             }
         }
+        let live = &self.jobs;
+        self.told.retain(|id, _| live.contains_key(id));
+        for c in &changed {
+            self.told.insert(c.0.clone(), (c.1, c.2));
+        }
+        if !changed.is_empty() {
+            self.tell_peers(&MeshMessage::Progress { jobs: changed });
+        }
     }
 
     pub(crate) fn tell_holder(&mut self, shard: usize, message: MeshMessage) {
--- a/crates/seamfront-core/src/shard/evidence.rs
+++ b/crates/seamfront-core/src/shard/evidence.rs
@@ -2,6 +2,21 @@
 
 use super::*;
 
+/// How long a job avoids a machine where a task of it failed.
+const AVOID_AFTER_ERROR: Micros = Micros::from_secs(120);
+/// How long a job avoids a machine that knows its task under another attempt, or not at all.
+const AVOID_AFTER_REFUSAL: Micros = Micros::from_secs(5);
+/// How long nothing of such a job is placed.
+const PAUSE_AFTER_REFUSAL: Micros = Micros::from_secs(1);
+/// How long a machine that refused a task for lack of room gets none.
+const FULL_FOR: Micros = Micros::from_secs(3);
+/// From so many errors in a row on, a job is slowed down and its machines are not blamed.
+const ERRORS_OF_JOB: u32 = 3;
+/// So many different jobs have to fail on a machine for it to be suspected.
+const FAULTS_OF_MACHINE: usize = 2;
+/// Completed tasks before their mean run time tells anything of a machine.
+const RUNS_FOR_A_MEAN: i64 = 3;
+
 impl Shard {
     /// The task is on no machine any more: frees its place, quota, zone and number.
     pub(super) fn remove_task(&mut self, context: &mut Context, task: &TaskKey, why: Removal) {
@@ -27,76 +42,86 @@
         if job.waiting_since == Micros::ZERO || job.tasks.is_empty() {
             job.waiting_since = context.now;
         }
-        let blamed = why == Removal::Exited(Exit::Error);
-        if blamed {
-            let after = Micros::from_secs(120);
-            job.avoid.insert(p.machine.clone(), context.now + after);
-            job.errors += 1;
-            // A job that fails wherever it goes is slowed down, so that it harms nobody.
-            if job.errors >= 3 {
-                let pause = Micros::from_secs(2 << (job.errors - 3).min(5));
-                job.paused_until = context.now + pause;
-            }
-            warn!(job = %task.job, machine = %p.machine, errors = job.errors, "task failed");
-            if job.errors <= 3 {
-                if let Some(m) = self.machines.get_mut(&p.machine) {
-                    m.faults.insert(task.job.clone());
-                    if m.faults.len() >= 2 && !m.suspect {
-                        warn!(machine = %p.machine, "different jobs fail here: machine suspected");
-                        m.suspect = true;
-                    }
-                }
-            }
-        }
-        let Some(job) = self.jobs.get_mut(&task.job) else { return };
         match why {
-            Removal::Exited(Exit::Done) => {
-                job.errors = 0;
-                let ran = p.running_since.map(|t| context.now - t).filter(|_| job.spec.kind == Kind::Array);
-                if let Some(m) = self.machines.get_mut(&p.machine) {
-                    m.faults.clear();
-                    if let Some(ran) = ran.filter(|_| job.ran.0 >= 3) {
-                        let before = m.suspect;
-                        m.completed(ran, job.ran.1.over(job.ran.0));
-                        if m.suspect && !before {
-                            warn!(machine = %p.machine, "much slower than its kind: machine suspected");
-                        }
-                    }
-                }
-                if let Some(ran) = ran {
-                    job.ran = (job.ran.0 + 1, job.ran.1 + ran);
-                }
-                if job.spec.kind != Kind::Service {
-                    self.task_done(task);
-                }
-                return;
-            }
+            Removal::Exited(Exit::Error) => self.blame_failure(context, task, &p.machine),
+            Removal::Exited(Exit::Done) => return self.take_completion(context, task, &p),
             Removal::Exited(Exit::NoRoom) => {
                 if let Some(m) = self.machines.get_mut(&p.machine) {
-                    m.full_until = context.now + Micros::from_secs(3);
+                    m.full_until = context.now + FULL_FOR;
                 }
             }
             Removal::Exited(Exit::Busy | Exit::Unknown) => {
-                job.avoid.insert(p.machine.clone(), context.now + Micros::from_secs(5));
-                job.paused_until = job.paused_until.max(context.now + Micros::from_secs(1));
+                job.avoid.insert(p.machine.clone(), context.now + AVOID_AFTER_REFUSAL);
+                job.paused_until = job.paused_until.max(context.now + PAUSE_AFTER_REFUSAL);
             }
             _ => {}
         }
-        if job.gang.is_some() {
-            let trigger = match (why, p.stop) {
-                (_, Some(_)) => None,
-                // Told by a sibling: the one that failed is the one whose machine is silent.
-                (Removal::Exited(Exit::Peers), _) => self.silent_member(context, &task.job),
-                (Removal::Exited(Exit::Error | Exit::Alone), _) => Some(task.index),
-                // A reserved member that was never ordered did not fail.
-                (Removal::Lost, _) if p.phase > Phase::Recording && silent => Some(task.index),
-                _ => None,
-            };
-            self.drain_gang(context, &task.job, trigger, Cause::Peers, Micros::ZERO);
-            if let Some(g) = self.jobs.get_mut(&task.job).and_then(|j| j.gang.as_mut()) {
-                g.gone(task.index);
+        self.drain_after_loss(context, task, &p, why, silent);
+    }
+
+    /// A task failed: its job avoids the machine, and where different jobs fail the machine is suspected.
+    fn blame_failure(&mut self, context: &Context, task: &TaskKey, machine: &MachineId) {
+        let Some(job) = self.jobs.get_mut(&task.job) else { return };
+        job.avoid.insert(machine.clone(), context.now + AVOID_AFTER_ERROR);
+        job.errors += 1;
+        warn!(job = %task.job, machine = %machine, errors = job.errors, "task failed");
+        // A job that fails wherever it goes is slowed down, so that it harms nobody.
+        if job.errors >= ERRORS_OF_JOB {
+            let pause = Micros::from_secs(2 << (job.errors - ERRORS_OF_JOB).min(5));
+            job.paused_until = context.now + pause;
+        }
+        if job.errors > ERRORS_OF_JOB {
+            return;
+        }
+        let Some(m) = self.machines.get_mut(machine) else { return };
+        m.faults.insert(task.job.clone());
+        if m.faults.len() >= FAULTS_OF_MACHINE && !m.suspect {
+            warn!(machine = %machine, "different jobs fail here: machine suspected");
+            m.suspect = true;
+        }
+    }
+
+    /// A task completed: its run time counts for its machine, and its result for its job.
+    fn take_completion(&mut self, context: &Context, task: &TaskKey, p: &Placement) {
+        let Some(job) = self.jobs.get_mut(&task.job) else { return };
+        job.errors = 0;
+        let ran = p.running_since.map(|t| context.now - t).filter(|_| job.spec.kind == Kind::Array);
+        if let Some(m) = self.machines.get_mut(&p.machine) {
+            m.faults.clear();
+            if let Some(ran) = ran.filter(|_| job.ran.0 >= RUNS_FOR_A_MEAN) {
+                let before = m.suspect;
+                m.completed(ran, job.ran.1.over(job.ran.0));
+                if m.suspect && !before {
+                    warn!(machine = %p.machine, "much slower than its kind: machine suspected");
+                }
             }
         }
+        if let Some(ran) = ran {
+            job.ran = (job.ran.0 + 1, job.ran.1 + ran);
+        }
+        if job.spec.kind != Kind::Service {
+            self.task_done(task);
+        }
+    }
+
+    /// A gang that lost a member is drained as a whole.
+    fn drain_after_loss(&mut self, context: &mut Context, task: &TaskKey, p: &Placement, why: Removal, silent: bool) {
+        if self.jobs.get(&task.job).is_none_or(|j| j.gang.is_none()) {
+            return;
+        }
+        let trigger = match (why, p.stop) {
+            (_, Some(_)) => None,
+            // Told by a sibling: the one that failed is the one whose machine is silent.
+            (Removal::Exited(Exit::Peers), _) => self.silent_member(context, &task.job),
+            (Removal::Exited(Exit::Error | Exit::Alone), _) => Some(task.index),
+            // A reserved member that was never ordered did not fail.
+            (Removal::Lost, _) if p.phase > Phase::Recording && silent => Some(task.index),
+            _ => None,
+        };
+        self.drain_gang(context, &task.job, trigger, Cause::Peers, Micros::ZERO);
+        if let Some(g) = self.jobs.get_mut(&task.job).and_then(|j| j.gang.as_mut()) {
+            g.gone(task.index);
+        }
     }
 
     pub(super) fn task_done(&mut self, task: &TaskKey) {
--- a/crates/seamfront-core/src/shard/records.rs
+++ b/crates/seamfront-core/src/shard/records.rs
@@ -82,11 +82,30 @@
     /// [`Shard::written`].
     pub fn writes(&mut self, now: Micros, budget: usize, layout: &Layout) -> Vec<ShardWrite> {
         let mut out = Vec::new();
+        self.machine_writes(now, budget.div_ceil(2), &mut out);
+        for id in self.due_records(now) {
+            if out.len() >= budget {
+                break;
+            }
+            let Some(job) = self.jobs.get_mut(&id) else { continue };
+            job.record.in_flight = true;
+            job.record.asked_at = now;
+            match next_write(job, layout) {
+                Some(write) => out.push(write),
+                // Written by a former holder for a store that took more: nothing is placed for it until enough
+                // of it has gone. The old record names all that is placed meanwhile.
+                None => job.record.in_flight = false,
+            }
+        }
+        out
+    }
+
+    /// Tokens to be raised and machines to be given up: not so many that they keep tasks from being started.
+    fn machine_writes(&mut self, now: Micros, most: usize, out: &mut Vec<ShardWrite>) {
         let look = now >= self.machine_writes_next;
         self.look(if look { self.machines.len() } else { 0 } + self.jobs.len());
         for (id, m) in self.machines.iter_mut().filter(|_| look) {
-            if out.len() >= budget.div_ceil(2) {
-                // Tokens of a thousand machines must not keep tasks from being started.
+            if out.len() >= most {
                 break;
             }
             if m.writing || m.record.shard.is_none() {
@@ -109,6 +128,10 @@
         if look && out.is_empty() {
             self.machine_writes_next = now + LOOK_EVERY;
         }
+    }
+
+    /// Jobs whose records are due, in the order in which they are to be written.
+    fn due_records(&self, now: Micros) -> Vec<JobId> {
         // Results alone are recorded now and then: until then their workers keep them.
         let rested = |j: &Job| now - j.record.asked_at >= RESULTS_EVERY;
         let mut due: Vec<(bool, Priority, Micros, JobId)> = self
@@ -126,60 +149,29 @@
             })
             .collect();
         due.sort();
-        for (_, _, _, id) in due {
-            if out.len() >= budget {
-                break;
-            }
-            let Some(job) = self.jobs.get_mut(&id) else { continue };
-            job.record.in_flight = true;
-            job.record.asked_at = now;
-            let parts_end = job.record.parts_end;
-            let write = match (job.record.version, job.ending) {
-                (None, _) => ShardWrite::Read { job: id },
-                (Some(v), Some(Ending::Completing)) => ShardWrite::End {
-                    job: id,
-                    job_version: job.version,
-                    record_version: v,
-                    parts_end,
-                    tasks: job.spec.tasks,
-                },
-                (Some(version), Some(_)) => ShardWrite::DropRecord { job: id, version, parts_end },
-                (Some(version), None) => match record_write(job, version, layout) {
-                    Some(write) => write,
-                    // Written by a former holder for a store that took more: nothing is placed for it until enough
-                    // of it has gone. The old record names all that is placed meanwhile.
-                    None => {
-                        job.record.in_flight = false;
-                        continue;
-                    }
-                },
-            };
-            out.push(write);
+        due.into_iter().map(|d| d.3).collect()
+    }
+
+    fn machine_written(&mut self, machine: &MachineId, record: &MachineRecord, outcome: WriteOutcome) {
+        let Some(m) = self.machines.get_mut(machine) else { return };
+        m.writing = false;
+        // Giving it up may be applied late, when it has long come back: rewriting the record makes that fail.
+        m.challenge |= record.shard.is_none() && outcome == WriteOutcome::Unclear;
+        m.giving_up &= outcome != WriteOutcome::Refused || m.challenge;
+        if let WriteOutcome::Done(v) = outcome {
+            m.version = m.version.max(v);
+            m.challenge = false;
+            m.giving_up = false;
+            m.released = None;
+            m.clearing = None;
+            m.record = record.clone();
         }
-        out
     }
 
     /// The outcome of a record's write: the new version, or None if that must be read first.
     pub fn written(&mut self, context: &mut Context, write: &ShardWrite, outcome: WriteOutcome) {
         let (job_id, gen) = match write {
-            ShardWrite::Machine { machine, record, .. } => {
-                if let Some(m) = self.machines.get_mut(machine) {
-                    m.writing = false;
-                    // Giving it up may be applied late, when it has long come back: rewriting the record
-                    // makes that fail.
-                    m.challenge |= record.shard.is_none() && outcome == WriteOutcome::Unclear;
-                    m.giving_up &= outcome != WriteOutcome::Refused || m.challenge;
-                    if let WriteOutcome::Done(v) = outcome {
-                        m.version = m.version.max(v);
-                        m.challenge = false;
-                        m.giving_up = false;
-                        m.released = None;
-                        m.clearing = None;
-                        m.record = record.clone();
-                    }
-                }
-                return;
-            }
+            ShardWrite::Machine { machine, record, .. } => return self.machine_written(machine, record, outcome),
             ShardWrite::Record { job, gen, .. } => (job, *gen),
             ShardWrite::End { job, .. } | ShardWrite::DropRecord { job, .. } | ShardWrite::Read { job } => (job, 0),
         };
@@ -236,6 +228,19 @@
     }
 }
 
+/// What is to be written of a job next, as it stands. None if its record does not fit.
+fn next_write(job: &mut Job, layout: &Layout) -> Option<ShardWrite> {
+    let (id, parts_end) = (job.spec.id.clone(), job.record.parts_end);
+    Some(match (job.record.version, job.ending) {
+        (None, _) => ShardWrite::Read { job: id },
+        (Some(record_version), Some(Ending::Completing)) => {
+            ShardWrite::End { job: id, job_version: job.version, record_version, parts_end, tasks: job.spec.tasks }
+        }
+        (Some(version), Some(_)) => ShardWrite::DropRecord { job: id, version, parts_end },
+        (Some(version), None) => record_write(job, version, layout)?,
+    })
+}
+
 /// The write of a job's record as it stands. Only parts that differ from what is stored are written. None if it does
 /// not fit.
 fn record_write(job: &mut Job, version: u64, layout: &Layout) -> Option<ShardWrite> {
