--- a/crates/seamfront-core/src/rounds/machines.rs
+++ b/crates/seamfront-core/src/rounds/machines.rs
@@ -134,7 +134,7 @@
             if !tasks.iter().all(lesser) {
                 continue;
             }
-            info!(machine = %id, tasks = tasks.len(), ?above, "clearing machine for another share");
+            info!(machine = %id, tasks = tasks.len(), ?above, "clearing machine for another shard");
             if let Some(m) = self.machines.get_mut(id) {
                 m.clearing = Some(context.now);
             }
--- a/crates/seamfront-core/src/shard/mod.rs
+++ b/crates/seamfront-core/src/shard/mod.rs
@@ -236,7 +236,7 @@
         for id in ids {
             self.settle_job(context, &id);
         }
-        info!(shard = self.index, jobs = self.jobs.len(), machines = self.machines.len(), "share ready");
+        info!(shard = self.index, jobs = self.jobs.len(), machines = self.machines.len(), "shard ready");
     }
 
     /// `job/<id>` is gone from the store: the job has ended, by us or by its user.
--- a/crates/seamfront-core/src/store_session/claims.rs
+++ b/crates/seamfront-core/src/store_session/claims.rs
@@ -145,7 +145,7 @@
                 continue;
             }
             let version = shard.version;
-            info!(shard = slot, to = %self.cfg.members[slot], leave, "handing share back");
+            info!(shard = slot, to = %self.cfg.members[slot], leave, "handing shard back");
             self.drop_slot(slot, "handed back");
             self.store.claiming[slot] = true;
             let key = self.slot_key(slot);
