--- /dev/null
+++ b/crates/seamfront-core/src/port/state.rs
@@ -0,0 +1,127 @@
+//! The state service: requests and answers.
+
+use crate::types::*;
+use serde_json::Value;
+
+/// A request to the state service.
+#[derive(Clone, Debug, PartialEq)]
+pub enum StateCall {
+    /// Read one key.
+    Get {
+        /// Key.
+        key: String,
+    },
+    /// Read the keys with a prefix, a page at a time.
+    List {
+        /// Prefix of the keys.
+        prefix: String,
+        /// The last key of the page before.
+        after: Option<String>,
+    },
+    /// Compare versions, then write; all or nothing.
+    Commit {
+        /// Keys with the versions that they must have, 0 for none.
+        when: Vec<(String, u64)>,
+        /// Changes; without any the versions are only compared.
+        apply: Vec<Write>,
+    },
+    /// Get a lease.
+    Grant {
+        /// How long it lasts without being renewed.
+        ttl: Micros,
+    },
+    /// Renew a lease.
+    Renew {
+        /// The lease.
+        lease: u64,
+    },
+    /// Wait for changes after a revision.
+    Changes {
+        /// Prefix of the keys.
+        prefix: String,
+        /// The revision after which changes are wanted.
+        after: u64,
+        /// How long to wait for one.
+        hold: Micros,
+    },
+}
+
+/// A change in a transaction.
+#[derive(Clone, Debug, PartialEq)]
+pub enum Write {
+    /// Write a key, attached to a lease or not.
+    Put {
+        /// Key.
+        key: String,
+        /// Value.
+        value: Value,
+        /// The lease that the key ends with.
+        lease: Option<u64>,
+    },
+    /// Remove a key.
+    Delete {
+        /// Key.
+        key: String,
+    },
+}
+
+/// A key as it is stored.
+#[derive(Clone, Debug)]
+pub struct Entry {
+    /// Key.
+    pub key: String,
+    /// Value.
+    pub value: Value,
+    /// Revision of its last change.
+    pub version: u64,
+}
+
+/// An answer of the state service.
+#[derive(Clone, Debug)]
+pub enum StateReply {
+    /// The key asked for.
+    Entry(Entry),
+    /// There is no such key.
+    Missing,
+    /// A page of keys.
+    Page {
+        /// The keys, in order.
+        entries: Vec<Entry>,
+        /// Whether there are more after the last.
+        more: bool,
+        /// The state service's revision.
+        revision: u64,
+    },
+    /// The transaction was carried out.
+    Committed {
+        /// Its revision, or the present one if it only compared.
+        revision: u64,
+    },
+    /// A condition did not hold; nothing was changed.
+    Conflict {
+        /// Keys whose version is another.
+        failed: Vec<String>,
+    },
+    /// A lease was granted.
+    Lease {
+        /// Its name.
+        id: u64,
+    },
+    /// The lease has its full time again.
+    Renewed,
+    /// Deletions have no value.
+    Changes {
+        /// The revision up to which these are all changes.
+        revision: u64,
+        /// Key, value and revision of each change.
+        events: Vec<(String, Option<Value>, u64)>,
+    },
+    /// The changes asked for are not kept any more.
+    TooOld,
+    /// The lease has ended.
+    NoSuchLease,
+    /// 429 or 503, or the connection was never made: certainly not executed.
+    Refused,
+    /// No answer: may have been executed, or may be later.
+    Unknown,
+}
--- /dev/null
+++ b/crates/seamfront-core/src/port/users.rs
@@ -0,0 +1,60 @@
+//! Answers to users.
+
+use crate::types::*;
+
+/// Why a job can never run.
+#[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
+pub enum Impossible {
+    /// No such team is in the settings.
+    #[error("equipe: unknown team")]
+    UnknownTeam,
+    /// A task is larger than every allowed machine.
+    #[error("no allowed machine type fits a task")]
+    NoMachineFits,
+    /// One task of an array, or all tasks of another job, exceed the limit.
+    #[error("the job needs more than its team's limit")]
+    OverLimit,
+    /// It names a job that was never accepted.
+    #[error("espera: {0} was never accepted")]
+    NeedNeverAccepted(JobId),
+}
+
+/// An answer to a user.
+#[derive(Clone, Debug, PartialEq)]
+pub enum Answer {
+    /// The state of a job.
+    Status {
+        /// Whether it was created for this very request.
+        created: bool,
+        /// The job.
+        id: JobId,
+        /// Its state.
+        state: ShownState,
+        /// Tasks that are done.
+        done: u32,
+        /// Tasks that run.
+        running: u32,
+    },
+    /// There is no such job.
+    NotFound,
+    /// The job can never run.
+    Impossible(Impossible),
+    /// Cannot be known or taken now; come back.
+    Later {
+        /// When to come back.
+        after: Micros,
+    },
+}
+
+/// State of a job as users are told.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum ShownState {
+    /// No task runs.
+    Queued,
+    /// A task runs.
+    Running,
+    /// All tasks are done.
+    Done,
+    /// Cancelled.
+    Cancelled,
+}
