--- a/crates/seamfront-core/src/rounds/mod.rs
+++ b/crates/seamfront-core/src/rounds/mod.rs
@@ -7,7 +7,6 @@
 use crate::placement::{Machines, Room, When, Wish};
 use crate::port::{MachineView, Need};
 use crate::quota;
-use crate::record::Layout;
 use crate::shard::{Context, Shard, ShardPhase};
 use crate::types::*;
 use std::collections::{BTreeMap, BTreeSet};
@@ -68,15 +67,6 @@
         && a.need.gpus.signum() == b.need.gpus.signum()
 }
 
-/// How much of a job may be placed at once. Ordinary arrays run as many tasks at a time as one value records: more at
-/// once are scattered over machines that each fetch the image for a task or two, which costs more than it brings.
-fn placing_layout(spec: &JobSpec, layout: &Layout) -> Layout {
-    if spec.kind == Kind::Array && spec.priority > Priority::Urgent {
-        return Layout::single(layout.value_bytes);
-    }
-    *layout
-}
-
 impl Round {
     fn hold_quota(&mut self, gang: &JobSpec) {
         // One at a time: all that are overdue would together hold the whole limit and leave it unused.
@@ -258,7 +248,7 @@
         let held = round.quota_held.get(&spec.team).copied().unwrap_or_default();
         let quota = self.quota.room(team, spec.need, held).min(i64::from(u32::MAX)) as u32;
         let overdue = job.overdue(context.wall);
-        let want = job.unplaced().min(quota).min(job.record_room(&placing_layout(&spec, &context.layout)));
+        let want = job.unplaced().min(quota).min(job.record_room(&context.layout));
         // The turn of an array is for its beginning; the rest of it goes by its own priority again.
         let want = if overdue && spec.kind == Kind::Array { want.min(1) } else { want };
         if want == 0 || (gang && want < spec.tasks) {
