--- a/crates/seamfront-core/tests/rules.rs
+++ b/crates/seamfront-core/tests/rules.rs
@@ -246,3 +246,24 @@
         assert_eq!(w.not_served(), Vec::<String>::new(), "seed {seed}");
     }
 }
+
+/// Without troubles, what was under way as a job was called off is stopped with the next reply: no task starts later
+/// than that (`check_late_starts`).
+#[test]
+fn nothing_starts_long_after_a_confirmed_cancellation() {
+    let mut late = 0;
+    for seed in 800..806 {
+        let mut w = World::new(seed);
+        w.quiet_from = ms(1_000);
+        for n in 0..60 {
+            let spec = w.job(n);
+            let (at, id) = (w.draw(31_000..110_000), spec.id.clone());
+            w.submit(ms(at), spec);
+            let later = w.draw(0..5_000);
+            w.cancel(ms(at + later), id);
+        }
+        w.run_until(ms(200_000));
+        late += w.coverage.get("a task started after its cancellation was confirmed").copied().unwrap_or(0);
+    }
+    assert!(late > 0, "the runs prove nothing: no start was under way as its job was called off");
+}
--- a/crates/seamfront-core/tests/world/users.rs
+++ b/crates/seamfront-core/tests/world/users.rs
@@ -115,6 +115,7 @@
             Answer::Status { state, .. } => {
                 if submit {
                     if self.accepted.insert(job.clone()) {
+                        self.answered.insert(job.clone(), self.now);
                         self.look_closely(&job);
                         self.after(ms(3_000), Event::Poll { job: job.clone() });
                     }
