--- a/crates/seamfront-core/tests/fault_combinations.rs
+++ b/crates/seamfront-core/tests/fault_combinations.rs
@@ -5,7 +5,7 @@
 mod world;
 
 use seamfront_core::types::*;
-use world::script::{count, play, stream_of_small_jobs, teams_at_their_limits, Coverage};
+use world::script::{add_coverage, count, play, stream_of_small_jobs, teams_at_their_limits, Coverage};
 use world::{ms, Fault, World, NODES};
 
 /// The seeded world's jobs, with something changed.
@@ -369,9 +369,7 @@
 fn every_team_at_its_limit_as_cancelled_tasks_are_out_of_reach_and_the_leader_changes() {
     let mut coverage = Coverage::new();
     for seed in 1_520..1_540 {
-        for (what, n) in teams_at_their_limits(seed).coverage {
-            *coverage.entry(what).or_default() += n;
-        }
+        add_coverage(&mut coverage, teams_at_their_limits(seed).coverage);
     }
     let reached = "every team stood at its limit, a cancelled task was out of reach and a controller ended";
     assert!(count(&coverage, reached) > 5, "{coverage:?}");
--- a/crates/seamfront-core/tests/records.rs
+++ b/crates/seamfront-core/tests/records.rs
@@ -8,7 +8,7 @@
 use seamfront_core::types::*;
 use serde_json::{json, Value};
 use std::collections::BTreeMap;
-use world::script::{count, log_if_chosen, pairs_of_all_kinds, Coverage};
+use world::script::{add_coverage, count, log_if_chosen, pairs_of_all_kinds, Coverage};
 use world::{ms, Fault, Scale, World, NODES, SMALL};
 
 /// The limits that the state service comes to have.
@@ -133,9 +133,7 @@
         w.run_until(ms(400_000));
         assert_eq!(w.owed(), Vec::<String>::new(), "seed {seed}");
         assert_eq!(w.stored("part/"), 0, "seed {seed}: parts are removed with their record");
-        for (what, n) in w.coverage {
-            *coverage.entry(what).or_default() += n;
-        }
+        add_coverage(&mut coverage, w.coverage);
     }
     assert!(count(&coverage, "a record was written in parts") > 20, "{coverage:?}");
     assert!(count(&coverage, "a record in parts was read by a new holder") > 4, "{coverage:?}");
@@ -181,9 +179,7 @@
         w.pipeline(200, at);
         w.run_until(ms(480_000));
         assert_eq!(w.owed(), Vec::<String>::new(), "seed {seed}");
-        for (what, n) in w.coverage {
-            *coverage.entry(what).or_default() += n;
-        }
+        add_coverage(&mut coverage, w.coverage);
     }
     assert!(count(&coverage, "a controller was upgraded while others had been") > 20, "{coverage:?}");
     assert!(count(&coverage, "an old controller ended beside new ones") > 10, "{coverage:?}");
--- a/crates/seamfront-core/tests/world/faults.rs
+++ b/crates/seamfront-core/tests/world/faults.rs
@@ -167,13 +167,15 @@
         let up = || self.truth.workers.iter().filter(|(_, w)| !w.dead);
         let apart = |id: &MachineId| self.loses_answers(id) || self.cut_machines.get(id).is_some_and(|t| *t > now);
         let out_of_reach = up().any(|(id, w)| apart(id) && w.tasks.values().any(|t| t.on_machine()));
-        let mut used: BTreeMap<&str, i64> = BTreeMap::new();
-        for (_, w) in up() {
-            for (k, _) in w.tasks.iter().filter(|(_, t)| t.on_machine()) {
+        let cpus_by_team = |counts: fn(&workers::Task) -> bool| {
+            let mut cpus: BTreeMap<&str, i64> = BTreeMap::new();
+            for (k, _) in up().flat_map(|(_, w)| w.tasks.iter()).filter(|(_, t)| counts(t)) {
                 let spec = &self.truth.jobs[&k.job];
-                *used.entry(&spec.team).or_default() += spec.need.cpus;
+                *cpus.entry(&spec.team).or_default() += spec.need.cpus;
             }
-        }
+            cpus
+        };
+        let used = cpus_by_team(workers::Task::on_machine);
         // Nothing more of the smallest size fits in.
         let full = |t: &&Team| t.limit.cpus > 0 && used.get(t.name.as_str()).is_some_and(|u| u + 1_000 > t.limit.cpus);
         let at_limit = self.truth.teams.iter().any(|t| full(&t));
@@ -183,13 +185,7 @@
         });
         let mut limited = self.truth.teams.iter().filter(|t| t.limit.cpus > 0).peekable();
         // What still fetches its image holds its part of the limit as well.
-        let mut held: BTreeMap<&str, i64> = BTreeMap::new();
-        for (_, w) in up() {
-            for (k, _) in w.tasks.iter().filter(|(_, t)| !matches!(t.state, TaskState::Exited(_))) {
-                let spec = &self.truth.jobs[&k.job];
-                *held.entry(&spec.team).or_default() += spec.need.cpus;
-            }
-        }
+        let held = cpus_by_team(|t| !matches!(t.state, TaskState::Exited(_)));
         let holds_all = |t: &Team| held.get(t.name.as_str()).is_some_and(|u| u + 1_000 > t.limit.cpus);
         let all_at_limit = limited.peek().is_some() && limited.all(holds_all);
         let stopping = |id: &MachineId, w: &Worker| {
--- a/crates/seamfront-core/tests/world/script.rs
+++ b/crates/seamfront-core/tests/world/script.rs
@@ -175,13 +175,18 @@
     let soak = std::env::var("SOAK").ok().and_then(|n| n.parse().ok()).unwrap_or(1);
     let more = (1..soak).flat_map(|k| seeds.clone().map(move |s| s + 10_000 * k));
     for seed in seeds.clone().chain(more) {
-        for (what, n) in history(seed, &faults).coverage {
-            *coverage.entry(what).or_default() += n;
-        }
+        add_coverage(&mut coverage, history(seed, &faults).coverage);
     }
     coverage
 }
 
+/// Counts what another run reached as well.
+pub fn add_coverage(sum: &mut Coverage, coverage: Coverage) {
+    for (what, n) in coverage {
+        *sum.entry(what).or_default() += n;
+    }
+}
+
 pub fn count(coverage: &Coverage, what: &str) -> u32 {
     coverage.get(what).copied().unwrap_or(0)
 }
--- a/crates/seamfront-core/tests/world/state_service.rs
+++ b/crates/seamfront-core/tests/world/state_service.rs
@@ -42,11 +42,7 @@
         if let StateCall::Commit { apply, .. } = &request {
             second.1 += apply.len() as u32;
             if self.scale.machines >= LARGE {
-                let bytes = |w: &Write| match w {
-                    Write::Put { key, value, .. } => key.len() + value.to_string().len() + 40,
-                    Write::Delete { key } => key.len() + 20,
-                };
-                self.largest.1 = self.largest.1.max(apply.iter().map(bytes).sum());
+                self.largest.1 = self.largest.1.max(apply.iter().map(store::size_of).sum());
             }
         }
         if !self.state_takes(&request) {
--- a/crates/seamfront-core/tests/world/store.rs
+++ b/crates/seamfront-core/tests/world/store.rs
@@ -8,7 +8,8 @@
 /// What the protocol allows in a transaction.
 const TRANSACTION_BYTES: usize = 64 * 1024;
 
-fn size_of(write: &Write) -> usize {
+/// About what a change takes in a transaction's body.
+pub fn size_of(write: &Write) -> usize {
     match write {
         Write::Put { key, value, .. } => key.len() + value.to_string().len() + 40,
         Write::Delete { key } => key.len() + 20,
