--- a/crates/seamfront-core/tests/chains.rs
+++ b/crates/seamfront-core/tests/chains.rs
@@ -6,6 +6,7 @@
 
 use seamfront_core::types::*;
 use std::ops::Range;
+use world::recording::scenario;
 use world::script::{count, pairs, pairs_of_all_kinds, play as play_histories, Coverage};
 use world::{ms, Fault, Scale, World, SMALL};
 
@@ -31,18 +32,21 @@
 /// nobody cancelled what needs a cancelled job (orphaned).
 #[test]
 fn chains_on_quiet_days() {
+    scenario("chains.chains_on_quiet_days");
     let coverage = play(2_000..2_006, |_, _| {});
     assert!(count(&coverage, CALLED_OFF) > 3, "{coverage:?}");
 }
 
 #[test]
 fn chains_under_troubles_in_pairs() {
+    scenario("chains.chains_under_troubles_in_pairs");
     let coverage = play(2_100..2_130, pairs);
     assert!(count(&coverage, CALLED_OFF) > 20, "{coverage:?}");
 }
 
 #[test]
 fn chains_under_all_kinds_of_troubles_in_pairs() {
+    scenario("chains.chains_under_all_kinds_of_troubles_in_pairs");
     let coverage = play(2_700..2_730, pairs_of_all_kinds);
     assert!(count(&coverage, CALLED_OFF) > 20, "{coverage:?}");
 }
@@ -51,6 +55,7 @@
 /// the last needed job to the order that starts the next.
 #[test]
 fn the_next_step_is_ordered_soon_after_the_last_needed_job_has_ended() {
+    scenario("chains.the_next_step_is_ordered_soon_after_the_last_needed_job_has_ended");
     let mut waits = Vec::new();
     for seed in 2_800..2_808 {
         let mut w = World::sized(seed, Scale { machines: 24, most: 40, limits: [0; 10], ..SMALL });
@@ -73,6 +78,7 @@
 /// The first jobs are called off as they end: `done` lets the rest go on, a cancellation ends it.
 #[test]
 fn a_cancellation_meets_the_end_of_what_others_need() {
+    scenario("chains.a_cancellation_meets_the_end_of_what_others_need");
     let coverage = play(2_200..2_210, |w, troubles| {
         w.fault(ms(1_000), Fault::CancelAtCompletion { until: ms(troubles) });
         w.fault(ms(1_000), Fault::DelayWrites { until: ms(40_000) });
@@ -99,6 +105,7 @@
 /// told anything else once the store is back.
 #[test]
 fn chains_are_called_off_in_the_gap() {
+    scenario("chains.chains_are_called_off_in_the_gap");
     let coverage = play(2_300..2_312, gap);
     // A submission that named a cancelled job in a view that was behind was called queued (orphaned).
     play(22_302..22_303, gap);
@@ -107,6 +114,7 @@
 
 #[test]
 fn holders_end_while_chains_go_on() {
+    scenario("chains.holders_end_while_chains_go_on");
     let coverage = play(2_400..2_412, |w, _| {
         for k in 0..8 {
             let back = ms(w.draw(50..6_000));
@@ -121,6 +129,7 @@
 /// for at once stay within it (the stand-in asserts that), and large arrays run all the same.
 #[test]
 fn small_values_and_transactions_are_enough() {
+    scenario("chains.small_values_and_transactions_are_enough");
     for seed in 2_500..2_504 {
         let scale = Scale { value_bytes: 2_048, txn_ops: 16, machines: 10, most: 30, ..SMALL };
         let mut w = World::sized(seed, scale);
--- a/crates/seamfront-core/tests/cleaning.rs
+++ b/crates/seamfront-core/tests/cleaning.rs
@@ -4,6 +4,7 @@
 #[allow(dead_code)]
 mod world;
 
+use world::recording::scenario;
 use world::script::{history_of, pairs_of_all_kinds};
 use world::{ms, Scale, World, SMALL};
 
@@ -21,6 +22,7 @@
 
 #[test]
 fn only_records_of_ended_jobs_are_removed_under_troubles() {
+    scenario("cleaning.only_records_of_ended_jobs_are_removed_under_troubles");
     for seed in 4_000..4_012 {
         let mut w = history_of(seed, DUTIES, |w, troubles| {
             for n in 0..45 {
@@ -55,6 +57,7 @@
 /// Also with values and transactions that are far smaller, and more leftovers of one job than a transaction takes.
 #[test]
 fn many_leftovers_of_one_job_are_removed_in_several_transactions() {
+    scenario("cleaning.many_leftovers_of_one_job_are_removed_in_several_transactions");
     let mut w = history_of(4_100, Scale { value_bytes: 4_096, txn_ops: 16, ..DUTIES }, |_, _| {});
     let job = (0..45).find(|n| !w.stored_keys(&format!("end/j-{n:06}")).is_empty()).expect("a job that has ended");
     for part in 0..100 {
@@ -66,6 +69,7 @@
 
 #[test]
 fn without_duties_nothing_is_written_nor_removed() {
+    scenario("cleaning.without_duties_nothing_is_written_nor_removed");
     let mut w = history_of(4_200, SMALL, |_, _| {});
     w.leave_key("needs/j-000001/00001");
     sweep(&mut w);
--- a/crates/seamfront-core/tests/duties.rs
+++ b/crates/seamfront-core/tests/duties.rs
@@ -5,6 +5,7 @@
 mod world;
 
 use seamfront_core::types::*;
+use world::recording::scenario;
 use world::script::{add_coverage, count, history_of, pairs_of_all_kinds, Coverage};
 use world::{ms, Fault, Scale, World, NODES, SMALL};
 
@@ -33,6 +34,7 @@
 
 #[test]
 fn no_rule_breaks_while_holders_of_duties_are_in_trouble() {
+    scenario("duties.no_rule_breaks_while_holders_of_duties_are_in_trouble");
     let mut coverage = Coverage::new();
     for seed in 5_000..5_010 {
         let w = history_of(seed, DUTIES, holders_in_trouble);
@@ -44,6 +46,7 @@
 
 #[test]
 fn in_calm_hours_one_member_holds_what_belongs_together() {
+    scenario("duties.in_calm_hours_one_member_holds_what_belongs_together");
     for seed in 5_100..5_104 {
         let mut w = history_of(seed, DUTIES, |_, _| {});
         let end = w.now + ms(60_000);
@@ -61,6 +64,7 @@
 /// The version in production, which knows no duties, and this one with duties on, upgraded one by one among all troubles.
 #[test]
 fn duties_begin_when_the_last_controller_is_upgraded() {
+    scenario("duties.duties_begin_when_the_last_controller_is_upgraded");
     let mut coverage = Coverage::new();
     for seed in 5_200..5_208 {
         let mut w = World::sized(seed, DUTIES);
--- a/crates/seamfront-core/tests/fault_combinations.rs
+++ b/crates/seamfront-core/tests/fault_combinations.rs
@@ -5,6 +5,7 @@
 mod world;
 
 use seamfront_core::types::*;
+use world::recording::scenario;
 use world::script::{
     add_coverage, any_node, count, play, stream_of_small_jobs, teams_at_their_limits, Coverage, SHARDS,
 };
@@ -26,6 +27,7 @@
 /// old holder, and some of the machines hang and go on.
 #[test]
 fn cancelled_as_one_is_refused_and_then_all() {
+    scenario("fault_combinations.cancelled_as_one_is_refused_and_then_all");
     let coverage = play(1_000..1_016, |w, _| {
         for (k, claim) in [(0, SHARDS[0]), (1, SHARDS[1])] {
             let at = 14_000 + 38_000 * k;
@@ -48,6 +50,7 @@
 
 #[test]
 fn transactions_carried_out_late_after_newer_ones() {
+    scenario("fault_combinations.transactions_carried_out_late_after_newer_ones");
     let coverage = play(1_020..1_032, |w, troubles| {
         w.fault(ms(5_000), Fault::DelayWrites { until: ms(troubles) });
         for k in 0..4 {
@@ -63,6 +66,7 @@
 
 #[test]
 fn a_zone_with_a_controller_cut_off_for_longer_than_a_lease() {
+    scenario("fault_combinations.a_zone_with_a_controller_cut_off_for_longer_than_a_lease");
     let coverage = play(1_040..1_050, |w, _| {
         for k in 0..2 {
             let at = 10_000 + 40_000 * k;
@@ -78,6 +82,7 @@
 
 #[test]
 fn cancellations_questions_and_submissions_meet_a_jobs_end() {
+    scenario("fault_combinations.cancellations_questions_and_submissions_meet_a_jobs_end");
     let coverage = play(1_060..1_070, |w, troubles| {
         w.fault(ms(3_000), Fault::CancelAtCompletion { until: ms(troubles) });
     });
@@ -86,6 +91,7 @@
 
 #[test]
 fn requests_that_make_no_sense_change_nothing() {
+    scenario("fault_combinations.requests_that_make_no_sense_change_nothing");
     let coverage = play(1_070..1_078, |w, troubles| w.fault(ms(3_000), Fault::InvalidRequests { until: ms(troubles) }));
     assert!(count(&coverage, "a job that is done was cancelled") > 50, "{coverage:?}");
     assert!(count(&coverage, "an unfinished job was submitted again") > 50, "{coverage:?}");
@@ -93,6 +99,7 @@
 
 #[test]
 fn handed_over_and_back_all_end_and_one_returns_at_once() {
+    scenario("fault_combinations.handed_over_and_back_all_end_and_one_returns_at_once");
     let coverage = play(1_080..1_092, |w, _| {
         for k in 0..5 {
             let at = 9_000 + 15_000 * k + w.draw(0..3_000);
@@ -115,6 +122,7 @@
 
 #[test]
 fn a_slow_state_service_refuses_the_leader_and_then_everybody() {
+    scenario("fault_combinations.a_slow_state_service_refuses_the_leader_and_then_everybody");
     let coverage = play(1_100..1_110, |w, _| {
         w.fault(ms(10_000), Fault::SlowState { until: ms(85_000) });
         for k in 0..2 {
@@ -131,6 +139,7 @@
 /// At least ten times in two minutes in each of the runs, also inside an outage.
 #[test]
 fn leaders_change_ten_times_in_two_minutes() {
+    scenario("fault_combinations.leaders_change_ten_times_in_two_minutes");
     for seed in 1_120..1_128 {
         let coverage = play(seed..seed + 1, |w, _| {
             for k in 0..12 {
@@ -147,6 +156,7 @@
 
 #[test]
 fn old_reports_after_newer_ones_of_another_session_or_attempt() {
+    scenario("fault_combinations.old_reports_after_newer_ones_of_another_session_or_attempt");
     let coverage = play(1_140..1_150, |w, troubles| {
         w.fault(ms(1_000), Fault::DuplicateReports { until: ms(troubles) });
         for k in 0..9 {
@@ -158,6 +168,7 @@
 
 #[test]
 fn jobs_bound_to_a_zone_lose_machines() {
+    scenario("fault_combinations.jobs_bound_to_a_zone_lose_machines");
     let coverage = play(1_160..1_170, |w, _| {
         for n in 100..120 {
             let at = w.draw(500..70_000);
@@ -173,6 +184,7 @@
 
 #[test]
 fn a_leader_ends_while_machines_are_out_of_reach_or_hear_nothing() {
+    scenario("fault_combinations.a_leader_ends_while_machines_are_out_of_reach_or_hear_nothing");
     let coverage = play(1_180..1_190, |w, _| {
         for k in 0..4 {
             let at = 9_000 + 19_000 * k;
@@ -194,6 +206,7 @@
 /// ends with a lease that no report renews.
 #[test]
 fn machines_that_reach_no_controller_obey_commands() {
+    scenario("fault_combinations.machines_that_reach_no_controller_obey_commands");
     let coverage = play(1_200..1_224, |w, _| {
         for k in 0..5 {
             let at = 8_000 + 15_000 * k;
@@ -210,6 +223,7 @@
 
 #[test]
 fn a_leader_without_state_service_and_peers_goes_on_with_its_workers() {
+    scenario("fault_combinations.a_leader_without_state_service_and_peers_goes_on_with_its_workers");
     let coverage = play(1_240..1_252, |w, _| {
         for k in 0..2 {
             let at = 10_000 + 40_000 * k;
@@ -226,6 +240,7 @@
 
 #[test]
 fn all_controllers_away_for_longer_than_a_lease() {
+    scenario("fault_combinations.all_controllers_away_for_longer_than_a_lease");
     let coverage = play(1_260..1_268, |w, _| {
         for at in [12_000, 50_000] {
             let back = ms(w.draw(13_000..26_000));
@@ -237,6 +252,7 @@
 
 #[test]
 fn commands_and_answers_held_up_for_seconds() {
+    scenario("fault_combinations.commands_and_answers_held_up_for_seconds");
     let coverage = play(1_280..1_292, |w, troubles| {
         w.fault(ms(5_000), Fault::DelayAnswers { until: ms(troubles) });
         for k in 0..6 {
@@ -249,6 +265,7 @@
 
 #[test]
 fn a_team_at_its_limit_as_the_leader_changes_and_machines_cannot_be_asked() {
+    scenario("fault_combinations.a_team_at_its_limit_as_the_leader_changes_and_machines_cannot_be_asked");
     let coverage = play(1_300..1_320, |w, _| {
         for n in 100..118 {
             let at = w.draw(500..80_000);
@@ -270,6 +287,7 @@
 
 #[test]
 fn a_held_report_arrives_at_the_new_leader() {
+    scenario("fault_combinations.a_held_report_arrives_at_the_new_leader");
     let coverage = play(1_320..1_332, |w, troubles| {
         w.fault(ms(1_000), Fault::DuplicateReports { until: ms(troubles) });
         for k in 0..9 {
@@ -283,6 +301,7 @@
 
 #[test]
 fn small_jobs_end_far_apart_across_a_change_of_leader() {
+    scenario("fault_combinations.small_jobs_end_far_apart_across_a_change_of_leader");
     let coverage = play(1_340..1_350, |w, _| {
         for n in 100..140 {
             let (at, tasks) = (w.draw(500..80_000), w.draw(2..4) as u32);
@@ -299,6 +318,7 @@
 
 #[test]
 fn more_work_than_room_over_slow_links() {
+    scenario("fault_combinations.more_work_than_room_over_slow_links");
     let coverage = play(1_360..1_366, |w, troubles| {
         w.fault(ms(3_000), Fault::DelayAnswers { until: ms(troubles) });
         for n in 100..145 {
@@ -320,6 +340,7 @@
 /// A controller that stands still while its clocks run on acts on nothing that is over.
 #[test]
 fn a_controller_stands_still_while_others_take_over() {
+    scenario("fault_combinations.a_controller_stands_still_while_others_take_over");
     play(1_380..1_392, |w, _| {
         for k in 0..4 {
             let at = 8_000 + 20_000 * k;
@@ -334,6 +355,7 @@
 /// All kinds of troubles, drawn in pairs that overlap.
 #[test]
 fn troubles_in_pairs() {
+    scenario("fault_combinations.troubles_in_pairs");
     play(1_400..1_440, world::script::pairs);
 }
 
@@ -341,11 +363,13 @@
 /// (`docs/incidents/started-while-given-up.md`).
 #[test]
 fn a_machine_that_comes_back_while_it_is_given_up() {
+    scenario("fault_combinations.a_machine_that_comes_back_while_it_is_given_up");
     play(41_407..41_408, world::script::pairs);
 }
 
 #[test]
 fn jobs_are_cancelled_as_the_work_of_a_controller_changes_hands() {
+    scenario("fault_combinations.jobs_are_cancelled_as_the_work_of_a_controller_changes_hands");
     let coverage = play(1_500..1_512, |w, _| {
         for k in 0..4 {
             let at = 9_000 + 19_000 * k;
@@ -363,6 +387,7 @@
 
 #[test]
 fn every_team_at_its_limit_as_cancelled_tasks_are_out_of_reach_and_the_leader_changes() {
+    scenario("fault_combinations.every_team_at_its_limit_as_cancelled_tasks_are_out_of_reach_and_the_leader_changes");
     let mut coverage = Coverage::new();
     for seed in 1_520..1_540 {
         add_coverage(&mut coverage, teams_at_their_limits(seed).coverage);
@@ -373,6 +398,7 @@
 
 #[test]
 fn a_command_of_a_former_leader_arrives_after_the_new_leaders() {
+    scenario("fault_combinations.a_command_of_a_former_leader_arrives_after_the_new_leaders");
     let coverage = play(1_540..1_556, |w, troubles| {
         w.fault(ms(3_000), Fault::DelayCommands { until: ms(troubles) });
         for k in 0..6 {
@@ -393,6 +419,7 @@
 
 #[test]
 fn new_machines_get_work_at_once_while_writes_lag_and_the_leader_ends() {
+    scenario("fault_combinations.new_machines_get_work_at_once_while_writes_lag_and_the_leader_ends");
     let coverage = play(1_560..1_572, |w, troubles| {
         w.fault(ms(1_000), Fault::FastBoots { until: ms(troubles) });
         for k in 0..5 {
@@ -414,6 +441,7 @@
 
 #[test]
 fn old_reports_reach_every_controller_as_a_new_leader_begins() {
+    scenario("fault_combinations.old_reports_reach_every_controller_as_a_new_leader_begins");
     let coverage = play(1_580..1_592, |w, troubles| {
         w.fault(ms(1_000), Fault::KeepReports { until: ms(troubles) });
         for k in 0..6 {
@@ -431,6 +459,7 @@
 
 #[test]
 fn only_the_answer_to_a_transaction_is_lost_while_others_read_it() {
+    scenario("fault_combinations.only_the_answer_to_a_transaction_is_lost_while_others_read_it");
     let coverage = play(1_600..1_612, |w, troubles| {
         w.fault(ms(3_000), Fault::LoseCommitAnswers { until: ms(troubles) });
         w.fault(ms(3_000), Fault::CloseLooks { until: ms(troubles) });
@@ -448,6 +477,7 @@
 
 #[test]
 fn users_ask_at_all_controllers_within_milliseconds() {
+    scenario("fault_combinations.users_ask_at_all_controllers_within_milliseconds");
     let coverage = play(1_620..1_634, |w, troubles| {
         w.fault(ms(1_000), Fault::CloseLooks { until: ms(troubles) });
         w.fault(ms(2_000), Fault::CancelAtCompletion { until: ms(troubles) });
@@ -470,6 +500,7 @@
 /// service's rates are kept but for the moments in which a claim changes hands.
 #[test]
 fn one_task_jobs_come_four_a_second_a_quarter_cancelled() {
+    scenario("fault_combinations.one_task_jobs_come_four_a_second_a_quarter_cancelled");
     for seed in 1_640..1_644 {
         let w = stream_of_small_jobs(seed);
         assert_eq!(w.accepted(), 480, "seed {seed}");
@@ -483,5 +514,6 @@
 
 #[test]
 fn all_kinds_of_troubles_in_pairs() {
+    scenario("fault_combinations.all_kinds_of_troubles_in_pairs");
     play(1_700..1_740, world::script::pairs_of_all_kinds);
 }
--- a/crates/seamfront-core/tests/on_call.rs
+++ b/crates/seamfront-core/tests/on_call.rs
@@ -6,12 +6,14 @@
 mod world;
 
 use seamfront_core::types::*;
+use world::recording::scenario;
 use world::script::{add_coverage, any_node, count, history, play, Coverage, SHARDS};
 use world::{ms, Fault, Scale, World, NODES, SMALL};
 
 /// Nothing that never comes up is paid for once the troubles are over, whoever has led since it was rented.
 #[test]
 fn machines_come_up_late_or_never_while_leaders_change() {
+    scenario("on_call.machines_come_up_late_or_never_while_leaders_change");
     let mut coverage = Coverage::new();
     for seed in 2_000..2_012 {
         let w = history(seed, |w, troubles| {
@@ -36,6 +38,7 @@
 /// For a while nothing boots at all, or everything within moments: what is up serves, and all is done in the end.
 #[test]
 fn nothing_boots_or_everything_at_once() {
+    scenario("on_call.nothing_boots_or_everything_at_once");
     let coverage = play(2_020..2_030, |w, _| {
         w.fault(ms(1_000), Fault::BadBoots { until: ms(40_000), never: 100, percent: 100 });
         w.fault(ms(40_000), Fault::BadBoots { until: ms(80_000), never: 0, percent: 5 });
@@ -51,6 +54,7 @@
 /// once, and the same one again within seconds, while users cancel.
 #[test]
 fn controllers_are_silent_for_a_minute_while_jobs_are_cancelled() {
+    scenario("on_call.controllers_are_silent_for_a_minute_while_jobs_are_cancelled");
     let coverage = play(2_040..2_054, |w, _| {
         let first = any_node(w);
         let second = (first + 1) % NODES;
@@ -78,6 +82,7 @@
 /// alone; for less than a lease of 12 s and for longer. Whoever cannot serve its workers hands its shards over.
 #[test]
 fn a_controller_sees_a_part_of_what_it_needs() {
+    scenario("on_call.a_controller_sees_a_part_of_what_it_needs");
     let coverage = play(2_060..2_076, |w, _| {
         for k in 0..3 {
             let at = 9_000 + 26_000 * k;
@@ -101,6 +106,7 @@
 /// They stay known and are tried on until their users cancel them; all other jobs are done as if they were not there.
 #[test]
 fn jobs_that_fail_on_every_machine_until_they_are_cancelled() {
+    scenario("on_call.jobs_that_fail_on_every_machine_until_they_are_cancelled");
     let coverage = play(2_080..2_092, |w, _| {
         for n in 100..112 {
             let mut spec = w.job(n);
@@ -128,6 +134,7 @@
 /// moment share a confirmation. Submissions and cancellations go on, and nobody is told anything older (the world checks it).
 #[test]
 fn users_ask_fifty_times_as_often() {
+    scenario("on_call.users_ask_fifty_times_as_often");
     let asked = |factor: i64| {
         let mut sum = 0;
         let mut coverage = Coverage::new();
@@ -153,6 +160,7 @@
 /// may have been rented just then must wait for the answer.
 #[test]
 fn machines_at_hand_are_adopted_while_others_are_being_rented() {
+    scenario("on_call.machines_at_hand_are_adopted_while_others_are_being_rented");
     for seed in 2_120..2_124 {
         let mut w = World::sized(seed, Scale { machines: 60, most: 90, write_rps: 16, limits: [0; 10], ..SMALL });
         w.quiet_from = ms(1_000);
@@ -173,6 +181,7 @@
 /// controllers that end: what it costs the state service grows with its running tasks and its ranges, not with its size.
 #[test]
 fn a_sweep_of_many_short_tasks_beside_the_others_work() {
+    scenario("on_call.a_sweep_of_many_short_tasks_beside_the_others_work");
     const TASKS: u32 = 4_000;
     for seed in 2_130..2_133 {
         let mut w = World::sized(seed, Scale { machines: 16, most: 20, limits: [0; 10], ..SMALL });
--- a/crates/seamfront-core/tests/records.rs
+++ b/crates/seamfront-core/tests/records.rs
@@ -8,6 +8,7 @@
 use seamfront_core::types::*;
 use serde_json::{json, Value};
 use std::collections::BTreeMap;
+use world::recording::scenario;
 use world::script::{add_coverage, count, log_if_chosen, pairs_of_all_kinds, Coverage};
 use world::{ms, Fault, Scale, World, NODES, SMALL};
 
@@ -117,6 +118,7 @@
 /// called off while it runs.
 #[test]
 fn a_gang_of_two_hundred_members_runs_with_small_values() {
+    scenario("records.a_gang_of_two_hundred_members_runs_with_small_values");
     let mut coverage = Coverage::new();
     for seed in 3_000..3_003 {
         log_if_chosen(seed);
@@ -143,6 +145,7 @@
 /// gang whose record takes parts.
 #[test]
 fn old_and_new_versions_run_side_by_side() {
+    scenario("records.old_and_new_versions_run_side_by_side");
     let mut coverage = Coverage::new();
     for seed in 3_100..3_116 {
         log_if_chosen(seed);
--- a/crates/seamfront-core/tests/rules.rs
+++ b/crates/seamfront-core/tests/rules.rs
@@ -5,6 +5,7 @@
 mod world;
 
 use seamfront_core::types::*;
+use world::recording::scenario;
 use world::script::history;
 use world::{ms, Fault, World, NODES};
 
@@ -54,6 +55,7 @@
 /// version in the same transaction guards the same thing a second time.
 #[test]
 fn no_rule_breaks_under_random_overlapping_troubles() {
+    scenario("rules.no_rule_breaks_under_random_overlapping_troubles");
     for seed in (0..40).chain(136..137) {
         history(seed, random_faults);
     }
@@ -61,6 +63,7 @@
 
 #[test]
 fn a_quiet_day_gets_everything_done() {
+    scenario("rules.a_quiet_day_gets_everything_done");
     for seed in 100..104 {
         history(seed, |_, _| {});
     }
@@ -68,6 +71,7 @@
 
 #[test]
 fn crashes_in_the_middle_of_elections() {
+    scenario("rules.crashes_in_the_middle_of_elections");
     for seed in 200..212 {
         history(seed, |w, _| {
             for k in 0..6 {
@@ -88,6 +92,7 @@
 /// cancellations, starts and reports of both must not contradict each other.
 #[test]
 fn refused_by_the_state_service_alone() {
+    scenario("rules.refused_by_the_state_service_alone");
     for seed in 300..330 {
         history(seed, |w, _| {
             for k in 0..3 {
@@ -108,6 +113,7 @@
 /// machines have gone over to the new holder, and others hang after the old one's last word.
 #[test]
 fn a_holder_cut_off_for_longer_than_it_may_act() {
+    scenario("rules.a_holder_cut_off_for_longer_than_it_may_act");
     for seed in 350..362 {
         history(seed, |w, _| {
             let at = w.draw(8_000..16_000);
@@ -129,6 +135,7 @@
 
 #[test]
 fn cut_from_the_state_service_with_late_transactions() {
+    scenario("rules.cut_from_the_state_service_with_late_transactions");
     for seed in 400..416 {
         history(seed, |w, _| {
             for k in 0..3 {
@@ -147,6 +154,7 @@
 
 #[test]
 fn machines_that_hang_are_cut_or_taken() {
+    scenario("rules.machines_that_hang_are_cut_or_taken");
     for seed in 500..512 {
         history(seed, |w, _| {
             for k in 0..6 {
@@ -164,6 +172,7 @@
 /// other, while nothing that it is told arrives. Some do not hear a new holder's token from the start.
 #[test]
 fn reports_arrive_but_answers_and_commands_do_not() {
+    scenario("rules.reports_arrive_but_answers_and_commands_do_not");
     for seed in 600..616 {
         history(seed, |w, _| {
             for k in 0..4 {
@@ -184,6 +193,7 @@
 /// taken the shard and have seen nothing newer.
 #[test]
 fn late_copies_of_reports_prove_nothing() {
+    scenario("rules.late_copies_of_reports_prove_nothing");
     for seed in 700..720 {
         history(seed, |w, troubles| {
             w.fault(ms(1_000), Fault::DuplicateReports { until: ms(troubles) });
@@ -207,6 +217,7 @@
 /// drains and takeovers, with copies and late transactions of the former incarnation.
 #[test]
 fn back_within_a_fraction_of_a_second() {
+    scenario("rules.back_within_a_fraction_of_a_second");
     for seed in 800..816 {
         history(seed, |w, troubles| {
             w.fault(ms(1_000), Fault::DuplicateReports { until: ms(troubles) });
@@ -228,6 +239,7 @@
 /// would use up whatever comes free.
 #[test]
 fn a_gang_as_large_as_its_teams_limit_gets_its_turn() {
+    scenario("rules.a_gang_as_large_as_its_teams_limit_gets_its_turn");
     for seed in 850..854 {
         let mut w = World::new(seed);
         w.quiet_from = ms(300_000);
@@ -251,6 +263,7 @@
 /// than that (`check_late_starts`).
 #[test]
 fn nothing_starts_long_after_a_confirmed_cancellation() {
+    scenario("rules.nothing_starts_long_after_a_confirmed_cancellation");
     let mut late = 0;
     for seed in 800..806 {
         let mut w = World::new(seed);
--- a/crates/seamfront-core/tests/size.rs
+++ b/crates/seamfront-core/tests/size.rs
@@ -6,6 +6,7 @@
 mod world;
 
 use seamfront_core::types::*;
+use world::recording::scenario;
 use world::{ms, Fault, Scale, World};
 
 fn fleet(nodes: usize, machines: usize, state_rps: i64, write_rps: i64) -> Scale {
@@ -51,22 +52,26 @@
 
 #[test]
 fn two_thousand_machines_and_seven_controllers() {
+    scenario("size.two_thousand_machines_and_seven_controllers");
     day(900, fleet(7, 2_000, 350, 100));
 }
 
 #[test]
 fn two_thousand_machines_and_three_controllers() {
+    scenario("size.two_thousand_machines_and_three_controllers");
     day(901, fleet(3, 2_000, 1_000, 400));
 }
 
 /// As large as the operators' fleets and a quarter more, also as three controllers hold it.
 #[test]
 fn five_thousand_machines_and_seven_controllers() {
+    scenario("size.five_thousand_machines_and_seven_controllers");
     day(903, fleet(7, 5_000, 875, 250));
 }
 
 #[test]
 fn five_thousand_machines_and_three_controllers() {
+    scenario("size.five_thousand_machines_and_three_controllers");
     day(904, fleet(3, 5_000, 2_500, 1_000));
 }
 
@@ -75,6 +80,7 @@
 /// in each step fails this.
 #[test]
 fn a_step_looks_at_no_more_in_a_fleet_twice_as_large() {
+    scenario("size.a_step_looks_at_no_more_in_a_fleet_twice_as_large");
     let looked = |machines: usize| {
         let mut w = World::sized(902, fleet(3, machines, 1_000, 400));
         w.quiet_from = ms(1_000);
--- a/crates/seamfront-core/tests/world/mod.rs
+++ b/crates/seamfront-core/tests/world/mod.rs
@@ -6,6 +6,7 @@
 mod faults;
 mod network;
 mod old_version;
+pub mod recording;
 pub mod script;
 mod state_service;
 #[path = "../../../seamfront-lease/tests/stand_ins/store.rs"]
@@ -239,6 +240,8 @@
     answered: BTreeMap<JobId, Micros>,
     pub quiet_from: Micros,
     settings: Settings,
+    /// Writes the history down, where that is asked for.
+    recorder: Option<recording::Recorder>,
 }
 
 /// How large a world is.
@@ -337,6 +340,7 @@
     pub fn leave_key(&mut self, key: &str) {
         let apply = vec![Write::Put { key: key.to_owned(), value: serde_json::json!([]), lease: None }];
         self.store.execute(self.now, &StateCall::Commit { when: vec![], apply });
+        self.record_writes("operator");
     }
 
     pub fn stored_keys(&self, prefix: &str) -> Vec<String> {
@@ -433,6 +437,7 @@
             answered: BTreeMap::new(),
             quiet_from: Micros::ZERO,
             settings,
+            recorder: recording::Recorder::from_env(seed),
         };
         for k in 0..scale.nodes {
             w.at(ms(k as i64), Event::Boot { node: k });
@@ -636,6 +641,7 @@
     }
 
     fn effect(&mut self, node: usize, life: u64, f: Effect) {
+        self.record_effect(node, life, &f);
         let d = self.delay();
         match f {
             Effect::State { call, request } => {
--- a/crates/seamfront-core/tests/world/network.rs
+++ b/crates/seamfront-core/tests/world/network.rs
@@ -262,7 +262,7 @@
                 w.dead = true;
             }
         }
-        self.store.expire(now);
+        self.leases_expire();
         self.serve_watches();
         self.follow_completions();
         self.follow_claims();
--- a/crates/seamfront-core/tests/world/state_service.rs
+++ b/crates/seamfront-core/tests/world/state_service.rs
@@ -52,7 +52,7 @@
             }
             return;
         }
-        self.store.expire(self.now);
+        self.leases_expire();
         let writes = matches!(&request, StateCall::Commit { apply, .. } if !apply.is_empty());
         if !late && writes && self.now < self.delay_writes_until && self.rng.random_range(0..4) == 0 {
             unknown(self);
@@ -61,7 +61,7 @@
         }
         if !late && writes && self.now < self.lose_commit_answers_until && self.rng.random_range(0..3) == 0 {
             unknown(self);
-            let reply = self.store.execute(self.now, &request);
+            let reply = self.store_executes(node, &request);
             if matches!(reply, Some(StateReply::Committed { .. })) {
                 self.cover("a transaction was carried out and its answer lost");
                 if self.others_watch(node, &request) {
@@ -80,12 +80,12 @@
                     return self.after(d, Event::State { node, life, call, request, late: true });
                 }
                 _ => {
-                    self.store.execute(self.now, &request);
+                    self.store_executes(node, &request);
                     return self.serve_watches();
                 }
             }
         }
-        let reply = self.store.execute(self.now, &request);
+        let reply = self.store_executes(node, &request);
         if let (StateCall::Commit { apply, .. }, Some(StateReply::Committed { .. })) = (&request, &reply) {
             let in_parts = |w: &Write| matches!(w, Write::Put { key, .. } if key.starts_with("part/"));
             if apply.iter().any(in_parts) {
--- a/crates/seamfront-lease/tests/stand_ins/store.rs
+++ b/crates/seamfront-lease/tests/stand_ins/store.rs
@@ -22,7 +22,8 @@
     pub revision: u64,
     leases: BTreeMap<u64, (Micros, Micros)>,
     next_lease: u64,
-    log: Vec<(u64, String, Option<Value>)>,
+    /// All changes in order: revision, key, value (none for a removal).
+    pub log: Vec<(u64, String, Option<Value>)>,
     /// Entries in one answer.
     page: usize,
     value_bytes: usize,
