--- a/crates/seamfront-core/src/boots.rs
+++ b/crates/seamfront-core/src/boots.rs
@@ -39,7 +39,10 @@
 impl Boots {
     /// A machine was rented.
     pub fn rented(&mut self, id: MachineId, kind: &str, now: Micros) {
-        self.waiting.entry(id).or_insert_with(|| Booting { kind: kind.to_owned(), since: now });
+        self.waiting.entry(id).or_insert_with(|| Booting {
+            kind: kind.to_owned(),
+            since: now,
+        });
     }
 
     /// Takes in which of the machines that are waited for are up.
@@ -83,8 +86,11 @@
     /// Whether a machine will hardly come up any more: it takes twice as long as slow ones lately, and one that
     /// was rented after it is up.
     pub fn given_up(&self, id: &MachineId, usual: Micros, now: Micros) -> bool {
-        let Some(booting) = self.waiting.get(id) else { return false };
-        let (Some(slow), Some(known)) = (self.slow(&booting.kind), self.kinds.get(&booting.kind)) else {
+        let Some(booting) = self.waiting.get(id) else {
+            return false;
+        };
+        let (Some(slow), Some(known)) = (self.slow(&booting.kind), self.kinds.get(&booting.kind))
+        else {
             return false;
         };
         now - booting.since > slow.max(usual).times(2) + SLACK && known.newest_up > booting.since
--- a/crates/seamfront-core/src/capacity/mod.rs
+++ b/crates/seamfront-core/src/capacity/mod.rs
@@ -115,9 +115,16 @@
 
 /// What an hour of such a machine costs.
 pub fn price_of(types: &[MachineType], kind: &str, spot: bool) -> i64 {
-    types.iter().find(|t| t.name == kind).map_or(0, |t| if spot { t.spot_price } else { t.price })
+    types
+        .iter()
+        .find(|t| t.name == kind)
+        .map_or(0, |t| if spot { t.spot_price } else { t.price })
 }
 
 fn cheap(types: &[MachineType], price: i64) -> bool {
-    types.iter().map(|t| t.price).max().is_some_and(|most| price * CHEAP_PART < most)
+    types
+        .iter()
+        .map(|t| t.price)
+        .max()
+        .is_some_and(|most| price * CHEAP_PART < most)
 }
--- a/crates/seamfront-core/src/capacity/planner.rs
+++ b/crates/seamfront-core/src/capacity/planner.rs
@@ -18,7 +18,12 @@
 pub(super) fn in_order<'a>(picture: &Picture<'a>) -> Vec<(usize, &'a Need)> {
     let mut needs = picture.needs.clone();
     needs.sort_by_key(|(_, n)| {
-        (turn(n.priority, n.overdue), !n.guaranteed, n.left.unwrap_or(Micros::MAX), Micros::ZERO - n.waited)
+        (
+            turn(n.priority, n.overdue),
+            !n.guaranteed,
+            n.left.unwrap_or(Micros::MAX),
+            Micros::ZERO - n.waited,
+        )
     });
     needs
 }
@@ -46,17 +51,35 @@
     fn new(picture: &Picture, shard: usize, need: &'a Need) -> Target<'a> {
         let zone = need.zone.as_deref().or(need.gathering.as_deref());
         if need.zone.is_none() && zone.is_some_and(|z| !picture.on_offer(need, z)) {
-            let rest = if need.together { need.total } else { need.count };
-            return Target { shard, need, zone: None, rest };
+            let rest = if need.together {
+                need.total
+            } else {
+                need.count
+            };
+            return Target {
+                shard,
+                need,
+                zone: None,
+                rest,
+            };
+        }
+        Target {
+            shard,
+            need,
+            zone,
+            rest: need.count,
         }
-        Target { shard, need, zone, rest: need.count }
     }
 
     /// Whether such a machine may run it.
     pub(super) fn allows(&self, kind: &str, zone: &str, spot: bool) -> bool {
         (self.need.spot || !spot)
             && self.zone.is_none_or(|want| want == zone)
-            && self.need.types.as_ref().is_none_or(|types| types.iter().any(|t| t == kind))
+            && self
+                .need
+                .types
+                .as_ref()
+                .is_none_or(|types| types.iter().any(|t| t == kind))
     }
 
     fn allows_machine(&self, m: &Supply) -> bool {
@@ -100,8 +123,11 @@
     pub(super) fn new(picture: &'p Picture<'a>) -> Self {
         let not_clearing = |m: &&Supply| m.up() && !picture.clearing.contains_key(m.id);
         let up: Vec<&Supply> = picture.machines.iter().filter(not_clearing).collect();
-        let mut lesser: Vec<&Supply> =
-            up.iter().filter(|m| m.view.is_some_and(|v| v.least.is_some())).copied().collect();
+        let mut lesser: Vec<&Supply> = up
+            .iter()
+            .filter(|m| m.view.is_some_and(|v| v.least.is_some()))
+            .copied()
+            .collect();
         lesser.sort_by_key(|m| (m.view.map(|v| v.loss), m.id));
         let mut idle: Vec<&Supply> = up.into_iter().filter(|m| m.idle().is_some()).collect();
         idle.sort_by_key(|m| (!m.view.is_some_and(|v| v.released), m.id));
@@ -122,7 +148,10 @@
             cleared: BTreeSet::new(),
         };
         planner.note_rents();
-        picture.machines.iter().for_each(|m| planner.note_machine(m));
+        picture
+            .machines
+            .iter()
+            .for_each(|m| planner.note_machine(m));
         planner
     }
 
@@ -132,10 +161,18 @@
 
     fn note_rents(&mut self) {
         for r in &self.picture.rents {
-            let Some(t) = self.picture.types.iter().find(|t| t.name == r.kind) else { continue };
+            let Some(t) = self.picture.types.iter().find(|t| t.name == r.kind) else {
+                continue;
+            };
             for _ in 0..r.count {
                 let (kind, zone) = (r.kind.as_str(), r.zone.as_str());
-                self.coming.push(Coming { shard: r.shard, kind, zone, spot: r.spot, room: t.size });
+                self.coming.push(Coming {
+                    shard: r.shard,
+                    kind,
+                    zone,
+                    spot: r.spot,
+                    room: t.size,
+                });
             }
         }
     }
@@ -144,8 +181,13 @@
     fn note_machine(&mut self, m: &'p Supply<'a>) {
         let p = self.picture;
         let r = m.record;
-        let coming =
-            |shard: usize| Coming { shard, kind: r.kind.as_str(), zone: r.zone.as_str(), spot: r.spot, room: m.size };
+        let coming = |shard: usize| Coming {
+            shard,
+            kind: r.kind.as_str(),
+            zone: r.zone.as_str(),
+            spot: r.spot,
+            room: m.size,
+        };
         if let Some((to, _)) = p.clearing.get(m.id) {
             self.coming.push(coming(*to));
             if m.view.is_some_and(|v| v.released) {
@@ -153,7 +195,11 @@
             }
             return;
         }
-        let boot = p.types.iter().find(|t| t.name == r.kind).map_or(UNKNOWN_BOOT, |t| t.boot);
+        let boot = p
+            .types
+            .iter()
+            .find(|t| t.name == r.kind)
+            .map_or(UNKNOWN_BOOT, |t| t.boot);
         let not_up = m.view.is_none_or(|v| !v.up) && !m.bad();
         if m.view.is_some_and(|v| !v.up) && p.boots.given_up(m.id, boot, p.now) {
             self.plan.returns.push(m.id.clone());
@@ -181,7 +227,11 @@
         self.rent_for(&target);
         // Live services do not wait for a machine to boot, nor does urgent work that would be late by
         // then; other work is helped at lesser work's cost only if there is nothing to rent.
-        let patience = if need.guaranteed { PATIENCE.over(4) } else { PATIENCE };
+        let patience = if need.guaranteed {
+            PATIENCE.over(4)
+        } else {
+            PATIENCE
+        };
         let nothing_to_rent = self.plan.rents.len() == rented;
         if need.service || (nothing_to_rent && need.waited > patience) {
             self.clear_lesser(&mut target);
@@ -192,7 +242,11 @@
     /// that each hold a part of what none of them can do with would all wait for ever.
     fn keep_held(&mut self, target: &Target) {
         let need = target.need;
-        let mut held = if need.together { need.total.saturating_sub(need.count) } else { 0 };
+        let mut held = if need.together {
+            need.total.saturating_sub(need.count)
+        } else {
+            0
+        };
         for m in self.gathered.iter().filter(|m| m.shard == target.shard) {
             if held > 0 && m.size.fits(need.task) > 0 && target.allows_machine(m) {
                 self.wanted.insert(m.id);
@@ -250,7 +304,8 @@
                 break;
             }
             let helps = m.shard != target.shard
-                && m.view.is_some_and(|v| v.least.is_some_and(|l| l > need.priority))
+                && m.view
+                    .is_some_and(|v| v.least.is_some_and(|l| l > need.priority))
                 && m.size.fits(need.task) > 0
                 && target.allows_machine(m)
                 && target.suits(m.size, self.picture.types);
@@ -258,7 +313,9 @@
                 continue;
             }
             self.cleared.insert(m.id);
-            self.plan.clear.push((m.id.clone(), target.shard, need.priority));
+            self.plan
+                .clear
+                .push((m.id.clone(), target.shard, need.priority));
             target.take(m.size);
         }
     }
@@ -268,8 +325,12 @@
         let p = self.picture;
         for m in &self.idle {
             let cheap = cheap(p.types, price_of(p.types, &m.record.kind, m.record.spot));
-            let keep = p.tuning.idle_keep.times(if cheap { CHEAP_FACTOR } else { 1 });
-            let spare = m.idle().is_some_and(|t| t > keep) && !m.gathered() && !self.wanted.contains(m.id);
+            let keep = p
+                .tuning
+                .idle_keep
+                .times(if cheap { CHEAP_FACTOR } else { 1 });
+            let spare =
+                m.idle().is_some_and(|t| t > keep) && !m.gathered() && !self.wanted.contains(m.id);
             if spare {
                 self.plan.returns.push(m.id.clone());
             }
--- a/crates/seamfront-core/src/capacity/renting.rs
+++ b/crates/seamfront-core/src/capacity/renting.rs
@@ -35,9 +35,23 @@
     for m in p.machines.iter().filter(|m| !m.bad()) {
         let pinned = m.view.map_or(Amounts::default(), |v| v.pinned);
         let r = m.record;
-        let key = (m.shard, r.kind.as_str(), r.zone.as_str(), r.spot, pinned.cpus, pinned.gpus, pinned.ram);
-        let stock =
-            found.entry(key).or_insert(Stock { shard: m.shard, record: r, size: m.size, pinned, count: 0, busy: 0 });
+        let key = (
+            m.shard,
+            r.kind.as_str(),
+            r.zone.as_str(),
+            r.spot,
+            pinned.cpus,
+            pinned.gpus,
+            pinned.ram,
+        );
+        let stock = found.entry(key).or_insert(Stock {
+            shard: m.shard,
+            record: r,
+            size: m.size,
+            pinned,
+            count: 0,
+            busy: 0,
+        });
         stock.count += 1;
         stock.busy += m.view.map_or(0, |v| v.used.cpus - v.pinned.cpus);
     }
@@ -60,22 +74,37 @@
         for m in &picture.machines {
             *by_zone.entry(m.record.zone.as_str()).or_default() += 1;
         }
-        Overview { stocks: stocks(picture), by_zone, work: BTreeMap::new() }
+        Overview {
+            stocks: stocks(picture),
+            by_zone,
+            work: BTreeMap::new(),
+        }
     }
 }
 
 impl Picture<'_> {
     fn refuses(&self, kind: &str, zone: &str, spot: bool) -> bool {
         let offer = (kind.to_owned(), zone.to_owned(), spot);
-        self.refused.get(&offer).is_some_and(|(until, _)| *until > self.now)
+        self.refused
+            .get(&offer)
+            .is_some_and(|(until, _)| *until > self.now)
     }
 
     /// Whether anything that may run the need can be asked for in this zone.
     pub(super) fn on_offer(&self, need: &Need, zone: &str) -> bool {
-        let named = |t: &MachineType| need.types.as_ref().is_none_or(|names| names.contains(&t.name));
-        let here = |t: &MachineType| t.size.fits(need.task) > 0 && named(t) && t.zones.iter().any(|z| z == zone);
+        let named = |t: &MachineType| {
+            need.types
+                .as_ref()
+                .is_none_or(|names| names.contains(&t.name))
+        };
+        let here = |t: &MachineType| {
+            t.size.fits(need.task) > 0 && named(t) && t.zones.iter().any(|z| z == zone)
+        };
         let spots: &[bool] = if need.spot { &[true, false] } else { &[false] };
-        self.types.iter().filter(|t| here(t)).any(|t| spots.iter().any(|spot| !self.refuses(&t.name, zone, *spot)))
+        self.types
+            .iter()
+            .filter(|t| here(t))
+            .any(|t| spots.iter().any(|spot| !self.refuses(&t.name, zone, *spot)))
     }
 }
 
@@ -100,11 +129,19 @@
 impl<'a> Planner<'_, 'a> {
     fn slots(&self, target: &Target) -> Slots<'a> {
         let mut slots = Slots::default();
-        for s in self.overview.stocks.iter().filter(|s| s.shard == target.shard) {
+        for s in self
+            .overview
+            .stocks
+            .iter()
+            .filter(|s| s.shard == target.shard)
+        {
             let mut size = s.size;
             size.sub(s.pinned);
             let (fit, r) = (size.fits(target.need.task), s.record);
-            if fit > 0 && target.suits(s.size, self.picture.types) && target.allows(&r.kind, &r.zone, r.spot) {
+            if fit > 0
+                && target.suits(s.size, self.picture.types)
+                && target.allows(&r.kind, &r.zone, r.spot)
+            {
                 slots.busy += s.busy;
                 slots.all += fit * s.count;
                 *slots.by_zone.entry(r.zone.as_str()).or_default() += fit * s.count;
@@ -120,13 +157,24 @@
         let types = self.picture.types;
         let unit = need.task.cpus.max(1);
         let estimate = need.estimate.max(ESTIMATE_MIN).0 / 1_000;
-        let sum = self.overview.work.entry((target.shard, need.task.gpus > 0)).or_default();
+        let sum = self
+            .overview
+            .work
+            .entry((target.shard, need.task.gpus > 0))
+            .or_default();
         *sum += i64::from(need.count) * estimate * unit / 1_000;
         // What runs is half through on average.
         let todo = *sum + slots.busy * estimate / 2_000;
-        let suitable = types.iter().filter(|t| t.size.fits(need.task) > 0 && target.suits(t.size, types));
-        let cheap = suitable.map(|t| t.price).min().is_some_and(|price| cheap(types, price));
-        let time = need.left.map_or(DRAIN_IDLE, |l| l.clamp(DRAIN_MIN, DRAIN_MAX));
+        let suitable = types
+            .iter()
+            .filter(|t| t.size.fits(need.task) > 0 && target.suits(t.size, types));
+        let cheap = suitable
+            .map(|t| t.price)
+            .min()
+            .is_some_and(|price| cheap(types, price));
+        let time = need
+            .left
+            .map_or(DRAIN_IDLE, |l| l.clamp(DRAIN_MIN, DRAIN_MAX));
         let time = time.over(if cheap { 2 } else { 1 }).0 / 1_000;
         (todo * 1_000 / time - slots.all * unit).max(0) / unit
     }
@@ -143,7 +191,11 @@
             return if slots.all == 0 { short.max(1) } else { short };
         }
         // All of it must find room at once, so what it holds already counts neither way.
-        let most = if need.one_zone { slots.by_zone.values().max().copied().unwrap_or(0) } else { slots.all };
+        let most = if need.one_zone {
+            slots.by_zone.values().max().copied().unwrap_or(0)
+        } else {
+            slots.all
+        };
         let lacking = (i64::from(need.total) - most).max(0) as u32;
         match (lacking, short) {
             (0, 0) => 0,
@@ -168,10 +220,23 @@
                     }
                     let price = if spot { t.spot_price } else { t.price };
                     let each = price * 1_000 / fit.min(i64::from(tasks)).max(1);
-                    let here = self.overview.by_zone.get(zone.as_str()).copied().unwrap_or(0);
+                    let here = self
+                        .overview
+                        .by_zone
+                        .get(zone.as_str())
+                        .copied()
+                        .unwrap_or(0);
                     let cost = each * 1_000 + here;
                     if best.as_ref().is_none_or(|b| cost < b.0) {
-                        best = Some((cost, Candidate { kind: t, zone, spot, fit }));
+                        best = Some((
+                            cost,
+                            Candidate {
+                                kind: t,
+                                zone,
+                                spot,
+                                fit,
+                            },
+                        ));
                     }
                 }
             }
@@ -182,8 +247,11 @@
     pub(super) fn rent_for(&mut self, target: &Target) {
         let mut tasks = self.tasks_to_rent_for(target);
         while tasks > 0 {
-            let Some(c) = self.best_candidate(target, tasks) else { return };
-            let same = |r: &RentRecord| r.kind == c.kind.name && r.zone == c.zone && r.spot == c.spot;
+            let Some(c) = self.best_candidate(target, tasks) else {
+                return;
+            };
+            let same =
+                |r: &RentRecord| r.kind == c.kind.name && r.zone == c.zone && r.spot == c.spot;
             if self.plan.rents.iter().any(same) {
                 // One request per offer and round; the rest follows when the answer is known.
                 return;
@@ -191,7 +259,13 @@
             let most = if target.need.spread { 1 } else { RENT_MAX };
             let count = (((i64::from(tasks) + c.fit - 1) / c.fit) as u32).min(most);
             let (kind, zone) = (c.kind.name.clone(), c.zone.to_owned());
-            self.plan.rents.push(RentRecord { shard: target.shard, kind, zone, spot: c.spot, count });
+            self.plan.rents.push(RentRecord {
+                shard: target.shard,
+                kind,
+                zone,
+                spot: c.spot,
+                count,
+            });
             tasks = tasks.saturating_sub(count * c.fit as u32);
         }
     }
--- a/crates/seamfront-core/src/chains/answers.rs
+++ b/crates/seamfront-core/src/chains/answers.rs
@@ -12,7 +12,11 @@
         let view = &self.store.watches[0];
         if view.loaded() && view.seen() < revision {
             self.users.in_flight += polls.len();
-            let request = StateCall::Changes { prefix: "job/".to_owned(), after: view.seen(), hold: Micros::ZERO };
+            let request = StateCall::Changes {
+                prefix: "job/".to_owned(),
+                after: view.seen(),
+                hold: Micros::ZERO,
+            };
             return self.state(request, Pending::Refresh { polls, revision });
         }
         let until = self.now + UNCLEAR_FOR;
@@ -48,11 +52,19 @@
         let mut seen = BTreeSet::new();
         let mut todo = vec![id.clone()];
         while let Some(id) = todo.pop() {
-            let Some(j) = self.jobs.get(&id).filter(|j| !j.chain.unread) else { return false };
+            let Some(j) = self.jobs.get(&id).filter(|j| !j.chain.unread) else {
+                return false;
+            };
             if self.chains.orphans.contains_key(&id) {
                 return false;
             }
-            todo.extend(j.chain.needs.iter().filter(|n| seen.insert((*n).clone())).cloned());
+            todo.extend(
+                j.chain
+                    .needs
+                    .iter()
+                    .filter(|n| seen.insert((*n).clone()))
+                    .cloned(),
+            );
         }
         true
     }
--- a/crates/seamfront-core/src/chains/mod.rs
+++ b/crates/seamfront-core/src/chains/mod.rs
@@ -47,7 +47,9 @@
     }
 
     fn priority(&self) -> Priority {
-        self.chain.urgency.map_or(self.spec.priority, |u| u.0.min(self.spec.priority))
+        self.chain
+            .urgency
+            .map_or(self.spec.priority, |u| u.0.min(self.spec.priority))
     }
 
     /// What it asks for as things stand. Its deadline counts from its submission, its other times from when the
@@ -55,10 +57,18 @@
     pub fn spec_now(&self) -> Rc<JobSpec> {
         let (ready, due) = (self.chain.ready.unwrap_or(self.spec.submitted), self.due());
         let deadline = due.map(|d| d - ready);
-        if ready == self.spec.submitted && deadline == self.spec.deadline && self.priority() == self.spec.priority {
+        if ready == self.spec.submitted
+            && deadline == self.spec.deadline
+            && self.priority() == self.spec.priority
+        {
             return self.spec.clone();
         }
-        Rc::new(JobSpec { submitted: ready, deadline, priority: self.priority(), ..(*self.spec).clone() })
+        Rc::new(JobSpec {
+            submitted: ready,
+            deadline,
+            priority: self.priority(),
+            ..(*self.spec).clone()
+        })
     }
 }
 
@@ -128,7 +138,9 @@
 
     /// Whether it waits.
     pub(crate) fn chain_appeared(&mut self, id: &JobId) -> bool {
-        let Some(j) = self.jobs.get_mut(id) else { return false };
+        let Some(j) = self.jobs.get_mut(id) else {
+            return false;
+        };
         let needs = j.spec.needs.clone();
         if needs.is_empty() && j.spec.needs_parts == 0 {
             return false;
@@ -139,7 +151,9 @@
         }
         debug!(job = %id, needs = ?needs, "waits for other jobs");
         self.wait_for(id, needs);
-        let Some(j) = self.jobs.get_mut(id) else { return false };
+        let Some(j) = self.jobs.get_mut(id) else {
+            return false;
+        };
         if !j.chain.waits() {
             j.chain.ready = Some(self.wall);
         }
@@ -204,15 +218,26 @@
 
     fn orphaned(&mut self, id: &JobId, of: &JobId) {
         let Some(j) = self.jobs.get(id) else { return };
-        let wait = if self.shards[j.shard].is_some() { Micros::ZERO } else { OTHERS_AFTER };
-        let orphan = Orphan { of: of.clone(), busy: false, at: self.now + wait, alone: false };
+        let wait = if self.shards[j.shard].is_some() {
+            Micros::ZERO
+        } else {
+            OTHERS_AFTER
+        };
+        let orphan = Orphan {
+            of: of.clone(),
+            busy: false,
+            at: self.now + wait,
+            alone: false,
+        };
         self.chains.orphans.entry(id.clone()).or_insert(orphan);
     }
 
     /// If nothing that it needs is missing any more, it may start.
     fn released(&mut self, id: &JobId) {
         let wall = self.wall;
-        let Some(j) = self.jobs.get_mut(id).filter(|j| !j.chain.waits()) else { return };
+        let Some(j) = self.jobs.get_mut(id).filter(|j| !j.chain.waits()) else {
+            return;
+        };
         if j.chain.ready.is_none() {
             j.chain.ready = Some(wall);
             info!(job = %id, "all that it needs is done");
@@ -236,11 +261,15 @@
     pub(crate) fn urge(&mut self, id: &JobId) {
         let mut todo = vec![id.clone()];
         while let Some(id) = todo.pop() {
-            let Some(j) = self.jobs.get(&id).filter(|j| j.chain.waits()) else { continue };
+            let Some(j) = self.jobs.get(&id).filter(|j| j.chain.waits()) else {
+                continue;
+            };
             let due = j.due().map(|d| d - j.spec.estimate - STEP);
             let (priority, needs) = (j.priority(), j.chain.needs.clone());
             for n in needs {
-                let Some(need) = self.jobs.get_mut(&n) else { continue };
+                let Some(need) = self.jobs.get_mut(&n) else {
+                    continue;
+                };
                 let before = need.chain.urgency;
                 let (p, d) = before.unwrap_or((need.spec.priority, None));
                 let after = Some((p.min(priority), d.into_iter().chain(due).min()));
@@ -270,20 +299,60 @@
             .take(ASKED_MAX.saturating_sub(asking))
             .collect();
         for id in ask {
-            self.chains.unknown.insert(id.clone(), RetryState { busy: true, at: now });
-            self.state(StateCall::Get { key: end_key(&id) }, Pending::NeedEnd { id });
+            self.chains.unknown.insert(
+                id.clone(),
+                RetryState {
+                    busy: true,
+                    at: now,
+                },
+            );
+            self.state(
+                StateCall::Get { key: end_key(&id) },
+                Pending::NeedEnd { id },
+            );
         }
-        let read: Vec<JobId> = self.chains.unread.iter().filter(|a| due(a.1)).map(|a| a.0.clone()).take(2).collect();
+        let read: Vec<JobId> = self
+            .chains
+            .unread
+            .iter()
+            .filter(|a| due(a.1))
+            .map(|a| a.0.clone())
+            .take(2)
+            .collect();
         for id in read {
-            let Some(version) = self.jobs.get(&id).map(|j| j.version) else { continue };
-            self.chains.unread.insert(id.clone(), RetryState { busy: true, at: now });
-            let request = StateCall::List { prefix: needs_prefix(&id), after: None };
-            self.state(request, Pending::NeedsRead { id, version, got: Vec::new() });
+            let Some(version) = self.jobs.get(&id).map(|j| j.version) else {
+                continue;
+            };
+            self.chains.unread.insert(
+                id.clone(),
+                RetryState {
+                    busy: true,
+                    at: now,
+                },
+            );
+            let request = StateCall::List {
+                prefix: needs_prefix(&id),
+                after: None,
+            };
+            self.state(
+                request,
+                Pending::NeedsRead {
+                    id,
+                    version,
+                    got: Vec::new(),
+                },
+            );
         }
         let most = (self.cfg.txn_ops / 2).clamp(1, 16);
         let mut together = Vec::new();
         let mut batches: Vec<Vec<JobId>> = Vec::new();
-        for (id, o) in self.chains.orphans.iter_mut().filter(|o| !o.1.busy && o.1.at <= now).take(most * 2) {
+        for (id, o) in self
+            .chains
+            .orphans
+            .iter_mut()
+            .filter(|o| !o.1.busy && o.1.at <= now)
+            .take(most * 2)
+        {
             o.busy = true;
             if o.alone {
                 batches.push(vec![id.clone()]);
@@ -302,7 +371,13 @@
         for id in &ids {
             let Some(j) = self.jobs.get(id) else { continue };
             when.extend(end_conditions(id, j.version));
-            apply.extend(end_writes(id, EndRecord { cancelled: true, tasks: j.spec.tasks }));
+            apply.extend(end_writes(
+                id,
+                EndRecord {
+                    cancelled: true,
+                    tasks: j.spec.tasks,
+                },
+            ));
         }
         if !apply.is_empty() {
             self.state(StateCall::Commit { when, apply }, Pending::Orphans { ids });
@@ -314,9 +389,20 @@
             let Some(j) = self.jobs.get(id) else { continue };
             let tasks = j.spec.tasks;
             if let StateReply::Committed { .. } = reply {
-                let of = self.chains.orphans.get(id).map(|o| o.of.to_string()).unwrap_or_default();
+                let of = self
+                    .chains
+                    .orphans
+                    .get(id)
+                    .map(|o| o.of.to_string())
+                    .unwrap_or_default();
                 info!(job = %id, needs = %of, "cancelled with a job that it needs");
-                self.end_learned(id, EndRecord { cancelled: true, tasks });
+                self.end_learned(
+                    id,
+                    EndRecord {
+                        cancelled: true,
+                        tasks,
+                    },
+                );
             } else if let Some(o) = self.chains.orphans.get_mut(id) {
                 // One that has ended meanwhile must not keep the others from it; the view will show it.
                 o.alone |= matches!(reply, StateReply::Conflict { .. });
@@ -326,7 +412,9 @@
     }
 
     pub(crate) fn need_end_reply(&mut self, id: &JobId, reply: StateReply) {
-        let Some(asked) = self.chains.unknown.get_mut(id) else { return };
+        let Some(asked) = self.chains.unknown.get_mut(id) else {
+            return;
+        };
         (asked.busy, asked.at) = (false, self.now + AGAIN);
         match reply {
             StateReply::Entry(e) => match serde_json::from_value::<EndRecord>(e.value) {
--- a/crates/seamfront-core/src/cleaning.rs
+++ b/crates/seamfront-core/src/cleaning.rs
@@ -38,7 +38,12 @@
     #[default]
     Resting,
     /// Reading the keys with a prefix, a page at a time, and looking at what each page shows.
-    Reading { prefix: usize, after: Option<String>, more: bool, left: Vec<Leftover> },
+    Reading {
+        prefix: usize,
+        after: Option<String>,
+        more: bool,
+        left: Vec<Leftover>,
+    },
 }
 
 /// The duty while it is performed here.
@@ -89,13 +94,34 @@
         }
         if let Sweep::Resting = cleaning.sweep {
             cleaning.removed = 0;
-            cleaning.sweep = Sweep::Reading { prefix: 0, after: None, more: true, left: Vec::new() };
+            cleaning.sweep = Sweep::Reading {
+                prefix: 0,
+                after: None,
+                more: true,
+                left: Vec::new(),
+            };
         }
-        let Sweep::Reading { prefix, after, more, left } = &mut cleaning.sweep else { return };
+        let Sweep::Reading {
+            prefix,
+            after,
+            more,
+            left,
+        } = &mut cleaning.sweep
+        else {
+            return;
+        };
         let (request, pending) = if let Some(leftover) = left.last() {
-            (StateCall::Get { key: end_key(&leftover.job) }, Pending::LeftoverEnd)
+            (
+                StateCall::Get {
+                    key: end_key(&leftover.job),
+                },
+                Pending::LeftoverEnd,
+            )
         } else if *more {
-            let request = StateCall::List { prefix: PREFIXES[*prefix].to_owned(), after: after.clone() };
+            let request = StateCall::List {
+                prefix: PREFIXES[*prefix].to_owned(),
+                after: after.clone(),
+            };
             (request, Pending::Leftovers)
         } else if *prefix + 1 < PREFIXES.len() {
             *prefix += 1;
@@ -115,10 +141,20 @@
         let now = self.now;
         let cleaning = &mut self.cleaning;
         cleaning.busy = false;
-        let StateReply::Page { entries, more: further, .. } = reply else {
+        let StateReply::Page {
+            entries,
+            more: further,
+            ..
+        } = reply
+        else {
             return cleaning.stop(now + RETRY);
         };
-        let Sweep::Reading { after, more, left, .. } = &mut cleaning.sweep else { return };
+        let Sweep::Reading {
+            after, more, left, ..
+        } = &mut cleaning.sweep
+        else {
+            return;
+        };
         *more = further;
         if let Some(last) = entries.last() {
             *after = Some(last.key.clone());
@@ -126,12 +162,17 @@
         let mut found: BTreeMap<(JobId, Option<String>), Vec<String>> = BTreeMap::new();
         for entry in entries {
             // What can't be read is left alone.
-            let Some(owner) = owner(&entry.key) else { continue };
+            let Some(owner) = owner(&entry.key) else {
+                continue;
+            };
             if !self.jobs.contains_key(&owner.0) {
                 found.entry(owner).or_default().push(entry.key);
             }
         }
-        *left = found.into_iter().map(|((job, head), keys)| Leftover { job, head, keys }).collect();
+        *left = found
+            .into_iter()
+            .map(|((job, head), keys)| Leftover { job, head, keys })
+            .collect();
     }
 
     pub(crate) fn leftover_end_reply(&mut self, reply: StateReply) {
@@ -140,9 +181,13 @@
         let cleaning = &mut self.cleaning;
         cleaning.busy = false;
         let request = cleaning.request + 1;
-        let Sweep::Reading { left, .. } = &mut cleaning.sweep else { return };
+        let Sweep::Reading { left, .. } = &mut cleaning.sweep else {
+            return;
+        };
         let command = match reply {
-            StateReply::Entry(end) => left.last_mut().map(|leftover| removal(request, leftover, &end, most)),
+            StateReply::Entry(end) => left
+                .last_mut()
+                .map(|leftover| removal(request, leftover, &end, most)),
             // Not ended, or not begun.
             StateReply::Missing => {
                 left.pop();
@@ -164,10 +209,14 @@
         }
         cleaning.busy = false;
         let most = self.cfg.txn_ops.saturating_sub(BESIDE).max(1);
-        let Sweep::Reading { left, .. } = &mut cleaning.sweep else { return };
+        let Sweep::Reading { left, .. } = &mut cleaning.sweep else {
+            return;
+        };
         match outcome {
             CommitOutcome::Committed(_) => {
-                let Some(leftover) = left.last_mut() else { return };
+                let Some(leftover) = left.last_mut() else {
+                    return;
+                };
                 let taken = leftover.keys.len().min(most);
                 leftover.keys.drain(..taken);
                 cleaning.removed += taken;
@@ -189,6 +238,16 @@
 fn removal(request: RequestId, leftover: &Leftover, end: &Entry, most: usize) -> DutyCommand {
     let mut when = vec![(end.key.clone(), end.version)];
     when.extend(leftover.head.iter().map(|head| (head.clone(), 0)));
-    let apply = leftover.keys.iter().take(most).map(|key| Write::Delete { key: key.clone() }).collect();
-    DutyCommand::Commit { request, duty: CLEANING.to_owned(), when, apply }
+    let apply = leftover
+        .keys
+        .iter()
+        .take(most)
+        .map(|key| Write::Delete { key: key.clone() })
+        .collect();
+    DutyCommand::Commit {
+        request,
+        duty: CLEANING.to_owned(),
+        when,
+        apply,
+    }
 }
--- a/crates/seamfront-core/src/duties.rs
+++ b/crates/seamfront-core/src/duties.rs
@@ -35,7 +35,8 @@
 }
 
 impl FleetDuty {
-    pub(crate) const ALL: [FleetDuty; 3] = [FleetDuty::Renting, FleetDuty::Returning, FleetDuty::Moving];
+    pub(crate) const ALL: [FleetDuty; 3] =
+        [FleetDuty::Renting, FleetDuty::Returning, FleetDuty::Moving];
 
     /// Its name in the store.
     pub(crate) fn name(self) -> &'static str {
@@ -103,7 +104,10 @@
 
     /// Once duties are in force the leader's claim means nothing, whether its end has been seen here or not.
     fn former_claim_ends(&mut self) {
-        let former = self.leader.as_ref().is_some_and(|leader| leader.version.is_some());
+        let former = self
+            .leader
+            .as_ref()
+            .is_some_and(|leader| leader.version.is_some());
         if !former || !self.duties_in_force() {
             return;
         }
@@ -122,7 +126,9 @@
 
     pub(crate) fn duty_step(&mut self, commands: Vec<DutyCommand>) {
         let now = self.now;
-        let Some(duties) = self.duties.as_mut() else { return };
+        let Some(duties) = self.duties.as_mut() else {
+            return;
+        };
         for effect in duties.step(now, commands) {
             self.duty_effect(effect);
         }
@@ -134,7 +140,9 @@
             DutyEffect::Active { duty, .. } => self.duty_begins(&duty),
             DutyEffect::Lost { duty, .. } => self.duty_ends(&duty),
             DutyEffect::Committed { request, outcome } => self.removal_done(request, &outcome),
-            DutyEffect::Rejected { request, .. } => self.removal_done(request, &CommitOutcome::Refused),
+            DutyEffect::Rejected { request, .. } => {
+                self.removal_done(request, &CommitOutcome::Refused)
+            }
             _ => {}
         }
     }
@@ -145,8 +153,12 @@
             return self.cleaning.stop(now);
         }
         let members = self.cfg.members.len();
-        let leader = self.leader.get_or_insert_with(|| Leader::new(None, now, members));
-        let fleet = FleetDuty::ALL.into_iter().find(|fleet| fleet.name() == duty);
+        let leader = self
+            .leader
+            .get_or_insert_with(|| Leader::new(None, now, members));
+        let fleet = FleetDuty::ALL
+            .into_iter()
+            .find(|fleet| fleet.name() == duty);
         if let Some(fleet) = fleet {
             leader.duty_begins(fleet);
         }
@@ -157,8 +169,15 @@
             let now = self.now;
             return self.cleaning.stop(now);
         }
-        let any = FleetDuty::ALL.iter().any(|fleet| self.duty_token(fleet.name()).is_some());
-        if !any && self.leader.as_ref().is_some_and(|leader| leader.version.is_none()) {
+        let any = FleetDuty::ALL
+            .iter()
+            .any(|fleet| self.duty_token(fleet.name()).is_some());
+        if !any
+            && self
+                .leader
+                .as_ref()
+                .is_some_and(|leader| leader.version.is_none())
+        {
             self.leader = None;
         }
     }
@@ -170,7 +189,9 @@
 
     /// Whether duties have claims of their own by now.
     pub(crate) fn duties_in_force(&self) -> bool {
-        self.duties.as_ref().is_some_and(DutyManager::duties_in_force)
+        self.duties
+            .as_ref()
+            .is_some_and(DutyManager::duties_in_force)
     }
 
     /// The token under which a duty is held here, be it the leader's claim.
@@ -183,27 +204,46 @@
     pub(crate) fn fence(&mut self, duty: FleetDuty) -> Option<Fence> {
         if let Some(token) = self.leader.as_ref()?.version {
             let acting = self.acting(self.leader_slot());
-            return acting.then(|| Fence { key: LEADER_CLAIM.to_owned(), token, until: None });
+            return acting.then(|| Fence {
+                key: LEADER_CLAIM.to_owned(),
+                token,
+                until: None,
+            });
         }
         let token = self.duty_token(duty.name())?;
         let duties = self.duties.as_mut()?;
         duties.want_proof(duty.name());
         let permit = duties.permit(duty.name())?;
-        Some(Fence { key: keys::claim(duty.name()), token, until: Some(permit.until) })
+        Some(Fence {
+            key: keys::claim(duty.name()),
+            token,
+            until: Some(permit.until),
+        })
     }
 
     /// A change on this fence has failed on it: whoever else holds it, we don't.
     pub(crate) fn fence_refused(&mut self, duty: FleetDuty, token: u64) {
-        if self.leader.as_ref().is_some_and(|leader| leader.version == Some(token)) {
+        if self
+            .leader
+            .as_ref()
+            .is_some_and(|leader| leader.version == Some(token))
+        {
             let slot = self.leader_slot();
             return self.drop_slot(slot, "claim proven lost");
         }
-        self.duty_step(vec![DutyCommand::TokenRefused { duty: duty.name().to_owned(), token }]);
+        self.duty_step(vec![DutyCommand::TokenRefused {
+            duty: duty.name().to_owned(),
+            token,
+        }]);
     }
 
     /// The key that fences a duty under this token.
     pub(crate) fn fence_key(&self, duty: FleetDuty, token: u64) -> String {
-        if self.leader.as_ref().is_some_and(|leader| leader.version == Some(token)) {
+        if self
+            .leader
+            .as_ref()
+            .is_some_and(|leader| leader.version == Some(token))
+        {
             return LEADER_CLAIM.to_owned();
         }
         keys::claim(duty.name())
@@ -216,9 +256,14 @@
             return claim.map(|claim| claim.member).into_iter().collect();
         }
         let duties = self.duties.iter();
-        let names = duties.flat_map(|duties| FleetDuty::ALL.iter().filter_map(|duty| duties.holder(duty.name())));
-        let mut holders: Vec<usize> =
-            names.filter_map(|name| self.cfg.members.iter().position(|member| member == name)).collect();
+        let names = duties.flat_map(|duties| {
+            FleetDuty::ALL
+                .iter()
+                .filter_map(|duty| duties.holder(duty.name()))
+        });
+        let mut holders: Vec<usize> = names
+            .filter_map(|name| self.cfg.members.iter().position(|member| member == name))
+            .collect();
         holders.sort_unstable();
         holders.dedup();
         holders
--- a/crates/seamfront-core/src/engine/mod.rs
+++ b/crates/seamfront-core/src/engine/mod.rs
@@ -52,28 +52,100 @@
     Grant,
     Renew,
     Watch(usize),
-    Claim { slot: usize, lease: u64 },
-    HandBack { slot: usize, version: u64 },
-    Prove { sent: Micros, claims: Vec<(usize, u64)> },
-    ProveView { sent: Micros, claims: Vec<(usize, u64)>, revision: u64 },
-    Fleet { shard: usize, version: u64 },
-    Records { shard: usize, version: u64 },
-    Shard { shard: usize, version: u64, writes: Vec<ShardWrite> },
-    Submit { batch: Vec<(ReplyTo, Rc<JobSpec>)> },
-    VerifyUnknown { to: ReplyTo, spec: Rc<JobSpec>, why: Impossible, end: bool },
-    NeedKnown { to: ReplyTo, spec: Rc<JobSpec>, left: Vec<JobId>, end: bool },
-    NeedsWritten { to: ReplyTo, spec: Rc<JobSpec>, parts: Vec<Vec<JobId>>, next: usize },
-    SubmitCancelled { to: ReplyTo, spec: Rc<JobSpec> },
-    NeedsRead { id: JobId, version: u64, got: Vec<Entry> },
-    NeedEnd { id: JobId },
-    Orphans { ids: Vec<JobId> },
-    Confirm { polls: Vec<(ReplyTo, JobId)> },
-    Refresh { polls: Vec<Question>, revision: u64 },
-    LookUp { to: ReplyTo, id: JobId, wish: Wish },
-    LookUpEnd { to: ReplyTo, id: JobId },
-    Cancel { to: ReplyTo, id: JobId, end: EndRecord },
-    Leader { version: u64, call: LeaderCall },
-    Duty { call: CallId },
+    Claim {
+        slot: usize,
+        lease: u64,
+    },
+    HandBack {
+        slot: usize,
+        version: u64,
+    },
+    Prove {
+        sent: Micros,
+        claims: Vec<(usize, u64)>,
+    },
+    ProveView {
+        sent: Micros,
+        claims: Vec<(usize, u64)>,
+        revision: u64,
+    },
+    Fleet {
+        shard: usize,
+        version: u64,
+    },
+    Records {
+        shard: usize,
+        version: u64,
+    },
+    Shard {
+        shard: usize,
+        version: u64,
+        writes: Vec<ShardWrite>,
+    },
+    Submit {
+        batch: Vec<(ReplyTo, Rc<JobSpec>)>,
+    },
+    VerifyUnknown {
+        to: ReplyTo,
+        spec: Rc<JobSpec>,
+        why: Impossible,
+        end: bool,
+    },
+    NeedKnown {
+        to: ReplyTo,
+        spec: Rc<JobSpec>,
+        left: Vec<JobId>,
+        end: bool,
+    },
+    NeedsWritten {
+        to: ReplyTo,
+        spec: Rc<JobSpec>,
+        parts: Vec<Vec<JobId>>,
+        next: usize,
+    },
+    SubmitCancelled {
+        to: ReplyTo,
+        spec: Rc<JobSpec>,
+    },
+    NeedsRead {
+        id: JobId,
+        version: u64,
+        got: Vec<Entry>,
+    },
+    NeedEnd {
+        id: JobId,
+    },
+    Orphans {
+        ids: Vec<JobId>,
+    },
+    Confirm {
+        polls: Vec<(ReplyTo, JobId)>,
+    },
+    Refresh {
+        polls: Vec<Question>,
+        revision: u64,
+    },
+    LookUp {
+        to: ReplyTo,
+        id: JobId,
+        wish: Wish,
+    },
+    LookUpEnd {
+        to: ReplyTo,
+        id: JobId,
+    },
+    Cancel {
+        to: ReplyTo,
+        id: JobId,
+        end: EndRecord,
+    },
+    Leader {
+        version: u64,
+        call: LeaderCall,
+    },
+    Duty {
+        call: CallId,
+    },
     Leftovers,
     LeftoverEnd,
     FormatsRead,
@@ -188,11 +260,19 @@
             Command::Poll { to, id } => self.poll(to, id),
             Command::Cancel { to, id } => self.cancel(to, id),
             Command::Report { to, report } => self.report(to, &report),
-            Command::Direct { call, machine, outcome } => {
-                let shard =
-                    self.shards.iter().position(|s| s.as_ref().is_some_and(|s| s.machines.contains_key(&machine)));
+            Command::Direct {
+                call,
+                machine,
+                outcome,
+            } => {
+                let shard = self.shards.iter().position(|s| {
+                    s.as_ref()
+                        .is_some_and(|s| s.machines.contains_key(&machine))
+                });
                 if let Some(k) = shard {
-                    self.with_shard(k, |s, context| s.direct_result(context, call, &machine, outcome));
+                    self.with_shard(k, |s, context| {
+                        s.direct_result(context, call, &machine, outcome)
+                    });
                 }
             }
             Command::State { call, reply } => self.state_reply(call, reply),
@@ -231,7 +311,13 @@
     /// How much was looked at since the start by the shards held now and by the leader. What a step costs
     /// follows from it, and unlike time it is the same on every machine.
     pub fn looked(&self) -> i64 {
-        self.leader_looked + self.shards.iter().flatten().map(|s| s.looked.get()).sum::<i64>()
+        self.leader_looked
+            + self
+                .shards
+                .iter()
+                .flatten()
+                .map(|s| s.looked.get())
+                .sum::<i64>()
     }
 
     // ---- plumbing ------------------------------------------------------------------------
@@ -240,7 +326,11 @@
         self.proven[slot].is_some_and(|t| self.now - t < self.cfg.acting_time())
     }
 
-    pub(crate) fn with_shard<R>(&mut self, k: usize, f: impl FnOnce(&mut Shard, &mut Context) -> R) -> Option<R> {
+    pub(crate) fn with_shard<R>(
+        &mut self,
+        k: usize,
+        f: impl FnOnce(&mut Shard, &mut Context) -> R,
+    ) -> Option<R> {
         let (acting, layout) = (self.acting(k), self.layout());
         let cfg = self.cfg.clone();
         let shard = self.shards.get_mut(k)?.as_mut()?;
@@ -282,7 +372,11 @@
     /// Asks the cloud; with a time, only until then.
     pub(crate) fn cloud(&mut self, request: CloudCall, until: Option<Micros>, pending: Pending) {
         let call = self.call(pending);
-        self.effects.push(Effect::Cloud { call, request, until });
+        self.effects.push(Effect::Cloud {
+            call,
+            request,
+            until,
+        });
     }
 
     pub(crate) fn answer(&mut self, to: ReplyTo, answer: Answer) {
@@ -290,11 +384,17 @@
     }
 
     pub(crate) fn type_size(&self, kind: &str) -> Amounts {
-        self.types.iter().find(|t| t.name == kind).map(|t| t.size).unwrap_or_default()
+        self.types
+            .iter()
+            .find(|t| t.name == kind)
+            .map(|t| t.size)
+            .unwrap_or_default()
     }
 
     fn state_reply(&mut self, call: CallId, reply: StateReply) {
-        let Some(pending) = self.calls.remove(&call) else { return };
+        let Some(pending) = self.calls.remove(&call) else {
+            return;
+        };
         trace!(call, ?reply, "state answered");
         if !matches!(reply, StateReply::Refused | StateReply::Unknown) {
             self.store.last_ok = self.now;
@@ -305,14 +405,34 @@
             Pending::Claim { slot, lease } => self.claim_reply(slot, lease, reply),
             Pending::HandBack { slot, version } => self.hand_back_reply(slot, version, &reply),
             Pending::Prove { sent, claims } => self.prove_reply(sent, claims, reply),
-            Pending::ProveView { sent, claims, revision } => self.prove_view_reply(sent, claims, revision, reply),
+            Pending::ProveView {
+                sent,
+                claims,
+                revision,
+            } => self.prove_view_reply(sent, claims, revision, reply),
             Pending::Fleet { shard, version } => self.fleet_reply(shard, version, reply),
             Pending::Records { shard, version } => self.records_reply(shard, version, reply),
-            Pending::Shard { shard, version, writes } => self.shard_reply(shard, version, &writes, &reply),
+            Pending::Shard {
+                shard,
+                version,
+                writes,
+            } => self.shard_reply(shard, version, &writes, &reply),
             Pending::Submit { batch } => self.submit_reply(batch, reply),
-            Pending::VerifyUnknown { to, spec, why, end } => self.verify_unknown_reply(to, spec, why, end, reply),
-            Pending::NeedKnown { to, spec, left, end } => self.need_known_reply(to, spec, left, end, reply),
-            Pending::NeedsWritten { to, spec, parts, next } => self.needs_written(to, spec, parts, next, &reply),
+            Pending::VerifyUnknown { to, spec, why, end } => {
+                self.verify_unknown_reply(to, spec, why, end, reply)
+            }
+            Pending::NeedKnown {
+                to,
+                spec,
+                left,
+                end,
+            } => self.need_known_reply(to, spec, left, end, reply),
+            Pending::NeedsWritten {
+                to,
+                spec,
+                parts,
+                next,
+            } => self.needs_written(to, spec, parts, next, &reply),
             Pending::SubmitCancelled { to, spec } => self.submit_cancelled_reply(to, &spec, &reply),
             Pending::NeedsRead { id, version, got } => self.needs_read(id, version, got, reply),
             Pending::NeedEnd { id } => self.need_end_reply(&id, reply),
@@ -348,7 +468,9 @@
 
     fn cloud_reply(&mut self, call: CallId, reply: CloudReply) {
         match self.calls.remove(&call) {
-            Some(Pending::Leader { version, call }) => self.leader_cloud_reply(version, call, reply),
+            Some(Pending::Leader { version, call }) => {
+                self.leader_cloud_reply(version, call, reply)
+            }
             Some(Pending::TypesAsked) => {
                 self.types_busy = false;
                 if let CloudReply::Types(types) = reply {
@@ -369,7 +491,12 @@
         }
         self.types_busy = true;
         self.types_next = self.now + Micros::from_millis(700);
-        self.state(StateCall::Get { key: "types".to_owned() }, Pending::TypesRead);
+        self.state(
+            StateCall::Get {
+                key: "types".to_owned(),
+            },
+            Pending::TypesRead,
+        );
     }
 
     pub(crate) fn types_known(&mut self, types: Vec<MachineType>) {
@@ -380,7 +507,11 @@
             info!(types = types.len(), "machine types known");
         }
         self.types = types;
-        let machines: Vec<_> = self.machines.iter().map(|(id, (r, v))| (id.clone(), r.clone(), *v)).collect();
+        let machines: Vec<_> = self
+            .machines
+            .iter()
+            .map(|(id, (r, v))| (id.clone(), r.clone(), *v))
+            .collect();
         for (id, record, version) in machines {
             self.machine_changed(id, record, version);
         }
@@ -425,12 +556,20 @@
         };
         let acting = self.acting(k);
         if self.shards[k].is_none() {
-            let member = self.store.claims[k].as_ref().map(|c| c.member).filter(|m| *m != self.cfg.me);
+            let member = self.store.claims[k]
+                .as_ref()
+                .map(|c| c.member)
+                .filter(|m| *m != self.cfg.me);
             return self.effects.push(Effect::Elsewhere { to, member });
         }
         let now = self.now;
         let held = self.shards[k].as_ref();
-        let known = held.and_then(|s| Some((s.machines.get(&report.machine)?.token(s.version), s.claimed_at)));
+        let known = held.and_then(|s| {
+            Some((
+                s.machines.get(&report.machine)?.token(s.version),
+                s.claimed_at,
+            ))
+        });
         if let Some((_, claimed_at)) = known.filter(|k| k.0 < report.token) {
             // Somebody newer commands it, and would wait for its lease to end if we held it here. Where
             // our claim was not proven for as long as it could last alone, that is lost as a whole.
@@ -449,7 +588,11 @@
             if !s.take_report(context, report, true) {
                 return None;
             }
-            let orders = if ready { s.orders(context, report) } else { Vec::new() };
+            let orders = if ready {
+                s.orders(context, report)
+            } else {
+                Vec::new()
+            };
             let m = s.machines.get_mut(&report.machine)?;
             m.answered(now, s.version);
             Some((m.token(s.version), orders))
--- a/crates/seamfront-core/src/engine/peers.rs
+++ b/crates/seamfront-core/src/engine/peers.rs
@@ -18,24 +18,32 @@
     /// Without shards a node hears of no worker in any case, so it is believed again after a while.
     pub(super) fn listen(&mut self) {
         let quiet = self.now - self.last_hello > self.cfg.report.times(3) + Micros::from_secs(2);
-        let heard_once = |s: &Shard| s.machines.values().any(|m| m.last_report.is_some() && m.record.shard.is_some());
+        let heard_once = |s: &Shard| {
+            s.machines
+                .values()
+                .any(|m| m.last_report.is_some() && m.record.shard.is_some())
+        };
         let own = self.shards.iter().flatten().any(heard_once);
         match self.deaf_since {
             None if quiet && own => {
                 warn!("no worker reaches this controller");
                 self.deaf_since = Some(self.now);
             }
-            Some(t) if !quiet || (!own && self.now - t > Micros::from_secs(30)) => self.deaf_since = None,
+            Some(t) if !quiet || (!own && self.now - t > Micros::from_secs(30)) => {
+                self.deaf_since = None
+            }
             _ => {}
         }
     }
 
     /// A peer that is ready hears workers, or it would not say so.
     pub(crate) fn peer_ready(&self) -> bool {
-        (0..self.peers.len()).filter(|k| *k != self.cfg.me).any(|k| {
-            let p = &self.peers[k];
-            p.ready_since.is_some() && self.now - p.heard < Micros::from_secs(2)
-        })
+        (0..self.peers.len())
+            .filter(|k| *k != self.cfg.me)
+            .any(|k| {
+                let p = &self.peers[k];
+                p.ready_since.is_some() && self.now - p.heard < Micros::from_secs(2)
+            })
     }
 
     pub(super) fn ready(&self) -> bool {
@@ -53,7 +61,8 @@
         let me = self.cfg.me;
         let hears = |(k, p): (usize, &Peer)| k != me && self.now - p.heard < Micros::from_secs(2);
         let alone = self.peers.len() > 1 && !self.peers.iter().enumerate().any(hears);
-        self.ready() || (self.store.loaded() && !self.types.is_empty() && !self.peer_ready() && !alone)
+        self.ready()
+            || (self.store.loaded() && !self.types.is_empty() && !self.peer_ready() && !alone)
     }
 
     pub(super) fn talk(&mut self) {
@@ -76,18 +85,26 @@
     fn tell_peers(&mut self, message: &MeshMessage) {
         let me = self.cfg.me;
         for to in (0..self.peers.len()).filter(|k| *k != me) {
-            self.effects.push(Effect::Mesh { to, message: message.clone() });
+            self.effects.push(Effect::Mesh {
+                to,
+                message: message.clone(),
+            });
         }
     }
 
     /// That this controller is alive, which claims it holds and how many writes wait here.
     fn announce(&mut self) {
-        let claims: Vec<(String, u64)> =
-            (0..=self.leader_slot()).filter_map(|s| self.slot_version(s).map(|v| (self.slot_key(s), v))).collect();
+        let claims: Vec<(String, u64)> = (0..=self.leader_slot())
+            .filter_map(|s| self.slot_version(s).map(|v| (self.slot_key(s), v)))
+            .collect();
         let ready = self.ready() && !self.deaf();
         let awaited = self.writes_awaited();
         self.awaited = awaited;
-        self.tell_peers(&MeshMessage::Alive { ready, claims, awaited });
+        self.tell_peers(&MeshMessage::Alive {
+            ready,
+            claims,
+            awaited,
+        });
     }
 
     /// What waits in a shard, and its machines.
@@ -95,13 +112,25 @@
         let told = self.with_shard(k, |s, context| {
             (s.phase == ShardPhase::Ready).then(|| (s.version, s.needs.clone(), s.views(context)))
         });
-        let Some((version, mut needs, machines)) = told.flatten() else { return };
+        let Some((version, mut needs, machines)) = told.flatten() else {
+            return;
+        };
         if needs.len() > NEEDS_MAX {
             // The most important are first, and what is served makes room for the rest.
-            warn!(shard = k, waiting = needs.len(), told = NEEDS_MAX, "more jobs wait than the leader is told of");
+            warn!(
+                shard = k,
+                waiting = needs.len(),
+                told = NEEDS_MAX,
+                "more jobs wait than the leader is told of"
+            );
             needs.truncate(NEEDS_MAX);
         }
-        let message = MeshMessage::Shard { shard: k, version, needs, machines };
+        let message = MeshMessage::Shard {
+            shard: k,
+            version,
+            needs,
+            machines,
+        };
         let me = self.cfg.me;
         if self.leader.is_some() {
             self.mesh(me, message.clone());
@@ -111,7 +140,10 @@
         }
         for to in self.fleet_holders() {
             if to != me || self.leader.is_none() {
-                self.effects.push(Effect::Mesh { to, message: message.clone() });
+                self.effects.push(Effect::Mesh {
+                    to,
+                    message: message.clone(),
+                });
             }
         }
     }
@@ -150,9 +182,15 @@
 
     pub(super) fn mesh(&mut self, from: usize, message: MeshMessage) {
         match message {
-            MeshMessage::Alive { ready, claims, awaited } => {
+            MeshMessage::Alive {
+                ready,
+                claims,
+                awaited,
+            } => {
                 let now = self.now;
-                let Some(peer) = self.peers.get_mut(from) else { return };
+                let Some(peer) = self.peers.get_mut(from) else {
+                    return;
+                };
                 let gap = now - peer.heard > Micros::from_secs(2);
                 peer.heard = now;
                 peer.awaited = awaited;
@@ -164,28 +202,53 @@
                 for (key, version) in claims {
                     for slot in 0..=self.leader_slot() {
                         // Told of a newer claim: ours is lost, whatever the store lets us know.
-                        if self.slot_key(slot) == key && self.slot_version(slot).is_some_and(|v| v < version) {
+                        if self.slot_key(slot) == key
+                            && self.slot_version(slot).is_some_and(|v| v < version)
+                        {
                             self.drop_slot(slot, "a peer holds a newer claim");
-                            self.store.claims[slot] =
-                                Some(crate::store_session::Claim { version, member: from, lease: 0 });
+                            self.store.claims[slot] = Some(crate::store_session::Claim {
+                                version,
+                                member: from,
+                                lease: 0,
+                            });
                         }
                     }
                 }
             }
-            MeshMessage::Shard { shard, version, needs, machines } => {
+            MeshMessage::Shard {
+                shard,
+                version,
+                needs,
+                machines,
+            } => {
                 // Held back by the network, a former holder's word may come after its shard has passed
                 // on: it must not count, least of all its opinion of machines.
-                if self.store.claims.get(shard).is_some_and(|c| c.as_ref().is_some_and(|c| c.version == version)) {
+                if self
+                    .store
+                    .claims
+                    .get(shard)
+                    .is_some_and(|c| c.as_ref().is_some_and(|c| c.version == version))
+                {
                     self.shard_told(shard, needs, machines);
                 }
             }
-            MeshMessage::Release { shard, machines, above } => {
+            MeshMessage::Release {
+                shard,
+                machines,
+                above,
+            } => {
                 let now = self.now;
                 self.with_shard(shard, |s, context| s.release(context, &machines, above));
                 self.tell_next = now;
             }
             MeshMessage::Cancelled { job, tasks } => {
-                self.end_learned(&job, EndRecord { cancelled: true, tasks });
+                self.end_learned(
+                    &job,
+                    EndRecord {
+                        cancelled: true,
+                        tasks,
+                    },
+                );
             }
             MeshMessage::Progress { jobs } => {
                 for (id, done, running) in jobs {
--- a/crates/seamfront-core/src/engine/writes.rs
+++ b/crates/seamfront-core/src/engine/writes.rs
@@ -12,7 +12,12 @@
 impl Engine {
     /// How many writes wait here: for tasks to start, for jobs to end, for machines to be adopted.
     pub(super) fn writes_awaited(&self) -> usize {
-        self.shards.iter().flatten().map(Shard::writes_awaited).sum::<usize>() + self.leader_writes_awaited()
+        self.shards
+            .iter()
+            .flatten()
+            .map(Shard::writes_awaited)
+            .sum::<usize>()
+            + self.leader_writes_awaited()
     }
 
     /// This controller's part of what the store takes, in thousandths of a write a second. Most of
@@ -31,8 +36,13 @@
             } else if self.now - p.heard < Micros::from_secs(2) && p.heard > Micros::ZERO {
                 all += p.awaited as i64 + 1;
             } else {
-                let holds = |c: &&Option<crate::store_session::Claim>| c.as_ref().is_some_and(|c| c.member == k);
-                unheard += self.store.claims[..self.leader_slot()].iter().filter(holds).count() as i64;
+                let holds = |c: &&Option<crate::store_session::Claim>| {
+                    c.as_ref().is_some_and(|c| c.member == k)
+                };
+                unheard += self.store.claims[..self.leader_slot()]
+                    .iter()
+                    .filter(holds)
+                    .count() as i64;
             }
         }
         (total * (n - unheard) / n * own / all.max(1)).max(total / (4 * n))
@@ -66,7 +76,9 @@
                 ShardPhase::Ready => s.writes(now, budget.min(most), &layout),
                 _ => Vec::new(),
             };
-            let Some((version, writes)) = self.with_shard(k, |s, _| (s.version, ready(s))) else { continue };
+            let Some((version, writes)) = self.with_shard(k, |s, _| (s.version, ready(s))) else {
+                continue;
+            };
             let mut records = Vec::new();
             let mut bytes = 0;
             for w in writes {
@@ -78,7 +90,11 @@
                     }
                     ShardWrite::Read { job } => {
                         let key = work_key(k, job);
-                        let pending = Pending::Shard { shard: k, version, writes: vec![w] };
+                        let pending = Pending::Shard {
+                            shard: k,
+                            version,
+                            writes: vec![w],
+                        };
                         self.state(StateCall::Get { key }, pending);
                     }
                     // One in parts fills a transaction by itself.
@@ -88,7 +104,11 @@
                     }
                     _ => {
                         self.write_budget -= 1_000;
-                        let size = if let ShardWrite::Record { record, .. } = &w { record.bytes } else { SMALL_WRITE };
+                        let size = if let ShardWrite::Record { record, .. } = &w {
+                            record.bytes
+                        } else {
+                            SMALL_WRITE
+                        };
                         if bytes + size > TRANSACTION_BYTES && !records.is_empty() {
                             self.send_shard_writes(k, version, std::mem::take(&mut records));
                             bytes = 0;
@@ -112,19 +132,42 @@
         for w in &writes {
             let key = self.write_key(k, w);
             match w {
-                ShardWrite::Record { job, version, record, changes, .. } => {
+                ShardWrite::Record {
+                    job,
+                    version,
+                    record,
+                    changes,
+                    ..
+                } => {
                     when.push((key.clone(), *version));
-                    apply.push(Write::Put { key, value: record.head.clone(), lease: None });
+                    apply.push(Write::Put {
+                        key,
+                        value: record.head.clone(),
+                        lease: None,
+                    });
                     for (number, part) in changes {
                         let key = part_key(k, job, *number);
                         apply.push(match part {
-                            Some(value) => Write::Put { key, value: value.clone(), lease: None },
+                            Some(value) => Write::Put {
+                                key,
+                                value: value.clone(),
+                                lease: None,
+                            },
                             None => Write::Delete { key },
                         });
                     }
                 }
-                ShardWrite::End { job, job_version, record_version, parts_end, tasks } => {
-                    let end = EndRecord { cancelled: false, tasks: *tasks };
+                ShardWrite::End {
+                    job,
+                    job_version,
+                    record_version,
+                    parts_end,
+                    tasks,
+                } => {
+                    let end = EndRecord {
+                        cancelled: false,
+                        tasks: *tasks,
+                    };
                     when.extend(end_conditions(job, *job_version));
                     apply.extend(end_writes(job, end));
                     if *record_version > 0 {
@@ -133,25 +176,46 @@
                         apply.extend(self.part_deletions(k, job, *parts_end));
                     }
                 }
-                ShardWrite::DropRecord { job, version, parts_end } => {
+                ShardWrite::DropRecord {
+                    job,
+                    version,
+                    parts_end,
+                } => {
                     when.push((key.clone(), *version));
                     apply.push(Write::Delete { key });
                     apply.extend(self.part_deletions(k, job, *parts_end));
                 }
-                ShardWrite::Machine { machine, version, record } => {
+                ShardWrite::Machine {
+                    machine,
+                    version,
+                    record,
+                } => {
                     when.push((key, *version));
                     apply.push(machine_write(machine, record));
                 }
                 ShardWrite::Read { .. } => {}
             }
         }
-        self.state(StateCall::Commit { when, apply }, Pending::Shard { shard: k, version, writes });
+        self.state(
+            StateCall::Commit { when, apply },
+            Pending::Shard {
+                shard: k,
+                version,
+                writes,
+            },
+        );
     }
 
     /// A part without its head means nothing: should there be more than a transaction takes, the rest stays.
     fn part_deletions(&self, k: usize, job: &JobId, parts_end: u32) -> Vec<Write> {
         let most = self.cfg.txn_ops.saturating_sub(3);
-        (0..parts_end).rev().take(most).map(|number| Write::Delete { key: part_key(k, job, number) }).collect()
+        (0..parts_end)
+            .rev()
+            .take(most)
+            .map(|number| Write::Delete {
+                key: part_key(k, job, number),
+            })
+            .collect()
     }
 
     pub(super) fn write_key(&self, k: usize, w: &ShardWrite) -> String {
@@ -164,7 +228,13 @@
         }
     }
 
-    pub(super) fn shard_reply(&mut self, k: usize, version: u64, writes: &[ShardWrite], reply: &StateReply) {
+    pub(super) fn shard_reply(
+        &mut self,
+        k: usize,
+        version: u64,
+        writes: &[ShardWrite],
+        reply: &StateReply,
+    ) {
         if self.slot_version(k) != Some(version) {
             return;
         }
@@ -185,11 +255,19 @@
                 (_, StateReply::Refused) => WriteOutcome::Refused,
                 // One failed condition fails all; those that held are simply made again.
                 (ShardWrite::End { .. }, StateReply::Conflict { .. }) => WriteOutcome::Unclear,
-                (_, StateReply::Conflict { failed }) if !failed.contains(&key) => WriteOutcome::Refused,
+                (_, StateReply::Conflict { failed }) if !failed.contains(&key) => {
+                    WriteOutcome::Refused
+                }
                 _ => WriteOutcome::Unclear,
             };
             if let (ShardWrite::End { job, tasks, .. }, WriteOutcome::Done(_)) = (w, outcome) {
-                self.users.ended.insert(job, EndRecord { cancelled: false, tasks: *tasks });
+                self.users.ended.insert(
+                    job,
+                    EndRecord {
+                        cancelled: false,
+                        tasks: *tasks,
+                    },
+                );
                 self.job_over(job);
             }
             self.with_shard(k, |s, context| s.written(context, w, outcome));
--- a/crates/seamfront-core/src/fleet.rs
+++ b/crates/seamfront-core/src/fleet.rs
@@ -127,7 +127,13 @@
 
 impl Machine {
     /// A machine that has just come to this holder.
-    pub fn new(id: MachineId, record: MachineRecord, version: u64, size: Amounts, now: Micros) -> Self {
+    pub fn new(
+        id: MachineId,
+        record: MachineRecord,
+        version: u64,
+        size: Amounts,
+        now: Micros,
+    ) -> Self {
         Machine {
             id,
             record,
@@ -190,7 +196,9 @@
     pub fn usable(&self, now: Micros, report: Micros, claim_version: u64) -> bool {
         self.record.shard.is_some()
             && self.seen_token == self.token(claim_version)
-            && self.heeded.is_some_and(|t| now - t <= report.times(2) + Micros::from_secs(1))
+            && self
+                .heeded
+                .is_some_and(|t| now - t <= report.times(2) + Micros::from_secs(1))
             && self.notice.is_none()
             && self.released.is_none()
             && self.clearing.is_none()
@@ -218,7 +226,10 @@
 
     /// How long it has not been heard.
     pub fn silent_for(&self, now: Micros) -> Micros {
-        now - self.last_report.unwrap_or(self.owned_since).max(self.owned_since)
+        now - self
+            .last_report
+            .unwrap_or(self.owned_since)
+            .max(self.owned_since)
     }
 
     /// How long it has reported without showing what it was answered.
@@ -285,7 +296,12 @@
         if self.has_image(image) {
             return 0;
         }
-        let others: i64 = self.fetching.iter().filter(|(i, _)| *i != image).map(|(_, mb)| mb).sum();
+        let others: i64 = self
+            .fetching
+            .iter()
+            .filter(|(i, _)| *i != image)
+            .map(|(_, mb)| mb)
+            .sum();
         others + mb
     }
 
--- a/crates/seamfront-core/src/formats.rs
+++ b/crates/seamfront-core/src/formats.rs
@@ -38,21 +38,36 @@
 impl Engine {
     /// Whether every member is known to read records in parts.
     pub(crate) fn all_read_parts(&self) -> bool {
-        self.cfg.members.iter().all(|m| self.formats.members.contains(m))
+        self.cfg
+            .members
+            .iter()
+            .all(|m| self.formats.members.contains(m))
     }
 
     pub(crate) fn formats_tick(&mut self) {
-        if self.formats.busy || self.now < self.formats.ask_at || !self.store.loaded() || self.all_read_parts() {
+        if self.formats.busy
+            || self.now < self.formats.ask_at
+            || !self.store.loaded()
+            || self.all_read_parts()
+        {
             return;
         }
         self.formats.busy = true;
-        self.state(StateCall::List { prefix: PREFIX.to_owned(), after: None }, Pending::FormatsRead);
+        self.state(
+            StateCall::List {
+                prefix: PREFIX.to_owned(),
+                after: None,
+            },
+            Pending::FormatsRead,
+        );
     }
 
     pub(crate) fn formats_read(&mut self, reply: StateReply) {
         self.formats.busy = false;
         self.formats.ask_at = self.now + ASK_EVERY;
-        let StateReply::Page { entries, .. } = reply else { return };
+        let StateReply::Page { entries, .. } = reply else {
+            return;
+        };
         for e in entries {
             let known = serde_json::from_value::<FormatRecord>(e.value).is_ok_and(|f| f.parts);
             if let Some(member) = e.key.strip_prefix(PREFIX).filter(|_| known) {
@@ -67,8 +82,18 @@
             self.formats.busy = true;
             let key = format_key(own);
             let value = serde_json::to_value(FormatRecord { parts: true }).unwrap_or_default();
-            let apply = vec![Write::Put { key: key.clone(), value, lease: None }];
-            self.state(StateCall::Commit { when: vec![(key, 0)], apply }, Pending::FormatWritten);
+            let apply = vec![Write::Put {
+                key: key.clone(),
+                value,
+                lease: None,
+            }];
+            self.state(
+                StateCall::Commit {
+                    when: vec![(key, 0)],
+                    apply,
+                },
+                Pending::FormatWritten,
+            );
         }
     }
 
--- a/crates/seamfront-core/src/gang.rs
+++ b/crates/seamfront-core/src/gang.rs
@@ -143,7 +143,10 @@
         }
         self.draining = false;
         let spent = self.attempts.iter().any(|a| *a >= retry_limit);
-        let ended = self.members.iter().any(|m| matches!(m, Member::Done | Member::Failed));
+        let ended = self
+            .members
+            .iter()
+            .any(|m| matches!(m, Member::Done | Member::Failed));
         if spent || ended {
             self.members.fill(Member::Failed);
             return Some(Verdict::Failed);
--- a/crates/seamfront-core/src/job.rs
+++ b/crates/seamfront-core/src/job.rs
@@ -181,7 +181,10 @@
             version,
             ending: None,
             waits: false,
-            record: RecordState { version: Some(0), ..Default::default() },
+            record: RecordState {
+                version: Some(0),
+                ..Default::default()
+            },
             next_attempt: 1,
             done: Ranges::default(),
             done_gen: 0,
@@ -205,9 +208,12 @@
     /// image; one that takes longer makes it earlier by as much.
     pub fn overdue(&self, wall: Micros, types: &[MachineType]) -> bool {
         let last_third = BEGIN_WITHIN.over(3);
-        let longer = (self.spec.fetch_at_best(types) - last_third.over(2)).clamp(Micros::ZERO, last_third);
+        let longer =
+            (self.spec.fetch_at_best(types) - last_third.over(2)).clamp(Micros::ZERO, last_third);
         let waited = wall - self.spec.submitted;
-        self.tasks.is_empty() && self.done.count() == 0 && waited > BEGIN_WITHIN - last_third - longer
+        self.tasks.is_empty()
+            && self.done.count() == 0
+            && waited > BEGIN_WITHIN - last_third - longer
     }
 
     /// How important a task of it is to those that might stop it. What began by its turn stands as high
@@ -243,10 +249,20 @@
     /// The next `n` task numbers to start, lowest first, so that the done set stays compact. Of a job that fails
     /// wherever it goes others are tried each time: only its first ones may be bad.
     pub fn next_tasks(&self, n: u32) -> Vec<u32> {
-        let open =
-            || (self.done.prefix()..self.spec.tasks).filter(|i| !self.tasks.contains_key(i) && !self.done.contains(*i));
-        let tried_before = if self.failing() && self.gang.is_none() { self.errors % self.unplaced().max(1) } else { 0 };
-        open().skip(tried_before as usize).chain(open().take(tried_before as usize)).take(n as usize).collect()
+        let open = || {
+            (self.done.prefix()..self.spec.tasks)
+                .filter(|i| !self.tasks.contains_key(i) && !self.done.contains(*i))
+        };
+        let tried_before = if self.failing() && self.gang.is_none() {
+            self.errors % self.unplaced().max(1)
+        } else {
+            0
+        };
+        open()
+            .skip(tried_before as usize)
+            .chain(open().take(tried_before as usize))
+            .take(n as usize)
+            .collect()
     }
 
     /// An attempt number that was never used before.
@@ -270,24 +286,36 @@
         let mut longest = 12;
         let mut before: Option<(&MachineId, u32, u64)> = None;
         for (i, p) in &self.tasks {
-            let (name, new) = (p.machine.as_str().len(), before != Some((&p.machine, *i, p.attempt)));
+            let (name, new) = (
+                p.machine.as_str().len(),
+                before != Some((&p.machine, *i, p.attempt)),
+            );
             used += if new { run + name + 6 } else { 0 };
             longest = longest.max(name);
             before = Some((&p.machine, *i + 1, p.attempt));
         }
         // Each member that is placed comes to have used an attempt.
         let attempts = if self.gang.is_some() { run } else { 0 };
-        let room = layout.value_bytes.saturating_sub(fixed).max(layout.parts_room());
+        let room = layout
+            .value_bytes
+            .saturating_sub(fixed)
+            .max(layout.parts_room());
         (room.saturating_sub(used) / (run + longest + 6 + attempts)) as u32
     }
 
     /// Tasks that run and are not being stopped.
     pub fn running(&self) -> u32 {
-        self.tasks.values().filter(|p| p.phase == Phase::Running && p.stop.is_none()).count() as u32
+        self.tasks
+            .values()
+            .filter(|p| p.phase == Phase::Running && p.stop.is_none())
+            .count() as u32
     }
 
     /// Zones that its tasks take up, with how many.
-    pub fn zones<'a>(&self, zone_of: impl Fn(&MachineId) -> Option<&'a str>) -> BTreeMap<String, u32> {
+    pub fn zones<'a>(
+        &self,
+        zone_of: impl Fn(&MachineId) -> Option<&'a str>,
+    ) -> BTreeMap<String, u32> {
         let mut zones: BTreeMap<&str, u32> = BTreeMap::new();
         for p in self.tasks.values() {
             if let Some(z) = zone_of(&p.machine) {
@@ -313,18 +341,29 @@
             need: self.spec.need,
             epoch: self.gang.as_ref().map_or(0, |g| g.epoch),
             draining: self.gang.as_ref().is_some_and(|g| g.draining),
-            attempts: attempts.filter(|a| *a.1 > 0).map(|a| (a.0 as u32, *a.1)).collect(),
+            attempts: attempts
+                .filter(|a| *a.1 > 0)
+                .map(|a| (a.0 as u32, *a.1))
+                .collect(),
             next_attempt: self.next_attempt,
             done: self.done.clone(),
             placed,
             // Only gangs are parked; of other jobs it holds the errors in a row, by which their pauses grow.
-            parks: if self.gang.is_some() { self.parks } else { self.errors },
+            parks: if self.gang.is_some() {
+                self.parks
+            } else {
+                self.errors
+            },
         }
     }
 
     /// Takes over what the former holder recorded. Everything placed may be on its machine.
     pub fn adopt(&mut self, record: WorkRecord, version: u64, parts_end: u32, now: Micros) {
-        self.record = RecordState { version: Some(version), parts_end, ..Default::default() };
+        self.record = RecordState {
+            version: Some(version),
+            parts_end,
+            ..Default::default()
+        };
         self.next_attempt = record.next_attempt;
         self.done = record.done;
         match self.gang {
@@ -361,7 +400,11 @@
             }
             g.draining = record.draining;
             for i in self.tasks.keys() {
-                g.members[*i as usize] = if record.draining { Member::Preempting } else { Member::Pending };
+                g.members[*i as usize] = if record.draining {
+                    Member::Preempting
+                } else {
+                    Member::Pending
+                };
             }
         }
     }
--- a/crates/seamfront-core/src/leader/mod.rs
+++ b/crates/seamfront-core/src/leader/mod.rs
@@ -206,15 +206,32 @@
 impl Engine {
     fn leader_commit(&mut self, mut when: Vec<(String, u64)>, apply: Vec<Write>, call: LeaderCall) {
         let duty = call.duty();
-        let Some(token) = self.fleet_token(duty) else { return };
+        let Some(token) = self.fleet_token(duty) else {
+            return;
+        };
         when.insert(0, (self.fence_key(duty, token), token));
         self.write_budget -= apply.len() as i64 * 1_000;
-        self.state(StateCall::Commit { when, apply }, Pending::Leader { version: token, call });
+        self.state(
+            StateCall::Commit { when, apply },
+            Pending::Leader {
+                version: token,
+                call,
+            },
+        );
     }
 
     fn leader_cloud(&mut self, request: CloudCall, call: LeaderCall) {
-        let Some(fence) = self.fence(call.duty()) else { return };
-        self.cloud(request, fence.until, Pending::Leader { version: fence.token, call });
+        let Some(fence) = self.fence(call.duty()) else {
+            return;
+        };
+        self.cloud(
+            request,
+            fence.until,
+            Pending::Leader {
+                version: fence.token,
+                call,
+            },
+        );
     }
 
     pub(crate) fn leader_tick(&mut self) {
@@ -240,13 +257,16 @@
         if may.rent {
             self.adopt_tick();
         }
-        let Some(l) = self.leader.as_mut() else { return };
+        let Some(l) = self.leader.as_mut() else {
+            return;
+        };
         if now >= l.plan_next {
             l.plan_next = now + TICK;
             // Moved, refused by its owner, or too slow: whoever still needs it asks again.
             let machines = &self.machines;
             l.clearing.retain(|id, (to, t)| {
-                now - *t < Micros::from_secs(20) && machines.get(id).is_some_and(|m| m.0.shard != Some(*to))
+                now - *t < Micros::from_secs(20)
+                    && machines.get(id).is_some_and(|m| m.0.shard != Some(*to))
             });
             l.gone.retain(|_, t| now - *t < Micros::from_secs(180));
             let gone = &l.gone;
@@ -257,12 +277,27 @@
 
     /// Whether the rentals that others have begun are read; begins to read them.
     fn rents_loaded(&mut self) -> bool {
-        let Some(token) = self.fleet_token(FleetDuty::Renting) else { return false };
-        let Some(l) = self.leader.as_mut() else { return false };
+        let Some(token) = self.fleet_token(FleetDuty::Renting) else {
+            return false;
+        };
+        let Some(l) = self.leader.as_mut() else {
+            return false;
+        };
         if !l.loaded && !l.loading {
             l.loading = true;
-            let pending = Pending::Leader { version: token, call: LeaderCall::Rents { entries: Vec::new() } };
-            self.state(StateCall::List { prefix: "rent/".to_owned(), after: None }, pending);
+            let pending = Pending::Leader {
+                version: token,
+                call: LeaderCall::Rents {
+                    entries: Vec::new(),
+                },
+            };
+            self.state(
+                StateCall::List {
+                    prefix: "rent/".to_owned(),
+                    after: None,
+                },
+                pending,
+            );
             return false;
         }
         l.loaded
@@ -270,12 +305,16 @@
 
     fn types_and_list_tick(&mut self) {
         let now = self.now;
-        let Some(l) = self.leader.as_mut() else { return };
+        let Some(l) = self.leader.as_mut() else {
+            return;
+        };
         if !l.types_busy && now >= l.types_next && now >= l.cloud_rest {
             l.types_busy = true;
             self.leader_cloud(CloudCall::Types, LeaderCall::Types);
         }
-        let Some(l) = self.leader.as_mut() else { return };
+        let Some(l) = self.leader.as_mut() else {
+            return;
+        };
         if !l.list_busy && now >= l.list_next && now >= l.cloud_rest {
             l.list_busy = true;
             let after = l.listing.last().map(|m| m.id.clone());
@@ -288,14 +327,25 @@
         // Half of what the store takes meanwhile, if need be: what stands on machines that fell by the
         // hundred waits for this, while a busy store leaves the leader nothing otherwise.
         let meanwhile = (self.write_rate() * DELETE_EVERY.0 / 2_000_000_000) as usize;
-        let most = self.cfg.txn_ops.min(100).min(self.leader_writes().max(meanwhile).max(4));
-        let Some(l) = self.leader.as_mut() else { return };
+        let most = self
+            .cfg
+            .txn_ops
+            .min(100)
+            .min(self.leader_writes().max(meanwhile).max(4));
+        let Some(l) = self.leader.as_mut() else {
+            return;
+        };
         if l.delete_busy || now < l.delete_next || now < l.cloud_rest {
             return;
         }
         l.delete_next = now + DELETE_EVERY;
-        l.emptied.retain(|id| self.machines.get(id).is_some_and(|m| m.0.shard.is_none()));
-        let given_up = self.machines.iter().filter(|(_, (r, _))| r.shard.is_none()).map(|(id, _)| id);
+        l.emptied
+            .retain(|id| self.machines.get(id).is_some_and(|m| m.0.shard.is_none()));
+        let given_up = self
+            .machines
+            .iter()
+            .filter(|(_, (r, _))| r.shard.is_none())
+            .map(|(id, _)| id);
         let (last, mut ids): (Vec<MachineId>, Vec<MachineId>) =
             given_up.cloned().partition(|id| l.emptied.contains(id));
         ids.extend(last);
@@ -306,12 +356,19 @@
         }
         l.delete_busy = true;
         info!(machines = ?ids.iter().map(|i| i.as_str()).collect::<Vec<_>>(), "returning machines");
-        self.leader_cloud(CloudCall::Delete { machines: ids.clone() }, LeaderCall::Delete { ids });
+        self.leader_cloud(
+            CloudCall::Delete {
+                machines: ids.clone(),
+            },
+            LeaderCall::Delete { ids },
+        );
     }
 
     fn carry_out_plan(&mut self, may: Rights) {
         let now = self.now;
-        let Some(l) = self.leader.as_ref() else { return };
+        let Some(l) = self.leader.as_ref() else {
+            return;
+        };
         let mut needs = Vec::new();
         let mut heard = true;
         for (k, v) in l.views.iter().enumerate() {
@@ -326,10 +383,23 @@
             if l.writing.contains(id) {
                 continue;
             }
-            let view = l.views.get(shard).and_then(|v| v.as_ref()).filter(|v| now - v.at < VIEW_AGE);
-            let view = view.and_then(|v| v.machines.get(id)).filter(|v| v.version == *version);
+            let view = l
+                .views
+                .get(shard)
+                .and_then(|v| v.as_ref())
+                .filter(|v| now - v.at < VIEW_AGE);
+            let view = view
+                .and_then(|v| v.machines.get(id))
+                .filter(|v| v.version == *version);
             let age = now - self.machine_since.get(id).copied().unwrap_or(now);
-            machines.push(Supply { id, shard, record, size: self.type_size(&record.kind), view, age });
+            machines.push(Supply {
+                id,
+                shard,
+                record,
+                size: self.type_size(&record.kind),
+                view,
+                age,
+            });
         }
         let picture = Picture {
             now,
@@ -344,8 +414,12 @@
         };
         let looked = picture.machines.len() * 4 + picture.needs.len();
         let mut plan = capacity::plan(&picture);
-        let released: BTreeSet<MachineId> =
-            picture.machines.iter().filter(|m| m.view.is_some_and(|v| v.released)).map(|m| m.id.clone()).collect();
+        let released: BTreeSet<MachineId> = picture
+            .machines
+            .iter()
+            .filter(|m| m.view.is_some_and(|v| v.released))
+            .map(|m| m.id.clone())
+            .collect();
         drop(picture);
         self.leader_looked += looked as i64;
         if !heard {
@@ -373,7 +447,12 @@
         for (id, to) in moves.chain(returns) {
             if released.contains(&id) {
                 writes.push((id, to));
-            } else if let Some(shard) = self.machines.get(&id).and_then(|m| m.0.shard).filter(|_| may_ask) {
+            } else if let Some(shard) = self
+                .machines
+                .get(&id)
+                .and_then(|m| m.0.shard)
+                .filter(|_| may_ask)
+            {
                 asks.entry(shard).or_default().push(id);
             }
         }
@@ -383,17 +462,36 @@
             }
         }
         for (shard, machines) in asks {
-            self.tell_holder(shard, MeshMessage::Release { shard, machines, above: None });
+            self.tell_holder(
+                shard,
+                MeshMessage::Release {
+                    shard,
+                    machines,
+                    above: None,
+                },
+            );
         }
         for (id, to, above) in plan.clear {
-            let Some(shard) = self.machines.get(&id).and_then(|m| m.0.shard) else { continue };
+            let Some(shard) = self.machines.get(&id).and_then(|m| m.0.shard) else {
+                continue;
+            };
             if let Some(l) = self.leader.as_mut() {
                 l.clearing.insert(id.clone(), (to, now));
             }
-            self.tell_holder(shard, MeshMessage::Release { shard, machines: vec![id], above: Some(above) });
+            self.tell_holder(
+                shard,
+                MeshMessage::Release {
+                    shard,
+                    machines: vec![id],
+                    above: Some(above),
+                },
+            );
         }
         // What the store does not take now is planned again.
-        let room = self.cfg.txn_ops.min((self.write_budget / 1_000).max(0) as usize);
+        let room = self
+            .cfg
+            .txn_ops
+            .min((self.write_budget / 1_000).max(0) as usize);
         if let Some(l) = self.leader.as_mut() {
             l.moves_waiting = writes.len();
         }
@@ -416,10 +514,16 @@
         if self.fleet_token(duty).is_none() {
             return;
         }
-        let (mut when, mut apply, mut ids, mut emptied) = (Vec::new(), Vec::new(), Vec::new(), Vec::new());
+        let (mut when, mut apply, mut ids, mut emptied) =
+            (Vec::new(), Vec::new(), Vec::new(), Vec::new());
         for (id, to) in writes {
-            let Some((record, version)) = self.machines.get(&id) else { continue };
-            let record = MachineRecord { shard: to, ..record.clone() };
+            let Some((record, version)) = self.machines.get(&id) else {
+                continue;
+            };
+            let record = MachineRecord {
+                shard: to,
+                ..record.clone()
+            };
             info!(machine = %id, to = ?to, "machine assigned");
             when.push((machine_key(&id), *version));
             apply.push(crate::shard::machine_write(&id, &record));
@@ -439,9 +543,16 @@
     }
 
     pub(crate) fn leader_writes_awaited(&self) -> usize {
-        let rented =
-            |l: &Leader| l.rents.values().filter(|r| r.step == RentStep::Settling).map(|r| r.got.len()).sum::<usize>();
-        self.leader.as_ref().map_or(0, |l| l.adopting.len() + l.moves_waiting + l.deletes_waiting + rented(l))
+        let rented = |l: &Leader| {
+            l.rents
+                .values()
+                .filter(|r| r.step == RentStep::Settling)
+                .map(|r| r.got.len())
+                .sum::<usize>()
+        };
+        self.leader.as_ref().map_or(0, |l| {
+            l.adopting.len() + l.moves_waiting + l.deletes_waiting + rented(l)
+        })
     }
 
     /// How many records the leader may write now; half of what there is, so that shards held here can
@@ -450,13 +561,26 @@
         (self.write_budget / 2_000).max(0) as usize
     }
 
-    pub(crate) fn shard_told(&mut self, shard: usize, needs: Vec<Need>, machines: Vec<MachineView>) {
+    pub(crate) fn shard_told(
+        &mut self,
+        shard: usize,
+        needs: Vec<Need>,
+        machines: Vec<MachineView>,
+    ) {
         let now = self.now;
-        let Some(l) = self.leader.as_mut() else { return };
+        let Some(l) = self.leader.as_mut() else {
+            return;
+        };
         if let Some(v) = l.views.get_mut(shard) {
-            let machines: BTreeMap<MachineId, MachineView> = machines.into_iter().map(|m| (m.id.clone(), m)).collect();
-            l.boots.learn(now, |id| machines.get(id).is_some_and(|m| m.up));
-            *v = Some(ShardView { at: now, needs, machines });
+            let machines: BTreeMap<MachineId, MachineView> =
+                machines.into_iter().map(|m| (m.id.clone(), m)).collect();
+            l.boots
+                .learn(now, |id| machines.get(id).is_some_and(|m| m.up));
+            *v = Some(ShardView {
+                at: now,
+                needs,
+                machines,
+            });
         }
     }
 }
--- a/crates/seamfront-core/src/leader/rentals.rs
+++ b/crates/seamfront-core/src/leader/rentals.rs
@@ -41,23 +41,35 @@
 impl Engine {
     pub(super) fn rents_tick(&mut self) {
         let now = self.now;
-        let Some(l) = self.leader.as_mut() else { return };
+        let Some(l) = self.leader.as_mut() else {
+            return;
+        };
         if now < l.cloud_rest {
             return;
         }
-        let due = l.rents.iter().find(|(_, r)| r.step == RentStep::Ready && r.retry_at <= now);
+        let due = l
+            .rents
+            .iter()
+            .find(|(_, r)| r.step == RentStep::Ready && r.retry_at <= now);
         if let Some(name) = due.map(|d| d.0.clone()) {
             if let Some(r) = l.rents.get_mut(&name) {
                 r.step = RentStep::Asking;
                 r.asked_at = r.asked_at.or(Some(now));
                 l.cloud_rest = now + Micros::from_millis(250);
                 let (kind, zone) = (r.record.kind.clone(), r.record.zone.clone());
-                let request =
-                    CloudCall::Rent { name: name.clone(), kind, zone, spot: r.record.spot, count: r.record.count };
+                let request = CloudCall::Rent {
+                    name: name.clone(),
+                    kind,
+                    zone,
+                    spot: r.record.spot,
+                    count: r.record.count,
+                };
                 self.leader_cloud(request, LeaderCall::Rent { name });
             }
         }
-        let Some(l) = self.leader.as_ref() else { return };
+        let Some(l) = self.leader.as_ref() else {
+            return;
+        };
         let settle: Vec<String> = l
             .rents
             .iter()
@@ -77,9 +89,16 @@
     pub(super) fn settle_rent(&mut self, name: &str) {
         let now = self.now;
         let known = &self.machines;
-        let Some(r) = self.leader.as_mut().and_then(|l| l.rents.get_mut(name)) else { return };
+        let Some(r) = self.leader.as_mut().and_then(|l| l.rents.get_mut(name)) else {
+            return;
+        };
         r.retry_at = now + Micros::from_secs(3);
-        let mut new: Vec<MachineId> = r.got.iter().filter(|id| !known.contains_key(id)).cloned().collect();
+        let mut new: Vec<MachineId> = r
+            .got
+            .iter()
+            .filter(|id| !known.contains_key(id))
+            .cloned()
+            .collect();
         let most = self.cfg.txn_ops.saturating_sub(1).max(1);
         let last = new.len() <= most;
         new.truncate(most);
@@ -91,26 +110,56 @@
         };
         let value = serde_json::to_value(&record).unwrap_or_default();
         let when = new.iter().map(|id| (machine_key(id), 0)).collect();
-        let mut apply: Vec<Write> =
-            new.iter().map(|id| Write::Put { key: machine_key(id), value: value.clone(), lease: None }).collect();
+        let mut apply: Vec<Write> = new
+            .iter()
+            .map(|id| Write::Put {
+                key: machine_key(id),
+                value: value.clone(),
+                lease: None,
+            })
+            .collect();
         if last {
-            apply.push(Write::Delete { key: format!("rent/{name}") });
+            apply.push(Write::Delete {
+                key: format!("rent/{name}"),
+            });
         }
-        self.leader_commit(when, apply, LeaderCall::SettleRent { name: name.to_owned(), ids: new, last });
+        self.leader_commit(
+            when,
+            apply,
+            LeaderCall::SettleRent {
+                name: name.to_owned(),
+                ids: new,
+                last,
+            },
+        );
     }
 
     pub(super) fn start_rent(&mut self, record: RentRecord) {
-        let Some(token) = self.fleet_token(FleetDuty::Renting) else { return };
-        let Some(l) = self.leader.as_mut() else { return };
+        let Some(token) = self.fleet_token(FleetDuty::Renting) else {
+            return;
+        };
+        let Some(l) = self.leader.as_mut() else {
+            return;
+        };
         l.counter += 1;
         // Unique for ever: no two claims have the same version.
         let name = format!("r-{token}-{}", l.counter);
         info!(name, kind = %record.kind, zone = %record.zone, spot = record.spot, count = record.count, shard = record.shard, "renting");
         let value = serde_json::to_value(&record).unwrap_or_default();
-        let rent = Rent { record, step: RentStep::Recording, asked_at: None, retry_at: Micros::ZERO, got: Vec::new() };
+        let rent = Rent {
+            record,
+            step: RentStep::Recording,
+            asked_at: None,
+            retry_at: Micros::ZERO,
+            got: Vec::new(),
+        };
         l.rents.insert(name.clone(), rent);
         let key = format!("rent/{name}");
-        let apply = vec![Write::Put { key: key.clone(), value, lease: None }];
+        let apply = vec![Write::Put {
+            key: key.clone(),
+            value,
+            lease: None,
+        }];
         self.leader_commit(vec![(key, 0)], apply, LeaderCall::RecordRent { name });
     }
 }
--- a/crates/seamfront-core/src/leader/replies.rs
+++ b/crates/seamfront-core/src/leader/replies.rs
@@ -14,19 +14,34 @@
                 return self.fence_refused(duty, version);
             }
         }
-        let Some(l) = self.leader.as_mut() else { return };
+        let Some(l) = self.leader.as_mut() else {
+            return;
+        };
         match call {
             LeaderCall::Rents { mut entries } => {
                 let (done, after) = match reply {
-                    StateReply::Page { entries: page, more, .. } => {
+                    StateReply::Page {
+                        entries: page,
+                        more,
+                        ..
+                    } => {
                         entries.extend(page);
                         (!more, entries.last().map(|e| e.key.clone()))
                     }
                     _ => (false, entries.last().map(|e| e.key.clone())),
                 };
                 if !done {
-                    let pending = Pending::Leader { version, call: LeaderCall::Rents { entries } };
-                    return self.state(StateCall::List { prefix: "rent/".to_owned(), after }, pending);
+                    let pending = Pending::Leader {
+                        version,
+                        call: LeaderCall::Rents { entries },
+                    };
+                    return self.state(
+                        StateCall::List {
+                            prefix: "rent/".to_owned(),
+                            after,
+                        },
+                        pending,
+                    );
                 }
                 for e in entries {
                     let name = e.key.strip_prefix("rent/").unwrap_or(&e.key).to_owned();
@@ -34,7 +49,13 @@
                         Ok(record) => {
                             info!(name, "repeating a former leader's request");
                             let asked_at = Some(now - FORMER_ASKED_WITHIN);
-                            let rent = Rent { record, step: RentStep::Ready, asked_at, retry_at: now, got: Vec::new() };
+                            let rent = Rent {
+                                record,
+                                step: RentStep::Ready,
+                                asked_at,
+                                retry_at: now,
+                                got: Vec::new(),
+                            };
                             l.rents.insert(name, rent);
                         }
                         Err(e) => warn!(name, %e, "unreadable rent record"),
@@ -78,7 +99,10 @@
                 }
             }
             LeaderCall::Forget | LeaderCall::TypesWritten => {}
-            LeaderCall::Types | LeaderCall::List | LeaderCall::Rent { .. } | LeaderCall::Delete { .. } => {}
+            LeaderCall::Types
+            | LeaderCall::List
+            | LeaderCall::Rent { .. }
+            | LeaderCall::Delete { .. } => {}
         }
     }
 
@@ -88,7 +112,9 @@
         if self.fleet_token(call.duty()) != Some(version) {
             return;
         }
-        let Some(l) = self.leader.as_mut() else { return };
+        let Some(l) = self.leader.as_mut() else {
+            return;
+        };
         if matches!(reply, CloudReply::Failed) {
             l.cloud_rest = now + Micros::from_millis(700);
         }
@@ -100,7 +126,11 @@
                     l.types_next = now + Micros::from_secs(30);
                     let value = serde_json::to_value(&types).unwrap_or_default();
                     self.types_known(types);
-                    let apply = vec![Write::Put { key: "types".to_owned(), value, lease: None }];
+                    let apply = vec![Write::Put {
+                        key: "types".to_owned(),
+                        value,
+                        lease: None,
+                    }];
                     self.leader_commit(vec![], apply, LeaderCall::TypesWritten);
                 }
             }
@@ -122,7 +152,9 @@
                 }
             }
             (LeaderCall::Rent { name }, reply) => {
-                let Some(r) = l.rents.get_mut(&name) else { return };
+                let Some(r) = l.rents.get_mut(&name) else {
+                    return;
+                };
                 let offer = (r.record.kind.clone(), r.record.zone.clone(), r.record.spot);
                 match reply {
                     CloudReply::Rented(ids) => {
@@ -140,7 +172,8 @@
                     CloudReply::NoCapacity => {
                         let times = l.refused.get(&offer).map_or(1, |r| (r.1 + 1).min(4));
                         info!(name, kind = %offer.0, zone = %offer.1, spot = offer.2, times, "no capacity");
-                        l.refused.insert(offer, (now + REFUSED_FOR.times(i64::from(times)), times));
+                        l.refused
+                            .insert(offer, (now + REFUSED_FOR.times(i64::from(times)), times));
                     }
                     _ => {
                         // Unknown: the same name again, which rents nothing twice.
@@ -158,7 +191,12 @@
                     for id in &ids {
                         l.gone.insert(id.clone(), now);
                     }
-                    let apply = ids.iter().map(|id| Write::Delete { key: machine_key(id) }).collect();
+                    let apply = ids
+                        .iter()
+                        .map(|id| Write::Delete {
+                            key: machine_key(id),
+                        })
+                        .collect();
                     // The owners learn of it from the records' removal; ours may know at once.
                     self.leader_commit(vec![], apply, LeaderCall::Forget);
                 }
--- a/crates/seamfront-core/src/placement.rs
+++ b/crates/seamfront-core/src/placement.rs
@@ -58,13 +58,25 @@
         let mut room = Room::default();
         for m in machines {
             let r = &m.record;
-            let same = |g: &Group| g.kind == r.kind && g.zone == r.zone && g.spot == r.spot && g.size == m.size;
+            let same = |g: &Group| {
+                g.kind == r.kind && g.zone == r.zone && g.spot == r.spot && g.size == m.size
+            };
             let group = room.groups.iter().position(same).unwrap_or_else(|| {
                 let (kind, zone) = (r.kind.clone(), r.zone.clone());
-                room.groups.push(Group { kind, zone, spot: r.spot, size: m.size });
+                room.groups.push(Group {
+                    kind,
+                    zone,
+                    spot: r.spot,
+                    size: m.size,
+                });
                 room.groups.len() - 1
             });
-            room.spots.push(Spot { id: m.id.clone(), group, free: m.free(), soon: m.free() });
+            room.spots.push(Spot {
+                id: m.id.clone(),
+                group,
+                free: m.free(),
+                soon: m.free(),
+            });
         }
         room
     }
@@ -99,7 +111,8 @@
     }
 
     fn look(&self, entries: usize, machines: usize) {
-        self.looked.set(self.looked.get() + 1 + entries as i64 / ENTRIES + machines as i64);
+        self.looked
+            .set(self.looked.get() + 1 + entries as i64 / ENTRIES + machines as i64);
     }
 }
 
@@ -135,7 +148,14 @@
 impl<'a> Wish<'a> {
     /// What this job looks for.
     pub fn of(job: &'a Job, now: Micros, types: &'a [MachineType]) -> Wish<'a> {
-        Wish { spec: &job.spec, avoid: &job.avoid, now, types, any_size: None, cached: false }
+        Wish {
+            spec: &job.spec,
+            avoid: &job.avoid,
+            now,
+            types,
+            any_size: None,
+            cached: false,
+        }
     }
 
     /// For each group: whether this may run there, and if only where plain work is let in.
@@ -149,7 +169,10 @@
     }
 
     fn allowed(&self, m: &Machine, suits: bool) -> bool {
-        (suits || self.any_size.is_some_and(|keep| m.takes_plain(self.now, keep)))
+        (suits
+            || self
+                .any_size
+                .is_some_and(|keep| m.takes_plain(self.now, keep)))
             && (!self.cached || m.has_image(&self.spec.image))
             && self.avoid.get(&m.id).is_none_or(|until| *until <= self.now)
     }
@@ -162,10 +185,16 @@
         keep: impl Fn(usize, &Spot) -> bool,
     ) -> Vec<(usize, &'m Machine)> {
         let groups = self.groups(room);
-        let worth = room.spots.iter().enumerate().filter(|(k, s)| groups[s.group].is_some() && keep(*k, s));
+        let worth = room
+            .spots
+            .iter()
+            .enumerate()
+            .filter(|(k, s)| groups[s.group].is_some() && keep(*k, s));
         let found = worth.filter_map(|(k, s)| Some((k, machines.get(&s.id)?, groups[s.group]?)));
         let mut looked = 0;
-        let found = found.inspect(|_| looked += 1).filter(|(_, m, suits)| self.allowed(m, *suits));
+        let found = found
+            .inspect(|_| looked += 1)
+            .filter(|(_, m, suits)| self.allowed(m, *suits));
         let found = found.map(|(k, m, _)| (k, m)).collect();
         room.look(room.spots.len(), looked);
         found
@@ -196,7 +225,11 @@
 
     /// How long its image would take to fetch there, in milliseconds.
     pub fn fetch_ms(&self, m: &Machine) -> i64 {
-        let rate = self.types.iter().find(|t| t.name == m.record.kind).map_or(100, |t| t.fetch_mb_s);
+        let rate = self
+            .types
+            .iter()
+            .find(|t| t.name == m.record.kind)
+            .map_or(100, |t| t.fetch_mb_s);
         m.to_fetch(&self.spec.image, self.spec.image_mb) * 1_000 / rate.max(1)
     }
 
@@ -213,7 +246,13 @@
         let mut found: Vec<(i64, usize, u32)> = self
             .places(machines, room, |k, _| fits(k) > 0)
             .into_iter()
-            .map(|(k, m)| (self.cost(m, room.left(k, when)), k, fits(k).min(1 << 20) as u32))
+            .map(|(k, m)| {
+                (
+                    self.cost(m, room.left(k, when)),
+                    k,
+                    fits(k).min(1 << 20) as u32,
+                )
+            })
             .collect();
         found.sort_unstable();
         found.into_iter().map(|(_, k, n)| (k, n)).collect()
@@ -243,7 +282,11 @@
             }
         }
         for z in zones {
-            let here: Vec<(usize, u32)> = found.iter().filter(|(k, _)| room.zone(*k) == z).copied().collect();
+            let here: Vec<(usize, u32)> = found
+                .iter()
+                .filter(|(k, _)| room.zone(*k) == z)
+                .copied()
+                .collect();
             let got = self.fill(room, &here, taken, n, partial);
             if !got.is_empty() {
                 return got;
@@ -265,10 +308,17 @@
         let mut zones: Vec<InZone> = Vec::new();
         for (at, (k, fits)) in found.iter().enumerate().rev() {
             let name = room.zone(*k);
-            let z = zones.iter().position(|z| z.name == name).unwrap_or_else(|| {
-                zones.push(InZone { name, tasks: taken.get(name).copied().unwrap_or(0), left: Vec::new() });
-                zones.len() - 1
-            });
+            let z = zones
+                .iter()
+                .position(|z| z.name == name)
+                .unwrap_or_else(|| {
+                    zones.push(InZone {
+                        name,
+                        tasks: taken.get(name).copied().unwrap_or(0),
+                        left: Vec::new(),
+                    });
+                    zones.len() - 1
+                });
             zones[z].left.push((at, *fits));
         }
         let mut got = Vec::new();
@@ -278,7 +328,9 @@
                 let least = if self.spec.spread { z.tasks } else { 0 };
                 Some(((least, at), z))
             });
-            let Some(((_, at), zone)) = open.min_by_key(|o| o.0) else { break };
+            let Some(((_, at), zone)) = open.min_by_key(|o| o.0) else {
+                break;
+            };
             zone.tasks += 1;
             if let Some(last) = zone.left.last_mut() {
                 last.1 -= 1;
--- a/crates/seamfront-core/src/quota.rs
+++ b/crates/seamfront-core/src/quota.rs
@@ -38,12 +38,20 @@
 
 fn limit_left(limit: Amounts, used: Amounts) -> Amounts {
     let left = |l: i64, u: i64| if l <= 0 { i64::MAX } else { (l - u).max(0) };
-    Amounts { cpus: left(limit.cpus, used.cpus), gpus: left(limit.gpus, used.gpus), ram: i64::MAX }
+    Amounts {
+        cpus: left(limit.cpus, used.cpus),
+        gpus: left(limit.gpus, used.gpus),
+        ram: i64::MAX,
+    }
 }
 
 /// Can this job ever run within its team's limit? One task of an array, all tasks of the others.
 pub fn within_limit(team: &Team, spec: &JobSpec) -> bool {
-    let n = if spec.kind == Kind::Array { 1 } else { i64::from(spec.tasks) };
+    let n = if spec.kind == Kind::Array {
+        1
+    } else {
+        i64::from(spec.tasks)
+    };
     limit_left(team.limit, Amounts::default()).fits(spec.need) >= n
 }
 
@@ -55,7 +63,9 @@
     let mut sums: BTreeMap<&str, Amounts> = BTreeMap::new();
     let mut inside = BTreeSet::new();
     for j in by_age {
-        let Some(team) = teams.iter().find(|t| t.name == j.spec.team) else { continue };
+        let Some(team) = teams.iter().find(|t| t.name == j.spec.team) else {
+            continue;
+        };
         let g = team.guarantee;
         let sum = sums.entry(team.name.as_str()).or_default();
         sum.add(j.spec.need.times(i64::from(j.spec.tasks)));
--- a/crates/seamfront-core/src/record.rs
+++ b/crates/seamfront-core/src/record.rs
@@ -91,12 +91,17 @@
 impl Layout {
     /// Records of one value only.
     pub fn single(value_bytes: usize) -> Layout {
-        Layout { value_bytes, parts: 0 }
+        Layout {
+            value_bytes,
+            parts: 0,
+        }
     }
 
     /// Records in as many parts as one transaction can write and remove.
     pub fn in_parts(value_bytes: usize, txn_ops: usize) -> Layout {
-        let parts = txn_ops.saturating_sub(OTHER_CHANGES).min(PARTS_BYTES / value_bytes.max(1));
+        let parts = txn_ops
+            .saturating_sub(OTHER_CHANGES)
+            .min(PARTS_BYTES / value_bytes.max(1));
         Layout { value_bytes, parts }
     }
 
@@ -202,11 +207,20 @@
 
 /// Lays a record out: whole if that fits, else in parts, along the boundaries of the last time where they still
 /// serve. None if it fits in neither way.
-pub fn encode(record: &WorkRecord, layout: &Layout, boundaries: &[Position]) -> Option<EncodedRecord> {
+pub fn encode(
+    record: &WorkRecord,
+    layout: &Layout,
+    boundaries: &[Position],
+) -> Option<EncodedRecord> {
     let head = serde_json::to_value(record).ok()?;
     let bytes = head.to_string().len();
     if bytes <= layout.value_bytes {
-        return Some(EncodedRecord { head, parts: Vec::new(), boundaries: Vec::new(), bytes });
+        return Some(EncodedRecord {
+            head,
+            parts: Vec::new(),
+            boundaries: Vec::new(),
+            bytes,
+        });
     }
     let items = items_of(record);
     let sizes: Vec<usize> = items.iter().map(Item::size).collect();
@@ -226,10 +240,23 @@
         parts: parts.len() as u32,
     };
     let head = serde_json::to_value(head).ok()?;
-    let parts: Vec<Value> = parts.iter().map(serde_json::to_value).collect::<Result<_, _>>().ok()?;
-    let lengths: Vec<usize> = parts.iter().chain([&head]).map(|v| v.to_string().len()).collect();
+    let parts: Vec<Value> = parts
+        .iter()
+        .map(serde_json::to_value)
+        .collect::<Result<_, _>>()
+        .ok()?;
+    let lengths: Vec<usize> = parts
+        .iter()
+        .chain([&head])
+        .map(|v| v.to_string().len())
+        .collect();
     let fits = lengths.iter().all(|n| *n <= layout.value_bytes);
-    fits.then(|| EncodedRecord { head, parts, boundaries, bytes: lengths.iter().sum() })
+    fits.then(|| EncodedRecord {
+        head,
+        parts,
+        boundaries,
+        bytes: lengths.iter().sum(),
+    })
 }
 
 /// Puts a stored record together again.
@@ -241,7 +268,10 @@
     let (mut attempts, mut done, mut placed) = (Vec::new(), Vec::new(), BTreeMap::new());
     for number in 0..head.parts {
         let Some(part) = parts.get(&number) else {
-            return Err(RecordError::PartsMissing { found: parts.len(), expected: head.parts });
+            return Err(RecordError::PartsMissing {
+                found: parts.len(),
+                expected: head.parts,
+            });
         };
         let part: Part = serde_json::from_value(part.clone())?;
         attempts.extend(part.attempts);
@@ -265,7 +295,10 @@
 fn items_of(record: &WorkRecord) -> Vec<Item> {
     let attempts = record.attempts.iter().map(|a| Item::Attempts(*a));
     let done = record.done.pieces_iter().map(Item::Done);
-    let placed = record.placed.iter().map(|(machine, runs)| Item::Placed(machine.clone(), runs.clone()));
+    let placed = record
+        .placed
+        .iter()
+        .map(|(machine, runs)| Item::Placed(machine.clone(), runs.clone()));
     attempts.chain(done).chain(placed).collect()
 }
 
@@ -275,7 +308,12 @@
 
 /// Boundaries such that each part fits into a value: the former ones if they serve, else new ones that leave
 /// room in each part, else new ones that do not.
-fn choose_boundaries(items: &[Item], sizes: &[usize], layout: &Layout, former: &[Position]) -> Option<Vec<Position>> {
+fn choose_boundaries(
+    items: &[Item],
+    sizes: &[usize],
+    layout: &Layout,
+    former: &[Position],
+) -> Option<Vec<Position>> {
     let room = layout.value_bytes.saturating_sub(PART_OVERHEAD);
     let total: usize = sizes.iter().sum();
     // Much has gone since: fewer parts will do.
@@ -289,7 +327,10 @@
             return Some(former.to_vec());
         }
     }
-    [room * 3 / 4, room].into_iter().map(|fill| divide(items, sizes, fill)).find(|b| b.len() < layout.parts)
+    [room * 3 / 4, room]
+        .into_iter()
+        .map(|fill| divide(items, sizes, fill))
+        .find(|b| b.len() < layout.parts)
 }
 
 /// Fills one part after the other.
--- a/crates/seamfront-core/src/rounds/machines.rs
+++ b/crates/seamfront-core/src/rounds/machines.rs
@@ -13,7 +13,8 @@
         let was_up = |m: &Machine| m.last_report.is_some() || !m.tasks.is_empty();
         // Spot machines are taken without a notice far more often than networks fail: of them only one
         // lost report is forgiven, whose worker waits 4 s for the answer and 1 s to try elsewhere.
-        let spot_limit = silent_limit.min(context.cfg.report.times(3).over(2) + Micros::from_secs(5));
+        let spot_limit =
+            silent_limit.min(context.cfg.report.times(3).over(2) + Micros::from_secs(5));
         let limit_of = |m: &Machine| match (m.heeded, m.record.spot) {
             (None, _) => silent_limit + former,
             (_, true) => spot_limit,
@@ -37,7 +38,10 @@
             m.tasks
                 .iter()
                 .filter_map(|t| jobs.get(&t.job)?.tasks.get(&t.index)?.stop)
-                .any(|s| s.cause == Cause::Cancelled && context.now - s.since > context.cfg.cancel.over(2))
+                .any(|s| {
+                    s.cause == Cause::Cancelled
+                        && context.now - s.since > context.cfg.cancel.over(2)
+                })
         };
         for m in self.machines.values_mut() {
             let quiet = m.silent_for(context.now);
@@ -51,7 +55,9 @@
             } else {
                 quiet > boot.times(4) + Micros::from_secs(30)
             };
-            let taken = m.notice.is_some_and(|t| t + context.cfg.report.times(2) < context.now)
+            let taken = m
+                .notice
+                .is_some_and(|t| t + context.cfg.report.times(2) < context.now)
                 && quiet > context.cfg.report.times(2);
             let hopeless = context.acting && (gone || taken || due || (m.suspected() && m.empty()));
             if hopeless && !m.hopeless {
@@ -94,17 +100,28 @@
 
     /// The most important priority on a machine, how much work would be lost by leaving it, and what
     /// services take of it.
-    pub(super) fn lesser(&self, context: &Context, m: &Machine) -> (Option<Priority>, Micros, Amounts) {
+    pub(super) fn lesser(
+        &self,
+        context: &Context,
+        m: &Machine,
+    ) -> (Option<Priority>, Micros, Amounts) {
         let (mut least, mut loss, mut pinned) = (None, Micros::ZERO, Amounts::default());
         for t in &m.tasks {
-            let Some(j) = self.jobs.get(&t.job) else { continue };
-            let Some(p) = j.tasks.get(&t.index) else { continue };
+            let Some(j) = self.jobs.get(&t.job) else {
+                continue;
+            };
+            let Some(p) = j.tasks.get(&t.index) else {
+                continue;
+            };
             if j.spec.kind == Kind::Service {
                 pinned.add(j.spec.need);
             }
             least = Some(least.map_or(j.standing(p), |l: Priority| l.min(j.standing(p))));
-            loss +=
-                if j.spec.saves() { j.spec.save } else { p.running_since.map_or(Micros::ZERO, |s| context.now - s) };
+            loss += if j.spec.saves() {
+                j.spec.save
+            } else {
+                p.running_since.map_or(Micros::ZERO, |s| context.now - s)
+            };
         }
         (least, loss, pinned)
     }
@@ -117,7 +134,13 @@
             return;
         }
         for id in ids {
-            let Some(m) = self.machines.get_mut(id).filter(|m| m.record.shard.is_some()) else { continue };
+            let Some(m) = self
+                .machines
+                .get_mut(id)
+                .filter(|m| m.record.shard.is_some())
+            else {
+                continue;
+            };
             if m.empty() {
                 if m.released.is_none() {
                     debug!(machine = %id, "released for the leader");
@@ -125,7 +148,9 @@
                 }
                 continue;
             }
-            let Some(above) = above.filter(|_| m.clearing.is_none()) else { continue };
+            let Some(above) = above.filter(|_| m.clearing.is_none()) else {
+                continue;
+            };
             let tasks: Vec<TaskKey> = m.tasks.iter().cloned().collect();
             let lesser = |t: &TaskKey| {
                 let job = self.jobs.get(&t.job);
@@ -148,9 +173,10 @@
     pub fn consistent(&self) -> bool {
         self.jobs.values().all(|j| {
             j.gang.as_ref().is_none_or(|g| {
-                j.tasks
-                    .keys()
-                    .all(|i| !j.live() || !matches!(g.members[*i as usize], Member::Blocked | Member::Preempted))
+                j.tasks.keys().all(|i| {
+                    !j.live()
+                        || !matches!(g.members[*i as usize], Member::Blocked | Member::Preempted)
+                })
             })
         }) && self.machines.values().all(|m| {
             let mut sum = Amounts::default();
--- a/crates/seamfront-core/src/rounds/mod.rs
+++ b/crates/seamfront-core/src/rounds/mod.rs
@@ -77,7 +77,8 @@
         if self.quota_held.contains_key(&gang.team) {
             return false;
         }
-        self.quota_held.insert(gang.team.clone(), gang.need.times(i64::from(gang.tasks)));
+        self.quota_held
+            .insert(gang.team.clone(), gang.need.times(i64::from(gang.tasks)));
         true
     }
 
@@ -117,7 +118,10 @@
 
     /// Room for a task is being freed on this machine.
     fn wait_for(&mut self, spec: &JobSpec, k: usize) {
-        self.quota_soon.entry(spec.team.clone()).or_default().add(spec.need);
+        self.quota_soon
+            .entry(spec.team.clone())
+            .or_default()
+            .add(spec.need);
         self.gather(spec, k);
     }
 
@@ -135,8 +139,13 @@
     pub fn round(&mut self, context: &mut Context) {
         // A round over many waiting jobs and machines costs much: the next one waits in proportion.
         let cost = Micros(self.round_cost * VISIT_REST);
-        let gap = if self.dirty { ROUND_GAP.max(cost.min(ROUND_IDLE)) } else { ROUND_IDLE };
-        if self.phase != ShardPhase::Ready || !context.acting || context.now - self.last_round < gap {
+        let gap = if self.dirty {
+            ROUND_GAP.max(cost.min(ROUND_IDLE))
+        } else {
+            ROUND_IDLE
+        };
+        if self.phase != ShardPhase::Ready || !context.acting || context.now - self.last_round < gap
+        {
             return;
         }
         self.last_round = context.now;
@@ -147,7 +156,10 @@
         let mut round = self.survey(context);
         let mut kept_free = false;
         for id in self.order(context, &inside) {
-            let critical = self.jobs.get(&id).is_some_and(|j| j.spec.priority == Priority::Critical);
+            let critical = self
+                .jobs
+                .get(&id)
+                .is_some_and(|j| j.spec.priority == Priority::Critical);
             if !critical && !kept_free {
                 kept_free = true;
                 self.keep_free(context, &mut round);
@@ -173,24 +185,58 @@
     /// least: where the images are that such services have here, since a fetch takes longer than they
     /// may. Nothing is stopped for that.
     fn keep_free(&self, context: &Context, round: &mut Round) {
-        let live = |j: &&Job| j.live() && j.spec.kind == Kind::Service && j.spec.priority == Priority::Critical;
+        let live = |j: &&Job| {
+            j.live() && j.spec.kind == Kind::Service && j.spec.priority == Priority::Critical
+        };
         let services: Vec<&Job> = self.jobs.values().filter(live).collect();
-        let size = |j: &&&Job| (i64::from(j.spec.tasks) * j.spec.need.cpus, j.spec.id.clone());
-        let Some(largest) = services.iter().max_by_key(size) else { return };
+        let size = |j: &&&Job| {
+            (
+                i64::from(j.spec.tasks) * j.spec.need.cpus,
+                j.spec.id.clone(),
+            )
+        };
+        let Some(largest) = services.iter().max_by_key(size) else {
+            return;
+        };
         let spec = &largest.spec;
-        let fits = |t: &&MachineType| t.size.fits(spec.need) > 0 && spec.suits(t.size, context.types);
-        let ahead = context.types.iter().filter(fits).map(|t| t.boot).min().unwrap_or(Micros::ZERO).times(3).over(2);
-        let recent = services.iter().filter(|j| context.wall - j.spec.submitted < COUNTED_FOR);
+        let fits =
+            |t: &&MachineType| t.size.fits(spec.need) > 0 && spec.suits(t.size, context.types);
+        let ahead = context
+            .types
+            .iter()
+            .filter(fits)
+            .map(|t| t.boot)
+            .min()
+            .unwrap_or(Micros::ZERO)
+            .times(3)
+            .over(2);
+        let recent = services
+            .iter()
+            .filter(|j| context.wall - j.spec.submitted < COUNTED_FOR);
         let recent: i64 = recent.map(|j| i64::from(j.spec.tasks)).sum();
         let expected = (recent * ahead.0 / COUNTED_FOR.0).max(i64::from(spec.tasks)) as u32;
         let images: BTreeSet<&str> = services.iter().map(|j| j.spec.image.as_str()).collect();
         let wish = Wish::of(largest, context.now, context.types);
-        let free = wish.places(&self.machines, &round.room, |_, s| s.free.fits(spec.need) > 0);
-        let here = |m: &Machine| m.images.iter().filter(|i| images.contains(i.0.as_str())).count();
-        let mut best: Vec<(usize, usize)> = free.into_iter().map(|(k, m)| (usize::MAX - here(m), k)).collect();
+        let free = wish.places(&self.machines, &round.room, |_, s| {
+            s.free.fits(spec.need) > 0
+        });
+        let here = |m: &Machine| {
+            m.images
+                .iter()
+                .filter(|i| images.contains(i.0.as_str()))
+                .count()
+        };
+        let mut best: Vec<(usize, usize)> = free
+            .into_iter()
+            .map(|(k, m)| (usize::MAX - here(m), k))
+            .collect();
         best.sort_unstable();
         // Half of a job that is spread must find room in another zone.
-        let cap = if spec.spread { expected.div_ceil(2) } else { expected };
+        let cap = if spec.spread {
+            expected.div_ceil(2)
+        } else {
+            expected
+        };
         let mut kept: BTreeMap<String, u32> = BTreeMap::new();
         for (_, k) in best {
             let lacking = expected.saturating_sub(kept.values().sum());
@@ -214,16 +260,32 @@
         let waiting: Vec<&Job> = self.jobs.values().filter(waiting).filter(ready).collect();
         let mut asked: BTreeMap<&str, Amounts> = BTreeMap::new();
         for j in waiting.iter().filter(|j| j.gang.is_some()) {
-            asked.entry(&j.spec.team).or_default().add(j.spec.need.times(i64::from(j.spec.tasks)));
-        }
-        let over =
-            |t: &Team| asked.get(t.name.as_str()).is_some_and(|a| self.quota.room(t, *a, Amounts::default()) < 1);
-        let over: BTreeSet<&str> = context.cfg.teams.iter().filter(|t| over(t)).map(|t| t.name.as_str()).collect();
+            asked
+                .entry(&j.spec.team)
+                .or_default()
+                .add(j.spec.need.times(i64::from(j.spec.tasks)));
+        }
+        let over = |t: &Team| {
+            asked
+                .get(t.name.as_str())
+                .is_some_and(|a| self.quota.room(t, *a, Amounts::default()) < 1)
+        };
+        let over: BTreeSet<&str> = context
+            .cfg
+            .teams
+            .iter()
+            .filter(|t| over(t))
+            .map(|t| t.name.as_str())
+            .collect();
         let mut order: Vec<_> = waiting
             .into_iter()
             .map(|j| {
                 let overdue = j.overdue(context.wall, context.types);
-                let due = context.cfg.start_by(&j.spec, context.wall).filter(|_| !overdue).unwrap_or(Micros::MAX);
+                let due = context
+                    .cfg
+                    .start_by(&j.spec, context.wall)
+                    .filter(|_| !overdue)
+                    .unwrap_or(Micros::MAX);
                 let spec = &j.spec;
                 let size = match spec.kind {
                     Kind::Gang if !over.contains(spec.team.as_str()) => 0,
@@ -231,7 +293,14 @@
                     Kind::Gang => spec.tasks.ilog2(),
                     Kind::Array | Kind::Service => 0,
                 };
-                (turn(spec.priority, overdue), !inside.contains(&spec.id), size, due, spec.submitted, spec.id.clone())
+                (
+                    turn(spec.priority, overdue),
+                    !inside.contains(&spec.id),
+                    size,
+                    due,
+                    spec.submitted,
+                    spec.id.clone(),
+                )
             })
             .collect();
         order.sort();
@@ -243,8 +312,13 @@
             m.fetches_changed = false;
             m.fetching.clear();
             for t in &m.tasks {
-                let Some(j) = self.jobs.get(&t.job) else { continue };
-                let waits = j.tasks.get(&t.index).is_some_and(|p| p.phase <= Phase::Fetching);
+                let Some(j) = self.jobs.get(&t.job) else {
+                    continue;
+                };
+                let waits = j
+                    .tasks
+                    .get(&t.index)
+                    .is_some_and(|p| p.phase <= Phase::Fetching);
                 if waits && !m.images.iter().any(|(i, _)| *i == j.spec.image) {
                     m.fetching.insert(j.spec.image.clone(), j.spec.image_mb);
                 }
@@ -272,17 +346,40 @@
         }
     }
 
-    fn place_job(&mut self, context: &mut Context, id: &JobId, inside: &BTreeSet<JobId>, round: &mut Round) {
+    fn place_job(
+        &mut self,
+        context: &mut Context,
+        id: &JobId,
+        inside: &BTreeSet<JobId>,
+        round: &mut Round,
+    ) {
         let Some(job) = self.jobs.get(id) else { return };
-        let Some(team) = context.cfg.team(&job.spec.team) else { return };
+        let Some(team) = context.cfg.team(&job.spec.team) else {
+            return;
+        };
         let spec = job.spec.clone();
         let gang = job.gang.is_some();
-        let held = round.quota_held.get(&spec.team).copied().unwrap_or_default();
-        let quota = self.quota.room(team, spec.need, held).min(i64::from(u32::MAX)) as u32;
+        let held = round
+            .quota_held
+            .get(&spec.team)
+            .copied()
+            .unwrap_or_default();
+        let quota = self
+            .quota
+            .room(team, spec.need, held)
+            .min(i64::from(u32::MAX)) as u32;
         let overdue = job.overdue(context.wall, context.types);
-        let want = job.unplaced().min(quota).min(job.record_room(&context.layout)).min(job.tried_at_once());
+        let want = job
+            .unplaced()
+            .min(quota)
+            .min(job.record_room(&context.layout))
+            .min(job.tried_at_once());
         // The turn of an array is for its beginning; the rest of it goes by its own priority again.
-        let want = if overdue && spec.kind == Kind::Array { want.min(1) } else { want };
+        let want = if overdue && spec.kind == Kind::Array {
+            want.min(1)
+        } else {
+            want
+        };
         if want == 0 || (gang && want < spec.tasks) {
             // While it waits for its part of the limit it holds what room there is, or both would take their time.
             if gang && overdue && round.hold_quota(&spec) {
@@ -300,8 +397,11 @@
             Kind::Service => false,
         };
         let alike = alike && job.avoid.is_empty();
-        let vain =
-            alike && round.in_vain.iter().any(|(b, t)| *t == terms && b.team == spec.team && no_easier(&spec, b));
+        let vain = alike
+            && round
+                .in_vain
+                .iter()
+                .any(|(b, t)| *t == terms && b.team == spec.team && no_easier(&spec, b));
         if vain && !gang {
             let need = self.need(context, id, want, within);
             return self.needs.extend(need);
@@ -321,10 +421,18 @@
         let mut plan: Vec<(MachineId, i64)> = Vec::new();
         // Services rather stop lesser work on plain machines than settle on accelerators for good;
         // arrays leave soon, and what saves can be moved at little loss.
-        let sizes: &[bool] = if spec.kind == Kind::Service || spec.need.gpus > 0 { &[false] } else { &[false, true] };
+        let sizes: &[bool] = if spec.kind == Kind::Service || spec.need.gpus > 0 {
+            &[false]
+        } else {
+            &[false, true]
+        };
         for any_size in sizes {
             // Work that can still be in time is worth keeping such a machine for; other work is not.
-            let keep = if in_time { Micros::MAX } else { context.cfg.tuning.idle_keep };
+            let keep = if in_time {
+                Micros::MAX
+            } else {
+                context.cfg.tuning.idle_keep
+            };
             wish.any_size = any_size.then_some(keep);
             rest -= round.seat(&wish, &self.machines, &mut taken, rest, !gang, &mut plan);
             if rest == 0 {
@@ -336,8 +444,17 @@
         }
         if rest > 0 && terms.2 {
             let mut spoken_for = held;
-            spoken_for.add(round.quota_soon.get(&spec.team).copied().unwrap_or_default());
-            let may_run = self.quota.room(team, spec.need, spoken_for).min(i64::from(rest)) as u32;
+            spoken_for.add(
+                round
+                    .quota_soon
+                    .get(&spec.team)
+                    .copied()
+                    .unwrap_or_default(),
+            );
+            let may_run = self
+                .quota
+                .room(team, spec.need, spoken_for)
+                .min(i64::from(rest)) as u32;
             if may_run == 0 || (gang && may_run < rest) {
                 return;
             }
@@ -390,7 +507,9 @@
         inside: &BTreeSet<JobId>,
         round: &mut Round,
     ) -> u32 {
-        let Some(job) = self.jobs.get(id) else { return 0 };
+        let Some(job) = self.jobs.get(id) else {
+            return 0;
+        };
         let mut wish = Wish::of(job, context.now, context.types);
         let live = job.spec.kind == Kind::Service && job.spec.priority == Priority::Critical;
         let stopped_in = context.cfg.report.times(5).over(4) + Micros::from_secs(1);
@@ -413,23 +532,53 @@
     /// A gang that does not find room for all holds what there is, or smaller ones would take every
     /// place that comes free and it would wait for ever. Returns how many places are missing, and
     /// in which zone if it must be one.
-    fn gather(&self, context: &Context, id: &JobId, want: u32, round: &mut Round) -> (u32, Option<String>) {
-        let Some(job) = self.jobs.get(id) else { return (want, None) };
+    fn gather(
+        &self,
+        context: &Context,
+        id: &JobId,
+        want: u32,
+        round: &mut Round,
+    ) -> (u32, Option<String>) {
+        let Some(job) = self.jobs.get(id) else {
+            return (want, None);
+        };
         let spec = &job.spec;
         let wish = Wish::of(job, context.now, context.types);
-        let of = |zone: &'_ str| if spec.one_zone { zone.to_owned() } else { String::new() };
-        let fits = |k: usize| round.room.left(k, When::Soon).fits(spec.need).clamp(0, i64::from(want)) as u32;
+        let of = |zone: &'_ str| {
+            if spec.one_zone {
+                zone.to_owned()
+            } else {
+                String::new()
+            }
+        };
+        let fits = |k: usize| {
+            round
+                .room
+                .left(k, When::Soon)
+                .fits(spec.need)
+                .clamp(0, i64::from(want)) as u32
+        };
         let mut by_zone: BTreeMap<String, Vec<(usize, u32)>> = BTreeMap::new();
         for (k, _) in wish.places(&self.machines, &round.room, |k, _| fits(k) > 0) {
-            by_zone.entry(of(round.room.zone(k))).or_default().push((k, fits(k)));
+            by_zone
+                .entry(of(round.room.zone(k)))
+                .or_default()
+                .push((k, fits(k)));
         }
         let mut all: BTreeMap<String, i64> = BTreeMap::new();
         for (zone, n) in wish.by_zone(&round.room) {
             *all.entry(of(zone)).or_default() += n;
         }
         // Where most is free, and of those where most could become free.
-        let free = |z: &String| by_zone.get(z).map_or(0, |v| v.iter().map(|x| x.1).sum::<u32>()).min(want);
-        let Some(zone) = all.keys().max_by_key(|z| (free(z), all[*z])).cloned() else { return (want, None) };
+        let free = |z: &String| {
+            by_zone
+                .get(z)
+                .map_or(0, |v| v.iter().map(|x| x.1).sum::<u32>())
+                .min(want)
+        };
+        let Some(zone) = all.keys().max_by_key(|z| (free(z), all[*z])).cloned() else {
+            return (want, None);
+        };
         let mut missing = want;
         for (k, fits) in by_zone.remove(&zone).unwrap_or_default() {
             let n = fits.min(missing);
@@ -441,7 +590,9 @@
     }
 
     fn place(&mut self, context: &mut Context, id: &JobId, plan: &[(MachineId, i64)]) {
-        let Some(job) = self.jobs.get_mut(id) else { return };
+        let Some(job) = self.jobs.get_mut(id) else {
+            return;
+        };
         let spec = job.spec.clone();
         let gen = job.record.touch();
         job.record.placing = gen;
@@ -457,8 +608,15 @@
         let patience = context.cfg.gang_wait.over(3).0 / 1_000;
         for (i, (machine, fetch_ms)) in job.next_tasks(plan.len() as u32).into_iter().zip(plan) {
             // A member whose image is there would wait for the others' fetches and give up.
-            let early = if job.gang.is_some() { (slowest - fetch_ms - patience).max(0) } else { 0 };
-            let key = TaskKey { job: id.clone(), index: i };
+            let early = if job.gang.is_some() {
+                (slowest - fetch_ms - patience).max(0)
+            } else {
+                0
+            };
+            let key = TaskKey {
+                job: id.clone(),
+                index: i,
+            };
             debug!(task = %key, machine = %machine, epoch = attempt, "placed");
             job.tasks.insert(
                 i,
@@ -493,7 +651,11 @@
         let s = &job.spec;
         // The rest of what must be in one zone can only go where a part of it is.
         let zones = || job.zones(|m| self.machines.get(m).map(|m| m.record.zone.as_str()));
-        let gathering = if s.one_zone { zones().into_keys().next() } else { None };
+        let gathering = if s.one_zone {
+            zones().into_keys().next()
+        } else {
+            None
+        };
         Some(Need {
             job: id.clone(),
             task: s.need,
@@ -512,7 +674,10 @@
             image_mb: s.image_mb,
             estimate: s.estimate,
             waited: context.now - job.waiting_since,
-            left: context.cfg.start_by(s, context.wall).map(|t| t - context.wall),
+            left: context
+                .cfg
+                .start_by(s, context.wall)
+                .map(|t| t - context.wall),
             service: s.kind == Kind::Service,
         })
     }
--- a/crates/seamfront-core/src/rounds/preemption.rs
+++ b/crates/seamfront-core/src/rounds/preemption.rs
@@ -26,7 +26,11 @@
             Priority::Critical | Priority::Urgent => true,
             Priority::Normal => {
                 let soon = context.wall + spec.estimate + Micros::from_secs(30);
-                inside || context.cfg.start_by(spec, context.wall).is_some_and(|t| t < soon)
+                inside
+                    || context
+                        .cfg
+                        .start_by(spec, context.wall)
+                        .is_some_and(|t| t < soon)
             }
             Priority::BestEffort => inside,
         }
@@ -43,7 +47,9 @@
         round: &mut Round,
         at_once: bool,
     ) -> u32 {
-        let Some(job) = self.jobs.get(id) else { return 0 };
+        let Some(job) = self.jobs.get(id) else {
+            return 0;
+        };
         let spec = job.spec.clone();
         let mut wish = Wish::of(job, context.now, context.types);
         wish.cached = at_once;
@@ -55,11 +61,14 @@
         let lesser = round.lesser.as_deref().unwrap_or_default();
         let stops = |k: usize| {
             let on = &lesser[k];
-            on.least.is_some_and(|l| l > spec.priority) || (reclaims && on.beyond[spec.priority as usize])
+            on.least.is_some_and(|l| l > spec.priority)
+                || (reclaims && on.beyond[spec.priority as usize])
         };
         let room = &round.room;
         let mut slots: Vec<(i64, usize, Vec<TaskKey>)> = Vec::new();
-        for (k, m) in wish.places(&self.machines, room, |k, _| stops(k) && room.size(k).fits(spec.need) > 0) {
+        for (k, m) in wish.places(&self.machines, room, |k, _| {
+            stops(k) && room.size(k).fits(spec.need) > 0
+        }) {
             let free = room.left(k, When::Soon);
             if let Some((cost, victims)) = self.victims(context, m, free, &spec, inside, at_once) {
                 // An image that must be fetched costs time as well.
@@ -77,9 +86,14 @@
             zones.into_iter().map(Some).collect()
         };
         for zone in choices {
-            let mut counts: BTreeMap<&str, u32> = taken.iter().map(|(z, n)| (z.as_str(), *n)).collect();
+            let mut counts: BTreeMap<&str, u32> =
+                taken.iter().map(|(z, n)| (z.as_str(), *n)).collect();
             let mut pick = Vec::new();
-            for (k, s) in slots.iter().enumerate().filter(|(_, s)| zone.is_none_or(|z| z == room.zone(s.1))) {
+            for (k, s) in slots
+                .iter()
+                .enumerate()
+                .filter(|(_, s)| zone.is_none_or(|z| z == room.zone(s.1)))
+            {
                 let in_zone = counts.entry(room.zone(s.1)).or_insert(0);
                 if *in_zone < spec.zone_cap() && (pick.len() as u32) < n {
                     *in_zone += 1;
@@ -88,7 +102,11 @@
             }
             let enough = !pick.is_empty() && (spec.kind != Kind::Gang || pick.len() as u32 == n);
             let cost: i64 = pick.iter().map(|k| slots[*k].0).sum();
-            if enough && best.as_ref().is_none_or(|b| (pick.len(), -cost) > (b.1.len(), -b.0)) {
+            if enough
+                && best
+                    .as_ref()
+                    .is_none_or(|b| (pick.len(), -cost) > (b.1.len(), -b.0))
+            {
                 best = Some((cost, pick));
             }
         }
@@ -96,7 +114,10 @@
         let chosen: Vec<_> = pick.iter().map(|k| slots[*k].clone()).collect();
         for (_, k, victims) in &chosen {
             for v in victims {
-                let freed = self.jobs.get(&v.job).map_or(Amounts::default(), |j| j.spec.need);
+                let freed = self
+                    .jobs
+                    .get(&v.job)
+                    .map_or(Amounts::default(), |j| j.spec.need);
                 if at_once {
                     self.evict_with(context, v, Cause::Preempted, Micros::ZERO);
                 } else {
@@ -126,8 +147,12 @@
         let reclaims = inside.contains(&spec.id);
         let mut lesser: Vec<(Priority, i64, &TaskKey, Amounts)> = Vec::new();
         for t in &m.tasks {
-            let Some(j) = self.jobs.get(&t.job) else { continue };
-            let Some(p) = j.tasks.get(&t.index) else { continue };
+            let Some(j) = self.jobs.get(&t.job) else {
+                continue;
+            };
+            let Some(p) = j.tasks.get(&t.index) else {
+                continue;
+            };
             let beyond = reclaims
                 && j.standing(p) == spec.priority
                 // It would be the first to be placed again, and be stopped again, in every round.
--- a/crates/seamfront-core/src/shard/drain.rs
+++ b/crates/seamfront-core/src/shard/drain.rs
@@ -11,7 +11,9 @@
         cause: Cause,
         grace: Micros,
     ) {
-        let Some(job) = self.jobs.get_mut(id) else { return };
+        let Some(job) = self.jobs.get_mut(id) else {
+            return;
+        };
         if !job.live() {
             return;
         }
@@ -24,9 +26,16 @@
         let mut unsent = Vec::new();
         for (i, p) in &mut job.tasks {
             if p.phase == Phase::Recording {
-                unsent.push(TaskKey { job: id.clone(), index: *i });
+                unsent.push(TaskKey {
+                    job: id.clone(),
+                    index: *i,
+                });
             } else if p.stop.is_none() {
-                p.stop = Some(Stop { cause, grace, since: context.now });
+                p.stop = Some(Stop {
+                    cause,
+                    grace,
+                    since: context.now,
+                });
             }
         }
         job.record.touch();
@@ -47,7 +56,9 @@
 
     /// Gives the verdict once nothing of the gang runs.
     pub(super) fn check_gang(&mut self, context: &mut Context, id: &JobId) {
-        let Some(job) = self.jobs.get_mut(id) else { return };
+        let Some(job) = self.jobs.get_mut(id) else {
+            return;
+        };
         if !job.live() || !job.tasks.is_empty() {
             return;
         }
@@ -60,7 +71,9 @@
                 }
             }
         }
-        let Some(verdict) = g.complete(context.cfg.tuning.retry_limit) else { return };
+        let Some(verdict) = g.complete(context.cfg.tuning.retry_limit) else {
+            return;
+        };
         info!(gang = %id, epoch = g.epoch, ?verdict, "gang drain completed");
         if verdict == Verdict::Failed {
             // The protocol knows no failed job and every accepted job must run: it pauses.
@@ -87,14 +100,27 @@
 
     /// Stops one task for others' sake; of a gang, all.
     pub fn evict(&mut self, context: &mut Context, task: &TaskKey, cause: Cause) {
-        let grace = self.jobs.get(&task.job).map_or(Micros::ZERO, |j| Self::grace(&j.spec));
+        let grace = self
+            .jobs
+            .get(&task.job)
+            .map_or(Micros::ZERO, |j| Self::grace(&j.spec));
         self.evict_with(context, task, cause, grace);
     }
 
     /// Stops one task with that much time to save; of a gang, all.
-    pub fn evict_with(&mut self, context: &mut Context, task: &TaskKey, cause: Cause, grace: Micros) {
-        let Some(job) = self.jobs.get_mut(&task.job) else { return };
-        let Some(p) = job.tasks.get_mut(&task.index) else { return };
+    pub fn evict_with(
+        &mut self,
+        context: &mut Context,
+        task: &TaskKey,
+        cause: Cause,
+        grace: Micros,
+    ) {
+        let Some(job) = self.jobs.get_mut(&task.job) else {
+            return;
+        };
+        let Some(p) = job.tasks.get_mut(&task.index) else {
+            return;
+        };
         if p.stop.is_some() || job.ending.is_some() {
             return;
         }
@@ -104,7 +130,11 @@
         } else if p.phase == Phase::Recording {
             self.remove_task(context, task, Removal::Lost);
         } else {
-            p.stop = Some(Stop { cause, grace, since: context.now });
+            p.stop = Some(Stop {
+                cause,
+                grace,
+                since: context.now,
+            });
         }
     }
 }
--- a/crates/seamfront-core/src/shard/evidence.rs
+++ b/crates/seamfront-core/src/shard/evidence.rs
@@ -24,11 +24,17 @@
     }
 
     pub(super) fn remove_placement(&mut self, context: &mut Context, task: &TaskKey, why: Removal) {
-        let Some(job) = self.jobs.get_mut(&task.job) else { return };
-        let Some(p) = job.tasks.remove(&task.index) else { return };
+        let Some(job) = self.jobs.get_mut(&task.job) else {
+            return;
+        };
+        let Some(p) = job.tasks.remove(&task.index) else {
+            return;
+        };
         self.quota.give(&job.spec.team, job.spec.need);
         let machine = self.machines.get_mut(&p.machine);
-        let silent = machine.as_ref().is_none_or(|m| m.silent_for(context.now) > context.cfg.report.times(2));
+        let silent = machine
+            .as_ref()
+            .is_none_or(|m| m.silent_for(context.now) > context.cfg.report.times(2));
         if let Some(m) = machine {
             if m.tasks.remove(task) {
                 m.used.sub(job.spec.need);
@@ -50,7 +56,8 @@
                 }
             }
             Removal::Exited(Exit::Busy | Exit::Unknown) => {
-                job.avoid.insert(p.machine.clone(), context.now + AVOID_AFTER_REFUSAL);
+                job.avoid
+                    .insert(p.machine.clone(), context.now + AVOID_AFTER_REFUSAL);
                 job.paused_until = job.paused_until.max(context.now + PAUSE_AFTER_REFUSAL);
             }
             _ => {}
@@ -61,10 +68,15 @@
     /// A task failed: its job avoids the machine, and where different jobs fail the machine is suspected. A job that
     /// fails wherever it goes is tried on by few tasks after growing pauses, and no machine is blamed for it.
     fn blame_failure(&mut self, context: &Context, task: &TaskKey, machine: &MachineId) {
-        let Some(job) = self.jobs.get_mut(&task.job) else { return };
+        let Some(job) = self.jobs.get_mut(&task.job) else {
+            return;
+        };
         // Several tasks that fail on one machine tell of the machine, and what a first try began before it was known to
         // fail tells nothing more.
-        let elsewhere = job.avoid.insert(machine.clone(), context.now + AVOID_AFTER_ERROR).is_none();
+        let elsewhere = job
+            .avoid
+            .insert(machine.clone(), context.now + AVOID_AFTER_ERROR)
+            .is_none();
         if elsewhere && job.paused_until <= context.now {
             job.errors += 1;
         }
@@ -73,7 +85,9 @@
             job.paused_until = job.paused_until.max(context.now + pause_after(job.errors));
             return self.clear_blame(&task.job);
         }
-        let Some(m) = self.machines.get_mut(machine) else { return };
+        let Some(m) = self.machines.get_mut(machine) else {
+            return;
+        };
         m.faults.insert(task.job.clone());
         if m.failing() {
             warn!(machine = %machine, "different jobs fail here: machine suspected");
@@ -83,7 +97,9 @@
     /// The job was submitted with a mistake, as far as can be told: the machines where it failed are as good as others,
     /// for it and for all.
     fn clear_blame(&mut self, id: &JobId) {
-        let Some(job) = self.jobs.get_mut(id) else { return };
+        let Some(job) = self.jobs.get_mut(id) else {
+            return;
+        };
         for machine in std::mem::take(&mut job.avoid).into_keys() {
             if let Some(m) = self.machines.get_mut(&machine) {
                 m.faults.remove(id);
@@ -93,13 +109,18 @@
 
     /// A task completed: its run time counts for its machine, and its result for its job.
     fn take_completion(&mut self, context: &Context, task: &TaskKey, p: &Placement) {
-        let Some(job) = self.jobs.get_mut(&task.job) else { return };
+        let Some(job) = self.jobs.get_mut(&task.job) else {
+            return;
+        };
         if job.failing() {
             info!(job = %task.job, errors = job.errors, "a task completed: tried in full again");
             job.paused_until = context.now;
         }
         job.errors = 0;
-        let ran = p.running_since.map(|t| context.now - t).filter(|_| job.spec.kind == Kind::Array);
+        let ran = p
+            .running_since
+            .map(|t| context.now - t)
+            .filter(|_| job.spec.kind == Kind::Array);
         if let Some(m) = self.machines.get_mut(&p.machine) {
             // What some tasks survive may still be faulty.
             if !m.failing() {
@@ -122,7 +143,14 @@
     }
 
     /// A gang that lost a member is drained as a whole.
-    fn drain_after_loss(&mut self, context: &mut Context, task: &TaskKey, p: &Placement, why: Removal, silent: bool) {
+    fn drain_after_loss(
+        &mut self,
+        context: &mut Context,
+        task: &TaskKey,
+        p: &Placement,
+        why: Removal,
+        silent: bool,
+    ) {
         if self.jobs.get(&task.job).is_none_or(|j| j.gang.is_none()) {
             return;
         }
@@ -142,7 +170,9 @@
     }
 
     pub(super) fn task_done(&mut self, task: &TaskKey) {
-        let Some(job) = self.jobs.get_mut(&task.job) else { return };
+        let Some(job) = self.jobs.get_mut(&task.job) else {
+            return;
+        };
         if !job.live() {
             return;
         }
--- a/crates/seamfront-core/src/shard/mod.rs
+++ b/crates/seamfront-core/src/shard/mod.rs
@@ -157,14 +157,18 @@
     /// Takes in a live job, unless it is known.
     pub fn add_job(&mut self, spec: Rc<JobSpec>, version: u64, now: Micros) {
         let id = spec.id.clone();
-        self.jobs.entry(id).or_insert_with(|| Job::new(spec, version, now));
+        self.jobs
+            .entry(id)
+            .or_insert_with(|| Job::new(spec, version, now));
         self.dirty = true;
     }
 
     /// Whether a job waits for others to be done, and what it asks for as things stand: how important it is and
     /// until when it must be done also follow from the jobs that need it.
     pub fn chained(&mut self, id: &JobId, spec: Rc<JobSpec>, waits: bool, now: Micros) {
-        let Some(job) = self.jobs.get_mut(id) else { return };
+        let Some(job) = self.jobs.get_mut(id) else {
+            return;
+        };
         if job.waits && !waits {
             job.waiting_since = now;
         }
@@ -174,9 +178,19 @@
 
     /// Takes over a record of the former holder's. A job that has ended since (it is missing from
     /// the view of live jobs, which is newer than the claim) is only cleared away.
-    pub fn adopt_record(&mut self, id: JobId, live: Option<(Rc<JobSpec>, u64)>, stored: StoredRecord, now: Micros) {
+    pub fn adopt_record(
+        &mut self,
+        id: JobId,
+        live: Option<(Rc<JobSpec>, u64)>,
+        stored: StoredRecord,
+        now: Micros,
+    ) {
         let ended = live.is_none();
-        let StoredRecord { record, version, parts_end } = stored;
+        let StoredRecord {
+            record,
+            version,
+            parts_end,
+        } = stored;
         let (spec, job_version) = live.unwrap_or_else(|| (Rc::new(leftover_spec(&id, &record)), 0));
         let mut job = Job::new(spec, job_version, now);
         job.adopt(record, version, parts_end, now);
@@ -191,12 +205,19 @@
         for (i, p) in &mut job.tasks {
             self.quota.take(&job.spec.team, job.spec.need);
             if ended {
-                p.stop = Some(Stop { cause: Cause::Cancelled, grace: Micros::ZERO, since: now });
+                p.stop = Some(Stop {
+                    cause: Cause::Cancelled,
+                    grace: Micros::ZERO,
+                    since: now,
+                });
             }
             if let Some(m) = self.machines.get_mut(&p.machine) {
                 m.used.add(job.spec.need);
                 m.fetches_changed = true;
-                m.tasks.insert(TaskKey { job: id.clone(), index: *i });
+                m.tasks.insert(TaskKey {
+                    job: id.clone(),
+                    index: *i,
+                });
             }
         }
         self.jobs.insert(id, job);
@@ -215,8 +236,14 @@
 
     /// Machines that records name and this shard does not have.
     pub fn placed_elsewhere(&self) -> BTreeSet<MachineId> {
-        let named = self.jobs.values().flat_map(|j| j.tasks.values().map(|p| &p.machine));
-        named.filter(|id| !self.machines.contains_key(*id)).cloned().collect()
+        let named = self
+            .jobs
+            .values()
+            .flat_map(|j| j.tasks.values().map(|p| &p.machine));
+        named
+            .filter(|id| !self.machines.contains_key(*id))
+            .cloned()
+            .collect()
     }
 
     /// After all records are read: what stands on machines that no longer exist is gone.
@@ -229,7 +256,10 @@
                 j.tasks
                     .iter()
                     .filter(|(_, p)| !self.machines.contains_key(&p.machine))
-                    .map(|(i, _)| TaskKey { job: id.clone(), index: *i })
+                    .map(|(i, _)| TaskKey {
+                        job: id.clone(),
+                        index: *i,
+                    })
             })
             .collect();
         for t in lost {
@@ -239,12 +269,19 @@
         for id in ids {
             self.settle_job(context, &id);
         }
-        info!(shard = self.index, jobs = self.jobs.len(), machines = self.machines.len(), "shard ready");
+        info!(
+            shard = self.index,
+            jobs = self.jobs.len(),
+            machines = self.machines.len(),
+            "shard ready"
+        );
     }
 
     /// `job/<id>` is gone from the store: the job has ended, by us or by its user.
     pub fn job_ended(&mut self, context: &mut Context, id: &JobId) {
-        let Some(job) = self.jobs.get_mut(id) else { return };
+        let Some(job) = self.jobs.get_mut(id) else {
+            return;
+        };
         match job.ending {
             // Whatever became of our own unanswered write, all tasks are done.
             Some(Ending::Completing) => {
@@ -258,9 +295,16 @@
                 let mut never_sent = Vec::new();
                 for (i, p) in &mut job.tasks {
                     if p.phase == Phase::Recording {
-                        never_sent.push(TaskKey { job: id.clone(), index: *i });
+                        never_sent.push(TaskKey {
+                            job: id.clone(),
+                            index: *i,
+                        });
                     }
-                    p.stop = Some(Stop { cause: Cause::Cancelled, grace: Micros::ZERO, since: context.now });
+                    p.stop = Some(Stop {
+                        cause: Cause::Cancelled,
+                        grace: Micros::ZERO,
+                        since: context.now,
+                    });
                 }
                 for t in never_sent {
                     self.remove_task(context, &t, Removal::Lost);
@@ -284,7 +328,14 @@
     // ---- machines ------------------------------------------------------------------------
 
     /// Takes in a machine, or what has changed in its record.
-    pub fn add_machine(&mut self, id: MachineId, record: MachineRecord, version: u64, size: Amounts, now: Micros) {
+    pub fn add_machine(
+        &mut self,
+        id: MachineId,
+        record: MachineRecord,
+        version: u64,
+        size: Amounts,
+        now: Micros,
+    ) {
         match self.machines.get_mut(&id) {
             Some(m) => {
                 if version > m.version {
@@ -305,7 +356,10 @@
                 for (job, j) in &self.jobs {
                     for (i, _) in j.tasks.iter().filter(|(_, p)| p.machine == id) {
                         m.used.add(j.spec.need);
-                        m.tasks.insert(TaskKey { job: job.clone(), index: *i });
+                        m.tasks.insert(TaskKey {
+                            job: job.clone(),
+                            index: *i,
+                        });
                     }
                 }
                 self.unsent.insert(id.clone());
@@ -317,12 +371,17 @@
 
     /// The machine's record says that it is another shard's or is being returned.
     pub fn machine_moved(&mut self, id: &MachineId, record: MachineRecord, version: u64) {
-        let Some(m) = self.machines.get_mut(id) else { return };
+        let Some(m) = self.machines.get_mut(id) else {
+            return;
+        };
         if m.tasks.is_empty() && m.direct.is_none() {
             self.machines.remove(id);
         } else {
             // Being returned with tasks on it: they are gone when the record is, or their lease.
-            m.record = MachineRecord { shard: None, ..record };
+            m.record = MachineRecord {
+                shard: None,
+                ..record
+            };
             m.version = version;
         }
         self.dirty = true;
@@ -330,7 +389,9 @@
 
     /// The cloud has answered that it is deleted, so everything on it is gone.
     pub fn machine_deleted(&mut self, context: &mut Context, id: &MachineId) {
-        let Some(m) = self.machines.remove(id) else { return };
+        let Some(m) = self.machines.remove(id) else {
+            return;
+        };
         info!(machine = %id, tasks = m.tasks.len(), "machine is gone");
         for t in m.tasks {
             self.remove_task(context, &t, Removal::Lost);
@@ -362,7 +423,9 @@
             .map(|m| m.id.clone())
             .collect();
         for id in over {
-            let Some(m) = self.machines.get_mut(&id) else { continue };
+            let Some(m) = self.machines.get_mut(&id) else {
+                continue;
+            };
             m.expired = true;
             m.direct = None;
             m.strays.clear();
--- a/crates/seamfront-core/src/shard/records.rs
+++ b/crates/seamfront-core/src/shard/records.rs
@@ -74,7 +74,10 @@
 impl Shard {
     /// How many jobs wait for a write: the demand by which controllers divide what the store takes.
     pub fn writes_awaited(&self) -> usize {
-        self.jobs.values().filter(|j| j.record.awaited() || j.ending == Some(Ending::Completing)).count()
+        self.jobs
+            .values()
+            .filter(|j| j.record.awaited() || j.ending == Some(Ending::Completing))
+            .count()
     }
 
     /// Up to `budget` writes that are due now: what somebody waits for comes first, and of that what
@@ -87,7 +90,9 @@
             if out.len() >= budget {
                 break;
             }
-            let Some(job) = self.jobs.get_mut(&id) else { continue };
+            let Some(job) = self.jobs.get_mut(&id) else {
+                continue;
+            };
             job.record.in_flight = true;
             job.record.asked_at = now;
             match next_write(job, layout) {
@@ -112,7 +117,10 @@
                 continue;
             }
             let mut record = m.record.clone();
-            let unsettled = m.direct.as_ref().is_some_and(|d| d.unknown && d.token == m.version.max(self.version));
+            let unsettled = m
+                .direct
+                .as_ref()
+                .is_some_and(|d| d.unknown && d.token == m.version.max(self.version));
             let unsettled = unsettled || m.challenge;
             // Released and not used by the leader: rewriting the record makes a late move of its fail.
             let kept = m.released.is_some_and(|t| now - t > RELEASE_KEPT);
@@ -123,7 +131,11 @@
             }
             m.writing = true;
             m.giving_up |= record.shard.is_none();
-            out.push(ShardWrite::Machine { machine: id.clone(), version: m.version, record });
+            out.push(ShardWrite::Machine {
+                machine: id.clone(),
+                version: m.version,
+                record,
+            });
         }
         if look && out.is_empty() {
             self.machine_writes_next = now + LOOK_EVERY;
@@ -152,8 +164,15 @@
         due.into_iter().map(|d| d.3).collect()
     }
 
-    fn machine_written(&mut self, machine: &MachineId, record: &MachineRecord, outcome: WriteOutcome) {
-        let Some(m) = self.machines.get_mut(machine) else { return };
+    fn machine_written(
+        &mut self,
+        machine: &MachineId,
+        record: &MachineRecord,
+        outcome: WriteOutcome,
+    ) {
+        let Some(m) = self.machines.get_mut(machine) else {
+            return;
+        };
         m.writing = false;
         // Giving it up may be applied late, when it has long come back: rewriting the record makes that fail.
         m.challenge |= record.shard.is_none() && outcome == WriteOutcome::Unclear;
@@ -171,11 +190,17 @@
     /// The outcome of a record's write: the new version, or None if that must be read first.
     pub fn written(&mut self, context: &mut Context, write: &ShardWrite, outcome: WriteOutcome) {
         let (job_id, gen) = match write {
-            ShardWrite::Machine { machine, record, .. } => return self.machine_written(machine, record, outcome),
+            ShardWrite::Machine {
+                machine, record, ..
+            } => return self.machine_written(machine, record, outcome),
             ShardWrite::Record { job, gen, .. } => (job, *gen),
-            ShardWrite::End { job, .. } | ShardWrite::DropRecord { job, .. } | ShardWrite::Read { job } => (job, 0),
+            ShardWrite::End { job, .. }
+            | ShardWrite::DropRecord { job, .. }
+            | ShardWrite::Read { job } => (job, 0),
+        };
+        let Some(job) = self.jobs.get_mut(job_id) else {
+            return;
         };
-        let Some(job) = self.jobs.get_mut(job_id) else { return };
         job.record.in_flight = false;
         match outcome {
             WriteOutcome::Refused => return,
@@ -188,7 +213,9 @@
                 return;
             }
             WriteOutcome::Done(v) => match write {
-                ShardWrite::Record { record, parts_end, .. } => {
+                ShardWrite::Record {
+                    record, parts_end, ..
+                } => {
                     job.record.version = Some(v);
                     job.record.parts = Some(record.parts.clone());
                     job.record.parts_end = *parts_end;
@@ -233,10 +260,18 @@
     let (id, parts_end) = (job.spec.id.clone(), job.record.parts_end);
     Some(match (job.record.version, job.ending) {
         (None, _) => ShardWrite::Read { job: id },
-        (Some(record_version), Some(Ending::Completing)) => {
-            ShardWrite::End { job: id, job_version: job.version, record_version, parts_end, tasks: job.spec.tasks }
-        }
-        (Some(version), Some(_)) => ShardWrite::DropRecord { job: id, version, parts_end },
+        (Some(record_version), Some(Ending::Completing)) => ShardWrite::End {
+            job: id,
+            job_version: job.version,
+            record_version,
+            parts_end,
+            tasks: job.spec.tasks,
+        },
+        (Some(version), Some(_)) => ShardWrite::DropRecord {
+            job: id,
+            version,
+            parts_end,
+        },
         (Some(version), None) => record_write(job, version, layout)?,
     })
 }
@@ -254,23 +289,45 @@
     }
     // From the highest down, as far as one transaction goes.
     let superfluous = (record.parts.len() as u32..job.record.parts_end).rev();
-    let removed: Vec<u32> = superfluous.take(layout.parts.max(1).saturating_sub(changes.len())).collect();
-    let parts_end = removed.last().copied().unwrap_or(job.record.parts_end.max(record.parts.len() as u32));
+    let removed: Vec<u32> = superfluous
+        .take(layout.parts.max(1).saturating_sub(changes.len()))
+        .collect();
+    let parts_end = removed
+        .last()
+        .copied()
+        .unwrap_or(job.record.parts_end.max(record.parts.len() as u32));
     changes.extend(removed.into_iter().map(|number| (number, None)));
     let (job, gen) = (job.spec.id.clone(), job.record.gen);
-    Some(ShardWrite::Record { job, gen, version, record: Box::new(record), changes, parts_end })
+    Some(ShardWrite::Record {
+        job,
+        gen,
+        version,
+        record: Box::new(record),
+        changes,
+        parts_end,
+    })
 }
 
 /// Members of a gang complete together, so there is hardly ever anything left to stop.
 pub(super) fn stop_rest(job: &mut Job, now: Micros) {
     for p in job.tasks.values_mut() {
-        p.stop = Some(Stop { cause: Cause::Cancelled, grace: Micros::ZERO, since: now });
+        p.stop = Some(Stop {
+            cause: Cause::Cancelled,
+            grace: Micros::ZERO,
+            since: now,
+        });
     }
 }
 
 /// What is known of an ended job from its work record alone, enough to clear it away.
 pub(super) fn leftover_spec(id: &JobId, r: &WorkRecord) -> JobSpec {
-    let placed = r.placed.values().flatten().map(|run| run.1).max().unwrap_or(0);
+    let placed = r
+        .placed
+        .values()
+        .flatten()
+        .map(|run| run.1)
+        .max()
+        .unwrap_or(0);
     JobSpec {
         id: id.clone(),
         class: String::new(),
@@ -298,5 +355,9 @@
 
 /// The change that writes a machine's record.
 pub fn machine_write(machine: &MachineId, record: &MachineRecord) -> Write {
-    Write::Put { key: machine_key(machine), value: serde_json::to_value(record).unwrap_or_default(), lease: None }
+    Write::Put {
+        key: machine_key(machine),
+        value: serde_json::to_value(record).unwrap_or_default(),
+        lease: None,
+    }
 }
--- a/crates/seamfront-core/src/shard/reports.rs
+++ b/crates/seamfront-core/src/shard/reports.rs
@@ -10,7 +10,9 @@
     /// Returns false for a message older than one already seen.
     pub fn take_report(&mut self, context: &mut Context, report: &Report, hello: bool) -> bool {
         let id = report.machine.clone();
-        let Some(m) = self.machines.get_mut(&id) else { return false };
+        let Some(m) = self.machines.get_mut(&id) else {
+            return false;
+        };
         if (report.session, report.seq) <= (m.session, m.seq) {
             return false;
         }
@@ -18,7 +20,9 @@
         if new_session {
             info!(machine = %id, session = report.session, "worker began a new session");
             // Answered all the time, and yet its lease ran out.
-            m.challenge |= m.last_ok.is_some_and(|t| context.now - t < context.cfg.lease);
+            m.challenge |= m
+                .last_ok
+                .is_some_and(|t| context.now - t < context.cfg.lease);
         }
         if report.session > m.session {
             m.session_seen = Some(context.now);
@@ -50,15 +54,26 @@
         let first_notice = !had_notice && m.notice.is_some();
 
         let placed: Vec<TaskKey> = m.tasks.iter().cloned().collect();
-        self.looked.set(self.looked.get() + (placed.len() + report.tasks.len()) as i64);
+        self.looked
+            .set(self.looked.get() + (placed.len() + report.tasks.len()) as i64);
         m.strays.clear();
         let mut shown: BTreeMap<&TaskKey, &TaskReport> = BTreeMap::new();
         for t in &report.tasks {
             shown.insert(&t.task, t);
         }
         for key in placed.iter().filter(|_| fresh) {
-            let Some(p) = self.jobs.get(&key.job).and_then(|j| j.tasks.get(&key.index)) else { continue };
-            if p.phase > Phase::Recording && p.session > 0 && p.session < report.session && !shown.contains_key(key) {
+            let Some(p) = self
+                .jobs
+                .get(&key.job)
+                .and_then(|j| j.tasks.get(&key.index))
+            else {
+                continue;
+            };
+            if p.phase > Phase::Recording
+                && p.session > 0
+                && p.session < report.session
+                && !shown.contains_key(key)
+            {
                 // Sent for an earlier session: that one ended with all that was in it.
                 self.remove_task(context, key, Removal::Lost);
                 continue;
@@ -79,10 +94,20 @@
         true
     }
 
-    pub(super) fn task_shown(&mut self, context: &mut Context, machine: &MachineId, key: &TaskKey, state: TaskState) {
-        let Some(job) = self.jobs.get_mut(&key.job) else { return };
+    pub(super) fn task_shown(
+        &mut self,
+        context: &mut Context,
+        machine: &MachineId,
+        key: &TaskKey,
+        state: TaskState,
+    ) {
+        let Some(job) = self.jobs.get_mut(&key.job) else {
+            return;
+        };
         let spec = job.spec.clone();
-        let Some(p) = job.tasks.get_mut(&key.index) else { return };
+        let Some(p) = job.tasks.get_mut(&key.index) else {
+            return;
+        };
         if let TaskState::Exited(exit) = state {
             return self.remove_task(context, key, Removal::Exited(exit));
         }
@@ -97,7 +122,11 @@
             p.session = m.session;
             if phase > Phase::Fetching && p.phase <= Phase::Fetching {
                 m.fetches_changed = true;
-                let cache = context.types.iter().find(|t| t.name == m.record.kind).map_or(0, |t| t.cache_mb);
+                let cache = context
+                    .types
+                    .iter()
+                    .find(|t| t.name == m.record.kind)
+                    .map_or(0, |t| t.cache_mb);
                 m.used_image(&spec.image, spec.image_mb, cache);
             }
         }
@@ -112,9 +141,18 @@
     }
 
     /// A report that must show the task if it were there does not: it is not on the machine.
-    pub(super) fn task_omitted(&mut self, context: &mut Context, machine: &MachineId, key: &TaskKey) {
-        let Some(job) = self.jobs.get_mut(&key.job) else { return };
-        let Some(p) = job.tasks.get_mut(&key.index) else { return };
+    pub(super) fn task_omitted(
+        &mut self,
+        context: &mut Context,
+        machine: &MachineId,
+        key: &TaskKey,
+    ) {
+        let Some(job) = self.jobs.get_mut(&key.job) else {
+            return;
+        };
+        let Some(p) = job.tasks.get_mut(&key.index) else {
+            return;
+        };
         // What a former holder recorded may have ended long before it fell: it writes down what has gone with the
         // next change, and may have given the place, and the team's limit, to another job by then. So what
         // is adopted and not there is gone, and is decided anew like all that waits.
@@ -134,7 +172,10 @@
 
     /// Shown by the worker, but not (or not any more) placed there by us.
     pub(super) fn unplaced_shown(&mut self, machine: &MachineId, t: &TaskReport, fresh: bool) {
-        let placement = self.jobs.get(&t.task.job).and_then(|j| j.tasks.get(&t.task.index));
+        let placement = self
+            .jobs
+            .get(&t.task.job)
+            .and_then(|j| j.tasks.get(&t.task.index));
         if placement.is_some_and(|p| p.machine == *machine && p.attempt == t.attempt) {
             return;
         }
@@ -163,10 +204,14 @@
     /// Everything that can be saved leaves a machine that is about to be taken; what saves nothing
     /// may as well run on, and ends with it at the worst.
     pub(super) fn leave_machine(&mut self, context: &mut Context, id: &MachineId) {
-        let Some(m) = self.machines.get(id) else { return };
+        let Some(m) = self.machines.get(id) else {
+            return;
+        };
         let tasks: Vec<TaskKey> = m.tasks.iter().cloned().collect();
         for t in tasks {
-            let Some(job) = self.jobs.get(&t.job) else { continue };
+            let Some(job) = self.jobs.get(&t.job) else {
+                continue;
+            };
             let moves = job.spec.saves() || job.spec.kind != Kind::Array;
             if moves {
                 self.evict(context, &t, Cause::Moving);
@@ -177,7 +222,9 @@
     /// The orders for a reply to the worker's report, in the order it must carry them out.
     pub fn orders(&mut self, context: &mut Context, report: &Report) -> Vec<Order> {
         let id = &report.machine;
-        let Some(m) = self.machines.get(id) else { return Vec::new() };
+        let Some(m) = self.machines.get(id) else {
+            return Vec::new();
+        };
         let mut orders = Vec::new();
         let unsettled = m.direct.is_some();
         // What a late copy shows may be long over: it stops what has no place here, nothing else.
@@ -195,11 +242,18 @@
                             || (j.live() && j.record.written >= j.done_gen)
                     });
                     if fresh && recorded && !unsettled {
-                        orders.push(Order::Forget { task: key.clone(), attempt: t.attempt });
+                        orders.push(Order::Forget {
+                            task: key.clone(),
+                            attempt: t.attempt,
+                        });
                     }
                 }
                 _ if m.strays.contains_key(key) => {
-                    orders.push(Order::Stop { task: key.clone(), attempt: t.attempt, grace: Micros::ZERO });
+                    orders.push(Order::Stop {
+                        task: key.clone(),
+                        attempt: t.attempt,
+                        grace: Micros::ZERO,
+                    });
                 }
                 _ => {}
             }
@@ -208,9 +262,13 @@
         let session = m.session;
         let usable = m.record.shard.is_some() && !m.leaving();
         for key in tasks {
-            let Some(job) = self.jobs.get_mut(&key.job) else { continue };
+            let Some(job) = self.jobs.get_mut(&key.job) else {
+                continue;
+            };
             let live = job.live();
-            let Some(p) = job.tasks.get_mut(&key.index) else { continue };
+            let Some(p) = job.tasks.get_mut(&key.index) else {
+                continue;
+            };
             if p.phase == Phase::Recording {
                 continue;
             }
@@ -218,10 +276,22 @@
                 let waited = context.now - stop.since;
                 let overdue = waited > stop.grace + context.cfg.gang_peer + Micros::from_secs(2);
                 let grace = if overdue { Micros::ZERO } else { stop.grace };
-                orders.push(Order::Stop { task: key.clone(), attempt: p.attempt, grace });
-            } else if p.phase == Phase::Ordered && live && usable && fresh && p.not_before <= context.now {
+                orders.push(Order::Stop {
+                    task: key.clone(),
+                    attempt: p.attempt,
+                    grace,
+                });
+            } else if p.phase == Phase::Ordered
+                && live
+                && usable
+                && fresh
+                && p.not_before <= context.now
+            {
                 p.session = session;
-                orders.push(Order::Start { task: key.clone(), attempt: p.attempt });
+                orders.push(Order::Start {
+                    task: key.clone(),
+                    attempt: p.attempt,
+                });
             }
         }
         orders
@@ -235,22 +305,33 @@
         }
         self.look(self.unsent.len());
         self.unsent.retain(|id| {
-            let Some(m) = self.machines.get_mut(id).filter(|m| !m.tasks.is_empty()) else { return false };
+            let Some(m) = self.machines.get_mut(id).filter(|m| !m.tasks.is_empty()) else {
+                return false;
+            };
             if m.direct.is_some() || !m.usable(context.now, context.cfg.report, self.version) {
                 return true;
             }
             let token = m.token(self.version);
-            let Some(addr) = m.addr.clone() else { return true };
+            let Some(addr) = m.addr.clone() else {
+                return true;
+            };
             let mut orders = Vec::new();
             let mut later = false;
             for key in &m.tasks {
-                let Some(job) = self.jobs.get_mut(&key.job).filter(|j| j.live()) else { continue };
-                let Some(p) = job.tasks.get_mut(&key.index) else { continue };
+                let Some(job) = self.jobs.get_mut(&key.job).filter(|j| j.live()) else {
+                    continue;
+                };
+                let Some(p) = job.tasks.get_mut(&key.index) else {
+                    continue;
+                };
                 let fresh = p.phase == Phase::Ordered && p.session == 0 && p.stop.is_none();
                 later |= fresh && p.not_before > context.now;
                 if fresh && p.not_before <= context.now {
                     p.session = m.session;
-                    orders.push(Order::Start { task: key.clone(), attempt: p.attempt });
+                    orders.push(Order::Start {
+                        task: key.clone(),
+                        attempt: p.attempt,
+                    });
                 }
             }
             if orders.is_empty() {
@@ -259,17 +340,37 @@
             debug!(machine = %id, token, orders = orders.len(), "starting tasks directly");
             let call = *context.calls;
             *context.calls += 1;
-            m.direct = Some(Direct { call, token, session: m.session, unknown: false });
-            context.effects.push(Effect::Direct { call, machine: id.clone(), addr, session: m.session, token, orders });
+            m.direct = Some(Direct {
+                call,
+                token,
+                session: m.session,
+                unknown: false,
+            });
+            context.effects.push(Effect::Direct {
+                call,
+                machine: id.clone(),
+                addr,
+                session: m.session,
+                token,
+                orders,
+            });
             later
         });
     }
 
     /// The outcome of one call settles no other: one that was made before the machine left this shard and
     /// came back, or before the shard did, says nothing of what is under way now.
-    pub fn direct_result(&mut self, context: &mut Context, call: CallId, id: &MachineId, outcome: DirectOutcome) {
+    pub fn direct_result(
+        &mut self,
+        context: &mut Context,
+        call: CallId,
+        id: &MachineId,
+        outcome: DirectOutcome,
+    ) {
         let current = |m: &&mut Machine| m.direct.as_ref().is_some_and(|d| d.call == call);
-        let Some(m) = self.machines.get_mut(id).filter(current) else { return };
+        let Some(m) = self.machines.get_mut(id).filter(current) else {
+            return;
+        };
         match outcome {
             DirectOutcome::Settled { report } => {
                 m.direct = None;
--- a/crates/seamfront-core/src/store_session/claims.rs
+++ b/crates/seamfront-core/src/store_session/claims.rs
@@ -4,11 +4,19 @@
 
 impl Engine {
     pub(super) fn claim_changed(&mut self, slot: usize, claim: Option<Claim>, version: u64) {
-        if self.store.claims[slot].as_ref().is_some_and(|c| c.version > version) {
+        if self.store.claims[slot]
+            .as_ref()
+            .is_some_and(|c| c.version > version)
+        {
             return;
         }
-        let mine = claim.as_ref().is_some_and(|c| c.member == self.cfg.me && Some(c.lease) == self.store.lease);
-        if self.slot_version(slot).is_some_and(|v| v < version || (v == version && !mine)) {
+        let mine = claim
+            .as_ref()
+            .is_some_and(|c| c.member == self.cfg.me && Some(c.lease) == self.store.lease);
+        if self
+            .slot_version(slot)
+            .is_some_and(|v| v < version || (v == version && !mine))
+        {
             self.drop_slot(slot, "claim is another's");
         }
         if claim.is_none() {
@@ -41,7 +49,9 @@
     }
 
     pub(super) fn claims_tick(&mut self) {
-        let Some(lease) = self.store.lease else { return };
+        let Some(lease) = self.store.lease else {
+            return;
+        };
         if !self.store.loaded() || self.now < self.store.claim_next {
             return;
         }
@@ -55,7 +65,11 @@
                 continue;
             }
             let expected = match &self.store.claims[slot] {
-                Some(c) if c.member == self.cfg.me && c.lease == lease && c.version > self.store.spent[slot] => {
+                Some(c)
+                    if c.member == self.cfg.me
+                        && c.lease == lease
+                        && c.version > self.store.spent[slot] =>
+                {
                     // Ours, though the answer to the claim was lost.
                     let version = c.version;
                     self.take_slot(slot, version);
@@ -75,7 +89,11 @@
                     let rank = (self.cfg.me + n - slot % n) % n;
                     let since = *self.store.free_since[slot].get_or_insert(self.now);
                     // One that no worker reaches comes last, but it comes: perhaps there is nobody else.
-                    let deaf = if self.deaf() { Micros::from_secs(5) } else { Micros::ZERO };
+                    let deaf = if self.deaf() {
+                        Micros::from_secs(5)
+                    } else {
+                        Micros::ZERO
+                    };
                     if self.now - since < Micros::from_millis(400).times(rank as i64) + deaf {
                         continue;
                     }
@@ -84,11 +102,18 @@
             };
             self.store.claiming[slot] = true;
             let key = self.slot_key(slot);
-            let value = ClaimValue { member: self.cfg.members[self.cfg.me].clone(), lease };
+            let value = ClaimValue {
+                member: self.cfg.members[self.cfg.me].clone(),
+                lease,
+            };
             let value = serde_json::to_value(value).unwrap_or_default();
             let request = StateCall::Commit {
                 when: vec![(key.clone(), expected)],
-                apply: vec![Write::Put { key, value, lease: Some(lease) }],
+                apply: vec![Write::Put {
+                    key,
+                    value,
+                    lease: Some(lease),
+                }],
             };
             self.state(request, Pending::Claim { slot, lease });
         }
@@ -99,9 +124,15 @@
         self.store.claiming[slot] = false;
         match reply {
             StateReply::Committed { revision } if self.store.lease == Some(lease) => {
-                let newer = self.store.claims[slot].as_ref().is_some_and(|c| c.version > revision);
+                let newer = self.store.claims[slot]
+                    .as_ref()
+                    .is_some_and(|c| c.version > revision);
                 if !newer && self.slot_version(slot).is_none() {
-                    self.store.claims[slot] = Some(Claim { version: revision, member: self.cfg.me, lease });
+                    self.store.claims[slot] = Some(Claim {
+                        version: revision,
+                        member: self.cfg.me,
+                        lease,
+                    });
                     self.take_slot(slot, revision);
                 }
             }
@@ -141,9 +172,16 @@
             if self.store.claiming[slot] || (slot == self.cfg.me && !leave) {
                 continue;
             }
-            let Some(shard) = self.shards[slot].as_ref().filter(|s| s.phase == ShardPhase::Ready) else { continue };
+            let Some(shard) = self.shards[slot]
+                .as_ref()
+                .filter(|s| s.phase == ShardPhase::Ready)
+            else {
+                continue;
+            };
             let peer = &self.peers[slot];
-            let healthy = peer.ready_since.is_some_and(|t| self.now - t > Micros::from_secs(3));
+            let healthy = peer
+                .ready_since
+                .is_some_and(|t| self.now - t > Micros::from_secs(3));
             let fresh = self.now - peer.heard < Micros::from_secs(2);
             let settled = self.now - shard.claimed_at > Micros::from_secs(4);
             if !settled || !(leave || (healthy && fresh)) {
@@ -154,14 +192,19 @@
             self.drop_slot(slot, "handed back");
             self.store.claiming[slot] = true;
             let key = self.slot_key(slot);
-            let request = StateCall::Commit { when: vec![(key.clone(), version)], apply: vec![Write::Delete { key }] };
+            let request = StateCall::Commit {
+                when: vec![(key.clone(), version)],
+                apply: vec![Write::Delete { key }],
+            };
             self.state(request, Pending::HandBack { slot, version });
         }
     }
 
     pub(crate) fn hand_back_reply(&mut self, slot: usize, version: u64, reply: &StateReply) {
         self.store.claiming[slot] = false;
-        let still = self.store.claims[slot].as_ref().is_some_and(|c| c.version == version);
+        let still = self.store.claims[slot]
+            .as_ref()
+            .is_some_and(|c| c.version == version);
         if still && matches!(reply, StateReply::Committed { .. }) {
             // Before the view shows it, or it would be taken for a claim whose answer was lost.
             self.store.claims[slot] = None;
@@ -173,32 +216,60 @@
         if self.store.prove_busy || self.now < self.store.prove_next {
             return;
         }
-        let claims: Vec<(usize, u64)> =
-            (0..=self.leader_slot()).filter_map(|s| self.slot_version(s).map(|v| (s, v))).collect();
+        let claims: Vec<(usize, u64)> = (0..=self.leader_slot())
+            .filter_map(|s| self.slot_version(s).map(|v| (s, v)))
+            .collect();
         if claims.is_empty() {
             return;
         }
         self.store.prove_busy = true;
         self.store.prove_next = self.now + PROVE_EVERY;
-        let when = claims.iter().map(|(s, v)| (self.slot_key(*s), *v)).collect();
+        let when = claims
+            .iter()
+            .map(|(s, v)| (self.slot_key(*s), *v))
+            .collect();
         let sent = self.now;
-        self.state(StateCall::Commit { when, apply: vec![] }, Pending::Prove { sent, claims });
+        self.state(
+            StateCall::Commit {
+                when,
+                apply: vec![],
+            },
+            Pending::Prove { sent, claims },
+        );
     }
 
-    pub(crate) fn prove_reply(&mut self, sent: Micros, claims: Vec<(usize, u64)>, reply: StateReply) {
+    pub(crate) fn prove_reply(
+        &mut self,
+        sent: Micros,
+        claims: Vec<(usize, u64)>,
+        reply: StateReply,
+    ) {
         match reply {
             StateReply::Committed { revision } => {
                 if self.store.watches[0].loaded() && self.store.watches[0].seen() >= revision {
                     return self.proof_done(sent, &claims);
                 }
                 let after = self.store.watches[0].seen();
-                let request = StateCall::Changes { prefix: Topic::Jobs.prefix().to_owned(), after, hold: Micros::ZERO };
-                self.state(request, Pending::ProveView { sent, claims, revision });
+                let request = StateCall::Changes {
+                    prefix: Topic::Jobs.prefix().to_owned(),
+                    after,
+                    hold: Micros::ZERO,
+                };
+                self.state(
+                    request,
+                    Pending::ProveView {
+                        sent,
+                        claims,
+                        revision,
+                    },
+                );
             }
             StateReply::Conflict { failed } => {
                 self.store.prove_busy = false;
                 for (slot, version) in claims {
-                    if failed.contains(&self.slot_key(slot)) && self.slot_version(slot) == Some(version) {
+                    if failed.contains(&self.slot_key(slot))
+                        && self.slot_version(slot) == Some(version)
+                    {
                         self.drop_slot(slot, "claim proven lost");
                     }
                 }
@@ -217,7 +288,10 @@
         revision: u64,
         reply: StateReply,
     ) {
-        if self.apply_changes(0, reply) && self.store.watches[0].loaded() && self.store.watches[0].seen() >= revision {
+        if self.apply_changes(0, reply)
+            && self.store.watches[0].loaded()
+            && self.store.watches[0].seen() >= revision
+        {
             self.proof_done(sent, &claims);
         } else {
             self.store.prove_busy = false;
@@ -235,8 +309,13 @@
             let shard = self.shards.get_mut(*slot).and_then(|s| s.as_mut());
             if let Some(s) = shard.filter(|s| s.phase == ShardPhase::Proving) {
                 s.phase = ShardPhase::Loading;
-                let load =
-                    Load { version: *version, entries: Vec::new(), parts: None, busy: false, retry_at: Micros::ZERO };
+                let load = Load {
+                    version: *version,
+                    entries: Vec::new(),
+                    parts: None,
+                    busy: false,
+                    retry_at: Micros::ZERO,
+                };
                 self.store.loads.insert(*slot, load);
             }
         }
--- a/crates/seamfront-core/src/store_session/mod.rs
+++ b/crates/seamfront-core/src/store_session/mod.rs
@@ -257,7 +257,11 @@
             ViewUpdate::Read { entries, revision } => {
                 let present: BTreeSet<&String> = entries.iter().map(|e| &e.key).collect();
                 let viewed = self.viewed_keys(TOPICS[k]);
-                for key in viewed.into_iter().filter(|key| !present.contains(key)).collect::<Vec<_>>() {
+                for key in viewed
+                    .into_iter()
+                    .filter(|key| !present.contains(key))
+                    .collect::<Vec<_>>()
+                {
                     self.changed(TOPICS[k], &key, None, revision);
                 }
                 for e in entries {
@@ -272,7 +276,11 @@
     fn viewed_keys(&self, topic: Topic) -> Vec<String> {
         match topic {
             Topic::Jobs => self.jobs.keys().map(|j| format!("job/{j}")).collect(),
-            Topic::Machines => self.machines.keys().map(crate::fleet::machine_key).collect(),
+            Topic::Machines => self
+                .machines
+                .keys()
+                .map(crate::fleet::machine_key)
+                .collect(),
             Topic::Shards => (0..self.leader_slot()).map(|s| self.slot_key(s)).collect(),
             Topic::Leader => vec!["leader".to_owned()],
         }
@@ -298,12 +306,24 @@
                 }
             }
             Topic::Shards | Topic::Leader => {
-                let slot = if topic == Topic::Leader { Some(self.leader_slot()) } else { name.parse().ok() };
-                let Some(slot) = slot.filter(|s| *s <= self.leader_slot()) else { return };
-                let claim = value.and_then(|v| serde_json::from_value::<ClaimValue>(v).ok()).and_then(|c| {
-                    let member = self.cfg.members.iter().position(|m| *m == c.member)?;
-                    Some(Claim { version, member, lease: c.lease })
-                });
+                let slot = if topic == Topic::Leader {
+                    Some(self.leader_slot())
+                } else {
+                    name.parse().ok()
+                };
+                let Some(slot) = slot.filter(|s| *s <= self.leader_slot()) else {
+                    return;
+                };
+                let claim = value
+                    .and_then(|v| serde_json::from_value::<ClaimValue>(v).ok())
+                    .and_then(|c| {
+                        let member = self.cfg.members.iter().position(|m| *m == c.member)?;
+                        Some(Claim {
+                            version,
+                            member,
+                            lease: c.lease,
+                        })
+                    });
                 self.claim_changed(slot, claim, version);
             }
         }
