--- a/crates/seamfront-core/src/store_session/takeover.rs
+++ b/crates/seamfront-core/src/store_session/takeover.rs
@@ -6,13 +6,23 @@
 
 impl Engine {
     pub(super) fn loads_tick(&mut self) {
-        let due: Vec<usize> =
-            self.store.loads.iter().filter(|(_, l)| !l.busy && l.retry_at <= self.now).map(|l| *l.0).collect();
+        let due: Vec<usize> = self
+            .store
+            .loads
+            .iter()
+            .filter(|(_, l)| !l.busy && l.retry_at <= self.now)
+            .map(|l| *l.0)
+            .collect();
         for slot in due {
-            let Some(load) = self.store.loads.get_mut(&slot) else { continue };
+            let Some(load) = self.store.loads.get_mut(&slot) else {
+                continue;
+            };
             let version = load.version;
-            let last =
-                if load.parts.is_some() { load.parts.as_ref().and_then(|p| p.last()) } else { load.entries.last() };
+            let last = if load.parts.is_some() {
+                load.parts.as_ref().and_then(|p| p.last())
+            } else {
+                load.entries.last()
+            };
             let after = last.map(|e| e.key.clone());
             let reads_parts = load.parts.is_some();
             load.busy = true;
@@ -22,26 +32,51 @@
             }
             let fleet = &self.store.watches[MACHINES];
             if fleet.loaded() && fleet.seen() >= version {
-                let prefix = if reads_parts { parts_prefix(slot) } else { work_prefix(slot) };
+                let prefix = if reads_parts {
+                    parts_prefix(slot)
+                } else {
+                    work_prefix(slot)
+                };
                 let request = StateCall::List { prefix, after };
-                self.state(request, Pending::Records { shard: slot, version });
+                self.state(
+                    request,
+                    Pending::Records {
+                        shard: slot,
+                        version,
+                    },
+                );
             } else {
                 let (prefix, after) = (Topic::Machines.prefix().to_owned(), fleet.seen());
-                let request = StateCall::Changes { prefix, after, hold: Micros::ZERO };
-                self.state(request, Pending::Fleet { shard: slot, version });
+                let request = StateCall::Changes {
+                    prefix,
+                    after,
+                    hold: Micros::ZERO,
+                };
+                self.state(
+                    request,
+                    Pending::Fleet {
+                        shard: slot,
+                        version,
+                    },
+                );
             }
         }
     }
 
     /// The load that an answer is for, if that still counts.
     pub(super) fn load(&mut self, slot: usize, version: u64) -> Option<&mut Load> {
-        self.store.loads.get_mut(&slot).filter(|l| l.version == version)
+        self.store
+            .loads
+            .get_mut(&slot)
+            .filter(|l| l.version == version)
     }
 
     pub(crate) fn fleet_reply(&mut self, slot: usize, version: u64, reply: StateReply) {
         let new = self.store.watches[MACHINES].loaded() && self.apply_changes(MACHINES, reply);
         let again = self.now + RETRY;
-        let Some(load) = self.load(slot, version) else { return };
+        let Some(load) = self.load(slot, version) else {
+            return;
+        };
         load.busy = false;
         if !new {
             load.retry_at = again;
@@ -50,12 +85,17 @@
 
     pub(crate) fn records_reply(&mut self, slot: usize, version: u64, reply: StateReply) {
         let again = self.now + RETRY;
-        let Some(load) = self.load(slot, version) else { return };
+        let Some(load) = self.load(slot, version) else {
+            return;
+        };
         load.busy = false;
         match reply {
             StateReply::Page { entries, more, .. } => {
                 let first_part = load.parts.is_none() && !more;
-                load.parts.as_mut().unwrap_or(&mut load.entries).extend(entries);
+                load.parts
+                    .as_mut()
+                    .unwrap_or(&mut load.entries)
+                    .extend(entries);
                 if first_part {
                     load.parts = Some(Vec::new());
                 }
@@ -69,7 +109,9 @@
                 return;
             }
         }
-        let Some(load) = self.store.loads.remove(&slot) else { return };
+        let Some(load) = self.store.loads.remove(&slot) else {
+            return;
+        };
         if self.slot_version(slot) == Some(version) {
             self.take_over(slot, load.entries, load.parts.unwrap_or_default());
         }
@@ -78,7 +120,9 @@
     pub(super) fn take_over(&mut self, slot: usize, entries: Vec<Entry>, parts: Vec<Entry>) {
         let prefix = work_prefix(slot);
         let now = self.now;
-        let Some(shard) = self.shards[slot].as_mut() else { return };
+        let Some(shard) = self.shards[slot].as_mut() else {
+            return;
+        };
         let mut parts_of: BTreeMap<JobId, BTreeMap<u32, serde_json::Value>> = BTreeMap::new();
         for e in parts {
             if let Some((id, number)) = parse_part_key(slot, &e.key) {
@@ -93,7 +137,11 @@
             let parts_end = parts.keys().next_back().map_or(0, |number| number + 1);
             match decode(e.value, &parts) {
                 Ok(record) => {
-                    let stored = StoredRecord { record, version: e.version, parts_end };
+                    let stored = StoredRecord {
+                        record,
+                        version: e.version,
+                        parts_end,
+                    };
                     shard.adopt_record(id, live, stored, now);
                 }
                 Err(err) => {
@@ -106,7 +154,10 @@
             shard.add_job(j.spec.clone(), j.version, now);
             shard.chained(id, j.spec_now(), j.chain.waits(), now);
         }
-        let over = now + self.cfg.acting_time().with_drift() + self.cfg.lease.with_drift() + Micros::from_secs(1);
+        let over = now
+            + self.cfg.acting_time().with_drift()
+            + self.cfg.lease.with_drift()
+            + Micros::from_secs(1);
         for id in unreadable {
             shard.hold_unreadable(&id, over);
         }
@@ -114,7 +165,12 @@
         // former holder placed on it. One that is another shard's by now was let go empty.
         for id in shard.placed_elsewhere() {
             if let Some((record, v)) = self.machines.get(&id).filter(|m| m.0.shard.is_none()) {
-                let size = self.types.iter().find(|t| t.name == record.kind).map(|t| t.size).unwrap_or_default();
+                let size = self
+                    .types
+                    .iter()
+                    .find(|t| t.name == record.kind)
+                    .map(|t| t.size)
+                    .unwrap_or_default();
                 shard.add_machine(id, record.clone(), *v, size, now);
             }
         }
--- a/crates/seamfront-core/src/types.rs
+++ b/crates/seamfront-core/src/types.rs
@@ -122,13 +122,21 @@
     /// Rounds up: a task must never be counted smaller than it is.
     pub fn needed(cpus: f64, gpus: f64, ram: f64) -> Amounts {
         let up = |x: f64| (x * 1e3 - 1e-6).ceil() as i64;
-        Amounts { cpus: up(cpus), gpus: up(gpus), ram: up(ram) }
+        Amounts {
+            cpus: up(cpus),
+            gpus: up(gpus),
+            ram: up(ram),
+        }
     }
 
     /// Rounds down: a machine or a limit must never be counted larger than it is.
     pub fn offered(cpus: f64, gpus: f64, ram: f64) -> Amounts {
         let down = |x: f64| (x * 1e3 + 1e-6).floor() as i64;
-        Amounts { cpus: down(cpus), gpus: down(gpus), ram: down(ram) }
+        Amounts {
+            cpus: down(cpus),
+            gpus: down(gpus),
+            ram: down(ram),
+        }
     }
 
     /// Adds.
@@ -147,13 +155,25 @@
 
     /// So many times as much.
     pub fn times(self, n: i64) -> Amounts {
-        Amounts { cpus: self.cpus * n, gpus: self.gpus * n, ram: self.ram * n }
+        Amounts {
+            cpus: self.cpus * n,
+            gpus: self.gpus * n,
+            ram: self.ram * n,
+        }
     }
 
     /// How many tasks of size `task` fit into this room.
     pub fn fits(self, task: Amounts) -> i64 {
-        let part = |have: i64, want: i64| if want <= 0 { i64::MAX } else { have.max(0) / want };
-        part(self.cpus, task.cpus).min(part(self.gpus, task.gpus)).min(part(self.ram, task.ram))
+        let part = |have: i64, want: i64| {
+            if want <= 0 {
+                i64::MAX
+            } else {
+                have.max(0) / want
+            }
+        };
+        part(self.cpus, task.cpus)
+            .min(part(self.gpus, task.gpus))
+            .min(part(self.ram, task.ram))
     }
 }
 
@@ -271,7 +291,9 @@
     pub fn fetch_at_best(&self, types: &[MachineType]) -> Micros {
         let fits = |t: &&MachineType| t.size.fits(self.need) > 0 && self.suits(t.size, types);
         let rate = types.iter().filter(fits).map(|t| t.fetch_mb_s).max();
-        rate.map_or(Micros::ZERO, |rate| Micros::from_millis(self.image_mb * 1_000 / rate.max(1)))
+        rate.map_or(Micros::ZERO, |rate| {
+            Micros::from_millis(self.image_mb * 1_000 / rate.max(1))
+        })
     }
 
     /// Whether its tasks can save.
@@ -283,7 +305,10 @@
     pub fn allows(&self, kind: &str, zone: &str, spot: bool) -> bool {
         (self.spot || !spot)
             && self.zone.as_deref().is_none_or(|z| z == zone)
-            && self.types.as_ref().is_none_or(|t| t.iter().any(|x| x == kind))
+            && self
+                .types
+                .as_ref()
+                .is_none_or(|t| t.iter().any(|x| x == kind))
     }
 }
 
@@ -309,9 +334,15 @@
 }
 
 /// See [`JobSpec::suits`].
-pub fn suits(need: Amounts, allowed: Option<&[String]>, size: Amounts, types: &[MachineType]) -> bool {
-    let plain =
-        |t: &MachineType| t.size.gpus == 0 && t.size.fits(need) > 0 && allowed.is_none_or(|a| a.contains(&t.name));
+pub fn suits(
+    need: Amounts,
+    allowed: Option<&[String]>,
+    size: Amounts,
+    types: &[MachineType],
+) -> bool {
+    let plain = |t: &MachineType| {
+        t.size.gpus == 0 && t.size.fits(need) > 0 && allowed.is_none_or(|a| a.contains(&t.name))
+    };
     need.gpus > 0 || size.gpus == 0 || !types.iter().any(plain)
 }
 
@@ -435,10 +466,18 @@
     }
 
     fn times_to_start<'a>(&'a self, spec: &'a JobSpec) -> impl Iterator<Item = Micros> + 'a {
-        let of_class = self.objectives.iter().filter(|o| o.class == spec.class).map(|o| {
-            let run = if o.started { Micros::ZERO } else { spec.estimate };
-            spec.submitted + o.within - run
-        });
+        let of_class = self
+            .objectives
+            .iter()
+            .filter(|o| o.class == spec.class)
+            .map(|o| {
+                let run = if o.started {
+                    Micros::ZERO
+                } else {
+                    spec.estimate
+                };
+                spec.submitted + o.within - run
+            });
         of_class.chain(spec.deadline.map(|d| spec.submitted + d - spec.estimate))
     }
 
@@ -447,7 +486,10 @@
         let mut order: Vec<&Team> = self.teams.iter().collect();
         let size = |t: &Team| t.guarantee.cpus + 8 * t.guarantee.gpus;
         order.sort_by(|a, b| size(b).cmp(&size(a)).then(a.name.cmp(&b.name)));
-        order.iter().position(|t| t.name == team).map(|i| i % self.members.len())
+        order
+            .iter()
+            .position(|t| t.name == team)
+            .map(|i| i % self.members.len())
     }
 
     /// A team by its name.
--- a/crates/seamfront-core/src/users.rs
+++ b/crates/seamfront-core/src/users.rs
@@ -43,7 +43,14 @@
 /// The changes that end a job.
 pub(crate) fn end_writes(id: &JobId, end: EndRecord) -> [Write; 2] {
     let value = serde_json::to_value(end).unwrap_or_default();
-    [Write::Put { key: end_key(id), value, lease: None }, Write::Delete { key: job_key(id) }]
+    [
+        Write::Put {
+            key: end_key(id),
+            value,
+            lease: None,
+        },
+        Write::Delete { key: job_key(id) },
+    ]
 }
 
 /// Remembers ended jobs; the oldest are forgotten here and then asked of the store again.
@@ -109,8 +116,21 @@
     }
 
     pub(crate) fn answer_end(&mut self, to: ReplyTo, id: &JobId, end: EndRecord) {
-        let (state, done) = if end.cancelled { (ShownState::Cancelled, 0) } else { (ShownState::Done, end.tasks) };
-        self.answer(to, Answer::Status { created: false, id: id.clone(), state, done, running: 0 });
+        let (state, done) = if end.cancelled {
+            (ShownState::Cancelled, 0)
+        } else {
+            (ShownState::Done, end.tasks)
+        };
+        self.answer(
+            to,
+            Answer::Status {
+                created: false,
+                id: id.clone(),
+                state,
+                done,
+                running: 0,
+            },
+        );
     }
 
     pub(crate) fn answer_live(&mut self, to: ReplyTo, id: &JobId, created: bool) {
@@ -118,13 +138,30 @@
         if let Some(end) = self.users.ended.get(id) {
             return self.answer_end(to, id, end);
         }
-        let own = self.jobs.get(id).and_then(|j| self.shards[j.shard].as_ref()).and_then(|s| s.jobs.get(id));
+        let own = self
+            .jobs
+            .get(id)
+            .and_then(|j| self.shards[j.shard].as_ref())
+            .and_then(|s| s.jobs.get(id));
         let (done, running) = match own {
             Some(j) => (j.done.count(), j.running()),
             None => self.users.progress.get(id).copied().unwrap_or_default(),
         };
-        let state = if running > 0 { ShownState::Running } else { ShownState::Queued };
-        self.answer(to, Answer::Status { created, id: id.clone(), state, done, running });
+        let state = if running > 0 {
+            ShownState::Running
+        } else {
+            ShownState::Queued
+        };
+        self.answer(
+            to,
+            Answer::Status {
+                created,
+                id: id.clone(),
+                state,
+                done,
+                running,
+            },
+        );
     }
 
     /// The store has not answered lately: nothing can be taken or confirmed, and waiting for it
@@ -171,8 +208,9 @@
     /// Whether a job can ever run here.
     fn check_possible(&self, spec: &JobSpec) -> Result<(), Impossible> {
         let team = self.cfg.team(&spec.team).ok_or(Impossible::UnknownTeam)?;
-        let fits =
-            |t: &MachineType| t.size.fits(spec.need) > 0 && t.zones.iter().any(|z| spec.allows(&t.name, z, false));
+        let fits = |t: &MachineType| {
+            t.size.fits(spec.need) > 0 && t.zones.iter().any(|z| spec.allows(&t.name, z, false))
+        };
         if !self.types.iter().any(fits) {
             return Err(Impossible::NoMachineFits);
         }
@@ -209,21 +247,42 @@
     }
 
     fn cancel_known(&mut self, to: ReplyTo, id: JobId, version: u64, tasks: u32) {
-        let end = EndRecord { cancelled: true, tasks };
-        let request =
-            StateCall::Commit { when: end_conditions(&id, version).into(), apply: end_writes(&id, end).into() };
+        let end = EndRecord {
+            cancelled: true,
+            tasks,
+        };
+        let request = StateCall::Commit {
+            when: end_conditions(&id, version).into(),
+            apply: end_writes(&id, end).into(),
+        };
         self.users.in_flight += 1;
         self.state(request, Pending::Cancel { to, id, end });
     }
 
-    pub(crate) fn cancel_reply(&mut self, to: ReplyTo, id: JobId, end: EndRecord, reply: StateReply) {
+    pub(crate) fn cancel_reply(
+        &mut self,
+        to: ReplyTo,
+        id: JobId,
+        end: EndRecord,
+        reply: StateReply,
+    ) {
         self.users.in_flight -= 1;
         match reply {
             StateReply::Committed { .. } => {
                 info!(job = %id, "cancelled by its user");
-                let shard = self.jobs.get(&id).map(|j| j.shard).filter(|k| self.shards[*k].is_none());
+                let shard = self
+                    .jobs
+                    .get(&id)
+                    .map(|j| j.shard)
+                    .filter(|k| self.shards[*k].is_none());
                 if let Some(shard) = shard {
-                    self.tell_holder(shard, MeshMessage::Cancelled { job: id.clone(), tasks: end.tasks });
+                    self.tell_holder(
+                        shard,
+                        MeshMessage::Cancelled {
+                            job: id.clone(),
+                            tasks: end.tasks,
+                        },
+                    );
                 }
                 self.end_learned(&id, end);
                 self.answer_end(to, &id, end);
@@ -237,7 +296,10 @@
     /// the other in one transaction, so this order can't miss both.
     pub(crate) fn look_up(&mut self, to: ReplyTo, id: JobId, wish: Wish) {
         self.users.in_flight += 1;
-        self.state(StateCall::Get { key: job_key(&id) }, Pending::LookUp { to, id, wish });
+        self.state(
+            StateCall::Get { key: job_key(&id) },
+            Pending::LookUp { to, id, wish },
+        );
     }
 
     pub(crate) fn look_up_reply(&mut self, to: ReplyTo, id: JobId, wish: Wish, reply: StateReply) {
@@ -246,7 +308,14 @@
             StateReply::Entry(e) => match wish {
                 // What became of the jobs that it needs is known once the view shows it.
                 Wish::Poll if has_needs(&e.value) => match self.jobs.contains_key(&id) {
-                    true => self.answer_waiting(vec![Question { to, id, created: false }], e.version),
+                    true => self.answer_waiting(
+                        vec![Question {
+                            to,
+                            id,
+                            created: false,
+                        }],
+                        e.version,
+                    ),
                     false => self.later(to),
                 },
                 Wish::Poll => self.answer_live(to, &id, false),
@@ -257,7 +326,10 @@
             },
             StateReply::Missing => {
                 self.users.in_flight += 1;
-                self.state(StateCall::Get { key: end_key(&id) }, Pending::LookUpEnd { to, id });
+                self.state(
+                    StateCall::Get { key: end_key(&id) },
+                    Pending::LookUpEnd { to, id },
+                );
             }
             _ => self.later(to),
         }
@@ -291,8 +363,17 @@
                     continue;
                 }
                 bytes += 600
-                    + spec.needs.iter().map(|n| n.as_str().len() + 3).sum::<usize>()
-                    + spec.types.iter().flatten().map(|t| t.len() + 4).sum::<usize>()
+                    + spec
+                        .needs
+                        .iter()
+                        .map(|n| n.as_str().len() + 3)
+                        .sum::<usize>()
+                    + spec
+                        .types
+                        .iter()
+                        .flatten()
+                        .map(|t| t.len() + 4)
+                        .sum::<usize>()
                     + spec.image.len();
                 batch.push((to, spec));
                 if batch.len() >= room || bytes > 40_000 {
@@ -325,7 +406,13 @@
             when.dedup();
             self.users.in_flight += known.len();
             let polls = known.into_iter().map(|k| (k.0, k.1)).collect();
-            self.state(StateCall::Commit { when, apply: vec![] }, Pending::Confirm { polls });
+            self.state(
+                StateCall::Commit {
+                    when,
+                    apply: vec![],
+                },
+                Pending::Confirm { polls },
+            );
         }
     }
 
@@ -335,12 +422,19 @@
             when.push((job_key(&spec.id), 0));
             when.push((end_key(&spec.id), 0));
             let value = serde_json::to_value(&*spec).unwrap_or_default();
-            apply.push(Write::Put { key: job_key(&spec.id), value, lease: None });
+            apply.push(Write::Put {
+                key: job_key(&spec.id),
+                value,
+                lease: None,
+            });
             sent.push((to, spec));
         }
         if !sent.is_empty() {
             self.users.in_flight += sent.len();
-            self.state(StateCall::Commit { when, apply }, Pending::Submit { batch: sent });
+            self.state(
+                StateCall::Commit { when, apply },
+                Pending::Submit { batch: sent },
+            );
         }
     }
 
@@ -348,7 +442,15 @@
     pub(crate) fn verify_unknown(&mut self, to: ReplyTo, spec: Rc<JobSpec>, why: Impossible) {
         self.users.in_flight += 1;
         let key = job_key(&spec.id);
-        self.state(StateCall::Get { key }, Pending::VerifyUnknown { to, spec, why, end: false });
+        self.state(
+            StateCall::Get { key },
+            Pending::VerifyUnknown {
+                to,
+                spec,
+                why,
+                end: false,
+            },
+        );
     }
 
     /// A job that can never run, unless it is known already (settings may have changed since).
@@ -373,7 +475,15 @@
             StateReply::Missing if !end => {
                 self.users.in_flight += 1;
                 let key = end_key(&spec.id);
-                self.state(StateCall::Get { key }, Pending::VerifyUnknown { to, spec, why, end: true });
+                self.state(
+                    StateCall::Get { key },
+                    Pending::VerifyUnknown {
+                        to,
+                        spec,
+                        why,
+                        end: true,
+                    },
+                );
             }
             StateReply::Missing => self.answer(to, Answer::Impossible(why)),
             _ => self.later(to),
@@ -392,7 +502,11 @@
                     if self.store.watches[0].seen() < revision {
                         self.job_appeared(spec, revision);
                     }
-                    created.push(Question { to, id, created: true });
+                    created.push(Question {
+                        to,
+                        id,
+                        created: true,
+                    });
                 }
                 self.answer_confirmed(created, revision);
             }
@@ -417,7 +531,11 @@
         self.users.in_flight -= polls.len();
         match reply {
             StateReply::Committed { revision } => {
-                let polls = polls.into_iter().map(|(to, id)| Question { to, id, created: false });
+                let polls = polls.into_iter().map(|(to, id)| Question {
+                    to,
+                    id,
+                    created: false,
+                });
                 self.answer_confirmed(polls.collect(), revision);
             }
             StateReply::Conflict { failed } => {
@@ -447,7 +565,9 @@
         for q in questions {
             match self.jobs.get(&q.id) {
                 Some(j) if j.chain.waits() => waiting.push(q),
-                None if self.users.ended.get(&q.id).is_none() => self.look_up(q.to, q.id, Wish::Poll),
+                None if self.users.ended.get(&q.id).is_none() => {
+                    self.look_up(q.to, q.id, Wish::Poll)
+                }
                 _ => self.answer_live(q.to, &q.id, q.created),
             }
         }
@@ -455,13 +575,25 @@
     }
 
     pub(crate) fn job_appeared(&mut self, spec: Rc<JobSpec>, version: u64) {
-        let Some(shard) = self.cfg.shard_of(&spec.team) else { return };
+        let Some(shard) = self.cfg.shard_of(&spec.team) else {
+            return;
+        };
         let id = spec.id.clone();
         // An end is for ever: a view that is behind may still show the job.
-        if self.users.ended.get(&id).is_some() || self.jobs.get(&id).is_some_and(|j| j.version >= version) {
+        if self.users.ended.get(&id).is_some()
+            || self.jobs.get(&id).is_some_and(|j| j.version >= version)
+        {
             return;
         }
-        self.jobs.insert(id.clone(), LiveJob { spec: spec.clone(), version, shard, chain: Default::default() });
+        self.jobs.insert(
+            id.clone(),
+            LiveJob {
+                spec: spec.clone(),
+                version,
+                shard,
+                chain: Default::default(),
+            },
+        );
         let waits = self.chain_appeared(&id);
         if let Some(s) = self.shards[shard].as_mut() {
             if s.phase == crate::shard::ShardPhase::Ready {
--- a/crates/seamfront-core/tests/capacity.rs
+++ b/crates/seamfront-core/tests/capacity.rs
@@ -70,10 +70,22 @@
         boot: s(50),
         zones: vec!["x".into()],
     }];
-    let record = MachineRecord { shard: Some(1), kind: "big".into(), zone: "x".into(), spot: false };
+    let record = MachineRecord {
+        shard: Some(1),
+        kind: "big".into(),
+        zone: "x".into(),
+        spot: false,
+    };
     let (id, view) = (MachineId::from("i-0"), held("i-0"));
     let refused = BTreeMap::from([(("big".to_owned(), "x".to_owned(), false), (s(900), 3))]);
-    let machine = Supply { id: &id, shard: 1, record: &record, size: size(), view: Some(&view), age: s(90) };
+    let machine = Supply {
+        id: &id,
+        shard: 1,
+        record: &record,
+        size: size(),
+        view: Some(&view),
+        age: s(90),
+    };
     plan(&Picture {
         now: s(500),
         needs: needs.iter().map(|(shard, need)| (*shard, need)).collect(),
@@ -94,9 +106,19 @@
     let (sooner, later) = (60, 90);
     for (holder_left, cleared) in [(sooner, 0), (later, 1)] {
         let holder = gang("j-1", 1, 2, holder_left);
-        let other = gang("j-2", 1, 1, if holder_left == sooner { later } else { sooner });
+        let other = gang(
+            "j-2",
+            1,
+            1,
+            if holder_left == sooner { later } else { sooner },
+        );
         let plan = plan_for(&[(1, holder), (2, other)]);
-        assert_eq!(plan.clear.len(), cleared, "holder's time left {holder_left}: {:?}", plan.clear);
+        assert_eq!(
+            plan.clear.len(),
+            cleared,
+            "holder's time left {holder_left}: {:?}",
+            plan.clear
+        );
         assert!(plan.returns.is_empty());
     }
 }
@@ -138,8 +160,12 @@
 #[test]
 fn how_long_work_counts_on_a_rented_machine_follows_the_boots_seen() {
     let unknown = Boots::default().late_after("big", s(50));
-    let slow = boots(&[("i-1", 0), ("i-2", 0)], &[("i-1", 190), ("i-2", 200)]).late_after("big", s(50));
+    let slow =
+        boots(&[("i-1", 0), ("i-2", 0)], &[("i-1", 190), ("i-2", 200)]).late_after("big", s(50));
     let fast = boots(&[("i-1", 0)], &[("i-1", 2)]).late_after("big", s(50));
     assert!(slow > s(250), "all are slow now: {slow:?}");
-    assert!(fast >= s(75) && fast < unknown, "the next may take as long as usual: {fast:?}");
+    assert!(
+        fast >= s(75) && fast < unknown,
+        "the next may take as long as usual: {fast:?}"
+    );
 }
--- a/crates/seamfront-core/tests/chains.rs
+++ b/crates/seamfront-core/tests/chains.rs
@@ -58,7 +58,15 @@
     scenario("chains.the_next_step_is_ordered_soon_after_the_last_needed_job_has_ended");
     let mut waits = Vec::new();
     for seed in 2_800..2_808 {
-        let mut w = World::sized(seed, Scale { machines: 24, most: 40, limits: [0; 10], ..SMALL });
+        let mut w = World::sized(
+            seed,
+            Scale {
+                machines: 24,
+                most: 40,
+                limits: [0; 10],
+                ..SMALL
+            },
+        );
         w.quiet_from = ms(1_000);
         for k in 0..8 {
             w.pipeline(200 + 10 * k, 5_000 + 6_000 * i64::from(k));
@@ -69,10 +77,21 @@
     }
     waits.sort();
     let at = |percent: usize| waits[(waits.len() - 1) * percent / 100];
-    println!("{} steps: median {:?}, 90% {:?}, most {:?}", waits.len(), at(50), at(90), at(100));
+    println!(
+        "{} steps: median {:?}, 90% {:?}, most {:?}",
+        waits.len(),
+        at(50),
+        at(90),
+        at(100)
+    );
     assert!(waits.len() > 100, "{} steps", waits.len());
     // Those that take longer wait for a machine of another shard or for one that boots.
-    assert!(at(50) <= ms(250) && at(90) <= ms(5_000), "median {:?}, 90% {:?}", at(50), at(90));
+    assert!(
+        at(50) <= ms(250) && at(90) <= ms(5_000),
+        "median {:?}, 90% {:?}",
+        at(50),
+        at(90)
+    );
 }
 
 /// The first jobs are called off as they end: `done` lets the rest go on, a cancellation ends it.
@@ -80,23 +99,57 @@
 fn a_cancellation_meets_the_end_of_what_others_need() {
     scenario("chains.a_cancellation_meets_the_end_of_what_others_need");
     let coverage = play(2_200..2_210, |w, troubles| {
-        w.fault(ms(1_000), Fault::CancelAtCompletion { until: ms(troubles) });
+        w.fault(
+            ms(1_000),
+            Fault::CancelAtCompletion {
+                until: ms(troubles),
+            },
+        );
         w.fault(ms(1_000), Fault::DelayWrites { until: ms(40_000) });
     });
-    assert!(count(&coverage, "a cancellation, a question and a submission met a job's end") > 50, "{coverage:?}");
+    assert!(
+        count(
+            &coverage,
+            "a cancellation, a question and a submission met a job's end"
+        ) > 50,
+        "{coverage:?}"
+    );
     assert!(count(&coverage, CALLED_OFF) > 5, "{coverage:?}");
 }
 
 fn gap(w: &mut World, _troubles: i64) {
     for (k, claim) in [(0, "share/0"), (1, "share/1")] {
         let at = 14_000 + 38_000 * k;
-        w.fault(ms(at), Fault::RefuseHolder { claim, until: ms(at + 14_000) });
+        w.fault(
+            ms(at),
+            Fault::RefuseHolder {
+                claim,
+                until: ms(at + 14_000),
+            },
+        );
         let spell = w.draw(700..3_000);
-        w.fault(ms(at + 100), Fault::CancelRunning { count: 9, hang: Micros::ZERO });
-        w.fault(ms(at + spell), Fault::Outage { until: ms(at + spell + 34_000) });
+        w.fault(
+            ms(at + 100),
+            Fault::CancelRunning {
+                count: 9,
+                hang: Micros::ZERO,
+            },
+        );
+        w.fault(
+            ms(at + spell),
+            Fault::Outage {
+                until: ms(at + spell + 34_000),
+            },
+        );
         if w.draw(0..2) == 0 {
             let back = ms(w.draw(50..3_000));
-            w.fault(ms(at + spell + 500), Fault::CrashHolder { claim: "share/2", back });
+            w.fault(
+                ms(at + spell + 500),
+                Fault::CrashHolder {
+                    claim: "share/2",
+                    back,
+                },
+            );
         }
     }
 }
@@ -131,27 +184,42 @@
 fn small_values_and_transactions_are_enough() {
     scenario("chains.small_values_and_transactions_are_enough");
     for seed in 2_500..2_504 {
-        let scale = Scale { value_bytes: 2_048, txn_ops: 16, machines: 10, most: 30, ..SMALL };
+        let scale = Scale {
+            value_bytes: 2_048,
+            txn_ops: 16,
+            machines: 10,
+            most: 30,
+            ..SMALL
+        };
         let mut w = World::sized(seed, scale);
         w.quiet_from = ms(120_000);
         let mut small = Vec::new();
         for n in 0..400 {
             let mut spec = w.job(1_000 + n);
-            (spec.kind, spec.class, spec.team, spec.tasks) = (Kind::Array, "small".into(), "d".into(), 1);
+            (spec.kind, spec.class, spec.team, spec.tasks) =
+                (Kind::Array, "small".into(), "d".into(), 1);
             (spec.need, spec.zone, spec.spot) = (Amounts::needed(1.0, 0.0, 1.0), None, true);
             small.push(spec.id.clone());
             w.submit(ms(500 + 100 * i64::from(n)), spec);
         }
         let mut last = w.job(1);
-        (last.kind, last.class, last.team, last.tasks) = (Kind::Array, "last".into(), "d".into(), 2);
+        (last.kind, last.class, last.team, last.tasks) =
+            (Kind::Array, "last".into(), "d".into(), 2);
         (last.zone, last.spread, last.one_zone, last.needs) = (None, false, false, small);
         w.submit(ms(45_000), last);
         let mut large = w.job(2);
-        (large.kind, large.class, large.team, large.tasks) = (Kind::Array, "large".into(), "d".into(), 400);
+        (large.kind, large.class, large.team, large.tasks) =
+            (Kind::Array, "large".into(), "d".into(), 400);
         (large.need, large.zone) = (Amounts::needed(1.0, 0.0, 1.0), None);
         w.submit(ms(2_000), large);
         for k in 0..4 {
-            w.fault(ms(20_000 + 20_000 * k), Fault::CrashHolder { claim: "share/0", back: ms(4_500) });
+            w.fault(
+                ms(20_000 + 20_000 * k),
+                Fault::CrashHolder {
+                    claim: "share/0",
+                    back: ms(4_500),
+                },
+            );
             w.fault(ms(24_000 + 20_000 * k), Fault::KillMachines { count: 1 });
         }
         w.run_until(ms(420_000));
--- a/crates/seamfront-core/tests/cleaning.rs
+++ b/crates/seamfront-core/tests/cleaning.rs
@@ -8,10 +8,16 @@
 use world::script::{history_of, pairs_of_all_kinds};
 use world::{ms, Scale, World, SMALL};
 
-const DUTIES: Scale = Scale { duties: true, ..SMALL };
+const DUTIES: Scale = Scale {
+    duties: true,
+    ..SMALL
+};
 
 fn leftovers(n: u32) -> [String; 2] {
-    [format!("needs/j-{n:06}/00001"), format!("part/1/j-{n:06}/00000")]
+    [
+        format!("needs/j-{n:06}/00001"),
+        format!("part/1/j-{n:06}/00000"),
+    ]
 }
 
 /// One and a half times the time between two sweeps.
@@ -45,10 +51,20 @@
         sweep(&mut w);
         for n in 0..45 {
             let [needs, part] = leftovers(n);
-            assert_eq!(w.stored_keys(&needs).is_empty(), ended(&w, n), "seed {seed}: {needs}");
-            assert!(n == 1 || w.stored_keys(&part).is_empty(), "seed {seed}: {part}");
+            assert_eq!(
+                w.stored_keys(&needs).is_empty(),
+                ended(&w, n),
+                "seed {seed}: {needs}"
+            );
+            assert!(
+                n == 1 || w.stored_keys(&part).is_empty(),
+                "seed {seed}: {part}"
+            );
         }
-        assert!(!w.stored_keys("part/1/j-000001/").is_empty() || !ended(&w, 1), "a part whose head is there");
+        assert!(
+            !w.stored_keys("part/1/j-000001/").is_empty() || !ended(&w, 1),
+            "a part whose head is there"
+        );
         assert_eq!(w.stored_keys("needs/j-0009").len(), 20, "seed {seed}");
         assert_eq!(w.stored_keys("part/1/j-0009").len(), 20, "seed {seed}");
     }
@@ -58,8 +74,18 @@
 #[test]
 fn many_leftovers_of_one_job_are_removed_in_several_transactions() {
     scenario("cleaning.many_leftovers_of_one_job_are_removed_in_several_transactions");
-    let mut w = history_of(4_100, Scale { value_bytes: 4_096, txn_ops: 16, ..DUTIES }, |_, _| {});
-    let job = (0..45).find(|n| !w.stored_keys(&format!("end/j-{n:06}")).is_empty()).expect("a job that has ended");
+    let mut w = history_of(
+        4_100,
+        Scale {
+            value_bytes: 4_096,
+            txn_ops: 16,
+            ..DUTIES
+        },
+        |_, _| {},
+    );
+    let job = (0..45)
+        .find(|n| !w.stored_keys(&format!("end/j-{n:06}")).is_empty())
+        .expect("a job that has ended");
     for part in 0..100 {
         w.leave_key(&format!("needs/j-{job:06}/{part:05}"));
     }
--- a/crates/seamfront-core/tests/duties.rs
+++ b/crates/seamfront-core/tests/duties.rs
@@ -9,8 +9,15 @@
 use world::script::{add_coverage, count, history_of, pairs_of_all_kinds, Coverage};
 use world::{ms, Fault, Scale, World, NODES, SMALL};
 
-const DUTIES: Scale = Scale { duties: true, ..SMALL };
-const CLAIMS: [&str; 3] = ["duty/claim/renting", "duty/claim/returning", "duty/claim/moving"];
+const DUTIES: Scale = Scale {
+    duties: true,
+    ..SMALL
+};
+const CLAIMS: [&str; 3] = [
+    "duty/claim/renting",
+    "duty/claim/returning",
+    "duty/claim/moving",
+];
 const ACTED: &str = "a duty acted on the cloud";
 
 /// Holders of duties crash, are refused by the store, cut off, or stand still.
@@ -25,11 +32,19 @@
             0 => Fault::CrashHolder { claim, back },
             1 => Fault::RefuseHolder { claim, until },
             2 => Fault::IsolateHolder { claim, until },
-            _ => Fault::PauseNode { node: w.draw(0..NODES as i64) as usize, until },
+            _ => Fault::PauseNode {
+                node: w.draw(0..NODES as i64) as usize,
+                until,
+            },
         };
         w.fault(ms(at), fault);
     }
-    w.fault(ms(5_000), Fault::LoseCommitAnswers { until: ms(troubles / 2) });
+    w.fault(
+        ms(5_000),
+        Fault::LoseCommitAnswers {
+            until: ms(troubles / 2),
+        },
+    );
 }
 
 #[test]
@@ -38,7 +53,11 @@
     let mut coverage = Coverage::new();
     for seed in 5_000..5_010 {
         let w = history_of(seed, DUTIES, holders_in_trouble);
-        assert_eq!(w.stored("duty/switch"), 1, "seed {seed}: the leader's claim carries everything still");
+        assert_eq!(
+            w.stored("duty/switch"),
+            1,
+            "seed {seed}: the leader's claim carries everything still"
+        );
         add_coverage(&mut coverage, w.coverage);
     }
     assert!(count(&coverage, ACTED) > 1_000, "{coverage:?}");
@@ -52,12 +71,19 @@
         let end = w.now + ms(60_000);
         w.run_until(end);
         let holders: Vec<Option<usize>> = CLAIMS.iter().map(|claim| w.holder(claim)).collect();
-        assert!(holders[0].is_some() && holders.iter().all(|holder| *holder == holders[0]), "{holders:?}");
+        assert!(
+            holders[0].is_some() && holders.iter().all(|holder| *holder == holders[0]),
+            "{holders:?}"
+        );
         assert_eq!(w.holder("leader"), None, "the former claim names a member");
         // What is under way was begun under the present token: everything of former holders is settled.
         let token = w.claim_version(CLAIMS[0]).expect("a claim");
         let foreign = |key: &String| !key.starts_with(&format!("rent/r-{token}-"));
-        assert!(!w.stored_keys("rent/").iter().any(foreign), "{:?}", w.stored_keys("rent/"));
+        assert!(
+            !w.stored_keys("rent/").iter().any(foreign),
+            "{:?}",
+            w.stored_keys("rent/")
+        );
     }
 }
 
@@ -72,7 +98,11 @@
         w.start_with_old_version();
         for n in 0..40 {
             let spec = w.job(n);
-            let (at, id, service) = (w.draw(500..110_000), spec.id.clone(), spec.kind == Kind::Service);
+            let (at, id, service) = (
+                w.draw(500..110_000),
+                spec.id.clone(),
+                spec.kind == Kind::Service,
+            );
             w.submit(ms(at), spec);
             if service || w.draw(0..4) == 0 {
                 let later = w.draw(2_000..30_000);
@@ -82,12 +112,22 @@
         pairs_of_all_kinds(&mut w, 90_000);
         for node in 0..NODES {
             let at = 20_000 + 25_000 * node as i64 + w.draw(0..8_000);
-            w.fault(ms(at - 9_000), Fault::Crash { nodes: vec![node], back: ms(1_000) });
+            w.fault(
+                ms(at - 9_000),
+                Fault::Crash {
+                    nodes: vec![node],
+                    back: ms(1_000),
+                },
+            );
             let back = ms(w.draw(300..5_000));
             w.fault(ms(at), Fault::Upgrade { node, back });
         }
         w.run_until(ms(60_000));
-        assert_eq!(w.stored("duty/claim/"), 0, "seed {seed}: duties beside an old controller");
+        assert_eq!(
+            w.stored("duty/claim/"),
+            0,
+            "seed {seed}: duties beside an old controller"
+        );
         w.run_until(ms(480_000));
         assert_eq!(w.owed(), Vec::<String>::new(), "seed {seed}");
         assert_eq!(w.stored("duty/claim/"), 4, "seed {seed}");
--- a/crates/seamfront-core/tests/evidence.rs
+++ b/crates/seamfront-core/tests/evidence.rs
@@ -21,21 +21,35 @@
 /// report must not free its number for a third place.
 #[test]
 fn a_copy_from_before_the_takeover_shows_neither_exits_nor_omissions() {
-    for shown in
-        [vec![("j-0", 3, TaskState::Exited(Exit::Peers))], vec![("j-0", 3, TaskState::Exited(Exit::Done))], vec![]]
-    {
+    for shown in [
+        vec![("j-0", 3, TaskState::Exited(Exit::Peers))],
+        vec![("j-0", 3, TaskState::Exited(Exit::Done))],
+        vec![],
+    ] {
         for session in [1, 9] {
             let mut h = Held::new(1, 1);
             let orders = h.hello(s(101), &report("i-0", session, 88, 12, &shown));
             assert!(h.placed("j-0"), "{shown:?} counted as evidence");
-            assert!(orders.is_empty(), "{orders:?} ordered on the word of what may be a copy");
+            assert!(
+                orders.is_empty(),
+                "{orders:?} ordered on the word of what may be a copy"
+            );
             assert!(h.shard.jobs[&JobId::from("j-0")].done.count() == 0);
         }
     }
     // The same from a worker that has heard us counts.
     let mut h = Held::new(1, 1);
     h.hello(s(101), &report("i-0", 1, 88, 12, &[]));
-    h.hello(s(102), &report("i-0", 1, 89, CLAIM, &[("j-0", 3, TaskState::Exited(Exit::Peers))]));
+    h.hello(
+        s(102),
+        &report(
+            "i-0",
+            1,
+            89,
+            CLAIM,
+            &[("j-0", 3, TaskState::Exited(Exit::Peers))],
+        ),
+    );
     assert!(!h.placed("j-0"));
 }
 
@@ -57,9 +71,27 @@
     for (n, t) in (101..150).step_by(2).enumerate() {
         for k in 1..8 {
             let own = format!("j-{k}");
-            h.hello(s(t), &report(&format!("i-{k}"), 1, 90 + n as u64, CLAIM, &[(&own, 3, TaskState::Running)]));
+            h.hello(
+                s(t),
+                &report(
+                    &format!("i-{k}"),
+                    1,
+                    90 + n as u64,
+                    CLAIM,
+                    &[(&own, 3, TaskState::Running)],
+                ),
+            );
         }
-        h.hello(s(t), &report("i-0", 1, 90 + n as u64, 12, &[("j-0", 3, TaskState::Running)]));
+        h.hello(
+            s(t),
+            &report(
+                "i-0",
+                1,
+                90 + n as u64,
+                12,
+                &[("j-0", 3, TaskState::Running)],
+            ),
+        );
     }
     assert!(h.shard.machines[&MachineId::from("i-0")].hears_nothing());
     h.with(s(150), |s, context| s.tick(context));
@@ -73,7 +105,10 @@
     for (n, t) in (101..160).step_by(2).enumerate() {
         for k in 0..8 {
             let token = if k < 4 { 12 } else { CLAIM };
-            h.hello(s(t), &report(&format!("i-{k}"), 1, 90 + n as u64, token, &[]));
+            h.hello(
+                s(t),
+                &report(&format!("i-{k}"), 1, 90 + n as u64, token, &[]),
+            );
         }
     }
     h.with(s(160), |s, context| s.tick(context));
@@ -95,7 +130,12 @@
         }
         h.with(s(at), |s, context| s.tick(context));
         let writes = h.machine_writes(s(at), 60);
-        assert_eq!(writes.len(), given_up, "{silent} silent, {} s later", at - 101);
+        assert_eq!(
+            writes.len(),
+            given_up,
+            "{silent} silent, {} s later",
+            at - 101
+        );
         assert!(writes.iter().all(|(_, ours)| !ours));
     }
 }
@@ -106,9 +146,12 @@
 #[test]
 fn a_machine_that_comes_back_as_it_is_given_up_is_not_used() {
     use seamfront_core::shard::WriteOutcome::*;
-    for (outcomes, usable) in
-        [(vec![], false), (vec![Refused], true), (vec![Unclear], false), (vec![Unclear, Done(60)], true)]
-    {
+    for (outcomes, usable) in [
+        (vec![], false),
+        (vec![Refused], true),
+        (vec![Unclear], false),
+        (vec![Unclear, Done(60)], true),
+    ] {
         let mut h = Held::new(8, 0);
         for t in (101..140).step_by(2) {
             for k in 0..8 {
@@ -132,7 +175,13 @@
             writes = h.shard.writes(s(143), 100, &Layout::single(32 * 1024));
         }
         h.hello(s(144), &report("i-0", 1, 144, token, &[]));
-        h.shard.add_machine("i-0".into(), machine_of(Some(0)), 7, Amounts::offered(8.0, 0.0, 32.0), s(144));
+        h.shard.add_machine(
+            "i-0".into(),
+            machine_of(Some(0)),
+            7,
+            Amounts::offered(8.0, 0.0, 32.0),
+            s(144),
+        );
         let m = &h.shard.machines[&MachineId::from("i-0")];
         assert_eq!(m.usable(s(144), s(2), CLAIM), usable);
     }
@@ -143,9 +192,19 @@
 #[test]
 fn nothing_is_started_on_a_machine_that_is_being_given_up() {
     let mut h = Held::new(8, 1);
-    let task = TaskKey { job: "j-0".into(), index: 0 };
+    let task = TaskKey {
+        job: "j-0".into(),
+        index: 0,
+    };
     // Placed by this holder, and to be started when the machine is silent already.
-    let placed = h.shard.jobs.get_mut(&task.job).unwrap().tasks.get_mut(&0).unwrap();
+    let placed = h
+        .shard
+        .jobs
+        .get_mut(&task.job)
+        .unwrap()
+        .tasks
+        .get_mut(&0)
+        .unwrap();
     (placed.gen, placed.not_before) = (1, s(110));
     for t in (101..140).step_by(2) {
         for k in 0..8 {
@@ -158,17 +217,25 @@
     let silent = Micros::from_millis(113_100);
     h.with(silent, |s, context| s.tick(context));
     let writes = h.shard.writes(silent, 100, &Layout::single(32 * 1024));
-    assert!(writes.iter().any(|w| matches!(w, ShardWrite::Machine { record, .. } if record.shard.is_none())));
+    assert!(writes
+        .iter()
+        .any(|w| matches!(w, ShardWrite::Machine { record, .. } if record.shard.is_none())));
     let start = Order::Start { task, attempt: 3 };
-    assert!(!h.hello(silent, &report("i-0", 1, 141, CLAIM, &[])).contains(&start));
+    assert!(!h
+        .hello(silent, &report("i-0", 1, 141, CLAIM, &[]))
+        .contains(&start));
     // The store refused: it is ours as before.
     for w in &writes {
-        h.with(silent, |s, context| s.written(context, w, seamfront_core::shard::WriteOutcome::Refused));
+        h.with(silent, |s, context| {
+            s.written(context, w, seamfront_core::shard::WriteOutcome::Refused)
+        });
     }
     // Judged anew once it has been heard.
     let heard = silent + Micros::from_millis(150);
     h.with(heard, |s, context| s.tick(context));
-    assert!(h.hello(heard, &report("i-0", 1, 142, CLAIM, &[])).contains(&start));
+    assert!(h
+        .hello(heard, &report("i-0", 1, 142, CLAIM, &[]))
+        .contains(&start));
 }
 
 /// It showed our token before it went deaf, so that proves nothing any more: a lease that ends
@@ -191,14 +258,19 @@
 #[test]
 fn an_older_report_changes_nothing() {
     let mut h = Held::new(1, 1);
-    h.hello(s(101), &report("i-0", 2, 88, CLAIM, &[("j-0", 3, TaskState::Running)]));
+    h.hello(
+        s(101),
+        &report("i-0", 2, 88, CLAIM, &[("j-0", 3, TaskState::Running)]),
+    );
     let newest = |h: &Held| {
         let m = &h.shard.machines[&MachineId::from("i-0")];
         (m.session, m.seq, m.seen_token, m.last_report, m.notice)
     };
     let before = newest(&h);
     for (session, seq) in [(1, 500), (2, 88), (2, 3)] {
-        h.with(s(120), |s, context| assert!(!s.take_report(context, &report("i-0", session, seq, CLAIM, &[]), true)));
+        h.with(s(120), |s, context| {
+            assert!(!s.take_report(context, &report("i-0", session, seq, CLAIM, &[]), true))
+        });
         assert_eq!(newest(&h), before);
         assert!(h.placed("j-0"));
     }
@@ -215,11 +287,20 @@
 }
 
 fn put(key: &str, value: impl serde::Serialize) -> Write {
-    Write::Put { key: key.to_owned(), value: serde_json::to_value(value).unwrap(), lease: None }
+    Write::Put {
+        key: key.to_owned(),
+        value: serde_json::to_value(value).unwrap(),
+        lease: None,
+    }
 }
 
 fn machine_of(shard: Option<usize>) -> MachineRecord {
-    MachineRecord { shard, kind: "m".into(), zone: "z".into(), spot: false }
+    MachineRecord {
+        shard,
+        kind: "m".into(),
+        zone: "z".into(),
+        spot: false,
+    }
 }
 
 /// One task of attempt 3 on a machine.
@@ -256,8 +337,19 @@
             put("types", vec![kind]),
         ];
         apply.extend(more);
-        store.execute(Micros::ZERO, &StateCall::Commit { when: vec![], apply });
-        Alone { engine: Engine::new(settings()), store, reached: true, watches: Vec::new() }
+        store.execute(
+            Micros::ZERO,
+            &StateCall::Commit {
+                when: vec![],
+                apply,
+            },
+        );
+        Alone {
+            engine: Engine::new(settings()),
+            store,
+            reached: true,
+            watches: Vec::new(),
+        }
     }
 
     fn run(&mut self, from: i64, to: i64) {
@@ -267,7 +359,13 @@
     }
 
     fn write(&mut self, apply: Vec<Write>) {
-        self.store.execute(Micros::ZERO, &StateCall::Commit { when: vec![], apply });
+        self.store.execute(
+            Micros::ZERO,
+            &StateCall::Commit {
+                when: vec![],
+                apply,
+            },
+        );
     }
 
     /// Reports of i-0 that show every token until `to`; returns whether anything was started on it.
@@ -277,7 +375,11 @@
             let r = Box::new(report("i-0", 1, t as u64, token, &[]));
             let effects = self.step(s(t), vec![Command::Report { to: 7, report: r }]);
             effects.iter().any(|e| match e {
-                Effect::Orders { token: shown, orders, .. } => {
+                Effect::Orders {
+                    token: shown,
+                    orders,
+                    ..
+                } => {
                     token = *shown;
                     orders.iter().any(|o| matches!(o, Order::Start { .. }))
                 }
@@ -293,19 +395,32 @@
         let store = &mut self.store;
         self.watches.retain(|(call, request)| {
             let lags = matches!(request, StateCall::Changes { prefix, .. } if prefix == "machine/");
-            let reply = if lags { None } else { store.execute(now, request) };
-            commands.extend(reply.clone().map(|reply| Command::State { call: *call, reply }));
+            let reply = if lags {
+                None
+            } else {
+                store.execute(now, request)
+            };
+            commands.extend(
+                reply
+                    .clone()
+                    .map(|reply| Command::State { call: *call, reply }),
+            );
             reply.is_none()
         });
         loop {
             let effects = self.engine.step(now, now, std::mem::take(&mut commands));
             for e in effects {
                 match e {
-                    Effect::State { call, request } if self.reached => match self.store.execute(now, &request) {
-                        Some(reply) => commands.push(Command::State { call, reply }),
-                        None => self.watches.push((call, request)),
-                    },
-                    Effect::State { call, .. } => commands.push(Command::State { call, reply: StateReply::Unknown }),
+                    Effect::State { call, request } if self.reached => {
+                        match self.store.execute(now, &request) {
+                            Some(reply) => commands.push(Command::State { call, reply }),
+                            None => self.watches.push((call, request)),
+                        }
+                    }
+                    Effect::State { call, .. } => commands.push(Command::State {
+                        call,
+                        reply: StateReply::Unknown,
+                    }),
                     e => rest.push(e),
                 }
             }
@@ -322,11 +437,20 @@
 
     /// The token that the report was answered with, or None for a 421.
     fn hello(&mut self, now: Micros, report: Report) -> Option<u64> {
-        let effects = self.step(now, vec![Command::Report { to: 7, report: Box::new(report) }]);
+        let effects = self.step(
+            now,
+            vec![Command::Report {
+                to: 7,
+                report: Box::new(report),
+            }],
+        );
         let answer = effects.into_iter().find_map(|e| match e {
             Effect::Orders { to: 7, token, .. } => Some(Some(token)),
             Effect::Elsewhere { to: 7, member } => {
-                assert_eq!(member, None, "no name: the worker must look for the newer holder itself");
+                assert_eq!(
+                    member, None,
+                    "no name: the worker must look for the newer holder itself"
+                );
                 Some(None)
             }
             _ => None,
@@ -340,9 +464,14 @@
 #[test]
 fn a_worker_that_has_seen_a_newer_token_is_sent_away() {
     let mut a = Alone::new();
-    let token = a.hello(s(3), report("i-0", 1, 1, 0, &[])).expect("it is ours");
+    let token = a
+        .hello(s(3), report("i-0", 1, 1, 0, &[]))
+        .expect("it is ours");
     assert_eq!(a.hello(s(4), report("i-0", 1, 2, token + 5, &[])), None);
-    assert!(a.hello(s(4), report("i-1", 1, 2, 0, &[])).is_some(), "the share is still ours");
+    assert!(
+        a.hello(s(4), report("i-1", 1, 2, 0, &[])).is_some(),
+        "the share is still ours"
+    );
 }
 
 /// Without the state service a holder goes on while it may, but not against a worker that has heard
@@ -352,11 +481,19 @@
 fn a_holder_cut_off_gives_up_at_once_when_a_worker_shows_a_newer_token() {
     for newer in [false, true] {
         let mut a = Alone::new();
-        let token = a.hello(s(3), report("i-0", 1, 1, 0, &[])).expect("it is ours");
+        let token = a
+            .hello(s(3), report("i-0", 1, 1, 0, &[]))
+            .expect("it is ours");
         a.reached = false;
-        assert!(a.hello(s(9), report("i-1", 1, 2, 0, &[])).is_some(), "it may act for a while");
+        assert!(
+            a.hello(s(9), report("i-1", 1, 2, 0, &[])).is_some(),
+            "it may act for a while"
+        );
         let shown = if newer { token + 5 } else { token };
-        assert_eq!(a.hello(s(10), report("i-0", 1, 2, shown, &[])).is_none(), newer);
+        assert_eq!(
+            a.hello(s(10), report("i-0", 1, 2, shown, &[])).is_none(),
+            newer
+        );
         assert_eq!(a.hello(s(10), report("i-1", 1, 3, 0, &[])).is_none(), newer);
     }
 }
@@ -374,7 +511,9 @@
     let mut a = Alone::with(taken);
     a.run(0, 2_000);
     assert!(!a.starts_on_first(2, 9), "i-9 is still there");
-    a.write(vec![Write::Delete { key: machine_key(&"i-9".into()) }]);
+    a.write(vec![Write::Delete {
+        key: machine_key(&"i-9".into()),
+    }]);
     // The view of machines lags in this store; it is read anew by whoever takes the shard.
     a.engine = Engine::new(settings());
     a.run(9_000, 15_000);
@@ -390,16 +529,27 @@
         member: String,
         lease: u64,
     }
-    let mut a = Alone::with(vec![put("share/0", Claim { member: "b".into(), lease: 77 })]);
+    let mut a = Alone::with(vec![put(
+        "share/0",
+        Claim {
+            member: "b".into(),
+            lease: 77,
+        },
+    )]);
     a.run(0, 2_000);
     a.write(vec![
         put(&machine_key(&"i-9".into()), machine_of(Some(0))),
         put("job/j-0", &*job("j-0", 1)),
         put("work/0/j-0", placed_on("i-9")),
     ]);
-    a.write(vec![Write::Delete { key: "share/0".into() }]);
+    a.write(vec![Write::Delete {
+        key: "share/0".into(),
+    }]);
     a.run(2_000, 4_000);
-    assert!(!a.starts_on_first(4, 12), "it may run on i-9, which was rented a moment ago");
+    assert!(
+        !a.starts_on_first(4, 12),
+        "it may run on i-9, which was rented a moment ago"
+    );
 }
 
 /// The leader's wish came while the former holder's records were being read, when no machine seemed to have
@@ -411,15 +561,23 @@
     let id = MachineId::from("i-0");
     h.shard.phase = ShardPhase::Loading;
     h.shard.machines.get_mut(&id).unwrap().tasks.clear();
-    h.with(s(101), |s, context| s.release(context, &["i-0".into()], None));
+    h.with(s(101), |s, context| {
+        s.release(context, &["i-0".into()], None)
+    });
     assert!(h.shard.machines[&id].released.is_none());
     // Nor is one that has tasks shown as released, whatever came before.
     h.shard.phase = ShardPhase::Ready;
-    let task = TaskKey { job: "j-0".into(), index: 0 };
+    let task = TaskKey {
+        job: "j-0".into(),
+        index: 0,
+    };
     let m = h.shard.machines.get_mut(&id).unwrap();
     m.tasks.insert(task);
     m.released = Some(s(101));
-    assert!(h.with(s(102), |s, context| s.views(context)).iter().all(|v| !v.released));
+    assert!(h
+        .with(s(102), |s, context| s.views(context))
+        .iter()
+        .all(|v| !v.released));
 }
 
 /// The former holder knew that the task was gone, gave its part of the team's limit to another job, and fell
@@ -443,15 +601,25 @@
     h.hello(s(101), &report("i-0", 1, 88, CLAIM, &[]));
     let direct = |h: &mut Held, now, session, seq| {
         let m = h.shard.machines.get_mut(&id).unwrap();
-        m.direct = Some(Direct { call: 7, token: CLAIM, session, unknown: false });
-        let outcome = DirectOutcome::Settled { report: Box::new(report("i-0", session, seq, CLAIM, &[])) };
+        m.direct = Some(Direct {
+            call: 7,
+            token: CLAIM,
+            session,
+            unknown: false,
+        });
+        let outcome = DirectOutcome::Settled {
+            report: Box::new(report("i-0", session, seq, CLAIM, &[])),
+        };
         h.with(now, |s, context| s.direct_result(context, 7, &id, outcome));
     };
     for (n, t) in (102..113).enumerate() {
         direct(&mut h, s(t), 1, 89 + n as u64);
     }
     let m = &h.shard.machines[&id];
-    assert!(!m.usable(s(112), s(2), CLAIM), "no report of its own for eleven seconds");
+    assert!(
+        !m.usable(s(112), s(2), CLAIM),
+        "no report of its own for eleven seconds"
+    );
     assert_eq!(m.silent_for(s(112)), s(11));
     // A session that only an answer showed may have begun at that moment, and lasts as long as any.
     direct(&mut h, s(113), 2, 1);
@@ -464,10 +632,19 @@
 fn an_outcome_settles_only_its_own_command() {
     let mut h = Held::new(1, 0);
     let id = MachineId::from("i-0");
-    h.shard.machines.get_mut(&id).unwrap().direct = Some(Direct { call: 9, token: CLAIM, session: 1, unknown: false });
-    h.with(s(101), |s, context| s.direct_result(context, 8, &id, DirectOutcome::NotSent));
+    h.shard.machines.get_mut(&id).unwrap().direct = Some(Direct {
+        call: 9,
+        token: CLAIM,
+        session: 1,
+        unknown: false,
+    });
+    h.with(s(101), |s, context| {
+        s.direct_result(context, 8, &id, DirectOutcome::NotSent)
+    });
     assert!(h.shard.machines[&id].direct.is_some());
-    h.with(s(101), |s, context| s.direct_result(context, 9, &id, DirectOutcome::NotSent));
+    h.with(s(101), |s, context| {
+        s.direct_result(context, 9, &id, DirectOutcome::NotSent)
+    });
     assert!(h.shard.machines[&id].direct.is_none());
 }
 
@@ -477,38 +654,56 @@
 #[test]
 fn the_last_answer_and_a_lease_end_before_a_cancellation_falls_due() {
     let mut alone = Alone::new();
-    let token = alone.hello(s(2), report("i-0", 1, 1, 0, &[])).expect("it holds the share");
+    let token = alone
+        .hello(s(2), report("i-0", 1, 1, 0, &[]))
+        .expect("it holds the share");
     // Proofs are made every second, so the last one was sent within this second.
     let proven = s(1);
     alone.reached = false;
     let mut last = Micros::ZERO;
     for (n, t) in (2_050..40_000).step_by(50).enumerate() {
         let now = Micros::from_millis(t);
-        if alone.hello(now, report("i-0", 1, 2 + n as u64, token, &[])).is_some() {
+        if alone
+            .hello(now, report("i-0", 1, 2 + n as u64, token, &[]))
+            .is_some()
+        {
             last = now;
         }
     }
     let cfg = settings();
-    assert!(last > s(2) + cfg.acting_time() - s(1), "an outage shorter than that costs nothing");
+    assert!(
+        last > s(2) + cfg.acting_time() - s(1),
+        "an outage shorter than that costs nothing"
+    );
     let drift = |t: Micros| Micros(t.0 + t.0 / 2_000);
-    assert!(drift(last - proven) + drift(cfg.lease) < cfg.cancel, "answered until {last:?}");
+    assert!(
+        drift(last - proven) + drift(cfg.lease) < cfg.cancel,
+        "answered until {last:?}"
+    );
 }
 
 /// A process that is back within a moment remembers no proof: while the store is away it answers nobody.
 #[test]
 fn back_at_once_it_acts_on_no_proof_of_its_former_life() {
     let mut alone = Alone::new();
-    let token = alone.hello(s(2), report("i-0", 1, 1, 0, &[])).expect("it holds the share");
+    let token = alone
+        .hello(s(2), report("i-0", 1, 1, 0, &[]))
+        .expect("it holds the share");
     alone.engine = Engine::new(settings());
     alone.watches.clear();
     alone.reached = false;
     for t in 0..40 {
-        assert_eq!(alone.hello(s(t), report("i-0", 1, 2 + t as u64, token, &[])), None);
+        assert_eq!(
+            alone.hello(s(t), report("i-0", 1, 2 + t as u64, token, &[])),
+            None
+        );
     }
     // And once the store answers, it claims anew: its token is higher than that of its former life.
     alone.reached = true;
     alone.run(40_000, 43_000);
-    assert!(alone.hello(s(43), report("i-0", 1, 60, token, &[])).is_some_and(|t| t > token));
+    assert!(alone
+        .hello(s(43), report("i-0", 1, 60, token, &[]))
+        .is_some_and(|t| t > token));
 }
 
 /// With any lease and any time to cancel that leave room, and clocks that drift by 0.05% each: what was answered
@@ -518,12 +713,19 @@
 fn the_time_to_act_without_proof_leaves_room_for_a_whole_lease() {
     for lease in 5..60 {
         for room in 6..60 {
-            let cfg = Settings { lease: s(lease), cancel: s(lease + room), ..settings() };
+            let cfg = Settings {
+                lease: s(lease),
+                cancel: s(lease + room),
+                ..settings()
+            };
             if !cfg.acting_time_fits() {
                 continue;
             }
             let slow = |t: Micros| Micros(t.0 + t.0 / 2_000);
-            assert!(slow(cfg.acting_time()) + slow(cfg.lease) + s(3) <= cfg.cancel, "{lease} {room}");
+            assert!(
+                slow(cfg.acting_time()) + slow(cfg.lease) + s(3) <= cfg.cancel,
+                "{lease} {room}"
+            );
         }
     }
 }
@@ -534,12 +736,22 @@
 #[test]
 fn a_claim_that_was_given_up_is_not_acted_on_again() {
     let mut a = Alone::new();
-    let token = a.hello(s(3), report("i-0", 1, 1, 0, &[])).expect("it is ours");
+    let token = a
+        .hello(s(3), report("i-0", 1, 1, 0, &[]))
+        .expect("it is ours");
     a.reached = false;
-    assert_eq!(a.hello(s(10), report("i-0", 1, 2, token + 5, &[])), None, "given up");
+    assert_eq!(
+        a.hello(s(10), report("i-0", 1, 2, token + 5, &[])),
+        None,
+        "given up"
+    );
     a.reached = true;
     a.run(10_050, 13_000);
-    assert!(a.hello(s(13), report("i-1", 1, 1, 0, &[])).is_some_and(|t| t > token), "acted again under {token}");
+    assert!(
+        a.hello(s(13), report("i-1", 1, 1, 0, &[]))
+            .is_some_and(|t| t > token),
+        "acted again under {token}"
+    );
 }
 
 /// A former holder wrote it for a store that took more in a value: it is not sent again and again in front of others,
@@ -552,17 +764,30 @@
     former.next_attempt = 900;
     let mut record: WorkRecord = former.to_record();
     for k in 0..100 {
-        record.placed.insert(format!("i-{:06}", 500 + k).as_str().into(), vec![(k, k + 1, 100 + u64::from(k))]);
+        record.placed.insert(
+            format!("i-{:06}", 500 + k).as_str().into(),
+            vec![(k, k + 1, 100 + u64::from(k))],
+        );
     }
     h.shard.adopt_record(
         spec.id.clone(),
         Some((spec.clone(), 5)),
-        StoredRecord { record, version: 9, parts_end: 0 },
+        StoredRecord {
+            record,
+            version: 9,
+            parts_end: 0,
+        },
         s(100),
     );
     h.shard.jobs.get_mut(&spec.id).unwrap().record.touch();
-    assert_eq!(h.shard.jobs[&spec.id].record_room(&Layout::single(2_048)), 0);
-    assert!(h.shard.writes(s(105), 100, &Layout::single(2_048)).is_empty());
+    assert_eq!(
+        h.shard.jobs[&spec.id].record_room(&Layout::single(2_048)),
+        0
+    );
+    assert!(h
+        .shard
+        .writes(s(105), 100, &Layout::single(2_048))
+        .is_empty());
     assert!(h
         .shard
         .writes(s(106), 100, &Layout::single(32 * 1024))
@@ -572,7 +797,11 @@
     job.record.in_flight = false;
     job.tasks.retain(|i, _| *i < 30);
     assert!(job.record_room(&Layout::single(2_048)) > 0);
-    assert!(h.shard.writes(s(110), 100, &Layout::single(2_048)).iter().any(|w| matches!(w, ShardWrite::Record { .. })));
+    assert!(h
+        .shard
+        .writes(s(110), 100, &Layout::single(2_048))
+        .iter()
+        .any(|w| matches!(w, ShardWrite::Record { .. })));
 }
 
 /// What may be placed at once is counted as it will be written: the record of that many fits.
@@ -588,9 +817,14 @@
         let mut record = j.to_record();
         for k in 0..room.min(tasks) {
             let runs = vec![(tasks - 1, tasks, 99_999)];
-            record.placed.insert(format!("i-{:08}", 10_000_000 + k).as_str().into(), runs);
+            record
+                .placed
+                .insert(format!("i-{:08}", 10_000_000 + k).as_str().into(), runs);
         }
-        assert!(room > 0 && serde_json::to_string(&record).unwrap().len() <= value, "{tasks} tasks, {value} bytes");
+        assert!(
+            room > 0 && serde_json::to_string(&record).unwrap().len() <= value,
+            "{tasks} tasks, {value} bytes"
+        );
     }
 }
 
@@ -603,22 +837,45 @@
     let id: JobId = "j-2".into();
     a.write(vec![put(&job_key(&id), &*job("j-2", 1))]);
     a.run(2_000, 3_000);
-    let asked = a.engine.step(s(3), s(3), vec![Command::Poll { to: 9, id: id.clone() }]);
+    let asked = a.engine.step(
+        s(3),
+        s(3),
+        vec![Command::Poll {
+            to: 9,
+            id: id.clone(),
+        }],
+    );
     let confirms = |e: &Effect| match e {
-        Effect::State { call, request: StateCall::Commit { when, apply } } if apply.is_empty() => {
-            when.iter().any(|w| w.0 == job_key(&id)).then_some(*call)
-        }
+        Effect::State {
+            call,
+            request: StateCall::Commit { when, apply },
+        } if apply.is_empty() => when.iter().any(|w| w.0 == job_key(&id)).then_some(*call),
         _ => None,
     };
-    let call = asked.iter().find_map(confirms).expect("the poll is confirmed by the store");
+    let call = asked
+        .iter()
+        .find_map(confirms)
+        .expect("the poll is confirmed by the store");
     let revision = a.store.revision;
-    let end = EndRecord { cancelled: true, tasks: 1 };
-    a.write(vec![put(&end_key(&id), end), Write::Delete { key: job_key(&id) }]);
+    let end = EndRecord {
+        cancelled: true,
+        tasks: 1,
+    };
+    a.write(vec![
+        put(&end_key(&id), end),
+        Write::Delete { key: job_key(&id) },
+    ]);
     a.run(3_050, 3_500);
-    let confirmed = Command::State { call, reply: StateReply::Committed { revision } };
+    let confirmed = Command::State {
+        call,
+        reply: StateReply::Committed { revision },
+    };
     let answers = a.step(s(4), vec![confirmed]);
     let told = answers.iter().find_map(|e| match e {
-        Effect::Answer { to: 9, answer: Answer::Status { state, .. } } => Some(*state),
+        Effect::Answer {
+            to: 9,
+            answer: Answer::Status { state, .. },
+        } => Some(*state),
         _ => None,
     });
     assert_eq!(told, Some(ShownState::Cancelled), "{answers:?}");
--- a/crates/seamfront-core/tests/failing_jobs.rs
+++ b/crates/seamfront-core/tests/failing_jobs.rs
@@ -30,7 +30,13 @@
         for spec in jobs {
             held.shard.add_job(Rc::new(spec), 5, s(101));
         }
-        Play { held, now: s(101), seq: 1, most_tried: 0, starts: BTreeMap::new() }
+        Play {
+            held,
+            now: s(101),
+            seq: 1,
+            most_tried: 0,
+            starts: BTreeMap::new(),
+        }
     }
 
     fn job(&self, id: &str) -> &Job {
@@ -45,12 +51,24 @@
         self.seq += 1;
         for m in 0..MACHINES {
             let placed = &self.held.shard.machines[&machine(m)].tasks;
-            let tasks = placed.iter().filter_map(|t| self.ended(t, &machine(m), &ends)).collect();
-            let report = Report { tasks, ..held::report(&format!("i-{m}"), 1, self.seq, CLAIM, &[]) };
+            let tasks = placed
+                .iter()
+                .filter_map(|t| self.ended(t, &machine(m), &ends))
+                .collect();
+            let report = Report {
+                tasks,
+                ..held::report(&format!("i-{m}"), 1, self.seq, CLAIM, &[])
+            };
             self.held.hello(now, &report);
         }
-        let failing: Vec<JobId> =
-            self.held.shard.jobs.iter().filter(|(_, j)| j.failing()).map(|(id, _)| id.clone()).collect();
+        let failing: Vec<JobId> = self
+            .held
+            .shard
+            .jobs
+            .iter()
+            .filter(|(_, j)| j.failing())
+            .map(|(id, _)| id.clone())
+            .collect();
         self.held.with(now, |s, context| s.tick(context));
         self.held.with(now, |s, context| s.round(context));
         for job in failing.iter().filter_map(|id| self.held.shard.jobs.get(id)) {
@@ -80,7 +98,9 @@
     }
 
     fn suspected(&self) -> Vec<usize> {
-        (0..MACHINES).filter(|m| self.held.shard.machines[&machine(*m)].suspected()).collect()
+        (0..MACHINES)
+            .filter(|m| self.held.shard.machines[&machine(*m)].suspected())
+            .collect()
     }
 }
 
@@ -97,12 +117,19 @@
     let mut p = Play::new(vec![array("j-0", 24), array("j-1", 24), array("j-2", 24)]);
     for _ in 0..600 {
         p.step(|_, _| Exit::Error);
-        assert_eq!(p.suspected(), Vec::<usize>::new(), "machines are blamed for the jobs' mistakes");
+        assert_eq!(
+            p.suspected(),
+            Vec::<usize>::new(),
+            "machines are blamed for the jobs' mistakes"
+        );
     }
     for id in ["j-0", "j-1", "j-2"] {
         let errors = p.job(id).errors;
         // Three at first, then pauses of 2, 4, 8, 16 and always 32 s.
-        assert!((12..18).contains(&errors), "{id}: {errors} failed tries in five minutes");
+        assert!(
+            (12..18).contains(&errors),
+            "{id}: {errors} failed tries in five minutes"
+        );
         assert!(p.job(id).live());
     }
     assert!(p.most_tried <= 2, "{} tasks tried at once", p.most_tried);
@@ -113,11 +140,21 @@
 #[test]
 fn a_job_whose_later_tasks_would_do_recovers() {
     let mut p = Play::new(vec![array("j-0", 40)]);
-    let bad = |t: &TaskKey, _: &MachineId| if t.index < 30 { Exit::Error } else { Exit::Done };
+    let bad = |t: &TaskKey, _: &MachineId| {
+        if t.index < 30 {
+            Exit::Error
+        } else {
+            Exit::Done
+        }
+    };
     for _ in 0..120 {
         p.step(bad);
     }
-    assert!(p.job("j-0").done.count() >= 9, "only {} are done after a minute", p.job("j-0").done.count());
+    assert!(
+        p.job("j-0").done.count() >= 9,
+        "only {} are done after a minute",
+        p.job("j-0").done.count()
+    );
 }
 
 /// Healthy jobs find a faulty machine even while other jobs fail everywhere.
@@ -126,7 +163,13 @@
     let mut p = Play::new((0..6).map(|k| array(&format!("j-{k}"), 30)).collect());
     let broken = |t: &TaskKey| t.job == JobId::from("j-0") || t.job == JobId::from("j-1");
     for _ in 0..40 {
-        p.step(|t, m| if broken(t) || *m == machine(3) { Exit::Error } else { Exit::Done });
+        p.step(|t, m| {
+            if broken(t) || *m == machine(3) {
+                Exit::Error
+            } else {
+                Exit::Done
+            }
+        });
     }
     assert_eq!(p.suspected(), [3]);
 }
--- a/crates/seamfront-core/tests/forms.rs
+++ b/crates/seamfront-core/tests/forms.rs
@@ -49,8 +49,14 @@
 fn required<T: DeserializeOwned>(text: &str, fields: &[&str]) {
     for field in fields {
         let mut value: Value = serde_json::from_str(text).unwrap();
-        assert!(value.as_object_mut().unwrap().remove(*field).is_some(), "{field} is not in {text}");
-        assert!(serde_json::from_value::<T>(value).is_err(), "{text} is read without {field}");
+        assert!(
+            value.as_object_mut().unwrap().remove(*field).is_some(),
+            "{field} is not in {text}"
+        );
+        assert!(
+            serde_json::from_value::<T>(value).is_err(),
+            "{text} is read without {field}"
+        );
     }
 }
 
@@ -67,7 +73,11 @@
     for priority in ["Critical", "Urgent", "Normal", "BestEffort"] {
         kept::<JobSpec>(&JOB.replace("\"Urgent\"", &format!("{priority:?}")));
     }
-    for (kind, text) in [(Kind::Array, "Array"), (Kind::Gang, "Gang"), (Kind::Service, "Service")] {
+    for (kind, text) in [
+        (Kind::Array, "Array"),
+        (Kind::Gang, "Gang"),
+        (Kind::Service, "Service"),
+    ] {
         assert_eq!(stored(&kind), format!("{text:?}"));
     }
     // Also in the order in which the version in production declares the fields, and with fields of a later version.
@@ -76,7 +86,9 @@
         JOB_LEAST,
     );
     // What may be null may be missing.
-    let short = JOB_LEAST.replace("\"deadline\":null,", "").replace(",\"types\":null,\"zone\":null", "");
+    let short = JOB_LEAST
+        .replace("\"deadline\":null,", "")
+        .replace(",\"types\":null,\"zone\":null", "");
     read_as::<JobSpec>(&short, JOB_LEAST);
     let all =
         "checkpoint class estimate id image image_mb kind need one_zone priority save spot spread submitted tasks team";
@@ -102,21 +114,40 @@
 fn work_records_in_parts() {
     let whole: WorkRecord = serde_json::from_str(WORK).unwrap();
     let one = encode(&whole, &Layout::single(2_048), &[]).unwrap();
-    assert_eq!((one.head.to_string().as_str(), one.parts.len(), one.bytes), (WORK, 0, WORK.len()));
+    assert_eq!(
+        (one.head.to_string().as_str(), one.parts.len(), one.bytes),
+        (WORK, 0, WORK.len())
+    );
     assert_eq!(decode(one.head, &BTreeMap::new()).unwrap(), whole);
 
-    let split = encode(&whole, &Layout { value_bytes: 120, parts: 6 }, &[]).unwrap();
+    let split = encode(
+        &whole,
+        &Layout {
+            value_bytes: 120,
+            parts: 6,
+        },
+        &[],
+    )
+    .unwrap();
     let head = r#"{"dr":true,"e":7,"n":12,"need":{"c":1000,"g":500,"r":2000},"parts":2,"pk":3,"team":"vision"}"#;
     let parts = [
         r#"{"a":[[0,2],[3,1]],"d":[[0,2],[4,5]],"p":{"i-000231":[[2,4,6],[5,6,7]]}}"#,
         r#"{"p":{"i-000232":[[7,8,1]]}}"#,
     ];
     assert_eq!(split.head.to_string(), head);
-    assert_eq!(split.parts.iter().map(Value::to_string).collect::<Vec<_>>(), parts);
+    assert_eq!(
+        split.parts.iter().map(Value::to_string).collect::<Vec<_>>(),
+        parts
+    );
     let values = |texts: &[&str]| -> BTreeMap<u32, Value> {
-        texts.iter().enumerate().map(|(k, text)| (k as u32, serde_json::from_str(text).unwrap())).collect()
+        texts
+            .iter()
+            .enumerate()
+            .map(|(k, text)| (k as u32, serde_json::from_str(text).unwrap()))
+            .collect()
     };
-    let read = |head: &str, texts: &[&str]| decode(serde_json::from_str(head).unwrap(), &values(texts));
+    let read =
+        |head: &str, texts: &[&str]| decode(serde_json::from_str(head).unwrap(), &values(texts));
     assert_eq!(read(head, &parts).unwrap(), whole);
     // A part may lack each of its lists.
     let least = read(&head.replace("\"parts\":2", "\"parts\":1"), &["{}"]).unwrap();
@@ -124,14 +155,26 @@
     for field in ["dr", "e", "n", "need", "pk", "team"] {
         let mut lacking: Value = serde_json::from_str(head).unwrap();
         lacking.as_object_mut().unwrap().remove(field);
-        assert!(decode(lacking, &values(&parts)).is_err(), "read without {field}");
+        assert!(
+            decode(lacking, &values(&parts)).is_err(),
+            "read without {field}"
+        );
     }
-    assert_eq!((parts_prefix(1).as_str(), part_key(1, &"j-2".into(), 0).as_str()), ("part/1/", "part/1/j-2/00000"));
+    assert_eq!(
+        (
+            parts_prefix(1).as_str(),
+            part_key(1, &"j-2".into(), 0).as_str()
+        ),
+        ("part/1/", "part/1/j-2/00000")
+    );
 }
 
 #[test]
 fn other_records() {
-    for end in [r#"{"cancelled":true,"tasks":3}"#, r#"{"cancelled":false,"tasks":100000}"#] {
+    for end in [
+        r#"{"cancelled":true,"tasks":3}"#,
+        r#"{"cancelled":false,"tasks":100000}"#,
+    ] {
         kept::<EndRecord>(end);
         required::<EndRecord>(end, &["cancelled", "tasks"]);
     }
@@ -145,7 +188,10 @@
     let rent = r#"{"count":12,"kind":"g8","share":2,"spot":false,"zone":"b"}"#;
     kept::<RentRecord>(rent);
     required::<RentRecord>(rent, &["count", "kind", "share", "spot", "zone"]);
-    read_as::<RentRecord>(r#"{"share":2,"kind":"g8","zone":"b","spot":false,"count":12}"#, rent);
+    read_as::<RentRecord>(
+        r#"{"share":2,"kind":"g8","zone":"b","spot":false,"count":12}"#,
+        rent,
+    );
     let claim = r#"{"lease":4,"member":"n0"}"#;
     kept::<ClaimValue>(claim);
     required::<ClaimValue>(claim, &["lease", "member"]);
@@ -167,7 +213,10 @@
     }
     kept::<Micros>("-1500000");
     assert_eq!(stored(&Micros::from_millis(250)), "250000");
-    assert_eq!(stored(&Amounts::needed(1.5, 0.25, 4.0)), r#"{"c":1500,"g":250,"r":4000}"#);
+    assert_eq!(
+        stored(&Amounts::needed(1.5, 0.25, 4.0)),
+        r#"{"c":1500,"g":250,"r":4000}"#
+    );
     kept::<TaskNames>(r#"{"job":"j-1","machine":"i-1"}"#);
 }
 
@@ -212,8 +261,13 @@
         r#"{"Progress":{"jobs":[]}}"#.to_owned(),
     ];
     for priority in ["Critical", "Urgent", "Normal", "BestEffort"] {
-        texts.push(shard(&NEED.replace("Normal", priority), &VIEW.replace("Urgent", priority)));
-        texts.push(format!(r#"{{"Release":{{"share":1,"machines":["i-1"],"above":{priority:?}}}}}"#));
+        texts.push(shard(
+            &NEED.replace("Normal", priority),
+            &VIEW.replace("Urgent", priority),
+        ));
+        texts.push(format!(
+            r#"{{"Release":{{"share":1,"machines":["i-1"],"above":{priority:?}}}}}"#
+        ));
     }
     // Each field of a machine's view by itself, the others left out.
     for field in [
@@ -239,15 +293,32 @@
 #[test]
 fn messages_of_other_versions() {
     for (old, new) in [
-        (r#"{"Alive":{"ready":true,"claims":[]}}"#, r#"{"Alive":{"ready":true,"claims":[],"awaited":0}}"#),
-        (r#"{"Release":{"share":1,"machines":[]}}"#, r#"{"Release":{"share":1,"machines":[],"above":null}}"#),
-        (r#"{"Cancelled":{"later":1,"tasks":3,"job":"j-1"}}"#, r#"{"Cancelled":{"job":"j-1","tasks":3}}"#),
+        (
+            r#"{"Alive":{"ready":true,"claims":[]}}"#,
+            r#"{"Alive":{"ready":true,"claims":[],"awaited":0}}"#,
+        ),
+        (
+            r#"{"Release":{"share":1,"machines":[]}}"#,
+            r#"{"Release":{"share":1,"machines":[],"above":null}}"#,
+        ),
+        (
+            r#"{"Cancelled":{"later":1,"tasks":3,"job":"j-1"}}"#,
+            r#"{"Cancelled":{"job":"j-1","tasks":3}}"#,
+        ),
     ] {
         assert_eq!(sent_again(old), new);
     }
-    let usual = r#"{"i":"i-1","v":4,"n":false,"u":{"c":0,"g":0,"r":0},"e":null,"l":null,"w":0,"later":1}"#;
-    assert_eq!(sent_again(&shard("", usual)), shard("", r#"{"i":"i-1","v":4}"#));
-    for bad in [r#"{"Later":{}}"#, r#"{"Alive":{"ready":true}}"#, r#"{"Cancelled":{"job":"j-1"}}"#] {
+    let usual =
+        r#"{"i":"i-1","v":4,"n":false,"u":{"c":0,"g":0,"r":0},"e":null,"l":null,"w":0,"later":1}"#;
+    assert_eq!(
+        sent_again(&shard("", usual)),
+        shard("", r#"{"i":"i-1","v":4}"#)
+    );
+    for bad in [
+        r#"{"Later":{}}"#,
+        r#"{"Alive":{"ready":true}}"#,
+        r#"{"Cancelled":{"job":"j-1"}}"#,
+    ] {
         assert!(serde_json::from_str::<MeshMessage>(bad).is_err(), "{bad}");
     }
 }
@@ -298,8 +369,18 @@
         let mut store = Store::with_page(100);
         for (key, value) in entries {
             let value = serde_json::from_str(value).unwrap();
-            let apply = vec![Write::Put { key: (*key).to_owned(), value, lease: None }];
-            store.execute(Micros::ZERO, &StateCall::Commit { when: vec![], apply });
+            let apply = vec![Write::Put {
+                key: (*key).to_owned(),
+                value,
+                lease: None,
+            }];
+            store.execute(
+                Micros::ZERO,
+                &StateCall::Commit {
+                    when: vec![],
+                    apply,
+                },
+            );
         }
         Site {
             now: Micros::from_secs(100),
@@ -326,7 +407,10 @@
 
     fn submit(&mut self, spec: JobSpec) {
         let to = self.request();
-        self.next.push(Command::Submit { to, spec: Box::new(spec) });
+        self.next.push(Command::Submit {
+            to,
+            spec: Box::new(spec),
+        });
     }
 
     fn poll(&mut self, id: &str) -> Answer {
@@ -359,7 +443,8 @@
         let Some(reply) = self.store.execute(self.now, &request) else {
             return self.waiting.push((call, request));
         };
-        if let (StateCall::Commit { apply, .. }, StateReply::Committed { .. }) = (&request, &reply) {
+        if let (StateCall::Commit { apply, .. }, StateReply::Committed { .. }) = (&request, &reply)
+        {
             self.written.extend(apply.iter().map(|write| match write {
                 Write::Put { key, value, .. } => (key.clone(), value.to_string()),
                 Write::Delete { key } => (key.clone(), "gone".to_owned()),
@@ -377,10 +462,20 @@
                 let machine = self.asked.remove(&to).expect("a machine");
                 self.obey(&machine, token, orders);
             }
-            Effect::Direct { call, machine, token, orders, .. } => {
+            Effect::Direct {
+                call,
+                machine,
+                token,
+                orders,
+                ..
+            } => {
                 self.obey(&machine, token, orders);
                 let report = Box::new(self.report_of(&machine));
-                self.next.push(Command::Direct { call, machine, outcome: DirectOutcome::Settled { report } });
+                self.next.push(Command::Direct {
+                    call,
+                    machine,
+                    outcome: DirectOutcome::Settled { report },
+                });
             }
             Effect::Cloud { call, request, .. } => {
                 let reply = match &request {
@@ -388,9 +483,11 @@
                     CloudCall::Types => CloudReply::Types(vec![type_on_offer()]),
                     CloudCall::Rent { count, .. } => {
                         let first = self.workers.len();
-                        let ids = (0..*count as usize).map(|k| MachineId::from(format!("i-{:06}", first + k).as_str()));
+                        let ids = (0..*count as usize)
+                            .map(|k| MachineId::from(format!("i-{:06}", first + k).as_str()));
                         let ids: Vec<MachineId> = ids.collect();
-                        self.workers.extend(ids.iter().map(|id| (id.clone(), Worker::default())));
+                        self.workers
+                            .extend(ids.iter().map(|id| (id.clone(), Worker::default())));
                         CloudReply::Rented(ids)
                     }
                     CloudCall::Delete { machines } => {
@@ -406,7 +503,10 @@
                             state: ListedState::Running,
                             age: Micros::from_secs(20),
                         };
-                        CloudReply::Page { machines: self.workers.keys().map(listed).collect(), more: false }
+                        CloudReply::Page {
+                            machines: self.workers.keys().map(listed).collect(),
+                            more: false,
+                        }
                     }
                 };
                 self.cloud.push(request);
@@ -417,15 +517,23 @@
     }
 
     fn obey(&mut self, machine: &MachineId, token: u64, orders: Vec<Order>) {
-        let Some(worker) = self.workers.get_mut(machine) else { return };
+        let Some(worker) = self.workers.get_mut(machine) else {
+            return;
+        };
         worker.token = token;
         for order in orders {
             match order {
                 Order::Start { task, attempt } => {
-                    worker.tasks.entry(task).or_insert((attempt, TaskState::Running));
+                    worker
+                        .tasks
+                        .entry(task)
+                        .or_insert((attempt, TaskState::Running));
                 }
                 Order::Stop { task, attempt, .. } => {
-                    worker.tasks.insert(task, (attempt, TaskState::Exited(Exit::Stopped { saved: false })));
+                    worker.tasks.insert(
+                        task,
+                        (attempt, TaskState::Exited(Exit::Stopped { saved: false })),
+                    );
                 }
                 Order::Forget { task, .. } => {
                     worker.tasks.remove(&task);
@@ -438,8 +546,11 @@
         let worker = self.workers.entry(machine.clone()).or_default();
         worker.seq += 1;
         let tasks = worker.tasks.iter();
-        let tasks =
-            tasks.map(|(task, (attempt, state))| TaskReport { task: task.clone(), attempt: *attempt, state: *state });
+        let tasks = tasks.map(|(task, (attempt, state))| TaskReport {
+            task: task.clone(),
+            attempt: *attempt,
+            state: *state,
+        });
         Report {
             machine: machine.clone(),
             addr: "10.0.0.1:9000".into(),
@@ -484,7 +595,10 @@
 
 /// The lines of a text, without the spaces before them.
 fn lines(text: &str) -> Vec<&str> {
-    text.lines().map(str::trim_start).filter(|line| !line.is_empty()).collect()
+    text.lines()
+        .map(str::trim_start)
+        .filter(|line| !line.is_empty())
+        .collect()
 }
 
 #[test]
@@ -493,12 +607,23 @@
     site.run(10_000);
     site.submit(spec(SMALL_JOB));
     site.endless.insert("j-2".into());
-    site.submit(spec(&SMALL_JOB.replace("j-1", "j-2").replace("Array", "Gang").replace("\"tasks\":1", "\"tasks\":12")));
+    site.submit(spec(
+        &SMALL_JOB
+            .replace("j-1", "j-2")
+            .replace("Array", "Gang")
+            .replace("\"tasks\":1", "\"tasks\":12"),
+    ));
     site.run(500);
-    site.submit(JobSpec { needs: vec!["j-1".into(), "j-2".into()], ..spec(&SMALL_JOB.replace("j-1", "j-3")) });
+    site.submit(JobSpec {
+        needs: vec!["j-1".into(), "j-2".into()],
+        ..spec(&SMALL_JOB.replace("j-1", "j-3"))
+    });
     site.run(20_000);
     let to = site.request();
-    site.next.push(Command::Cancel { to, id: "j-2".into() });
+    site.next.push(Command::Cancel {
+        to,
+        id: "j-2".into(),
+    });
     site.run(200_000);
     let expected = r#"
         format/a {"parts":true}
@@ -544,16 +669,26 @@
         "work/",
         "part/",
     ];
-    let seen: Vec<String> = shown.iter().flat_map(|prefix| site.writes(prefix)).collect();
+    let seen: Vec<String> = shown
+        .iter()
+        .flat_map(|prefix| site.writes(prefix))
+        .collect();
     assert_eq!(seen, lines(expected));
     // Nothing but the other machines' records is left out above.
     let other = |w: &&(String, String)| !shown.iter().any(|prefix| w.0.starts_with(prefix));
-    assert!(site.written.iter().filter(other).all(|w| w.0.starts_with("machine/i-0000")));
+    assert!(site
+        .written
+        .iter()
+        .filter(other)
+        .all(|w| w.0.starts_with("machine/i-0000")));
 }
 
 #[test]
 fn what_an_engine_with_duties_writes() {
-    let leftovers = [("part/0/j-8/00000", r#"{"a":[[0,1]]}"#), ("end/j-8", r#"{"cancelled":false,"tasks":1}"#)];
+    let leftovers = [
+        ("part/0/j-8/00000", r#"{"a":[[0,1]]}"#),
+        ("end/j-8", r#"{"cancelled":false,"tasks":1}"#),
+    ];
     let mut site = Site::new(&["a"], &leftovers);
     let mut settings = held::settings();
     settings.members = vec!["a".into()];
@@ -579,7 +714,10 @@
         part/0/j-8/00000 gone
     "#;
     let shown = ["leader", "duty/", "duty-log/", "rent/", "part/"];
-    let seen: Vec<String> = shown.iter().flat_map(|prefix| site.writes(prefix)).collect();
+    let seen: Vec<String> = shown
+        .iter()
+        .flat_map(|prefix| site.writes(prefix))
+        .collect();
     assert_eq!(seen, lines(expected));
 }
 
@@ -593,7 +731,8 @@
     let (one, four) = (live("j-1", 3), live("j-4", 1));
     let five = live("j-5", 1).replace("\"one_zone\"", "\"needs_parts\":1,\"one_zone\"");
     let six = live("j-6", 3).replace("Array", "Gang");
-    let head = r#"{"dr":false,"e":5,"n":1,"need":{"c":3000,"g":0,"r":1000},"parts":2,"pk":0,"team":"t"}"#;
+    let head =
+        r#"{"dr":false,"e":5,"n":1,"need":{"c":3000,"g":0,"r":1000},"parts":2,"pk":0,"team":"t"}"#;
     let machine = r#"{"share":0,"kind":"m","zone":"z","spot":true}"#;
     let mut entries = vec![
         ("format/a", r#"{"parts":true}"#),
@@ -609,23 +748,53 @@
         ("needs/j-5/00001", r#"["j-4"]"#),
         ("job/j-6", six.as_str()),
         ("work/0/j-6", head),
-        ("part/0/j-6/00000", r#"{"a":[[0,2]],"p":{"i-000002":[[0,1,5]],"i-000003":[[1,2,5]]}}"#),
+        (
+            "part/0/j-6/00000",
+            r#"{"a":[[0,2]],"p":{"i-000002":[[0,1,5]],"i-000003":[[1,2,5]]}}"#,
+        ),
         ("part/0/j-6/00001", r#"{"p":{"i-000004":[[2,3,5]]}}"#),
-        ("rent/r-1-1", r#"{"share":0,"kind":"m","zone":"z","spot":true,"count":2}"#),
+        (
+            "rent/r-1-1",
+            r#"{"share":0,"kind":"m","zone":"z","spot":true,"count":2}"#,
+        ),
+    ];
+    let machines = [
+        "machine/i-000000",
+        "machine/i-000001",
+        "machine/i-000002",
+        "machine/i-000003",
+        "machine/i-000004",
     ];
-    let machines = ["machine/i-000000", "machine/i-000001", "machine/i-000002", "machine/i-000003", "machine/i-000004"];
     entries.extend(machines.map(|key| (key, machine)));
     let mut site = Site::new(&["a"], &entries);
     site.endless = ["j-1", "j-4", "j-5", "j-6"].map(JobId::from).into();
-    for (machine, job, index, attempt) in
-        [(0, "j-1", 1, 4), (1, "j-1", 2, 8), (2, "j-6", 0, 5), (3, "j-6", 1, 5), (4, "j-6", 2, 5)]
-    {
-        let worker = site.workers.entry(format!("i-{machine:06}").as_str().into()).or_default();
-        worker.tasks.insert(TaskKey { job: job.into(), index }, (attempt, TaskState::Running));
+    for (machine, job, index, attempt) in [
+        (0, "j-1", 1, 4),
+        (1, "j-1", 2, 8),
+        (2, "j-6", 0, 5),
+        (3, "j-6", 1, 5),
+        (4, "j-6", 2, 5),
+    ] {
+        let worker = site
+            .workers
+            .entry(format!("i-{machine:06}").as_str().into())
+            .or_default();
+        worker.tasks.insert(
+            TaskKey {
+                job: job.into(),
+                index,
+            },
+            (attempt, TaskState::Running),
+        );
     }
     site.run(12_000);
-    let status =
-        |id: &str, state, done, running| Answer::Status { created: false, id: id.into(), state, done, running };
+    let status = |id: &str, state, done, running| Answer::Status {
+        created: false,
+        id: id.into(),
+        state,
+        done,
+        running,
+    };
     for (id, state, done, running) in [
         ("j-1", ShownState::Running, 1, 2),
         ("j-4", ShownState::Running, 0, 1),
@@ -637,8 +806,19 @@
         assert_eq!(site.poll(id), status(id, state, done, running));
     }
     assert_eq!(site.poll("j-7"), Answer::NotFound);
-    let rented = CloudCall::Rent { name: "r-1-1".into(), kind: "m".into(), zone: "z".into(), spot: true, count: 2 };
-    assert_eq!(site.cloud.iter().find(|call| matches!(call, CloudCall::Rent { .. })), Some(&rented));
+    let rented = CloudCall::Rent {
+        name: "r-1-1".into(),
+        kind: "m".into(),
+        zone: "z".into(),
+        spot: true,
+        count: 2,
+    };
+    assert_eq!(
+        site.cloud
+            .iter()
+            .find(|call| matches!(call, CloudCall::Rent { .. })),
+        Some(&rented)
+    );
     assert_eq!(site.writes("format/"), Vec::<String>::new());
     // What was rented belongs to the shard that the record names; the waiting job goes on, the one behind it waits.
     let expected = r#"
@@ -666,7 +846,11 @@
         site.run(3_000);
         let impossible = Answer::Impossible(Impossible::NoMachineFits);
         assert!(
-            if known { site.answers == [impossible] } else { site.answers.iter().all(later) },
+            if known {
+                site.answers == [impossible]
+            } else {
+                site.answers.iter().all(later)
+            },
             "{:?}",
             site.answers
         );
@@ -680,9 +864,22 @@
     let mut site = Site::new(&["a", "b"], &[("share/0", claim), ("leader", claim)]);
     site.run(20_000);
     let shown = ["share/", "leader", "format/"];
-    let seen: Vec<String> = shown.iter().flat_map(|prefix| site.writes(prefix)).collect();
-    assert_eq!(seen, [r#"share/1 {"lease":1,"member":"a"}"#, r#"format/a {"parts":true}"#]);
-    let sent: BTreeSet<String> = site.messages.iter().map(|m| serde_json::to_string(m).unwrap()).collect();
+    let seen: Vec<String> = shown
+        .iter()
+        .flat_map(|prefix| site.writes(prefix))
+        .collect();
+    assert_eq!(
+        seen,
+        [
+            r#"share/1 {"lease":1,"member":"a"}"#,
+            r#"format/a {"parts":true}"#
+        ]
+    );
+    let sent: BTreeSet<String> = site
+        .messages
+        .iter()
+        .map(|m| serde_json::to_string(m).unwrap())
+        .collect();
     let expected = [
         r#"{"Alive":{"ready":false,"claims":[],"awaited":0}}"#,
         r#"{"Alive":{"ready":true,"claims":[["share/1",4]],"awaited":0}}"#,
--- a/crates/seamfront-core/tests/gang.rs
+++ b/crates/seamfront-core/tests/gang.rs
@@ -65,8 +65,14 @@
     g.recorded(2);
     g.claimed(2);
     g.drain(Some(2));
-    assert_eq!(g.members, [Member::Blocked, Member::Preempting, Member::Preempting]);
-    assert!(!g.drain(Some(1)), "a second failure joins the drain under way");
+    assert_eq!(
+        g.members,
+        [Member::Blocked, Member::Preempting, Member::Preempting]
+    );
+    assert!(
+        !g.drain(Some(1)),
+        "a second failure joins the drain under way"
+    );
     g.gone(2);
     assert_eq!(g.complete(3), None);
     g.gone(1);
--- a/crates/seamfront-core/tests/held/mod.rs
+++ b/crates/seamfront-core/tests/held/mod.rs
@@ -15,7 +15,15 @@
 }
 
 pub fn settings() -> Settings {
-    let team = Team { name: "t".into(), guarantee: Amounts::default(), limit: Amounts { cpus: 0, gpus: 0, ram: 0 } };
+    let team = Team {
+        name: "t".into(),
+        guarantee: Amounts::default(),
+        limit: Amounts {
+            cpus: 0,
+            gpus: 0,
+            ram: 0,
+        },
+    };
     Settings {
         members: vec!["a".into(), "b".into(), "c".into()],
         me: 0,
@@ -62,9 +70,18 @@
     })
 }
 
-pub fn report(machine: &str, session: u64, seq: u64, token: u64, tasks: &[(&str, u64, TaskState)]) -> Report {
+pub fn report(
+    machine: &str,
+    session: u64,
+    seq: u64,
+    token: u64,
+    tasks: &[(&str, u64, TaskState)],
+) -> Report {
     let shown = |(job, attempt, state): &(&str, u64, TaskState)| TaskReport {
-        task: TaskKey { job: (*job).into(), index: 0 },
+        task: TaskKey {
+            job: (*job).into(),
+            index: 0,
+        },
         attempt: *attempt,
         state: *state,
     };
@@ -93,7 +110,12 @@
         let mut shard = Shard::new(0, CLAIM, s(100));
         let size = Amounts::offered(8.0, 0.0, 32.0);
         for k in 0..machines {
-            let record = MachineRecord { shard: Some(0), kind: "m".into(), zone: "z".into(), spot: false };
+            let record = MachineRecord {
+                shard: Some(0),
+                kind: "m".into(),
+                zone: "z".into(),
+                spot: false,
+            };
             shard.add_machine(format!("i-{k}").as_str().into(), record, 7, size, s(100));
         }
         for k in 0..placed {
@@ -101,11 +123,22 @@
             let mut former = Job::new(spec.clone(), 5, s(90));
             former.next_attempt = 4;
             let mut record: WorkRecord = former.to_record();
-            record.placed.insert(format!("i-{k}").as_str().into(), vec![(0, 1, 3)]);
-            let stored = StoredRecord { record, version: 9, parts_end: 0 };
+            record
+                .placed
+                .insert(format!("i-{k}").as_str().into(), vec![(0, 1, 3)]);
+            let stored = StoredRecord {
+                record,
+                version: 9,
+                parts_end: 0,
+            };
             shard.adopt_record(spec.id.clone(), Some((spec, 5)), stored, s(100));
         }
-        let mut held = Held { cfg: settings(), shard, effects: Vec::new(), calls: 1 };
+        let mut held = Held {
+            cfg: settings(),
+            shard,
+            effects: Vec::new(),
+            calls: 1,
+        };
         held.with(s(100), |s, context| s.loaded(context));
         held
     }
@@ -113,30 +146,56 @@
     pub fn with<R>(&mut self, now: Micros, f: impl FnOnce(&mut Shard, &mut Context) -> R) -> R {
         let (effects, calls) = (&mut self.effects, &mut self.calls);
         let layout = Layout::single(self.cfg.value_bytes);
-        let mut context = Context { cfg: &self.cfg, now, wall: now, types: &[], effects, calls, acting: true, layout };
+        let mut context = Context {
+            cfg: &self.cfg,
+            now,
+            wall: now,
+            types: &[],
+            effects,
+            calls,
+            acting: true,
+            layout,
+        };
         f(&mut self.shard, &mut context)
     }
 
     /// A report that is answered with 200, as the engine does it.
     pub fn hello(&mut self, now: Micros, r: &Report) -> Vec<Order> {
-        let orders =
-            self.with(now, |s, context| if s.take_report(context, r, true) { s.orders(context, r) } else { vec![] });
+        let orders = self.with(now, |s, context| {
+            if s.take_report(context, r, true) {
+                s.orders(context, r)
+            } else {
+                vec![]
+            }
+        });
         let version = self.shard.version;
-        self.shard.machines.get_mut(&r.machine).unwrap().answered(now, version);
+        self.shard
+            .machines
+            .get_mut(&r.machine)
+            .unwrap()
+            .answered(now, version);
         orders
     }
 
     pub fn placed(&self, job: &str) -> bool {
-        self.shard.jobs.get(&JobId::from(job)).is_some_and(|j| !j.tasks.is_empty())
+        self.shard
+            .jobs
+            .get(&JobId::from(job))
+            .is_some_and(|j| !j.tasks.is_empty())
     }
 
     /// Carries out what the shard wants written of its machines; returns (name, still ours).
     pub fn machine_writes(&mut self, now: Micros, version: u64) -> Vec<(String, bool)> {
         let mut seen = Vec::new();
         for w in self.shard.writes(now, 100, &Layout::single(32 * 1024)) {
-            if let ShardWrite::Machine { machine, record, .. } = &w {
+            if let ShardWrite::Machine {
+                machine, record, ..
+            } = &w
+            {
                 seen.push((machine.to_string(), record.shard.is_some()));
-                self.with(now, |s, context| s.written(context, &w, WriteOutcome::Done(version)));
+                self.with(now, |s, context| {
+                    s.written(context, &w, WriteOutcome::Done(version))
+                });
             }
         }
         seen
--- a/crates/seamfront-core/tests/machines.rs
+++ b/crates/seamfront-core/tests/machines.rs
@@ -4,8 +4,19 @@
 use seamfront_core::types::*;
 
 fn machine() -> Machine {
-    let record = MachineRecord { shard: Some(0), kind: "m".into(), zone: "z".into(), spot: false };
-    Machine::new("i-1".into(), record, 7, Amounts::offered(4.0, 0.0, 16.0), Micros::ZERO)
+    let record = MachineRecord {
+        shard: Some(0),
+        kind: "m".into(),
+        zone: "z".into(),
+        spot: false,
+    };
+    Machine::new(
+        "i-1".into(),
+        record,
+        7,
+        Amounts::offered(4.0, 0.0, 16.0),
+        Micros::ZERO,
+    )
 }
 
 #[test]
@@ -14,7 +25,10 @@
     for k in 0..PACE_TASKS {
         slow.completed(Micros::from_secs(20), Micros::from_secs(10));
         // One long task among ordinary ones tells nothing about the machine.
-        fair.completed(Micros::from_secs(if k == 0 { 35 } else { 11 }), Micros::from_secs(10));
+        fair.completed(
+            Micros::from_secs(if k == 0 { 35 } else { 11 }),
+            Micros::from_secs(10),
+        );
     }
     assert!(slow.suspect && !fair.suspect);
 }
--- a/crates/seamfront-core/tests/on_call.rs
+++ b/crates/seamfront-core/tests/on_call.rs
@@ -18,12 +18,24 @@
     for seed in 2_000..2_012 {
         let w = history(seed, |w, troubles| {
             let percent = [100, 400, 800][w.draw(0..3) as usize];
-            w.fault(ms(1_000), Fault::BadBoots { until: ms(troubles), never: 30, percent });
+            w.fault(
+                ms(1_000),
+                Fault::BadBoots {
+                    until: ms(troubles),
+                    never: 30,
+                    percent,
+                },
+            );
             for k in 0..4 {
                 let at = 9_000 + 19_000 * k + w.draw(0..6_000);
                 let fault = match w.draw(0..3) {
-                    0 => Fault::CrashHolder { claim: "leader", back: ms(w.draw(100..6_000)) },
-                    1 => Fault::CloudOutage { until: ms(at + 9_000) },
+                    0 => Fault::CrashHolder {
+                        claim: "leader",
+                        back: ms(w.draw(100..6_000)),
+                    },
+                    1 => Fault::CloudOutage {
+                        until: ms(at + 9_000),
+                    },
                     _ => Fault::KillMachines { count: 2 },
                 };
                 w.fault(ms(at), fault);
@@ -32,7 +44,10 @@
         assert_eq!(w.never_up(), [], "seed {seed}: paid for to the end");
         add_coverage(&mut coverage, w.coverage);
     }
-    assert!(count(&coverage, "a machine was rented that never comes up") > 20, "{coverage:?}");
+    assert!(
+        count(&coverage, "a machine was rented that never comes up") > 20,
+        "{coverage:?}"
+    );
 }
 
 /// For a while nothing boots at all, or everything within moments: what is up serves, and all is done in the end.
@@ -40,14 +55,43 @@
 fn nothing_boots_or_everything_at_once() {
     scenario("on_call.nothing_boots_or_everything_at_once");
     let coverage = play(2_020..2_030, |w, _| {
-        w.fault(ms(1_000), Fault::BadBoots { until: ms(40_000), never: 100, percent: 100 });
-        w.fault(ms(40_000), Fault::BadBoots { until: ms(80_000), never: 0, percent: 5 });
+        w.fault(
+            ms(1_000),
+            Fault::BadBoots {
+                until: ms(40_000),
+                never: 100,
+                percent: 100,
+            },
+        );
+        w.fault(
+            ms(40_000),
+            Fault::BadBoots {
+                until: ms(80_000),
+                never: 0,
+                percent: 5,
+            },
+        );
         w.fault(ms(20_000), Fault::KillMachines { count: 2 });
         let at = w.draw(30_000..60_000);
-        w.fault(ms(at), Fault::CrashHolder { claim: "leader", back: ms(400) });
+        w.fault(
+            ms(at),
+            Fault::CrashHolder {
+                claim: "leader",
+                back: ms(400),
+            },
+        );
     });
-    assert!(count(&coverage, "a machine was rented that never comes up") > 20, "{coverage:?}");
-    assert!(count(&coverage, "a machine was rented that boots faster or slower") > 5, "{coverage:?}");
+    assert!(
+        count(&coverage, "a machine was rented that never comes up") > 20,
+        "{coverage:?}"
+    );
+    assert!(
+        count(
+            &coverage,
+            "a machine was rented that boots faster or slower"
+        ) > 5,
+        "{coverage:?}"
+    );
 }
 
 /// Frozen for a minute, its clocks running on, or off the net with all that was under way held back; the leader, two at
@@ -64,8 +108,22 @@
             if w.draw(0..2) == 0 {
                 w.fault(ms(at), Fault::PauseNode { node: n, until });
             } else {
-                w.fault(ms(at), Fault::CutState { node: n, until, hold: true });
-                w.fault(ms(at), Fault::CutWorkers { node: n, until, hold: true });
+                w.fault(
+                    ms(at),
+                    Fault::CutState {
+                        node: n,
+                        until,
+                        hold: true,
+                    },
+                );
+                w.fault(
+                    ms(at),
+                    Fault::CutWorkers {
+                        node: n,
+                        until,
+                        hold: true,
+                    },
+                );
                 w.fault(ms(at), Fault::CutMesh { node: n, until });
             }
         }
@@ -75,7 +133,10 @@
         }
         w.fault(ms(8_000), Fault::DuplicateReports { until: ms(85_000) });
     });
-    assert!(count(&coverage, "leadership was taken") > 20, "{coverage:?}");
+    assert!(
+        count(&coverage, "leadership was taken") > 20,
+        "{coverage:?}"
+    );
 }
 
 /// It sees workers and not the state service, the state service and no workers, or is refused by the state service
@@ -90,12 +151,26 @@
             let until = ms(at + [5_000, 11_000, 24_000][w.draw(0..3) as usize]);
             let hold = w.draw(0..2) == 0;
             let fault = match w.draw(0..4) {
-                0 => Fault::CutState { node: n, until, hold },
+                0 => Fault::CutState {
+                    node: n,
+                    until,
+                    hold,
+                },
                 1 => Fault::Refused { node: n, until },
-                _ => Fault::CutWorkers { node: n, until, hold },
+                _ => Fault::CutWorkers {
+                    node: n,
+                    until,
+                    hold,
+                },
             };
             w.fault(ms(at), fault);
-            w.fault(ms(at + 3_000), Fault::CancelRunning { count: 3, hang: Micros::ZERO });
+            w.fault(
+                ms(at + 3_000),
+                Fault::CancelRunning {
+                    count: 3,
+                    hang: Micros::ZERO,
+                },
+            );
         }
     });
     let claims = count(&coverage, "a claim was taken");
@@ -127,7 +202,13 @@
             w.fault(ms(at), Fault::CrashHolder { claim, back });
         }
     });
-    assert!(count(&coverage, "a task failed since its job was submitted with a mistake") > 100, "{coverage:?}");
+    assert!(
+        count(
+            &coverage,
+            "a task failed since its job was submitted with a mistake"
+        ) > 100,
+        "{coverage:?}"
+    );
 }
 
 /// Questions cost the state service a fifth of its rate at most, however many there are: those that come within a
@@ -140,20 +221,52 @@
         let mut coverage = Coverage::new();
         for seed in 2_100..2_106 {
             let w = history(seed, |w, _| {
-                w.fault(ms(15_000), Fault::PollStorm { until: ms(75_000), factor });
-                w.fault(ms(30_000), Fault::CancelRunning { count: 4, hang: Micros::ZERO });
-                w.fault(ms(50_000), Fault::CrashHolder { claim: "leader", back: ms(3_000) });
+                w.fault(
+                    ms(15_000),
+                    Fault::PollStorm {
+                        until: ms(75_000),
+                        factor,
+                    },
+                );
+                w.fault(
+                    ms(30_000),
+                    Fault::CancelRunning {
+                        count: 4,
+                        hang: Micros::ZERO,
+                    },
+                );
+                w.fault(
+                    ms(50_000),
+                    Fault::CrashHolder {
+                        claim: "leader",
+                        back: ms(3_000),
+                    },
+                );
             });
-            sum += (20..70).map(|second| w.asked_of_store[&second].0).sum::<u32>();
+            sum += (20..70)
+                .map(|second| w.asked_of_store[&second].0)
+                .sum::<u32>();
             add_coverage(&mut coverage, w.coverage);
         }
-        (sum, count(&coverage, "a question was asked besides the usual ones"))
+        (
+            sum,
+            count(&coverage, "a question was asked besides the usual ones"),
+        )
     };
     let ((usual, few), (storm, many)) = (asked(1), asked(50));
-    assert!(many > 20 * few && many > 10_000, "{few} and {many} questions");
+    assert!(
+        many > 20 * few && many > 10_000,
+        "{few} and {many} questions"
+    );
     let a_fifth = 6 * 50 * SMALL.state_rps as u32 / 5;
-    assert!(storm < usual + a_fifth, "{usual} requests to the store at the usual rate, {storm} at fifty times that");
-    assert!(storm < 2 * usual, "{usual} requests to the store at the usual rate, {storm} at fifty times that");
+    assert!(
+        storm < usual + a_fifth,
+        "{usual} requests to the store at the usual rate, {storm} at fifty times that"
+    );
+    assert!(
+        storm < 2 * usual,
+        "{usual} requests to the store at the usual rate, {storm} at fifty times that"
+    );
 }
 
 /// At the first start all machines at hand are without records, and more are asked for all the time. Only those that
@@ -162,7 +275,16 @@
 fn machines_at_hand_are_adopted_while_others_are_being_rented() {
     scenario("on_call.machines_at_hand_are_adopted_while_others_are_being_rented");
     for seed in 2_120..2_124 {
-        let mut w = World::sized(seed, Scale { machines: 60, most: 90, write_rps: 16, limits: [0; 10], ..SMALL });
+        let mut w = World::sized(
+            seed,
+            Scale {
+                machines: 60,
+                most: 90,
+                write_rps: 16,
+                limits: [0; 10],
+                ..SMALL
+            },
+        );
         w.quiet_from = ms(1_000);
         w.fault(ms(1), Fault::SlowRentals { until: ms(60_000) });
         for n in 0..20 {
@@ -172,8 +294,17 @@
             w.submit(ms(at), spec);
         }
         w.run_until(ms(25_000));
-        assert!(w.stored("machine/") >= 60, "seed {seed}: {} of 60 after 25 s", w.stored("machine/"));
-        assert!(count(&w.coverage, "the cloud took seconds to answer a request for machines") > 3);
+        assert!(
+            w.stored("machine/") >= 60,
+            "seed {seed}: {} of 60 after 25 s",
+            w.stored("machine/")
+        );
+        assert!(
+            count(
+                &w.coverage,
+                "the cloud took seconds to answer a request for machines"
+            ) > 3
+        );
     }
 }
 
@@ -184,30 +315,61 @@
     scenario("on_call.a_sweep_of_many_short_tasks_beside_the_others_work");
     const TASKS: u32 = 4_000;
     for seed in 2_130..2_133 {
-        let mut w = World::sized(seed, Scale { machines: 16, most: 20, limits: [0; 10], ..SMALL });
+        let mut w = World::sized(
+            seed,
+            Scale {
+                machines: 16,
+                most: 20,
+                limits: [0; 10],
+                ..SMALL
+            },
+        );
         w.quiet_from = ms(90_000);
         for n in 0..30 {
             let mut spec = w.job(n);
             spec.team = ["a", "b", "c"][n as usize % 3].into();
-            let (id, service, at) = (spec.id.clone(), spec.kind == Kind::Service, 2_000 * i64::from(n));
+            let (id, service, at) = (
+                spec.id.clone(),
+                spec.kind == Kind::Service,
+                2_000 * i64::from(n),
+            );
             w.submit(ms(at), spec);
             if service {
                 w.cancel(ms(at + 60_000), id);
             }
         }
         let mut sweep = w.job(99);
-        (sweep.kind, sweep.class, sweep.team, sweep.priority) =
-            (Kind::Array, "sweep".into(), "d".into(), Priority::BestEffort);
+        (sweep.kind, sweep.class, sweep.team, sweep.priority) = (
+            Kind::Array,
+            "sweep".into(),
+            "d".into(),
+            Priority::BestEffort,
+        );
         (sweep.tasks, sweep.need, sweep.image_mb) = (TASKS, Amounts::needed(0.25, 0.0, 0.25), 100);
         (sweep.zone, sweep.one_zone, sweep.spread, sweep.spot) = (None, false, false, true);
         (sweep.deadline, sweep.checkpoint, sweep.estimate) = (None, Micros::ZERO, ms(4_000));
         w.submit(ms(15_000), sweep);
-        w.fault(ms(40_000), Fault::CrashHolder { claim: "leader", back: ms(5_000) });
-        w.fault(ms(60_000), Fault::CrashHolder { claim: "share/0", back: ms(300) });
+        w.fault(
+            ms(40_000),
+            Fault::CrashHolder {
+                claim: "leader",
+                back: ms(5_000),
+            },
+        );
+        w.fault(
+            ms(60_000),
+            Fault::CrashHolder {
+                claim: "share/0",
+                back: ms(300),
+            },
+        );
         w.run_until(ms(390_000));
         assert_eq!(w.owed(), Vec::<String>::new(), "seed {seed}");
         assert_eq!(w.not_served(), Vec::<String>::new(), "seed {seed}");
         let writes: u32 = w.asked_of_store.values().map(|second| second.1).sum();
-        assert!(writes < TASKS, "seed {seed}: {writes} writes for {TASKS} tasks and thirty other jobs");
+        assert!(
+            writes < TASKS,
+            "seed {seed}: {writes} writes for {TASKS} tasks and thirty other jobs"
+        );
     }
 }
--- a/crates/seamfront-core/tests/placement.rs
+++ b/crates/seamfront-core/tests/placement.rs
@@ -16,7 +16,11 @@
         kind: Kind::Array,
         priority: Priority::Normal,
         tasks: rng.random_range(1..9),
-        need: Amounts::needed(rng.random_range(1..4) as f64, 0.0, rng.random_range(1..9) as f64),
+        need: Amounts::needed(
+            rng.random_range(1..4) as f64,
+            0.0,
+            rng.random_range(1..9) as f64,
+        ),
         types: (rng.random_range(0..3) == 0).then(|| vec!["a".into()]),
         zone: (rng.random_range(0..4) == 0).then(|| "x".into()),
         one_zone: rng.random_range(0..3) == 0,
@@ -56,15 +60,34 @@
             .collect();
         let room = Room::of(machines.values());
         let avoid = BTreeMap::from([("m-0".into(), Micros::from_secs(9))]);
-        let wish = Wish { spec: &job, avoid: &avoid, now: Micros::ZERO, types: &[], any_size: None, cached: false };
+        let wish = Wish {
+            spec: &job,
+            avoid: &avoid,
+            now: Micros::ZERO,
+            types: &[],
+            any_size: None,
+            cached: false,
+        };
         let partial = rng.random_range(0..2) == 0;
-        let got = wish.choose(&machines, &room, When::Now, &BTreeMap::new(), job.tasks, partial);
+        let got = wish.choose(
+            &machines,
+            &room,
+            When::Now,
+            &BTreeMap::new(),
+            job.tasks,
+            partial,
+        );
         assert!(got.len() as u32 <= job.tasks);
-        assert!(partial || got.is_empty() || got.len() as u32 == job.tasks, "all or none");
+        assert!(
+            partial || got.is_empty() || got.len() as u32 == job.tasks,
+            "all or none"
+        );
         let mut zones: BTreeMap<&str, u32> = BTreeMap::new();
         for k in &got {
             let m = &machines[&room.spots[*k].id];
-            assert!(job.allows(&m.record.kind, &m.record.zone, m.record.spot) && m.id.as_str() != "m-0");
+            assert!(
+                job.allows(&m.record.kind, &m.record.zone, m.record.spot) && m.id.as_str() != "m-0"
+            );
             *zones.entry(&m.record.zone).or_default() += 1;
         }
         assert!(!job.one_zone || zones.len() <= 1);
@@ -76,13 +99,26 @@
         if !partial && !job.spread && got.is_empty() {
             // All or none, and none: then there is indeed no room for all where all must be.
             let fits = |z: Option<&str>| {
-                let may =
-                    |m: &&Machine| job.allows(&m.record.kind, &m.record.zone, m.record.spot) && m.id.as_str() != "m-0";
-                let here = machines.values().filter(may).filter(|m| z.is_none_or(|z| z == m.record.zone));
+                let may = |m: &&Machine| {
+                    job.allows(&m.record.kind, &m.record.zone, m.record.spot)
+                        && m.id.as_str() != "m-0"
+                };
+                let here = machines
+                    .values()
+                    .filter(may)
+                    .filter(|m| z.is_none_or(|z| z == m.record.zone));
                 here.map(|m| m.free().fits(job.need)).sum::<i64>()
             };
-            let most = if job.one_zone { fits(Some("x")).max(fits(Some("y"))) } else { fits(None) };
-            assert!(most < i64::from(job.tasks), "{most} found nothing for {}", job.tasks);
+            let most = if job.one_zone {
+                fits(Some("x")).max(fits(Some("y")))
+            } else {
+                fits(None)
+            };
+            assert!(
+                most < i64::from(job.tasks),
+                "{most} found nothing for {}",
+                job.tasks
+            );
         }
         placed += got.len();
     }
@@ -93,7 +129,11 @@
 fn quota_room_never_lets_a_team_over_its_limit() {
     let mut rng = StdRng::seed_from_u64(8);
     let limit = Amounts::offered(20.0, 0.0, 0.0);
-    let team = Team { name: "t".into(), guarantee: Amounts::default(), limit };
+    let team = Team {
+        name: "t".into(),
+        guarantee: Amounts::default(),
+        limit,
+    };
     let mut quota = Quota::default();
     let mut held: Vec<Amounts> = Vec::new();
     for _ in 0..5_000 {
@@ -112,7 +152,10 @@
     let mut job = spec(&mut rng);
     job.need = Amounts::needed(6.0, 0.0, 1.0);
     job.tasks = 4;
-    assert!(within_limit(&team, &job), "an array needs room for one task only");
+    assert!(
+        within_limit(&team, &job),
+        "an array needs room for one task only"
+    );
     job.kind = Kind::Gang;
     assert!(!within_limit(&team, &job), "a gang for all");
 }
--- a/crates/seamfront-core/tests/records.rs
+++ b/crates/seamfront-core/tests/records.rs
@@ -4,7 +4,9 @@
 mod world;
 
 use seamfront_core::ranges::Ranges;
-use seamfront_core::record::{decode, encode, parse_part_key, part_key, EncodedRecord, Layout, WorkRecord};
+use seamfront_core::record::{
+    decode, encode, parse_part_key, part_key, EncodedRecord, Layout, WorkRecord,
+};
 use seamfront_core::types::*;
 use serde_json::{json, Value};
 use std::collections::BTreeMap;
@@ -34,13 +36,21 @@
         attempts: (0..members).map(|index| (index, 2)).collect(),
         next_attempt: 12,
         done,
-        placed: (0..members).map(|k| (format!("i-{k:06}").as_str().into(), vec![(k, k + 1, 7)])).collect(),
+        placed: (0..members)
+            .map(|k| (format!("i-{k:06}").as_str().into(), vec![(k, k + 1, 7)]))
+            .collect(),
         parks: 1,
     }
 }
 
 fn parts_of(encoded: &EncodedRecord) -> BTreeMap<u32, Value> {
-    encoded.parts.iter().cloned().enumerate().map(|(number, part)| (number as u32, part)).collect()
+    encoded
+        .parts
+        .iter()
+        .cloned()
+        .enumerate()
+        .map(|(number, part)| (number as u32, part))
+        .collect()
 }
 
 #[test]
@@ -48,12 +58,29 @@
     for members in [1, 10, 60, 200, 300] {
         let record = record(members);
         let encoded = encode(&record, &small_layout(), &[]).expect("there is room");
-        assert!(encoded.parts.iter().chain([&encoded.head]).all(|v| v.to_string().len() <= VALUE));
-        assert_eq!(encoded.parts.is_empty(), encoded.head == serde_json::to_value(&record).unwrap());
-        assert!(encoded.parts.len() + 4 <= CHANGES, "{members}: {} parts", encoded.parts.len());
-        assert_eq!(decode(encoded.head.clone(), &parts_of(&encoded)).unwrap(), record);
+        assert!(encoded
+            .parts
+            .iter()
+            .chain([&encoded.head])
+            .all(|v| v.to_string().len() <= VALUE));
+        assert_eq!(
+            encoded.parts.is_empty(),
+            encoded.head == serde_json::to_value(&record).unwrap()
+        );
+        assert!(
+            encoded.parts.len() + 4 <= CHANGES,
+            "{members}: {} parts",
+            encoded.parts.len()
+        );
+        assert_eq!(
+            decode(encoded.head.clone(), &parts_of(&encoded)).unwrap(),
+            record
+        );
     }
-    assert!(encode(&record(200), &Layout::single(VALUE), &[]).is_none(), "no parts while an old version may read");
+    assert!(
+        encode(&record(200), &Layout::single(VALUE), &[]).is_none(),
+        "no parts while an old version may read"
+    );
     assert!(encode(&record(5_000), &small_layout(), &[]).is_none());
 }
 
@@ -62,9 +89,16 @@
     let mut record = record(200);
     let before = encode(&record, &small_layout(), &[]).unwrap();
     record.placed.remove(&MachineId::from("i-000100"));
-    record.placed.insert("i-000100x".into(), vec![(100, 101, 8)]);
+    record
+        .placed
+        .insert("i-000100x".into(), vec![(100, 101, 8)]);
     let after = encode(&record, &small_layout(), &before.boundaries).unwrap();
-    let changed = before.parts.iter().zip(&after.parts).filter(|(a, b)| a != b).count();
+    let changed = before
+        .parts
+        .iter()
+        .zip(&after.parts)
+        .filter(|(a, b)| a != b)
+        .count();
     assert_eq!((before.parts.len(), changed), (after.parts.len(), 1));
 }
 
@@ -83,28 +117,51 @@
 /// To the letter, since later versions must read what this one stored.
 #[test]
 fn the_stored_form_of_a_record_in_parts() {
-    let head =
-        json!({"team": "t", "need": {"c": 1000, "g": 0, "r": 2000}, "e": 7, "dr": true, "n": 12, "pk": 1, "parts": 2});
+    let head = json!({"team": "t", "need": {"c": 1000, "g": 0, "r": 2000}, "e": 7, "dr": true, "n": 12, "pk": 1, "parts": 2});
     let parts = BTreeMap::from([
-        (0, json!({"a": [[0, 2]], "d": [[0, 1]], "p": {"i-0": [[0, 1, 7]]}})),
-        (1, json!({"d": [[4, 5]], "p": {"i-1": [[1, 3, 7], [5, 6, 8]]}})),
+        (
+            0,
+            json!({"a": [[0, 2]], "d": [[0, 1]], "p": {"i-0": [[0, 1, 7]]}}),
+        ),
+        (
+            1,
+            json!({"d": [[4, 5]], "p": {"i-1": [[1, 3, 7], [5, 6, 8]]}}),
+        ),
     ]);
     let record = decode(head.clone(), &parts).unwrap();
-    assert_eq!((record.attempts, record.done.count(), record.placed.len()), (vec![(0, 2)], 2, 2));
-    assert_eq!(record.placed[&MachineId::from("i-1")], [(1, 3, 7), (5, 6, 8)]);
+    assert_eq!(
+        (record.attempts, record.done.count(), record.placed.len()),
+        (vec![(0, 2)], 2, 2)
+    );
+    assert_eq!(
+        record.placed[&MachineId::from("i-1")],
+        [(1, 3, 7), (5, 6, 8)]
+    );
     // The version in production cannot take the head for a whole record.
     assert!(serde_json::from_value::<WorkRecord>(head).is_err());
     assert_eq!(part_key(2, &"j-7".into(), 3), "part/2/j-7/00003");
-    assert_eq!(parse_part_key(2, "part/2/j-7/00003"), Some(("j-7".into(), 3)));
+    assert_eq!(
+        parse_part_key(2, "part/2/j-7/00003"),
+        Some(("j-7".into(), 3))
+    );
 }
 
 fn small_values(machines: usize) -> Scale {
-    Scale { value_bytes: VALUE, txn_ops: CHANGES, machines, most: machines + 12, limits: [0; 10], page: 40, ..SMALL }
+    Scale {
+        value_bytes: VALUE,
+        txn_ops: CHANGES,
+        machines,
+        most: machines + 12,
+        limits: [0; 10],
+        page: 40,
+        ..SMALL
+    }
 }
 
 fn large_gang(w: &mut World, n: u32, members: u32) -> JobId {
     let mut spec = w.job(n);
-    (spec.kind, spec.class, spec.team, spec.tasks) = (Kind::Gang, "large".into(), "a".into(), members);
+    (spec.kind, spec.class, spec.team, spec.tasks) =
+        (Kind::Gang, "large".into(), "a".into(), members);
     // One member on a machine.
     (spec.need, spec.priority) = (Amounts::needed(3.0, 0.0, 1.0), Priority::Urgent);
     (spec.zone, spec.one_zone, spec.spread, spec.spot) = (None, false, false, true);
@@ -126,19 +183,41 @@
         w.quiet_from = ms(90_000);
         let first = large_gang(&mut w, 1, 200);
         let shard = w.shard_key(&first);
-        w.fault(ms(24_000), Fault::CrashHolder { claim: shard, back: ms(5_000) });
+        w.fault(
+            ms(24_000),
+            Fault::CrashHolder {
+                claim: shard,
+                back: ms(5_000),
+            },
+        );
         w.fault(ms(40_000), Fault::KillMachines { count: 1 });
         w.fault(ms(44_000), Fault::DelayWrites { until: ms(60_000) });
-        w.fault(ms(50_000), Fault::CrashHolder { claim: shard, back: ms(300) });
+        w.fault(
+            ms(50_000),
+            Fault::CrashHolder {
+                claim: shard,
+                back: ms(300),
+            },
+        );
         let second = large_gang(&mut w, 2, 180);
         w.cancel(ms(70_000), second);
         w.run_until(ms(400_000));
         assert_eq!(w.owed(), Vec::<String>::new(), "seed {seed}");
-        assert_eq!(w.stored("part/"), 0, "seed {seed}: parts are removed with their record");
+        assert_eq!(
+            w.stored("part/"),
+            0,
+            "seed {seed}: parts are removed with their record"
+        );
         add_coverage(&mut coverage, w.coverage);
     }
-    assert!(count(&coverage, "a record was written in parts") > 20, "{coverage:?}");
-    assert!(count(&coverage, "a record in parts was read by a new holder") > 4, "{coverage:?}");
+    assert!(
+        count(&coverage, "a record was written in parts") > 20,
+        "{coverage:?}"
+    );
+    assert!(
+        count(&coverage, "a record in parts was read by a new holder") > 4,
+        "{coverage:?}"
+    );
 }
 
 /// The version in production and this one side by side, upgraded one by one among all troubles; then chains and a
@@ -154,7 +233,11 @@
         w.start_with_old_version();
         for n in 0..40 {
             let spec = w.job(n);
-            let (at, id, service) = (w.draw(500..110_000), spec.id.clone(), spec.kind == Kind::Service);
+            let (at, id, service) = (
+                w.draw(500..110_000),
+                spec.id.clone(),
+                spec.kind == Kind::Service,
+            );
             w.submit(ms(at), spec);
             if service || w.draw(0..4) == 0 {
                 let later = w.draw(2_000..30_000);
@@ -164,7 +247,8 @@
         // More members than one value records, while the old version still reads and after.
         for (n, at) in [(90, 4_000), (91, 110_000)] {
             let mut large = w.job(n);
-            (large.kind, large.class, large.team, large.tasks) = (Kind::Array, "large".into(), "a".into(), 300);
+            (large.kind, large.class, large.team, large.tasks) =
+                (Kind::Array, "large".into(), "a".into(), 300);
             (large.need, large.zone) = (Amounts::needed(3.0, 0.0, 1.0), None);
             (large.one_zone, large.spread) = (false, false);
             w.submit(ms(at), large);
@@ -175,7 +259,13 @@
             let at = 20_000 + 25_000 * node as i64 + w.draw(0..8_000);
             let back = ms(w.draw(300..5_000));
             // One that dies before its turn comes back old.
-            w.fault(ms(at - 9_000), Fault::Crash { nodes: vec![node], back: ms(1_000) });
+            w.fault(
+                ms(at - 9_000),
+                Fault::Crash {
+                    nodes: vec![node],
+                    back: ms(1_000),
+                },
+            );
             w.fault(ms(at), Fault::Upgrade { node, back });
         }
         let at = w.draw(95_000..105_000);
@@ -184,7 +274,16 @@
         assert_eq!(w.owed(), Vec::<String>::new(), "seed {seed}");
         add_coverage(&mut coverage, w.coverage);
     }
-    assert!(count(&coverage, "a controller was upgraded while others had been") > 20, "{coverage:?}");
-    assert!(count(&coverage, "an old controller ended beside new ones") > 10, "{coverage:?}");
-    assert!(count(&coverage, "a record was written in parts") > 20, "{coverage:?}");
+    assert!(
+        count(&coverage, "a controller was upgraded while others had been") > 20,
+        "{coverage:?}"
+    );
+    assert!(
+        count(&coverage, "an old controller ended beside new ones") > 10,
+        "{coverage:?}"
+    );
+    assert!(
+        count(&coverage, "a record was written in parts") > 20,
+        "{coverage:?}"
+    );
 }
--- a/crates/seamfront-core/tests/rules.rs
+++ b/crates/seamfront-core/tests/rules.rs
@@ -17,23 +17,52 @@
         let node = w.draw(0..NODES as i64) as usize;
         let hold = w.draw(0..2) == 0;
         let fault = match w.draw(0..17) {
-            0 => Fault::Crash { nodes: vec![node], back: ms(w.draw(100..6_000)) },
-            1 => Fault::Crash { nodes: vec![node, (node + 1) % NODES], back: ms(5_000) },
-            2 => Fault::Crash { nodes: (0..NODES).collect(), back: ms(w.draw(200..6_000)) },
+            0 => Fault::Crash {
+                nodes: vec![node],
+                back: ms(w.draw(100..6_000)),
+            },
+            1 => Fault::Crash {
+                nodes: vec![node, (node + 1) % NODES],
+                back: ms(5_000),
+            },
+            2 => Fault::Crash {
+                nodes: (0..NODES).collect(),
+                back: ms(w.draw(200..6_000)),
+            },
             3 => Fault::Outage { until },
             4 => Fault::Refused { node, until },
             5 => Fault::CutState { node, until, hold },
             6 => Fault::CutWorkers { node, until, hold },
             7 => Fault::CutMesh { node, until },
             8 => Fault::CloudOutage { until },
-            12 => Fault::CutLinks { node, count: 4, until },
-            13 => Fault::LoseAnswers { count: 3, lasts: ms(lasts) },
-            14 => Fault::DuplicateReports { until: ms(at + 40_000) },
+            12 => Fault::CutLinks {
+                node,
+                count: 4,
+                until,
+            },
+            13 => Fault::LoseAnswers {
+                count: 3,
+                lasts: ms(lasts),
+            },
+            14 => Fault::DuplicateReports {
+                until: ms(at + 40_000),
+            },
             15 => Fault::RestartMachines { count: 2 },
-            16 => Fault::Crash { nodes: vec![node], back: ms(w.draw(20..600)) },
-            9 => Fault::KillMachines { count: w.draw(1..4) as usize },
-            10 => Fault::Hang { count: 2, lasts: ms(lasts) },
-            _ if hold => Fault::CutMachines { count: 3, lasts: ms(lasts) },
+            16 => Fault::Crash {
+                nodes: vec![node],
+                back: ms(w.draw(20..600)),
+            },
+            9 => Fault::KillMachines {
+                count: w.draw(1..4) as usize,
+            },
+            10 => Fault::Hang {
+                count: 2,
+                lasts: ms(lasts),
+            },
+            _ if hold => Fault::CutMachines {
+                count: 3,
+                lasts: ms(lasts),
+            },
             _ => Fault::Notice { count: 2 },
         };
         w.fault(ms(at), fault);
@@ -78,11 +107,23 @@
                 let at = 10_000 + k * 9_000 + w.draw(0..6_000);
                 let node = w.draw(0..NODES as i64) as usize;
                 let back = ms(w.draw(100..5_000));
-                w.fault(ms(at), Fault::Crash { nodes: vec![node], back });
+                w.fault(
+                    ms(at),
+                    Fault::Crash {
+                        nodes: vec![node],
+                        back,
+                    },
+                );
                 let soon = at + w.draw(50..4_500);
                 let other = (node + 1) % NODES;
                 let back = ms(w.draw(100..1_000));
-                w.fault(ms(soon), Fault::Crash { nodes: vec![other], back });
+                w.fault(
+                    ms(soon),
+                    Fault::Crash {
+                        nodes: vec![other],
+                        back,
+                    },
+                );
             }
         });
     }
@@ -98,11 +139,24 @@
             for k in 0..3 {
                 let at = 12_000 + k * 26_000;
                 let node = w.draw(0..NODES as i64) as usize;
-                w.fault(ms(at), Fault::Refused { node, until: ms(at + 24_000) });
+                w.fault(
+                    ms(at),
+                    Fault::Refused {
+                        node,
+                        until: ms(at + 24_000),
+                    },
+                );
                 if w.draw(0..3) > 0 {
                     let until = ms(at + 24_000);
                     w.fault(ms(at + 100), Fault::CutMesh { node, until });
-                    w.fault(ms(at + 4_500), Fault::CutLinks { node, count: 5, until });
+                    w.fault(
+                        ms(at + 4_500),
+                        Fault::CutLinks {
+                            node,
+                            count: 5,
+                            until,
+                        },
+                    );
                 }
             }
         });
@@ -122,12 +176,32 @@
             if w.draw(0..2) == 0 {
                 w.fault(ms(at), Fault::Refused { node, until });
             } else {
-                w.fault(ms(at), Fault::CutState { node, until, hold: true });
+                w.fault(
+                    ms(at),
+                    Fault::CutState {
+                        node,
+                        until,
+                        hold: true,
+                    },
+                );
             }
             w.fault(ms(at), Fault::CutMesh { node, until });
             for k in 0..3 {
-                w.fault(ms(at + 4_500 + 2_000 * k), Fault::CutLinks { node, count: 3, until });
-                w.fault(ms(at + 10_500 + 1_500 * k), Fault::Hang { count: 2, lasts: ms(9_000) });
+                w.fault(
+                    ms(at + 4_500 + 2_000 * k),
+                    Fault::CutLinks {
+                        node,
+                        count: 3,
+                        until,
+                    },
+                );
+                w.fault(
+                    ms(at + 10_500 + 1_500 * k),
+                    Fault::Hang {
+                        count: 2,
+                        lasts: ms(9_000),
+                    },
+                );
             }
         });
     }
@@ -142,9 +216,23 @@
                 let at = 10_000 + k * 25_000;
                 let node = w.draw(0..NODES as i64) as usize;
                 let until = ms(at + w.draw(3_000..24_000));
-                w.fault(ms(at), Fault::CutState { node, until, hold: true });
+                w.fault(
+                    ms(at),
+                    Fault::CutState {
+                        node,
+                        until,
+                        hold: true,
+                    },
+                );
                 w.fault(ms(at), Fault::CutMesh { node, until });
-                w.fault(ms(at + 2_000), Fault::CutLinks { node, count: 4, until });
+                w.fault(
+                    ms(at + 2_000),
+                    Fault::CutLinks {
+                        node,
+                        count: 4,
+                        until,
+                    },
+                );
                 let lasts = ms(w.draw(3_000..20_000));
                 w.fault(ms(at + 500), Fault::Hang { count: 2, lasts });
             }
@@ -182,7 +270,13 @@
                 if w.draw(0..2) == 0 {
                     let node = w.draw(0..NODES as i64) as usize;
                     let back = ms(w.draw(50..6_000));
-                    w.fault(ms(at + 300), Fault::Crash { nodes: vec![node], back });
+                    w.fault(
+                        ms(at + 300),
+                        Fault::Crash {
+                            nodes: vec![node],
+                            back,
+                        },
+                    );
                 }
             }
         });
@@ -196,15 +290,33 @@
     scenario("rules.late_copies_of_reports_prove_nothing");
     for seed in 700..720 {
         history(seed, |w, troubles| {
-            w.fault(ms(1_000), Fault::DuplicateReports { until: ms(troubles) });
+            w.fault(
+                ms(1_000),
+                Fault::DuplicateReports {
+                    until: ms(troubles),
+                },
+            );
             for k in 0..6 {
                 let at = 9_000 + k * 12_000 + w.draw(0..4_000);
                 let node = w.draw(0..NODES as i64) as usize;
                 let fault = match w.draw(0..5) {
-                    0 => Fault::Crash { nodes: vec![node], back: ms(w.draw(20..900)) },
-                    1 => Fault::Crash { nodes: (0..NODES).collect(), back: ms(w.draw(20..5_000)) },
-                    2 => Fault::Hang { count: 3, lasts: ms(w.draw(2_000..20_000)) },
-                    3 => Fault::CutLinks { node, count: 5, until: ms(at + 15_000) },
+                    0 => Fault::Crash {
+                        nodes: vec![node],
+                        back: ms(w.draw(20..900)),
+                    },
+                    1 => Fault::Crash {
+                        nodes: (0..NODES).collect(),
+                        back: ms(w.draw(20..5_000)),
+                    },
+                    2 => Fault::Hang {
+                        count: 3,
+                        lasts: ms(w.draw(2_000..20_000)),
+                    },
+                    3 => Fault::CutLinks {
+                        node,
+                        count: 5,
+                        until: ms(at + 15_000),
+                    },
                     _ => Fault::KillMachines { count: 2 },
                 };
                 w.fault(ms(at), fault);
@@ -220,15 +332,37 @@
     scenario("rules.back_within_a_fraction_of_a_second");
     for seed in 800..816 {
         history(seed, |w, troubles| {
-            w.fault(ms(1_000), Fault::DuplicateReports { until: ms(troubles) });
+            w.fault(
+                ms(1_000),
+                Fault::DuplicateReports {
+                    until: ms(troubles),
+                },
+            );
             for k in 0..8 {
                 let at = 8_000 + k * 9_000 + w.draw(0..4_000);
                 let node = w.draw(0..NODES as i64) as usize;
                 let hold = w.draw(0..2) == 0;
-                let (lasts, soon, back, blink) =
-                    (w.draw(200..5_000), w.draw(0..300), w.draw(10..500), w.draw(0..4_500));
-                w.fault(ms(at), Fault::CutState { node, until: ms(at + lasts), hold });
-                w.fault(ms(at + soon), Fault::Crash { nodes: vec![node], back: ms(back) });
+                let (lasts, soon, back, blink) = (
+                    w.draw(200..5_000),
+                    w.draw(0..300),
+                    w.draw(10..500),
+                    w.draw(0..4_500),
+                );
+                w.fault(
+                    ms(at),
+                    Fault::CutState {
+                        node,
+                        until: ms(at + lasts),
+                        hold,
+                    },
+                );
+                w.fault(
+                    ms(at + soon),
+                    Fault::Crash {
+                        nodes: vec![node],
+                        back: ms(back),
+                    },
+                );
                 w.fault(ms(at + blink), Fault::RestartMachines { count: 2 });
             }
         });
@@ -244,12 +378,17 @@
         let mut w = World::new(seed);
         w.quiet_from = ms(300_000);
         let mut gang = w.job(0);
-        (gang.kind, gang.class, gang.team, gang.priority) = (Kind::Gang, "gang".into(), "b".into(), Priority::Urgent);
+        (gang.kind, gang.class, gang.team, gang.priority) =
+            (Kind::Gang, "gang".into(), "b".into(), Priority::Urgent);
         (gang.tasks, gang.need) = (3, Amounts::needed(3.0, 0.0, 4.0));
         (gang.one_zone, gang.spread, gang.zone, gang.spot) = (false, false, None, true);
         for n in 1..85 {
             let mut small = gang.clone();
-            (small.id, small.kind, small.class) = (format!("j-{n:06}").as_str().into(), Kind::Array, "small".into());
+            (small.id, small.kind, small.class) = (
+                format!("j-{n:06}").as_str().into(),
+                Kind::Array,
+                "small".into(),
+            );
             small.tasks = 1;
             w.submit(ms(3_200 * i64::from(n)), small);
         }
@@ -276,7 +415,14 @@
             w.cancel(ms(at + later), id);
         }
         w.run_until(ms(200_000));
-        late += w.coverage.get("a task started after its cancellation was confirmed").copied().unwrap_or(0);
+        late += w
+            .coverage
+            .get("a task started after its cancellation was confirmed")
+            .copied()
+            .unwrap_or(0);
     }
-    assert!(late > 0, "the runs prove nothing: no start was under way as its job was called off");
+    assert!(
+        late > 0,
+        "the runs prove nothing: no start was under way as its job was called off"
+    );
 }
--- a/crates/seamfront-core/tests/size.rs
+++ b/crates/seamfront-core/tests/size.rs
@@ -11,7 +11,17 @@
 
 fn fleet(nodes: usize, machines: usize, state_rps: i64, write_rps: i64) -> Scale {
     let most = machines + machines / 20;
-    Scale { nodes, teams: 10, machines, most, page: 500, state_rps, write_rps, times: (5, 26, 46), ..world::SMALL }
+    Scale {
+        nodes,
+        teams: 10,
+        machines,
+        most,
+        page: 500,
+        state_rps,
+        write_rps,
+        times: (5, 26, 46),
+        ..world::SMALL
+    }
 }
 
 /// Two hundred jobs, a third of them at once.
@@ -24,7 +34,11 @@
             Kind::Service => spec.tasks = w.draw(4..17) as u32,
             Kind::Gang => spec.tasks = w.draw(1..9) as u32,
         }
-        let at = if n % 3 == 0 { w.draw(20_000..22_000) } else { w.draw(500..30_000) };
+        let at = if n % 3 == 0 {
+            w.draw(20_000..22_000)
+        } else {
+            w.draw(500..30_000)
+        };
         w.submit(ms(at), spec);
     }
 }
@@ -33,21 +47,49 @@
     let mut w = World::sized(seed, scale);
     w.quiet_from = ms(40_000);
     jobs(&mut w);
-    w.fault(ms(15_000), Fault::Crash { nodes: (0..scale.nodes).collect(), back: ms(3_000) });
-    w.fault(ms(35_000), Fault::KillMachines { count: scale.machines / 10 });
+    w.fault(
+        ms(15_000),
+        Fault::Crash {
+            nodes: (0..scale.nodes).collect(),
+            back: ms(3_000),
+        },
+    );
+    w.fault(
+        ms(35_000),
+        Fault::KillMachines {
+            count: scale.machines / 10,
+        },
+    );
     w.run_until(ms(120_000));
-    assert!(w.truth.started > 10_000, "the run proves nothing: {} tasks started", w.truth.started);
+    assert!(
+        w.truth.started > 10_000,
+        "the run proves nothing: {} tasks started",
+        w.truth.started
+    );
     assert_eq!(w.not_served(), Vec::<String>::new());
-    let seconds: Vec<(u32, u32)> = (0..120).map(|s| w.asked_of_store.get(&s).copied().unwrap_or_default()).collect();
+    let seconds: Vec<(u32, u32)> = (0..120)
+        .map(|s| w.asked_of_store.get(&s).copied().unwrap_or_default())
+        .collect();
     for five in seconds.windows(5) {
-        let (requests, writes) = five.iter().fold((0, 0), |sum, s| (sum.0 + s.0, sum.1 + s.1));
+        let (requests, writes) = five
+            .iter()
+            .fold((0, 0), |sum, s| (sum.0 + s.0, sum.1 + s.1));
         // One second's worth may come as a burst on top.
-        assert!(i64::from(requests) <= 6 * scale.state_rps, "{requests} requests in five seconds: {seconds:?}");
-        assert!(i64::from(writes) <= 6 * scale.write_rps, "{writes} writes in five seconds: {seconds:?}");
+        assert!(
+            i64::from(requests) <= 6 * scale.state_rps,
+            "{requests} requests in five seconds: {seconds:?}"
+        );
+        assert!(
+            i64::from(writes) <= 6 * scale.write_rps,
+            "{writes} writes in five seconds: {seconds:?}"
+        );
     }
     let (message, commit) = w.largest;
     assert!(commit <= 60 * 1024, "a transaction of {commit} bytes");
-    assert!(message <= 256 * 1024, "a message of {message} bytes between controllers");
+    assert!(
+        message <= 256 * 1024,
+        "a message of {message} bytes between controllers"
+    );
 }
 
 #[test]
@@ -86,10 +128,17 @@
         w.quiet_from = ms(1_000);
         jobs(&mut w);
         w.run_until(ms(60_000));
-        assert!(w.truth.started > 5_000, "the run proves nothing: {} tasks started", w.truth.started);
+        assert!(
+            w.truth.started > 5_000,
+            "the run proves nothing: {} tasks started",
+            w.truth.started
+        );
         let (steps, looked) = w.steps;
         looked as f64 / steps as f64
     };
     let (small, large) = (looked(1_000), looked(2_000));
-    assert!(large < 1.3 * small, "{small:.0} items in a step, and {large:.0} with twice as many machines");
+    assert!(
+        large < 1.3 * small,
+        "{small:.0} items in a step, and {large:.0} with twice as many machines"
+    );
 }
--- a/crates/seamfront-core/tests/turns.rs
+++ b/crates/seamfront-core/tests/turns.rs
@@ -10,7 +10,11 @@
 
 /// An array of tasks that take one of a machine's eight processors each.
 fn array(id: &str, tasks: u32, priority: Priority, submitted: Micros) -> JobSpec {
-    JobSpec { priority, submitted, ..(*job(id, tasks)).clone() }
+    JobSpec {
+        priority,
+        submitted,
+        ..(*job(id, tasks)).clone()
+    }
 }
 
 /// Machines that have shown our token, and jobs that wait; then one round.
@@ -27,7 +31,10 @@
     for k in 0..n {
         let now = now + Micros::from_millis(600).times(k);
         for m in 0..h.shard.machines.len() {
-            h.hello(now, &report(&format!("i-{m}"), 1, 100 + now.0 as u64, CLAIM, &[]));
+            h.hello(
+                now,
+                &report(&format!("i-{m}"), 1, 100 + now.0 as u64, CLAIM, &[]),
+            );
         }
         h.with(now, |s, context| s.round(context));
     }
@@ -47,17 +54,27 @@
         (Kind::Gang, 0.0, false, (8, 0)),
         (Kind::Array, 8.0, false, (8, 0)),
     ] {
-        let mut small = JobSpec { kind, ..array("j-1", 2, Priority::Normal, s(110)) };
+        let mut small = JobSpec {
+            kind,
+            ..array("j-1", 2, Priority::Normal, s(110))
+        };
         // The time by which it should have been done has passed: it waits for what can be in time.
         small.deadline = late.then(|| s(5));
-        let large = JobSpec { kind, ..array("j-0", 8, Priority::Normal, s(100)) };
+        let large = JobSpec {
+            kind,
+            ..array("j-0", 8, Priority::Normal, s(100))
+        };
         let mut h = Held::new(1, 0);
         h.cfg.teams[0].limit = Amounts::offered(limit, 0.0, 0.0);
         for spec in [large, small] {
             h.shard.add_job(Rc::new(spec), 5, s(120));
         }
         rounds(&mut h, s(120), 1);
-        assert_eq!((placed(&h, "j-0"), placed(&h, "j-1")), expected, "{kind:?}, {limit}, {late}");
+        assert_eq!(
+            (placed(&h, "j-0"), placed(&h, "j-1")),
+            expected,
+            "{kind:?}, {limit}, {late}"
+        );
     }
 }
 
@@ -68,12 +85,22 @@
     let now = s(400);
     let mut old = array("j-0", 1, Priority::Normal, now - BEGIN_WITHIN);
     old.need = Amounts::needed(8.0, 0.0, 1.0);
-    let urgent = JobSpec { id: "j-1".into(), priority: Priority::Urgent, submitted: now, ..old.clone() };
+    let urgent = JobSpec {
+        id: "j-1".into(),
+        priority: Priority::Urgent,
+        submitted: now,
+        ..old.clone()
+    };
     let mut h = after_a_round(1, now, vec![old, urgent]);
     rounds(&mut h, now + s(1), 3);
     assert_eq!((placed(&h, "j-0"), placed(&h, "j-1")), (1, 0));
     let job = &h.shard.jobs[&JobId::from("j-0")];
-    assert!(job.tasks.values().all(|p| p.stop.is_none() && p.attempt == 1), "it was stopped and placed anew");
+    assert!(
+        job.tasks
+            .values()
+            .all(|p| p.stop.is_none() && p.attempt == 1),
+        "it was stopped and placed anew"
+    );
 }
 
 /// An urgent gang that has its turn is beyond its team's guarantee, and one of the same priority that comes after it
@@ -89,13 +116,25 @@
     };
     let mut h = Held::new(1, 0);
     let guarantee = Amounts::offered(16.0, 0.0, 0.0);
-    h.cfg.teams.push(Team { name: "u".into(), guarantee, limit: Amounts::default() });
+    h.cfg.teams.push(Team {
+        name: "u".into(),
+        guarantee,
+        limit: Amounts::default(),
+    });
     for spec in [gang("j-0", "t", now - BEGIN_WITHIN), gang("j-1", "u", now)] {
         h.shard.add_job(Rc::new(spec), 5, now);
     }
     rounds(&mut h, now, 4);
     assert_eq!((placed(&h, "j-0"), placed(&h, "j-1")), (1, 0));
-    assert_eq!(h.shard.jobs[&JobId::from("j-0")].gang.as_ref().unwrap().epoch, 1, "it was stopped and placed anew");
+    assert_eq!(
+        h.shard.jobs[&JobId::from("j-0")]
+            .gang
+            .as_ref()
+            .unwrap()
+            .epoch,
+        1,
+        "it was stopped and placed anew"
+    );
 }
 
 /// A fetch takes longer than a live service may wait.
@@ -103,16 +142,31 @@
 fn room_for_live_services_is_kept_where_their_images_are() {
     let now = s(120);
     let mut h = Held::new(3, 0);
-    let live =
-        JobSpec { kind: Kind::Service, priority: Priority::Critical, image: "live".into(), ..(*job("j-0", 4)).clone() };
+    let live = JobSpec {
+        kind: Kind::Service,
+        priority: Priority::Critical,
+        image: "live".into(),
+        ..(*job("j-0", 4)).clone()
+    };
     h.shard.add_job(Rc::new(live), 5, now);
     let busy = MachineId::from("i-1");
-    h.shard.machines.get_mut(&busy).unwrap().used_image("live", 100, 1_000);
-    h.shard.add_job(Rc::new(array("j-1", 200, Priority::BestEffort, now)), 5, now);
+    h.shard
+        .machines
+        .get_mut(&busy)
+        .unwrap()
+        .used_image("live", 100, 1_000);
+    h.shard.add_job(
+        Rc::new(array("j-1", 200, Priority::BestEffort, now)),
+        5,
+        now,
+    );
     rounds(&mut h, now, 1);
     assert_eq!(placed(&h, "j-0"), 4, "it starts at once");
     let free = h.shard.machines[&busy].free().cpus;
-    assert_eq!(free, 4_000, "room for one more like it is left where its image is");
+    assert_eq!(
+        free, 4_000,
+        "room for one more like it is left where its image is"
+    );
     assert_eq!(placed(&h, "j-1"), 16, "and the rest is used");
 }
 
@@ -124,14 +178,21 @@
     let team = Team {
         name: "t".into(),
         guarantee: Amounts::offered(4.0, 0.0, 0.0),
-        limit: Amounts { cpus: 0, gpus: 0, ram: 0 },
+        limit: Amounts {
+            cpus: 0,
+            gpus: 0,
+            ram: 0,
+        },
     };
     let mut first = Job::new(Rc::new(array("j-0", 4, Priority::Normal, s(1))), 5, s(1));
     let second = Job::new(Rc::new(array("j-1", 4, Priority::Normal, s(2))), 5, s(2));
     for (waits, inside) in [(false, "j-0"), (true, "j-1")] {
         first.waits = waits;
         let found = guaranteed(std::slice::from_ref(&team), [&first, &second].into_iter());
-        assert_eq!(found.iter().map(|j| j.as_str()).collect::<Vec<_>>(), [inside]);
+        assert_eq!(
+            found.iter().map(|j| j.as_str()).collect::<Vec<_>>(),
+            [inside]
+        );
     }
     assert_eq!((first.unplaced(), second.unplaced()), (0, 4));
 }
@@ -149,14 +210,26 @@
     };
     let mut h = Held::new(4, 0);
     h.cfg.teams[0].limit = Amounts::offered(8.0, 0.0, 0.0);
-    h.cfg.teams.push(Team { name: "u".into(), guarantee: Amounts::default(), limit: Amounts::default() });
+    h.cfg.teams.push(Team {
+        name: "u".into(),
+        guarantee: Amounts::default(),
+        limit: Amounts::default(),
+    });
     for id in ["j-5", "j-6", "j-7", "j-8"] {
-        h.shard.add_job(Rc::new(whole(id, "u", Kind::Array, Priority::BestEffort)), 5, now);
+        h.shard.add_job(
+            Rc::new(whole(id, "u", Kind::Array, Priority::BestEffort)),
+            5,
+            now,
+        );
     }
     rounds(&mut h, now, 1);
     order_all(&mut h);
     for id in ["j-0", "j-1"] {
-        h.shard.add_job(Rc::new(whole(id, "t", Kind::Gang, Priority::Urgent)), 5, now);
+        h.shard.add_job(
+            Rc::new(whole(id, "t", Kind::Gang, Priority::Urgent)),
+            5,
+            now,
+        );
     }
     for k in 1..4 {
         h.with(now + s(k), |s, context| s.round(context));
@@ -173,10 +246,18 @@
 ) -> (Held, impl Fn(&str, u32, Micros) -> JobSpec) {
     let mut h = Held::new(machines, 0);
     h.cfg.teams[0].limit = Amounts::offered(16.0, 0.0, 0.0);
-    h.cfg.teams.push(Team { name: "u".into(), guarantee: Amounts::default(), limit: Amounts::default() });
+    h.cfg.teams.push(Team {
+        name: "u".into(),
+        guarantee: Amounts::default(),
+        limit: Amounts::default(),
+    });
     for id in busy {
         let need = Amounts::needed(8.0, 0.0, 1.0);
-        let lesser = JobSpec { team: "u".into(), need, ..array(id, 1, Priority::BestEffort, now) };
+        let lesser = JobSpec {
+            team: "u".into(),
+            need,
+            ..array(id, 1, Priority::BestEffort, now)
+        };
         h.shard.add_job(Rc::new(lesser), 5, now);
     }
     rounds(&mut h, now, 1);
@@ -191,13 +272,20 @@
 
 /// Tasks that are being stopped.
 fn stopped(h: &Held) -> usize {
-    h.shard.jobs.values().flat_map(|j| j.tasks.values()).filter(|p| p.stop.is_some()).count()
+    h.shard
+        .jobs
+        .values()
+        .flat_map(|j| j.tasks.values())
+        .filter(|p| p.stop.is_some())
+        .count()
 }
 
 /// The records of all placements are written.
 fn order_all(h: &mut Held) {
     for j in h.shard.jobs.values_mut() {
-        j.tasks.values_mut().for_each(|p| p.phase = seamfront_core::job::Phase::Ordered);
+        j.tasks
+            .values_mut()
+            .for_each(|p| p.phase = seamfront_core::job::Phase::Ordered);
     }
 }
 
@@ -207,7 +295,8 @@
 fn an_overdue_gang_keeps_its_part_of_the_limit_while_room_is_freed_for_it() {
     let now = s(500);
     let (mut h, gang) = held_with_limit_for_two(3, &["j-5", "j-6"], now);
-    h.shard.add_job(Rc::new(gang("j-0", 2, now - BEGIN_WITHIN)), 5, now);
+    h.shard
+        .add_job(Rc::new(gang("j-0", 2, now - BEGIN_WITHIN)), 5, now);
     h.shard.add_job(Rc::new(gang("j-1", 1, now)), 5, now);
     h.with(now + s(1), |s, context| s.round(context));
     assert!(stopped(&h) > 0, "room is being freed");
@@ -222,9 +311,16 @@
     h.shard.add_job(Rc::new(gang("j-1", 1, now)), 5, now);
     h.with(now + s(1), |s, context| s.round(context));
     order_all(&mut h);
-    h.shard.add_job(Rc::new(gang("j-0", 2, now - BEGIN_WITHIN)), 5, now);
-    let lesser = JobSpec { team: "u".into(), ..array("j-7", 40, Priority::BestEffort, now) };
+    h.shard
+        .add_job(Rc::new(gang("j-0", 2, now - BEGIN_WITHIN)), 5, now);
+    let lesser = JobSpec {
+        team: "u".into(),
+        ..array("j-7", 40, Priority::BestEffort, now)
+    };
     h.shard.add_job(Rc::new(lesser), 5, now);
     h.with(now + s(2), |s, context| s.round(context));
-    assert_eq!((placed(&h, "j-1"), placed(&h, "j-0"), placed(&h, "j-7")), (1, 0, 0));
+    assert_eq!(
+        (placed(&h, "j-1"), placed(&h, "j-0"), placed(&h, "j-7")),
+        (1, 0, 0)
+    );
 }
--- a/crates/seamfront-core/tests/world/checks.rs
+++ b/crates/seamfront-core/tests/world/checks.rs
@@ -11,7 +11,9 @@
             let done = self.truth.completed.get(id).map_or(0, |c| c.len() as u32) == spec.tasks;
             let over = self.told.contains_key(id);
             match spec.kind {
-                Kind::Service if self.wants_cancel.contains(id) && !over => owed.push(format!("{id} not cancelled")),
+                Kind::Service if self.wants_cancel.contains(id) && !over => {
+                    owed.push(format!("{id} not cancelled"))
+                }
                 Kind::Service if !self.wants_cancel.contains(id) => {
                     let up = self.truth.workers.values().filter(|w| !w.dead);
                     let running = up
@@ -22,7 +24,10 @@
                         owed.push(format!("{id}: {running} of {} replicas run", spec.tasks));
                     }
                 }
-                _ if !over => owed.push(format!("{id} {:?} not over (done {done}): {spec:?}", spec.kind)),
+                _ if !over => owed.push(format!(
+                    "{id} {:?} not over (done {done}): {spec:?}",
+                    spec.kind
+                )),
                 _ => {}
             }
         }
@@ -40,12 +45,29 @@
         for id in self.accepted.iter().filter(asked) {
             let spec = &self.truth.jobs[id];
             // What waits for others may begin once the last of them is done.
-            let ready = spec.needs.iter().filter_map(|n| self.ended.get(n)).max().copied().unwrap_or(Micros::ZERO);
-            let began = self.truth.began.get(id).map(|t| *t - ready.max(self.submitted[id]));
-            let largest = self.accepted.iter().map(|j| &self.truth.jobs[j]).filter(|j| j.class == spec.class);
+            let ready = spec
+                .needs
+                .iter()
+                .filter_map(|n| self.ended.get(n))
+                .max()
+                .copied()
+                .unwrap_or(Micros::ZERO);
+            let began = self
+                .truth
+                .began
+                .get(id)
+                .map(|t| *t - ready.max(self.submitted[id]));
+            let largest = self
+                .accepted
+                .iter()
+                .map(|j| &self.truth.jobs[j])
+                .filter(|j| j.class == spec.class);
             let size = |j: &JobSpec| i64::from(j.tasks) * j.need.cpus;
             let largest = largest.map(size).max().unwrap_or(0);
-            let mut names = vec![format!("class {}", spec.class), format!("team {}", spec.team)];
+            let mut names = vec![
+                format!("class {}", spec.class),
+                format!("team {}", spec.team),
+            ];
             let mut served = began.is_some();
             if size(spec) * 4 >= largest * 3 {
                 served &= began.is_some_and(|d| d <= ms(240_000));
@@ -68,7 +90,8 @@
     }
 
     pub(super) fn follow_completions(&mut self) {
-        let over = |(id, done): (&JobId, &BTreeSet<u32>)| done.len() as u32 == self.truth.jobs[id].tasks;
+        let over =
+            |(id, done): (&JobId, &BTreeSet<u32>)| done.len() as u32 == self.truth.jobs[id].tasks;
         let ended: Vec<JobId> = self
             .truth
             .completed
@@ -79,14 +102,20 @@
         for job in ended {
             self.ended.insert(job.clone(), self.now);
             self.look_closely(&job);
-            if self.now < self.cancel_at_completion && self.accepted.contains(&job) && !self.told.contains_key(&job) {
+            if self.now < self.cancel_at_completion
+                && self.accepted.contains(&job)
+                && !self.told.contains_key(&job)
+            {
                 self.cover("a cancellation, a question and a submission met a job's end");
                 self.wants_cancel.insert(job.clone());
                 for k in 0..4 {
                     let d = ms(self.rng.random_range(0..500));
                     self.after(d, Event::Cancel { job: job.clone() });
-                    let event =
-                        if k == 0 { Event::Submit { job: job.clone() } } else { Event::Poll { job: job.clone() } };
+                    let event = if k == 0 {
+                        Event::Submit { job: job.clone() }
+                    } else {
+                        Event::Poll { job: job.clone() }
+                    };
                     let d = ms(self.rng.random_range(0..500));
                     self.after(d, event);
                 }
@@ -98,12 +127,16 @@
     pub(super) fn check_duty(&mut self, node: usize, request: &CloudCall) {
         let claim = match request {
             CloudCall::Delete { .. } => "duty/claim/returning",
-            CloudCall::Types | CloudCall::List { .. } | CloudCall::Rent { .. } => "duty/claim/renting",
+            CloudCall::Types | CloudCall::List { .. } | CloudCall::Rent { .. } => {
+                "duty/claim/renting"
+            }
         };
         self.cover("a duty acted on the cloud");
         if self.holder(claim) != Some(node) {
             let t = self.now.as_secs_decimal();
-            self.truth.broken.push(format!("{t:.3} n{node} acts without {claim}: {request:?}"));
+            self.truth
+                .broken
+                .push(format!("{t:.3} n{node} acts without {claim}: {request:?}"));
         }
     }
 
@@ -128,21 +161,40 @@
 
     /// To every controller as the claim is taken, and once more to its holder when it has begun to act.
     fn deliver_kept_reports(&mut self, claim: &str) {
-        let Some(holder) = self.holder(claim) else { return };
+        let Some(holder) = self.holder(claim) else {
+            return;
+        };
         for (sent, report) in std::mem::take(&mut self.kept_reports) {
             self.cover("an old report reached every controller as a claim was taken");
             for node in 0..self.scale.nodes {
                 let soon = ms(self.rng.random_range(0..200));
-                self.after(soon, Event::DuplicateReport { node, sent, report: Box::new(report.clone()) });
+                self.after(
+                    soon,
+                    Event::DuplicateReport {
+                        node,
+                        sent,
+                        report: Box::new(report.clone()),
+                    },
+                );
             }
             let later = ms(self.rng.random_range(500..4_000));
-            self.after(later, Event::DuplicateReport { node: holder, sent, report: Box::new(report) });
+            self.after(
+                later,
+                Event::DuplicateReport {
+                    node: holder,
+                    sent,
+                    report: Box::new(report),
+                },
+            );
         }
     }
 
     /// The claim on the share of a job's team.
     pub fn shard_key(&self, job: &JobId) -> &'static str {
-        let shard = self.settings.shard_of(&self.truth.jobs[job].team).expect("a known team");
+        let shard = self
+            .settings
+            .shard_of(&self.truth.jobs[job].team)
+            .expect("a known team");
         ["share/0", "share/1", "share/2"][shard]
     }
 
@@ -163,22 +215,34 @@
 
     /// How many keys with this prefix the state service holds.
     pub fn stored(&self, prefix: &str) -> usize {
-        self.store.keys.keys().filter(|k| k.starts_with(prefix)).count()
+        self.store
+            .keys
+            .keys()
+            .filter(|k| k.starts_with(prefix))
+            .count()
     }
 
     /// A claim that nobody holds, or that was taken a moment ago.
     pub(super) fn changes_hands(&self, claim: &str) -> bool {
-        self.claims.get(claim).is_some_and(|(v, since)| v.is_none() || self.now - *since < ms(3_000))
+        self.claims
+            .get(claim)
+            .is_some_and(|(v, since)| v.is_none() || self.now - *since < ms(3_000))
     }
 
     /// No controller orders a start of a job that it has itself called cancelled, however troubled the times.
     pub(super) fn check_orders(&mut self, node: usize, orders: &[Order]) {
         for o in orders {
-            let Order::Start { task, .. } = o else { continue };
-            self.first_orders.entry(task.job.clone()).or_insert(self.now);
+            let Order::Start { task, .. } = o else {
+                continue;
+            };
+            self.first_orders
+                .entry(task.job.clone())
+                .or_insert(self.now);
             if self.nodes[node].called_cancelled.contains(&task.job) {
                 let t = self.now.as_secs_decimal();
-                let bad = format!("{t:.3} start of {task} ordered by n{node}, which had called the job cancelled");
+                let bad = format!(
+                    "{t:.3} start of {task} ordered by n{node}, which had called the job cancelled"
+                );
                 self.truth.broken.push(bad);
             }
         }
@@ -193,7 +257,9 @@
             self.cover("a task started after its cancellation was confirmed");
             if confirmed > settled && self.now - confirmed > at_most {
                 let t = self.now.as_secs_decimal();
-                self.truth.broken.push(format!("{t:.3} {task} started though cancelled at {confirmed:?}"));
+                self.truth.broken.push(format!(
+                    "{t:.3} {task} started though cancelled at {confirmed:?}"
+                ));
             }
         }
     }
@@ -201,9 +267,12 @@
     /// What can never run is in no record of the state service.
     pub(super) fn check_impossible_jobs(&mut self) {
         for id in &self.impossible {
-            if self.store.keys.contains_key(&format!("job/{id}")) || self.store.keys.contains_key(&format!("end/{id}"))
+            if self.store.keys.contains_key(&format!("job/{id}"))
+                || self.store.keys.contains_key(&format!("end/{id}"))
             {
-                self.truth.broken.push(format!("accepted though it can never run: {id}"));
+                self.truth
+                    .broken
+                    .push(format!("accepted though it can never run: {id}"));
             }
         }
     }
@@ -215,11 +284,20 @@
             return;
         }
         let forgotten = |id: &&JobId| {
-            let last = self.answered.get(*id).copied().unwrap_or(Micros::ZERO).max(self.quiet_from);
+            let last = self
+                .answered
+                .get(*id)
+                .copied()
+                .unwrap_or(Micros::ZERO)
+                .max(self.quiet_from);
             !self.told.contains_key(*id) && self.now - last > ms(75_000)
         };
-        let forgotten: Vec<String> =
-            self.accepted.iter().filter(forgotten).map(|id| format!("forgotten: {id} was not answered for")).collect();
+        let forgotten: Vec<String> = self
+            .accepted
+            .iter()
+            .filter(forgotten)
+            .map(|id| format!("forgotten: {id} was not answered for"))
+            .collect();
         self.truth.broken.extend(forgotten);
     }
 
@@ -233,8 +311,17 @@
         let mut used: BTreeMap<&str, Amounts> = BTreeMap::new();
         let mut room: BTreeMap<&MachineId, Amounts> = BTreeMap::new();
         let mut placed: BTreeMap<&JobId, u32> = BTreeMap::new();
-        for (id, w) in self.truth.workers.iter().filter(|(_, w)| !w.dead && w.up_at <= self.now) {
-            for (k, _) in w.tasks.iter().filter(|(_, t)| !matches!(t.state, TaskState::Exited(_))) {
+        for (id, w) in self
+            .truth
+            .workers
+            .iter()
+            .filter(|(_, w)| !w.dead && w.up_at <= self.now)
+        {
+            for (k, _) in w
+                .tasks
+                .iter()
+                .filter(|(_, t)| !matches!(t.state, TaskState::Exited(_)))
+            {
                 let spec = &self.truth.jobs[&k.job];
                 used.entry(&spec.team).or_default().add(spec.need);
                 *placed.entry(&k.job).or_default() += 1;
@@ -250,16 +337,27 @@
             }
             let done = self.truth.completed.get(id).map_or(0, |c| c.len() as u32);
             let whole = spec.kind == Kind::Gang && spec.tasks > 1;
-            if whole || spec.one_zone || spec.spread || done + placed.get(id).copied().unwrap_or(0) >= spec.tasks {
+            if whole
+                || spec.one_zone
+                || spec.spread
+                || done + placed.get(id).copied().unwrap_or(0) >= spec.tasks
+            {
                 continue;
             }
-            let team = self.truth.teams.iter().find(|t| t.name == spec.team).unwrap();
+            let team = self
+                .truth
+                .teams
+                .iter()
+                .find(|t| t.name == spec.team)
+                .unwrap();
             let mut sum = used.get(spec.team.as_str()).copied().unwrap_or_default();
             sum.add(spec.need);
             let under = team.limit.cpus == 0 || sum.cpus <= team.limit.cpus;
             let fits = |m: &MachineId, free: &Amounts| {
                 let w = &self.truth.workers[m];
-                spec.allows(&w.kind, &w.zone, w.spot) && free.fits(spec.need) > 0 && w.notice_at.is_none()
+                spec.allows(&w.kind, &w.zone, w.spot)
+                    && free.fits(spec.need) > 0
+                    && w.notice_at.is_none()
             };
             for (m, _) in room.iter().filter(|(m, free)| under && fits(m, free)) {
                 waits.insert((id.clone(), (*m).clone()));
@@ -267,11 +365,16 @@
         }
         self.passed_over.retain(|id, _| waits.contains(id));
         for (id, m) in waits {
-            let since = *self.passed_over.entry((id.clone(), m.clone())).or_insert(self.now);
+            let since = *self
+                .passed_over
+                .entry((id.clone(), m.clone()))
+                .or_insert(self.now);
             if self.now - since > ms(90_000) {
                 let spec = &self.truth.jobs[&id];
                 let t = self.now.as_secs_decimal();
-                self.truth.broken.push(format!("{t:.3} left waiting for 90 s though {m} has room: {spec:?}"));
+                self.truth.broken.push(format!(
+                    "{t:.3} left waiting for 90 s though {m} has room: {spec:?}"
+                ));
             }
         }
     }
--- a/crates/seamfront-core/tests/world/faults.rs
+++ b/crates/seamfront-core/tests/world/faults.rs
@@ -172,20 +172,33 @@
 
 impl World {
     pub(super) fn some_machines(&mut self, count: usize) -> Vec<MachineId> {
-        let up: Vec<MachineId> =
-            self.truth.workers.iter().filter(|(_, w)| !w.dead && w.up_at <= self.now).map(|w| w.0.clone()).collect();
-        (0..count.min(up.len())).map(|_| up[self.rng.random_range(0..up.len())].clone()).collect()
+        let up: Vec<MachineId> = self
+            .truth
+            .workers
+            .iter()
+            .filter(|(_, w)| !w.dead && w.up_at <= self.now)
+            .map(|w| w.0.clone())
+            .collect();
+        (0..count.min(up.len()))
+            .map(|_| up[self.rng.random_range(0..up.len())].clone())
+            .collect()
     }
 
     /// In what state of things a controller ends.
     pub(super) fn cover_crash(&mut self) {
         let now = self.now;
         let up = || self.truth.workers.iter().filter(|(_, w)| !w.dead);
-        let apart = |id: &MachineId| self.loses_answers(id) || self.cut_machines.get(id).is_some_and(|t| *t > now);
-        let out_of_reach = up().any(|(id, w)| apart(id) && w.tasks.values().any(|t| t.on_machine()));
+        let apart = |id: &MachineId| {
+            self.loses_answers(id) || self.cut_machines.get(id).is_some_and(|t| *t > now)
+        };
+        let out_of_reach =
+            up().any(|(id, w)| apart(id) && w.tasks.values().any(|t| t.on_machine()));
         let cpus_by_team = |counts: fn(&workers::Task) -> bool| {
             let mut cpus: BTreeMap<&str, i64> = BTreeMap::new();
-            for (k, _) in up().flat_map(|(_, w)| w.tasks.iter()).filter(|(_, t)| counts(t)) {
+            for (k, _) in up()
+                .flat_map(|(_, w)| w.tasks.iter())
+                .filter(|(_, t)| counts(t))
+            {
                 let spec = &self.truth.jobs[&k.job];
                 *cpus.entry(&spec.team).or_default() += spec.need.cpus;
             }
@@ -193,16 +206,29 @@
         };
         let used = cpus_by_team(workers::Task::on_machine);
         // Nothing more of the smallest size fits in.
-        let full = |t: &&Team| t.limit.cpus > 0 && used.get(t.name.as_str()).is_some_and(|u| u + 1_000 > t.limit.cpus);
+        let full = |t: &&Team| {
+            t.limit.cpus > 0
+                && used
+                    .get(t.name.as_str())
+                    .is_some_and(|u| u + 1_000 > t.limit.cpus)
+        };
         let at_limit = self.truth.teams.iter().any(|t| full(&t));
         let halfway = self.truth.completed.iter().any(|(id, done)| {
             let n = self.truth.jobs[id].tasks;
             (2..=3).contains(&n) && (done.len() as u32) < n && !self.told.contains_key(id)
         });
-        let mut limited = self.truth.teams.iter().filter(|t| t.limit.cpus > 0).peekable();
+        let mut limited = self
+            .truth
+            .teams
+            .iter()
+            .filter(|t| t.limit.cpus > 0)
+            .peekable();
         // What still fetches its image holds its part of the limit as well.
         let held = cpus_by_team(|t| !matches!(t.state, TaskState::Exited(_)));
-        let holds_all = |t: &Team| held.get(t.name.as_str()).is_some_and(|u| u + 1_000 > t.limit.cpus);
+        let holds_all = |t: &Team| {
+            held.get(t.name.as_str())
+                .is_some_and(|u| u + 1_000 > t.limit.cpus)
+        };
         let all_at_limit = limited.peek().is_some() && limited.all(holds_all);
         let stopping = |id: &MachineId, w: &Worker| {
             let called_off = |k: &TaskKey| self.truth.cancelled.contains_key(&k.job);
@@ -210,7 +236,8 @@
             silent && w.tasks.iter().any(|(k, t)| t.on_machine() && called_off(k))
         };
         let stopping = up().any(|(id, w)| stopping(id, w));
-        let new_machine = |w: &Worker| w.up_at <= now && now - w.up_at < ms(4_000) && !w.tasks.is_empty();
+        let new_machine =
+            |w: &Worker| w.up_at <= now && now - w.up_at < ms(4_000) && !w.tasks.is_empty();
         let new_machine = up().any(|(_, w)| new_machine(w));
         let writes_lag = now < self.slow_state.max(self.delay_writes_until);
         if all_at_limit && stopping {
@@ -261,8 +288,9 @@
             Fault::CloudOutage { until } => self.cloud_outage = until,
             Fault::KillMachines { count } => {
                 for id in self.some_machines(count) {
-                    let bound =
-                        |k: &TaskKey| self.truth.jobs[&k.job].one_zone || self.truth.jobs[&k.job].zone.is_some();
+                    let bound = |k: &TaskKey| {
+                        self.truth.jobs[&k.job].one_zone || self.truth.jobs[&k.job].zone.is_some()
+                    };
                     if self.truth.workers[&id].tasks.keys().any(bound) {
                         self.cover("a job bound to one zone lost a machine");
                     }
@@ -298,7 +326,10 @@
                 if self.nodes.iter().any(|n| !n.old) && self.nodes[node].old {
                     self.cover("a controller was upgraded while others had been");
                 }
-                self.inject(Fault::Crash { nodes: vec![node], back });
+                self.inject(Fault::Crash {
+                    nodes: vec![node],
+                    back,
+                });
                 self.nodes[node].old = false;
             }
             Fault::DelayCommands { until } => self.delay_commands_until = until,
@@ -309,7 +340,17 @@
                 self.poll_storm = PollStorm { until, factor };
                 self.at(self.now, Event::AskOften);
             }
-            Fault::BadBoots { until, never, percent } => self.bad_boots = BadBoots { until, never, percent },
+            Fault::BadBoots {
+                until,
+                never,
+                percent,
+            } => {
+                self.bad_boots = BadBoots {
+                    until,
+                    never,
+                    percent,
+                }
+            }
             Fault::FastBoots { until } => self.fast_boots_until = until,
             Fault::CloseLooks { until } => self.close_looks_until = until,
             Fault::InvalidRequests { until } => {
@@ -324,8 +365,12 @@
             }
             Fault::CutZone { zone, node, until } => {
                 (self.nodes[node].cut_state, self.nodes[node].cut_mesh) = ((until, true), until);
-                let zones: Vec<(MachineId, bool)> =
-                    self.truth.workers.iter().map(|(id, w)| (id.clone(), w.zone == zone)).collect();
+                let zones: Vec<(MachineId, bool)> = self
+                    .truth
+                    .workers
+                    .iter()
+                    .map(|(id, w)| (id.clone(), w.zone == zone))
+                    .collect();
                 for (id, inside) in zones {
                     for k in (0..self.scale.nodes).filter(|k| (*k == node) != inside) {
                         self.cut_links.insert((k, id.clone()), until);
@@ -334,7 +379,10 @@
             }
             Fault::CrashHolder { claim, back } => {
                 if let Some(node) = self.holder(claim) {
-                    self.inject(Fault::Crash { nodes: vec![node], back });
+                    self.inject(Fault::Crash {
+                        nodes: vec![node],
+                        back,
+                    });
                 }
             }
             Fault::RefuseHolder { claim, until } => {
@@ -344,7 +392,11 @@
             }
             Fault::IsolateHolder { claim, until } => {
                 if let Some(node) = self.holder(claim) {
-                    self.inject(Fault::CutState { node, until, hold: true });
+                    self.inject(Fault::CutState {
+                        node,
+                        until,
+                        hold: true,
+                    });
                     self.inject(Fault::CutMesh { node, until });
                 }
             }
@@ -364,7 +416,8 @@
                     }
                     for id in on.into_iter().filter(|_| hang > Micros::ZERO).take(2) {
                         self.cover("a machine hung as its job was cancelled");
-                        self.truth.workers.get_mut(&id).unwrap().hung_until = self.now + ms(150) + hang;
+                        self.truth.workers.get_mut(&id).unwrap().hung_until =
+                            self.now + ms(150) + hang;
                     }
                 }
             }
--- a/crates/seamfront-core/tests/world/mod.rs
+++ b/crates/seamfront-core/tests/world/mod.rs
@@ -313,7 +313,12 @@
         txn_ops: scale.txn_ops,
         cloud_rps: 5,
         list_lag: ms(5_000),
-        tuning: Tuning { idle_keep: ms(20_000), move_every: ms(3_000), duties: scale.duties, ..Tuning::default() },
+        tuning: Tuning {
+            idle_keep: ms(20_000),
+            move_every: ms(3_000),
+            duties: scale.duties,
+            ..Tuning::default()
+        },
     }
 }
 
@@ -338,13 +343,28 @@
 
     /// A key that somebody has left in the store.
     pub fn leave_key(&mut self, key: &str) {
-        let apply = vec![Write::Put { key: key.to_owned(), value: serde_json::json!([]), lease: None }];
-        self.store.execute(self.now, &StateCall::Commit { when: vec![], apply });
+        let apply = vec![Write::Put {
+            key: key.to_owned(),
+            value: serde_json::json!([]),
+            lease: None,
+        }];
+        self.store.execute(
+            self.now,
+            &StateCall::Commit {
+                when: vec![],
+                apply,
+            },
+        );
         self.record_writes("operator");
     }
 
     pub fn stored_keys(&self, prefix: &str) -> Vec<String> {
-        self.store.keys.keys().filter(|key| key.starts_with(prefix)).cloned().collect()
+        self.store
+            .keys
+            .keys()
+            .filter(|key| key.starts_with(prefix))
+            .cloned()
+            .collect()
     }
 
     pub fn sized(seed: u64, scale: Scale) -> World {
@@ -451,7 +471,8 @@
 
     fn at(&mut self, t: Micros, e: Event) {
         self.next += 1;
-        self.queue.push(std::cmp::Reverse((t.max(self.now), self.next)));
+        self.queue
+            .push(std::cmp::Reverse((t.max(self.now), self.next)));
         self.events.insert(self.next, e);
     }
 
@@ -473,7 +494,11 @@
     fn rent(&mut self, kind: &str, zone: &str, spot: bool, boot: Micros) -> MachineId {
         let id: MachineId = format!("m-{:04}", self.machines_made).as_str().into();
         self.machines_made += 1;
-        let size = machine_types().into_iter().find(|t| t.name == kind).unwrap().size;
+        let size = machine_types()
+            .into_iter()
+            .find(|t| t.name == kind)
+            .unwrap()
+            .size;
         let up_at = self.now + boot;
         let w = Worker {
             kind: kind.into(),
@@ -496,7 +521,12 @@
             notice_at: None,
         };
         self.truth.workers.insert(id.clone(), w);
-        self.at(up_at, Event::ReportDue { machine: id.clone() });
+        self.at(
+            up_at,
+            Event::ReportDue {
+                machine: id.clone(),
+            },
+        );
         id
     }
 
@@ -542,27 +572,67 @@
                     self.after(ms(50) + wait, Event::Tick { node });
                 }
             }
-            Event::ToNode { node, life, command } => {
+            Event::ToNode {
+                node,
+                life,
+                command,
+            } => {
                 let n = &self.nodes[node];
                 if n.life == life && n.engine.is_some() {
                     if n.stalled > self.now {
                         let d = n.stalled - self.now + ms(1);
-                        return self.after(d, Event::ToNode { node, life, command });
+                        return self.after(
+                            d,
+                            Event::ToNode {
+                                node,
+                                life,
+                                command,
+                            },
+                        );
                     }
                     self.step(node, vec![*command]);
                 }
             }
-            Event::State { node, life, call, request, late } => self.state(node, life, call, request, late),
-            Event::Cloud { node, life, call, request, late } => self.cloud(node, life, call, request, late),
+            Event::State {
+                node,
+                life,
+                call,
+                request,
+                late,
+            } => self.state(node, life, call, request, late),
+            Event::Cloud {
+                node,
+                life,
+                call,
+                request,
+                late,
+            } => self.cloud(node, life, call, request, late),
             Event::ReportDue { machine } => self.send_report(machine),
-            Event::Answered { machine, session, seq, sent, node, answer } => {
-                self.answered(machine, session, seq, sent, node, answer)
-            }
-            Event::Direct { node, life, call, machine, session, token, orders, late } => {
-                self.direct((node, life, call), machine, session, token, orders, late)
-            }
+            Event::Answered {
+                machine,
+                session,
+                seq,
+                sent,
+                node,
+                answer,
+            } => self.answered(machine, session, seq, sent, node, answer),
+            Event::Direct {
+                node,
+                life,
+                call,
+                machine,
+                session,
+                token,
+                orders,
+                late,
+            } => self.direct((node, life, call), machine, session, token, orders, late),
             Event::DuplicateReport { node, sent, report } => {
-                if self.truth.workers.get(&report.machine).is_some_and(|w| w.session > report.session) {
+                if self
+                    .truth
+                    .workers
+                    .get(&report.machine)
+                    .is_some_and(|w| w.session > report.session)
+                {
                     self.cover("a copy from an earlier session arrived");
                 }
                 if self.nodes[node].engine.is_some() && self.nodes[node].born > sent {
@@ -574,13 +644,20 @@
             }
             Event::Workers => self.workers(),
             Event::Submit { job } => {
-                if self.truth.jobs[&job].needs.iter().any(|n| !self.accepted.contains(n)) {
+                if self.truth.jobs[&job]
+                    .needs
+                    .iter()
+                    .any(|n| !self.accepted.contains(n))
+                {
                     // Users name only what was accepted.
                     return self.after(ms(500), Event::Submit { job });
                 }
                 self.submitted.entry(job.clone()).or_insert(self.now);
                 let spec = self.truth.jobs[&job].clone();
-                self.ask(Asked::Submit { job }, |to| Command::Submit { to, spec: Box::new(spec) });
+                self.ask(Asked::Submit { job }, |to| Command::Submit {
+                    to,
+                    spec: Box::new(spec),
+                });
             }
             Event::Poll { job } => {
                 let id = job.clone();
@@ -620,7 +697,14 @@
     }
 
     pub fn holder(&self, claim: &str) -> Option<usize> {
-        let member = self.store.keys.get(claim)?.0.get("member")?.as_str()?.to_owned();
+        let member = self
+            .store
+            .keys
+            .get(claim)?
+            .0
+            .get("member")?
+            .as_str()?
+            .to_owned();
         self.settings.members.iter().position(|m| *m == member)
     }
 
@@ -629,11 +713,16 @@
         // Clocks drift apart by at most 0.05%, and the time of day is somewhat off.
         let own = Micros((self.now - n.born).0 * (100_000 + 25 * node as i64) / 100_000);
         let wall = ms(1_700_000_000_000) + self.now + ms(20 * node as i64);
-        let Some(engine) = n.engine.as_mut() else { return };
+        let Some(engine) = n.engine.as_mut() else {
+            return;
+        };
         let before = engine.looked();
         let effects = engine.step(own, wall, commands);
         // A shard that is dropped takes its count along.
-        self.steps = (self.steps.0 + 1, self.steps.1 + (engine.looked() - before).max(0));
+        self.steps = (
+            self.steps.0 + 1,
+            self.steps.1 + (engine.looked() - before).max(0),
+        );
         let life = n.life;
         for f in effects {
             self.effect(node, life, f);
@@ -646,23 +735,71 @@
         match f {
             Effect::State { call, request } => {
                 let slow = self.now < self.slow_state && self.rng.random_range(0..3) > 0;
-                let d = if slow { d + ms(self.rng.random_range(200..3_000)) } else { d };
-                self.after(d, Event::State { node, life, call, request, late: false })
+                let d = if slow {
+                    d + ms(self.rng.random_range(200..3_000))
+                } else {
+                    d
+                };
+                self.after(
+                    d,
+                    Event::State {
+                        node,
+                        life,
+                        call,
+                        request,
+                        late: false,
+                    },
+                )
             }
-            Effect::Cloud { call, request, until } => {
+            Effect::Cloud {
+                call,
+                request,
+                until,
+            } => {
                 if until.is_some() {
                     self.check_duty(node, &request);
                 }
-                self.after(d, Event::Cloud { node, life, call, request, late: false })
+                self.after(
+                    d,
+                    Event::Cloud {
+                        node,
+                        life,
+                        call,
+                        request,
+                        late: false,
+                    },
+                )
             }
-            Effect::Direct { call, machine, session, token, orders, .. } => {
+            Effect::Direct {
+                call,
+                machine,
+                session,
+                token,
+                orders,
+                ..
+            } => {
                 self.check_orders(node, &orders);
                 let d = d + self.answer_delay();
-                self.after(d, Event::Direct { node, life, call, machine, session, token, orders, late: false })
+                self.after(
+                    d,
+                    Event::Direct {
+                        node,
+                        life,
+                        call,
+                        machine,
+                        session,
+                        token,
+                        orders,
+                        late: false,
+                    },
+                )
             }
             Effect::Mesh { to, message } => {
                 if self.scale.machines >= LARGE {
-                    self.largest.0 = self.largest.0.max(serde_json::to_vec(&message).unwrap().len());
+                    self.largest.0 = self
+                        .largest
+                        .0
+                        .max(serde_json::to_vec(&message).unwrap().len());
                 }
                 // Half of what a cut stops is held back and comes when it ends.
                 let cut = self.nodes[node].cut_mesh.max(self.nodes[to].cut_mesh);
@@ -670,19 +807,36 @@
                 let d = if held { cut - self.now + d } else { d };
                 if (cut <= self.now || held) && !self.lost() {
                     let life = self.nodes[to].life;
-                    let command = Box::new(Command::Mesh { from: node, message });
-                    self.after(d, Event::ToNode { node: to, life, command });
+                    let command = Box::new(Command::Mesh {
+                        from: node,
+                        message,
+                    });
+                    self.after(
+                        d,
+                        Event::ToNode {
+                            node: to,
+                            life,
+                            command,
+                        },
+                    );
                 }
             }
             Effect::Orders { to, token, orders } => {
                 self.check_orders(node, &orders);
                 self.report_answered(node, life, to, ReportAnswer::Orders(token, orders))
             }
-            Effect::Elsewhere { to, member } => self.report_answered(node, life, to, ReportAnswer::Elsewhere(member)),
+            Effect::Elsewhere { to, member } => {
+                self.report_answered(node, life, to, ReportAnswer::Elsewhere(member))
+            }
             Effect::Healthy { .. } => {}
             Effect::Answer { to, answer } => {
                 if let Some((asked, at)) = self.asked.remove(&(node, life, to)) {
-                    if let Answer::Status { id, state: ShownState::Cancelled, .. } = &answer {
+                    if let Answer::Status {
+                        id,
+                        state: ShownState::Cancelled,
+                        ..
+                    } = &answer
+                    {
                         self.nodes[node].called_cancelled.insert(id.clone());
                     }
                     self.check_user_answer(asked, at, answer);
@@ -693,6 +847,13 @@
 
     fn tell(&mut self, node: usize, life: u64, command: Command) {
         let d = self.delay() + self.processing_delay(node);
-        self.after(d, Event::ToNode { node, life, command: Box::new(command) });
+        self.after(
+            d,
+            Event::ToNode {
+                node,
+                life,
+                command: Box::new(command),
+            },
+        );
     }
 }
