--- a/crates/seamfront-core/tests/world/network.rs
+++ b/crates/seamfront-core/tests/world/network.rs
@@ -3,8 +3,23 @@
 use super::*;
 
 impl World {
-    pub(super) fn report_answered(&mut self, node: usize, life: u64, to: ReplyTo, answer: ReportAnswer) {
-        let Some((Asked::Report { machine, session, seq, sent }, _)) = self.asked.remove(&(node, life, to)) else {
+    pub(super) fn report_answered(
+        &mut self,
+        node: usize,
+        life: u64,
+        to: ReplyTo,
+        answer: ReportAnswer,
+    ) {
+        let Some((
+            Asked::Report {
+                machine,
+                session,
+                seq,
+                sent,
+            },
+            _,
+        )) = self.asked.remove(&(node, life, to))
+        else {
             return;
         };
         let (until, hold) = self.nodes[node].cut_workers;
@@ -17,7 +32,17 @@
         }
         d += self.answer_delay();
         if !self.lost() {
-            self.after(d, Event::Answered { machine, session, seq, sent, node, answer });
+            self.after(
+                d,
+                Event::Answered {
+                    machine,
+                    session,
+                    seq,
+                    sent,
+                    node,
+                    answer,
+                },
+            );
         }
     }
 
@@ -37,7 +62,8 @@
 
     pub(super) fn unreachable(&self, node: usize, id: &MachineId) -> bool {
         let link = self.cut_links.get(&(node, id.clone()));
-        link.or(self.cut_machines.get(id)).is_some_and(|t| *t > self.now)
+        link.or(self.cut_machines.get(id))
+            .is_some_and(|t| *t > self.now)
     }
 
     pub(super) fn loses_reports(&self, id: &MachineId) -> bool {
@@ -57,11 +83,18 @@
             w.next_report = t;
         }
         let at = w.next_report;
-        self.at(at, Event::ReportDue { machine: id.clone() });
+        self.at(
+            at,
+            Event::ReportDue {
+                machine: id.clone(),
+            },
+        );
     }
 
     pub(super) fn send_report(&mut self, id: MachineId) {
-        let Some(w) = self.truth.workers.get(&id) else { return };
+        let Some(w) = self.truth.workers.get(&id) else {
+            return;
+        };
         if w.dead {
             return;
         }
@@ -73,7 +106,9 @@
             let d = w.hung_until - self.now + ms(10);
             return self.report_in(&id, d);
         }
-        let period = ms(self.rng.random_range(750 * self.scale.times.0..1_250 * self.scale.times.0));
+        let period = ms(self
+            .rng
+            .random_range(750 * self.scale.times.0..1_250 * self.scale.times.0));
         self.truth.workers.get_mut(&id).unwrap().next_report = Micros::MAX;
         self.report_in(&id, period);
         let w = &self.truth.workers[&id];
@@ -89,7 +124,14 @@
             // From seconds to well over a lease.
             let late = ms(self.rng.random_range(1_000..30_000));
             let node = self.rng.random_range(0..self.scale.nodes);
-            self.after(late, Event::DuplicateReport { node, sent: self.now, report: Box::new(report.clone()) });
+            self.after(
+                late,
+                Event::DuplicateReport {
+                    node,
+                    sent: self.now,
+                    report: Box::new(report.clone()),
+                },
+            );
         }
         if self.now < self.keep_reports_until && self.rng.random_range(0..3) == 0 {
             self.kept_reports.push((self.now, report.clone()));
@@ -112,18 +154,43 @@
         if self.nodes[node].engine.is_none() {
             let answer = ReportAnswer::Nothing;
             let (session, seq, sent) = (report.session, report.seq, self.now);
-            return self.after(d, Event::Answered { machine: id, session, seq, sent, node, answer });
+            return self.after(
+                d,
+                Event::Answered {
+                    machine: id,
+                    session,
+                    seq,
+                    sent,
+                    node,
+                    answer,
+                },
+            );
         }
         if self.lost() {
             return;
         }
         self.next_reply += 1;
         let (to, life) = (self.next_reply, self.nodes[node].life);
-        let asked = Asked::Report { machine: id, session: report.session, seq: report.seq, sent: self.now };
+        let asked = Asked::Report {
+            machine: id,
+            session: report.session,
+            seq: report.seq,
+            sent: self.now,
+        };
         self.asked.insert((node, life, to), (asked, self.now));
-        let command = Box::new(Command::Report { to, report: Box::new(report) });
+        let command = Box::new(Command::Report {
+            to,
+            report: Box::new(report),
+        });
         let d = d + self.processing_delay(node);
-        self.after(d, Event::ToNode { node, life, command });
+        self.after(
+            d,
+            Event::ToNode {
+                node,
+                life,
+                command,
+            },
+        );
     }
 
     pub(super) fn answered(
@@ -139,7 +206,9 @@
             return;
         }
         let now = self.now;
-        let Some(w) = self.truth.workers.get_mut(&id) else { return };
+        let Some(w) = self.truth.workers.get_mut(&id) else {
+            return;
+        };
         if w.dead || w.hung_until > now || w.session != session || now - sent > ms(4_000) {
             return;
         }
@@ -188,13 +257,29 @@
         late: bool,
     ) {
         let unknown = |w: &mut World| {
-            let command = Command::Direct { call, machine: id.clone(), outcome: DirectOutcome::Unknown };
-            w.after(ms(2_500), Event::ToNode { node, life, command: Box::new(command) });
+            let command = Command::Direct {
+                call,
+                machine: id.clone(),
+                outcome: DirectOutcome::Unknown,
+            };
+            w.after(
+                ms(2_500),
+                Event::ToNode {
+                    node,
+                    life,
+                    command: Box::new(command),
+                },
+            );
         };
         let gone = self.truth.workers.get(&id).is_none_or(|w| w.dead);
-        let hung = self.truth.workers.get(&id).is_some_and(|w| w.hung_until > self.now);
+        let hung = self
+            .truth
+            .workers
+            .get(&id)
+            .is_some_and(|w| w.hung_until > self.now);
         let cut = self.nodes[node].cut_workers;
-        let blocked = cut.0 > self.now || self.unreachable(node, &id) || self.loses_answers(&id) || hung;
+        let blocked =
+            cut.0 > self.now || self.unreachable(node, &id) || self.loses_answers(&id) || hung;
         if gone {
             if !late {
                 unknown(self);
@@ -206,14 +291,42 @@
                 unknown(self);
             }
             // Held back and carried out late, as long as token and session still match.
-            let most = if self.rng.random_range(0..3) == 0 { 25_000 } else { 4_500 };
+            let most = if self.rng.random_range(0..3) == 0 {
+                25_000
+            } else {
+                4_500
+            };
             let d = ms(self.rng.random_range(300..most));
-            return self.after(d, Event::Direct { node, life, call, machine: id, session, token, orders, late: true });
+            return self.after(
+                d,
+                Event::Direct {
+                    node,
+                    life,
+                    call,
+                    machine: id,
+                    session,
+                    token,
+                    orders,
+                    late: true,
+                },
+            );
         }
         if !late && self.now < self.delay_commands_until && self.rng.random_range(0..2) == 0 {
             unknown(self);
             let d = ms(self.rng.random_range(2_000..16_000));
-            return self.after(d, Event::Direct { node, life, call, machine: id, session, token, orders, late: true });
+            return self.after(
+                d,
+                Event::Direct {
+                    node,
+                    life,
+                    call,
+                    machine: id,
+                    session,
+                    token,
+                    orders,
+                    late: true,
+                },
+            );
         }
         let mute = self.loses_reports(&id);
         let former = late && self.is_former(node, life, token);
@@ -236,8 +349,18 @@
         }
         let report = self.truth.report(&id);
         if !late {
-            let outcome = DirectOutcome::Settled { report: Box::new(report) };
-            self.tell(node, life, Command::Direct { call, machine: id, outcome });
+            let outcome = DirectOutcome::Settled {
+                report: Box::new(report),
+            };
+            self.tell(
+                node,
+                life,
+                Command::Direct {
+                    call,
+                    machine: id,
+                    outcome,
+                },
+            );
         }
     }
 
@@ -254,7 +377,12 @@
         let now = self.now;
         let smallest = Amounts::needed(1.0, 0.0, 4.0);
         let room = |w: &Worker| w.free(&self.truth.jobs).fits(smallest) > 0;
-        if !self.truth.workers.values().any(|w| !w.dead && w.up_at <= now && room(w)) {
+        if !self
+            .truth
+            .workers
+            .values()
+            .any(|w| !w.dead && w.up_at <= now && room(w))
+        {
             self.cover("no machine had room");
         }
         for w in self.truth.workers.values_mut() {
--- a/crates/seamfront-core/tests/world/old_version.rs
+++ b/crates/seamfront-core/tests/world/old_version.rs
@@ -29,7 +29,9 @@
         self.nodes[node].old
             && match request {
                 StateCall::Get { key } => foreign(key),
-                StateCall::List { prefix, .. } | StateCall::Changes { prefix, .. } => foreign(prefix),
+                StateCall::List { prefix, .. } | StateCall::Changes { prefix, .. } => {
+                    foreign(prefix)
+                }
                 StateCall::Commit { apply, .. } => apply.iter().any(|w| match w {
                     Write::Put { key, .. } | Write::Delete { key } => foreign(key),
                 }),
@@ -40,9 +42,11 @@
     /// What the version in production has in the place of that answer: it knows of no such keys.
     pub(super) fn answer_to_unknown(&self, request: &StateCall) -> StateReply {
         match request {
-            StateCall::List { .. } => {
-                StateReply::Page { entries: Vec::new(), more: false, revision: self.store.revision }
-            }
+            StateCall::List { .. } => StateReply::Page {
+                entries: Vec::new(),
+                more: false,
+                revision: self.store.revision,
+            },
             _ => StateReply::Refused,
         }
     }
@@ -56,10 +60,13 @@
         let mut reply = reply;
         let values: Vec<(&String, &mut Value)> = match &mut reply {
             StateReply::Entry(e) => vec![(&e.key, &mut e.value)],
-            StateReply::Page { entries, .. } => entries.iter_mut().map(|e| (&e.key, &mut e.value)).collect(),
-            StateReply::Changes { events, .. } => {
-                events.iter_mut().filter_map(|(key, value, _)| Some((&*key, value.as_mut()?))).collect()
+            StateReply::Page { entries, .. } => {
+                entries.iter_mut().map(|e| (&e.key, &mut e.value)).collect()
             }
+            StateReply::Changes { events, .. } => events
+                .iter_mut()
+                .filter_map(|(key, value, _)| Some((&*key, value.as_mut()?)))
+                .collect(),
             _ => Vec::new(),
         };
         let mut misread = Vec::new();
--- a/crates/seamfront-core/tests/world/recording.rs
+++ b/crates/seamfront-core/tests/world/recording.rs
@@ -33,13 +33,18 @@
 /// Names the scenario whose histories the calling test plays from now on. The records of two versions are matched by
 /// this name: it stays as it is when the test is renamed or moved, and no other test has the same.
 pub fn scenario(id: &'static str) {
-    SCENARIO.set(Some(Scenario { id, begun: BTreeMap::new() }));
+    SCENARIO.set(Some(Scenario {
+        id,
+        begun: BTreeMap::new(),
+    }));
 }
 
 /// The name of the record of a history that begins with this seed.
 fn name_of_next(seed: u64) -> String {
     SCENARIO.with_borrow_mut(|scenario| {
-        let scenario = scenario.as_mut().expect("a test that plays histories calls `scenario` first");
+        let scenario = scenario
+            .as_mut()
+            .expect("a test that plays histories calls `scenario` first");
         let begun = scenario.begun.entry(seed).or_default();
         *begun += 1;
         match *begun {
@@ -51,7 +56,9 @@
 
 /// FNV-1a, which is the same on all versions of the toolchain.
 fn hash(text: &str) -> u64 {
-    text.bytes().fold(0xcbf2_9ce4_8422_2325, |h, b| (h ^ u64::from(b)).wrapping_mul(0x0100_0000_01b3))
+    text.bytes().fold(0xcbf2_9ce4_8422_2325, |h, b| {
+        (h ^ u64::from(b)).wrapping_mul(0x0100_0000_01b3)
+    })
 }
 
 fn shortened(body: &str) -> String {
@@ -78,11 +85,19 @@
         // Not overwritten: two histories of one name could not be told apart.
         let file = File::create_new(&path).unwrap_or_else(|e| panic!("{}: {e}", path.display()));
         let full = std::env::var("SEAMFRONT_RECORD_FULL").is_ok_and(|v| v == "1");
-        Some(Recorder { out: BufWriter::new(file), full, logged: 0 })
+        Some(Recorder {
+            out: BufWriter::new(file),
+            full,
+            logged: 0,
+        })
     }
 
     fn line(&mut self, now: Micros, by: &str, body: &str) {
-        let body = if self.full { body.to_owned() } else { shortened(body) };
+        let body = if self.full {
+            body.to_owned()
+        } else {
+            shortened(body)
+        };
         let (seconds, rest) = (now.0 / 1_000_000, now.0 % 1_000_000);
         writeln!(self.out, "{seconds}.{rest:06} {by} {body}").expect("the record can be written");
     }
@@ -91,7 +106,10 @@
 impl Drop for Recorder {
     fn drop(&mut self) {
         let flushed = self.out.flush();
-        assert!(flushed.is_ok() || std::thread::panicking(), "the record can't be written: {flushed:?}");
+        assert!(
+            flushed.is_ok() || std::thread::panicking(),
+            "the record can't be written: {flushed:?}"
+        );
     }
 }
 
@@ -108,15 +126,28 @@
     match request {
         StateCall::Get { key } => format!("GET /kv/{key}"),
         StateCall::List { prefix, after } => {
-            format!("GET /kv?prefix={prefix}&after={}", after.as_deref().unwrap_or_default())
+            format!(
+                "GET /kv?prefix={prefix}&after={}",
+                after.as_deref().unwrap_or_default()
+            )
         }
         StateCall::Commit { when, apply } => {
-            format!("POST /commit {}", json!({"when": when, "apply": writes_json(apply)}))
+            format!(
+                "POST /commit {}",
+                json!({"when": when, "apply": writes_json(apply)})
+            )
         }
         StateCall::Grant { ttl } => format!("POST /grants {}us", ttl.0),
         StateCall::Renew { lease } => format!("POST /grants/{lease}/renew"),
-        StateCall::Changes { prefix, after, hold } => {
-            format!("GET /changes?prefix={prefix}&after={after}&hold={}us", hold.0)
+        StateCall::Changes {
+            prefix,
+            after,
+            hold,
+        } => {
+            format!(
+                "GET /changes?prefix={prefix}&after={after}&hold={}us",
+                hold.0
+            )
         }
     }
 }
@@ -124,7 +155,13 @@
 fn cloud_text(request: &CloudCall, until: Option<Micros>) -> String {
     let call = match request {
         CloudCall::Types => "GET /machine_types".to_owned(),
-        CloudCall::Rent { name, kind, zone, spot, count } => {
+        CloudCall::Rent {
+            name,
+            kind,
+            zone,
+            spot,
+            count,
+        } => {
             format!("POST /hosts {}", json!([name, kind, zone, spot, count]))
         }
         CloudCall::Delete { machines } => {
@@ -132,7 +169,10 @@
             format!("POST /hosts/delete {}", json!(names))
         }
         CloudCall::List { after } => {
-            format!("GET /hosts?after={}", after.as_ref().map_or("", |m| m.as_str()))
+            format!(
+                "GET /hosts?after={}",
+                after.as_ref().map_or("", |m| m.as_str())
+            )
         }
     };
     until.map_or(call.clone(), |t| format!("{call} before {}us", t.0))
@@ -141,7 +181,11 @@
 fn orders_text(orders: &[Order]) -> String {
     let one = |order: &Order| match order {
         Order::Start { task, attempt } => format!("start {task} {attempt}"),
-        Order::Stop { task, attempt, grace } => format!("stop {task} {attempt} {}us", grace.0),
+        Order::Stop {
+            task,
+            attempt,
+            grace,
+        } => format!("stop {task} {attempt} {}us", grace.0),
         Order::Forget { task, attempt } => format!("forget {task} {attempt}"),
     };
     orders.iter().map(one).collect::<Vec<_>>().join(", ")
@@ -149,7 +193,13 @@
 
 fn answer_text(answer: &Answer) -> String {
     match answer {
-        Answer::Status { created, id, state, done, running } => {
+        Answer::Status {
+            created,
+            id,
+            state,
+            done,
+            running,
+        } => {
             let status = if *created { 201 } else { 200 };
             let state = match state {
                 ShownState::Queued => "queued",
@@ -167,7 +217,12 @@
 
 fn asked_text(asked: Option<&(Asked, Micros)>) -> String {
     match asked.map(|(asked, _)| asked) {
-        Some(Asked::Report { machine, session, seq, .. }) => format!("report of {machine} {session}/{seq}"),
+        Some(Asked::Report {
+            machine,
+            session,
+            seq,
+            ..
+        }) => format!("report of {machine} {session}/{seq}"),
         Some(Asked::Submit { job }) => format!("submission of {job}"),
         Some(Asked::Poll { job }) => format!("question about {job}"),
         Some(Asked::Cancel { job }) => format!("cancellation of {job}"),
@@ -185,30 +240,52 @@
         let asked = |to: &ReplyTo| asked_text(self.asked.get(&(node, life, *to)));
         let body = match effect {
             Effect::State { request, .. } => format!("store: {}", state_text(request)),
-            Effect::Cloud { request, until, .. } => format!("cloud: {}", cloud_text(request, *until)),
-            Effect::Direct { machine, addr, session, token, orders, .. } => {
-                format!("command to {machine} at {addr}, session {session}, token {token}: {}", orders_text(orders))
+            Effect::Cloud { request, until, .. } => {
+                format!("cloud: {}", cloud_text(request, *until))
+            }
+            Effect::Direct {
+                machine,
+                addr,
+                session,
+                token,
+                orders,
+                ..
+            } => {
+                format!(
+                    "command to {machine} at {addr}, session {session}, token {token}: {}",
+                    orders_text(orders)
+                )
             }
             Effect::Mesh { to, message } => {
                 let message = serde_json::to_value(message).expect("a message can be sent");
                 format!("message to {}: {message}", self.settings.members[*to])
             }
             Effect::Orders { to, token, orders } => {
-                format!("answer to {}: token {token}: {}", asked(to), orders_text(orders))
+                format!(
+                    "answer to {}: token {token}: {}",
+                    asked(to),
+                    orders_text(orders)
+                )
             }
             Effect::Elsewhere { to, member } => {
                 let owner = member.map_or("unknown", |m| self.settings.members[m].as_str());
                 format!("answer to {}: owner {owner}", asked(to))
             }
             Effect::Healthy { to, yes } => format!("answer to a health check: {to} {yes}"),
-            Effect::Answer { to, answer } => format!("answer to {}: {}", asked(to), answer_text(answer)),
+            Effect::Answer { to, answer } => {
+                format!("answer to {}: {}", asked(to), answer_text(answer))
+            }
         };
         let by = self.settings.members[node].clone();
         self.record(&by, &body);
     }
 
     /// The store carries a request of a controller's out.
-    pub(super) fn store_executes(&mut self, node: usize, request: &StateCall) -> Option<StateReply> {
+    pub(super) fn store_executes(
+        &mut self,
+        node: usize,
+        request: &StateCall,
+    ) -> Option<StateReply> {
         let reply = self.store.execute(self.now, request);
         if self.recorder.is_some() {
             let by = self.settings.members[node].clone();
@@ -225,7 +302,9 @@
 
     /// Records what was written to the store since the last time.
     pub(super) fn record_writes(&mut self, by: &str) {
-        let Some(recorder) = &mut self.recorder else { return };
+        let Some(recorder) = &mut self.recorder else {
+            return;
+        };
         for (revision, key, value) in &self.store.log[recorder.logged..] {
             let body = match value {
                 Some(value) => format!("written at {revision}: {key} {value}"),
--- a/crates/seamfront-core/tests/world/script.rs
+++ b/crates/seamfront-core/tests/world/script.rs
@@ -12,20 +12,30 @@
 
 impl World {
     pub fn job(&mut self, n: u32) -> JobSpec {
-        let kind = [Kind::Array, Kind::Array, Kind::Gang, Kind::Service][self.rng.random_range(0..4)];
+        let kind =
+            [Kind::Array, Kind::Array, Kind::Gang, Kind::Service][self.rng.random_range(0..4)];
         let tasks = match kind {
             Kind::Array => self.rng.random_range(1..14),
             Kind::Gang => self.rng.random_range(1..4),
             Kind::Service => self.rng.random_range(1..4),
         };
-        let priorities = [Priority::Critical, Priority::Urgent, Priority::Normal, Priority::BestEffort];
+        let priorities = [
+            Priority::Critical,
+            Priority::Urgent,
+            Priority::Normal,
+            Priority::BestEffort,
+        ];
         let saves = self.rng.random_range(0..2) == 0;
         JobSpec {
             id: format!("j-{n:06}").as_str().into(),
             class: format!("{kind:?}"),
             team: ["a", "b", "c", "d"][self.rng.random_range(0..4)].into(),
             kind,
-            priority: if kind == Kind::Service { Priority::Critical } else { priorities[self.rng.random_range(1..4)] },
+            priority: if kind == Kind::Service {
+                Priority::Critical
+            } else {
+                priorities[self.rng.random_range(1..4)]
+            },
             tasks,
             need: Amounts::needed(self.rng.random_range(1..4) as f64, 0.0, 4.0),
             types: None,
@@ -64,16 +74,30 @@
         for step in 0..wide + 3 {
             let mut spec = self.job(first + step);
             (spec.one_zone, spec.spread) = (false, false);
-            spec.kind = if step == wide + 1 { Kind::Gang } else { Kind::Array };
+            spec.kind = if step == wide + 1 {
+                Kind::Gang
+            } else {
+                Kind::Array
+            };
             spec.tasks = self.rng.random_range(1..4);
-            spec.class = format!("step {}", if step == 0 { 0 } else { 1 + step.saturating_sub(wide) });
+            spec.class = format!(
+                "step {}",
+                if step == 0 {
+                    0
+                } else {
+                    1 + step.saturating_sub(wide)
+                }
+            );
             spec.needs = match step {
                 0 => vec![],
                 s if s <= wide => vec![ids[0].clone()],
                 s if s == wide + 1 => ids[1..].to_vec(),
                 _ => vec![ids[ids.len() - 1].clone()],
             };
-            let (id, later) = (spec.id.clone(), self.rng.random_range(0..3_000) * i64::from(step));
+            let (id, later) = (
+                spec.id.clone(),
+                self.rng.random_range(0..3_000) * i64::from(step),
+            );
             ids.push(id);
             self.submit(ms(at + later), spec);
         }
@@ -97,8 +121,15 @@
 /// With SEED=313 and --nocapture that history tells its story, as far as LOG_LEVEL says.
 pub fn log_if_chosen(seed: u64) {
     if std::env::var("SEED").is_ok_and(|s| s == seed.to_string()) {
-        let level = std::env::var("LOG_LEVEL").ok().and_then(|l| l.parse().ok()).unwrap_or(tracing::Level::DEBUG);
-        let _ = tracing_subscriber::fmt().with_max_level(level).without_time().with_ansi(false).try_init();
+        let level = std::env::var("LOG_LEVEL")
+            .ok()
+            .and_then(|l| l.parse().ok())
+            .unwrap_or(tracing::Level::DEBUG);
+        let _ = tracing_subscriber::fmt()
+            .with_max_level(level)
+            .without_time()
+            .with_ansi(false)
+            .try_init();
     }
 }
 
@@ -126,12 +157,26 @@
     }
     faults(&mut w, troubles);
     w.run_until(ms(troubles + 300_000));
-    assert!(w.truth.started > 20, "the run proves nothing: {} tasks started", w.truth.started);
-    assert!(w.accepted() >= 35, "only {} jobs were accepted", w.accepted());
+    assert!(
+        w.truth.started > 20,
+        "the run proves nothing: {} tasks started",
+        w.truth.started
+    );
+    assert!(
+        w.accepted() >= 35,
+        "only {} jobs were accepted",
+        w.accepted()
+    );
     let owed = w.owed();
-    assert!(owed.is_empty(), "seed {seed}: not done in the end: {owed:#?}");
+    assert!(
+        owed.is_empty(),
+        "seed {seed}: not done in the end: {owed:#?}"
+    );
     let not_served = w.not_served();
-    assert!(not_served.is_empty(), "seed {seed}: not served: {not_served:#?}");
+    assert!(
+        not_served.is_empty(),
+        "seed {seed}: not served: {not_served:#?}"
+    );
     w
 }
 
@@ -146,38 +191,69 @@
 }
 
 fn draw_pairs(w: &mut World, troubles: i64, kinds: i64) {
-    w.fault(ms(3_000), Fault::CancelAtCompletion { until: ms(troubles) });
+    w.fault(
+        ms(3_000),
+        Fault::CancelAtCompletion {
+            until: ms(troubles),
+        },
+    );
     for k in 0..4 {
         for _ in 0..2 {
             let at = 8_000 + 20_000 * k + w.draw(0..4_000);
             let lasts = w.draw(2_000..24_000);
             let until = ms((at + lasts).min(troubles));
-            let (node, claim) =
-                (w.draw(0..NODES as i64) as usize, ["leader", "share/0", "share/1", "share/2"][w.draw(0..4) as usize]);
+            let (node, claim) = (
+                w.draw(0..NODES as i64) as usize,
+                ["leader", "share/0", "share/1", "share/2"][w.draw(0..4) as usize],
+            );
             let fault = match w.draw(0..kinds) {
                 0 => Fault::DelayWrites { until },
-                1 => Fault::LoseReports { count: 3, lasts: ms(lasts) },
+                1 => Fault::LoseReports {
+                    count: 3,
+                    lasts: ms(lasts),
+                },
                 2 => Fault::DelayAnswers { until },
                 3 => Fault::PauseNode { node, until },
                 4 => Fault::SlowNode { node, until },
                 5 => Fault::SlowState { until },
-                6 => Fault::CutZone { zone: "x", node, until },
-                7 => Fault::CrashHolder { claim, back: ms(w.draw(50..6_000)) },
+                6 => Fault::CutZone {
+                    zone: "x",
+                    node,
+                    until,
+                },
+                7 => Fault::CrashHolder {
+                    claim,
+                    back: ms(w.draw(50..6_000)),
+                },
                 8 => Fault::RefuseHolder { claim, until },
                 9 => Fault::IsolateHolder { claim, until },
-                10 => Fault::CancelRunning { count: 4, hang: ms(lasts / 2) },
+                10 => Fault::CancelRunning {
+                    count: 4,
+                    hang: ms(lasts / 2),
+                },
                 11 => Fault::InvalidRequests { until },
-                12 => Fault::DuplicateReports { until: ms(at + 40_000) },
-                13 => Fault::LoseAnswers { count: 3, lasts: ms(lasts) },
+                12 => Fault::DuplicateReports {
+                    until: ms(at + 40_000),
+                },
+                13 => Fault::LoseAnswers {
+                    count: 3,
+                    lasts: ms(lasts),
+                },
                 14 => Fault::Outage { until },
-                15 => Fault::Hang { count: 3, lasts: ms(lasts) },
+                15 => Fault::Hang {
+                    count: 3,
+                    lasts: ms(lasts),
+                },
                 16 => Fault::RestartMachines { count: 2 },
                 18 => Fault::DelayCommands { until },
                 19 => Fault::LoseCommitAnswers { until },
                 20 => Fault::KeepReports { until },
                 21 => Fault::FastBoots { until },
                 22 => Fault::CloseLooks { until },
-                _ => Fault::Crash { nodes: (0..NODES).collect(), back: ms(w.draw(200..16_000)) },
+                _ => Fault::Crash {
+                    nodes: (0..NODES).collect(),
+                    back: ms(w.draw(200..16_000)),
+                },
             };
             w.fault(ms(at), fault);
         }
@@ -190,7 +266,10 @@
 /// Plays histories with several seeds; SOAK=20 plays twenty times as many.
 pub fn play(seeds: std::ops::Range<u64>, faults: impl Fn(&mut World, i64)) -> Coverage {
     let mut coverage = Coverage::new();
-    let soak = std::env::var("SOAK").ok().and_then(|n| n.parse().ok()).unwrap_or(1);
+    let soak = std::env::var("SOAK")
+        .ok()
+        .and_then(|n| n.parse().ok())
+        .unwrap_or(1);
     let more = (1..soak).flat_map(|k| seeds.clone().map(move |s| s + 10_000 * k));
     for seed in seeds.clone().chain(more) {
         add_coverage(&mut coverage, history(seed, &faults).coverage);
@@ -212,7 +291,15 @@
 /// One-task jobs at four a second for two minutes, a quarter of them called off, while controllers end.
 pub fn stream_of_small_jobs(seed: u64) -> World {
     log_if_chosen(seed);
-    let mut w = World::sized(seed, Scale { machines: 10, most: 30, limits: [0; 10], ..SMALL });
+    let mut w = World::sized(
+        seed,
+        Scale {
+            machines: 10,
+            most: 30,
+            limits: [0; 10],
+            ..SMALL
+        },
+    );
     let last = 120_000;
     w.quiet_from = ms(last);
     for n in 0..480 {
@@ -242,12 +329,23 @@
 /// their machines hang or are cut off, and controllers end.
 pub fn teams_at_their_limits(seed: u64) -> World {
     log_if_chosen(seed);
-    let mut w = World::sized(seed, Scale { machines: 9, most: 18, limits: [6, 6, 6, 6, 0, 0, 0, 0, 0, 0], ..SMALL });
+    let mut w = World::sized(
+        seed,
+        Scale {
+            machines: 9,
+            most: 18,
+            limits: [6, 6, 6, 6, 0, 0, 0, 0, 0, 0],
+            ..SMALL
+        },
+    );
     w.quiet_from = ms(80_000);
     for n in 0..44 {
         let mut spec = w.job(n);
         (spec.kind, spec.class, spec.tasks) = (Kind::Array, "small".into(), 6);
-        (spec.team, spec.need) = (["a", "b", "c", "d"][n as usize % 4].into(), Amounts::needed(1.0, 0.0, 2.0));
+        (spec.team, spec.need) = (
+            ["a", "b", "c", "d"][n as usize % 4].into(),
+            Amounts::needed(1.0, 0.0, 2.0),
+        );
         (spec.zone, spec.one_zone, spec.spread) = (None, false, false);
         let at = w.draw(500..6_000);
         w.submit(ms(at), spec);
@@ -257,7 +355,11 @@
         let (hang, lasts) = (ms(w.draw(4_000..9_000)), ms(w.draw(5_000..14_000)));
         w.fault(ms(at - 300), Fault::CutMachines { count: 2, lasts });
         w.fault(ms(at), Fault::CancelRunning { count: 3, hang });
-        let claim = if k % 2 == 0 { "leader" } else { ["share/0", "share/1", "share/2"][w.draw(0..3) as usize] };
+        let claim = if k % 2 == 0 {
+            "leader"
+        } else {
+            ["share/0", "share/1", "share/2"][w.draw(0..3) as usize]
+        };
         let back = ms(w.draw(200..5_500));
         let later = w.draw(1_500..3_500);
         w.fault(ms(at + later), Fault::CrashHolder { claim, back });
--- a/crates/seamfront-core/tests/world/state_service.rs
+++ b/crates/seamfront-core/tests/world/state_service.rs
@@ -3,10 +3,27 @@
 use super::*;
 
 impl World {
-    pub(super) fn state(&mut self, node: usize, life: u64, call: CallId, request: StateCall, late: bool) {
+    pub(super) fn state(
+        &mut self,
+        node: usize,
+        life: u64,
+        call: CallId,
+        request: StateCall,
+        late: bool,
+    ) {
         let unknown = |w: &mut World| {
-            let command = Command::State { call, reply: StateReply::Unknown };
-            w.after(ms(1_500), Event::ToNode { node, life, command: Box::new(command) });
+            let command = Command::State {
+                call,
+                reply: StateReply::Unknown,
+            };
+            w.after(
+                ms(1_500),
+                Event::ToNode {
+                    node,
+                    life,
+                    command: Box::new(command),
+                },
+            );
         };
         if self.unknown_to_old(node, &request) {
             let reply = self.answer_to_unknown(&request);
@@ -20,7 +37,16 @@
             }
             if hold && !matches!(request, StateCall::Changes { .. }) {
                 let d = until - self.now + ms(1);
-                self.after(d, Event::State { node, life, call, request, late: true });
+                self.after(
+                    d,
+                    Event::State {
+                        node,
+                        life,
+                        call,
+                        request,
+                        late: true,
+                    },
+                );
             }
             return;
         }
@@ -33,11 +59,21 @@
                 }
             }
             if !late {
-                self.tell(node, life, Command::State { call, reply: StateReply::Refused });
+                self.tell(
+                    node,
+                    life,
+                    Command::State {
+                        call,
+                        reply: StateReply::Refused,
+                    },
+                );
             }
             return;
         }
-        let second = self.asked_of_store.entry(self.now.0 / 1_000_000).or_default();
+        let second = self
+            .asked_of_store
+            .entry(self.now.0 / 1_000_000)
+            .or_default();
         second.0 += 1;
         if let StateCall::Commit { apply, .. } = &request {
             second.1 += apply.len() as u32;
@@ -48,24 +84,47 @@
         if !self.state_takes(&request) {
             self.cover("the state service refused for its rate");
             if !late {
-                self.tell(node, life, Command::State { call, reply: StateReply::Refused });
+                self.tell(
+                    node,
+                    life,
+                    Command::State {
+                        call,
+                        reply: StateReply::Refused,
+                    },
+                );
             }
             return;
         }
         self.leases_expire();
         let writes = matches!(&request, StateCall::Commit { apply, .. } if !apply.is_empty());
-        if !late && writes && self.now < self.delay_writes_until && self.rng.random_range(0..4) == 0 {
+        if !late && writes && self.now < self.delay_writes_until && self.rng.random_range(0..4) == 0
+        {
             unknown(self);
             let d = ms(self.rng.random_range(2_000..12_000));
-            return self.after(d, Event::State { node, life, call, request, late: true });
+            return self.after(
+                d,
+                Event::State {
+                    node,
+                    life,
+                    call,
+                    request,
+                    late: true,
+                },
+            );
         }
-        if !late && writes && self.now < self.lose_commit_answers_until && self.rng.random_range(0..3) == 0 {
+        if !late
+            && writes
+            && self.now < self.lose_commit_answers_until
+            && self.rng.random_range(0..3) == 0
+        {
             unknown(self);
             let reply = self.store_executes(node, &request);
             if matches!(reply, Some(StateReply::Committed { .. })) {
                 self.cover("a transaction was carried out and its answer lost");
                 if self.others_watch(node, &request) {
-                    self.cover("others read what was written by a transaction whose answer was lost");
+                    self.cover(
+                        "others read what was written by a transaction whose answer was lost",
+                    );
                 }
             }
             return self.serve_watches();
@@ -77,7 +136,16 @@
                 0 => return,
                 1 => {
                     let d = ms(self.rng.random_range(100..40_000));
-                    return self.after(d, Event::State { node, life, call, request, late: true });
+                    return self.after(
+                        d,
+                        Event::State {
+                            node,
+                            life,
+                            call,
+                            request,
+                            late: true,
+                        },
+                    );
                 }
                 _ => {
                     self.store_executes(node, &request);
@@ -86,8 +154,11 @@
             }
         }
         let reply = self.store_executes(node, &request);
-        if let (StateCall::Commit { apply, .. }, Some(StateReply::Committed { .. })) = (&request, &reply) {
-            let in_parts = |w: &Write| matches!(w, Write::Put { key, .. } if key.starts_with("part/"));
+        if let (StateCall::Commit { apply, .. }, Some(StateReply::Committed { .. })) =
+            (&request, &reply)
+        {
+            let in_parts =
+                |w: &Write| matches!(w, Write::Put { key, .. } if key.starts_with("part/"));
             if apply.iter().any(in_parts) {
                 self.cover("a record was written in parts");
             }
@@ -98,7 +169,9 @@
                 }
             }
         }
-        if let (StateCall::List { prefix, .. }, Some(StateReply::Page { entries, .. })) = (&request, &reply) {
+        if let (StateCall::List { prefix, .. }, Some(StateReply::Page { entries, .. })) =
+            (&request, &reply)
+        {
             if prefix.starts_with("part/") && !entries.is_empty() {
                 self.cover("a record in parts was read by a new holder");
             }
@@ -132,17 +205,30 @@
         let (requests, writes, at) = self.state_tokens;
         let passed = (self.now - at).0;
         let fill = |have: i64, rate: i64| (have + rate * passed / 1_000).min(rate * 1_000);
-        let (requests, writes) = (fill(requests, self.scale.state_rps), fill(writes, self.scale.write_rps));
-        let asked = if let StateCall::Commit { apply, .. } = request { apply.len() as i64 * 1_000 } else { 0 };
+        let (requests, writes) = (
+            fill(requests, self.scale.state_rps),
+            fill(writes, self.scale.write_rps),
+        );
+        let asked = if let StateCall::Commit { apply, .. } = request {
+            apply.len() as i64 * 1_000
+        } else {
+            0
+        };
         let takes = requests >= 1_000 && writes >= asked;
-        let left = if takes { (requests - 1_000, writes - asked) } else { (requests, writes) };
+        let left = if takes {
+            (requests - 1_000, writes - asked)
+        } else {
+            (requests, writes)
+        };
         self.state_tokens = (left.0, left.1, self.now);
         takes
     }
 
     /// Whether another controller has a watch open on a key that this transaction writes.
     fn others_watch(&self, node: usize, request: &StateCall) -> bool {
-        let StateCall::Commit { apply, .. } = request else { return false };
+        let StateCall::Commit { apply, .. } = request else {
+            return false;
+        };
         let written = |w: &Write, prefix: &str| match w {
             Write::Put { key, .. } | Write::Delete { key } => key.starts_with(prefix),
         };
@@ -161,20 +247,35 @@
                 continue;
             }
             let away = self.outage > self.now || n.refused > self.now || n.cut_state.0 > self.now;
-            let StateCall::Changes { prefix, after, .. } = &request else { continue };
+            let StateCall::Changes { prefix, after, .. } = &request else {
+                continue;
+            };
             let now_or = StateCall::Changes {
                 prefix: prefix.clone(),
                 after: *after,
-                hold: if until <= self.now { Micros::ZERO } else { ms(1) },
+                hold: if until <= self.now {
+                    Micros::ZERO
+                } else {
+                    ms(1)
+                },
             };
-            match if away { None } else { self.store.execute(self.now, &now_or) } {
+            match if away {
+                None
+            } else {
+                self.store.execute(self.now, &now_or)
+            } {
                 Some(reply) => {
                     let reply = self.as_old_version_reads(node, reply);
                     self.tell(node, life, Command::State { call, reply })
                 }
-                None if until + ms(2_000) < self.now => {
-                    self.tell(node, life, Command::State { call, reply: StateReply::Unknown })
-                }
+                None if until + ms(2_000) < self.now => self.tell(
+                    node,
+                    life,
+                    Command::State {
+                        call,
+                        reply: StateReply::Unknown,
+                    },
+                ),
                 None => self.watches.push((node, life, call, request, until)),
             }
         }
--- a/crates/seamfront-core/tests/world/users.rs
+++ b/crates/seamfront-core/tests/world/users.rs
@@ -9,7 +9,9 @@
 impl World {
     /// Controllers whose process runs.
     fn nodes_up(&self) -> Vec<usize> {
-        (0..self.scale.nodes).filter(|k| self.nodes[*k].engine.is_some()).collect()
+        (0..self.scale.nodes)
+            .filter(|k| self.nodes[*k].engine.is_some())
+            .collect()
     }
 
     pub(super) fn ask(&mut self, asked: Asked, command: impl FnOnce(ReplyTo) -> Command) {
@@ -29,13 +31,21 @@
         let to = self.next_reply;
         let life = self.nodes[node].life;
         // Answers may be lost with a crash: then the user asks again.
-        let asks_again = !matches!(asked, Asked::Poll { .. }) || self.now < self.quiet_from + ms(100_000);
+        let asks_again =
+            !matches!(asked, Asked::Poll { .. }) || self.now < self.quiet_from + ms(100_000);
         if asks_again && !matches!(asked, Asked::Impossible) {
             self.after(ms(6_000), again);
         }
         self.asked.insert((node, life, to), (asked, self.now));
         let d = self.delay() + self.processing_delay(node);
-        self.after(d, Event::ToNode { node, life, command: Box::new(command(to)) });
+        self.after(
+            d,
+            Event::ToNode {
+                node,
+                life,
+                command: Box::new(command(to)),
+            },
+        );
     }
 
     /// One question to one controller, without a repetition.
@@ -44,7 +54,14 @@
         let (to, life) = (self.next_reply, self.nodes[node].life);
         self.asked.insert((node, life, to), (asked, self.now));
         let d = Micros(self.rng.random_range(200..4_000)) + self.processing_delay(node);
-        self.after(d, Event::ToNode { node, life, command: Box::new(command(to)) });
+        self.after(
+            d,
+            Event::ToNode {
+                node,
+                life,
+                command: Box::new(command(to)),
+            },
+        );
     }
 
     /// If users look closely now: they ask at all controllers, three times within milliseconds.
@@ -65,8 +82,13 @@
     pub(super) fn ask_all(&mut self, job: &JobId) {
         for node in self.nodes_up() {
             let (id, spec) = (job.clone(), Box::new(self.truth.jobs[job].clone()));
-            self.ask_once(node, Asked::Poll { job: job.clone() }, |to| Command::Poll { to, id });
-            self.ask_once(node, Asked::Submit { job: job.clone() }, |to| Command::Submit { to, spec });
+            self.ask_once(node, Asked::Poll { job: job.clone() }, |to| Command::Poll {
+                to,
+                id,
+            });
+            self.ask_once(node, Asked::Submit { job: job.clone() }, |to| {
+                Command::Submit { to, spec }
+            });
         }
     }
 
@@ -78,7 +100,12 @@
         }
         self.after(ms(STORM_STEP_MS), Event::AskOften);
         let up = self.nodes_up();
-        let open: Vec<JobId> = self.accepted.iter().filter(|j| !self.told.contains_key(*j)).cloned().collect();
+        let open: Vec<JobId> = self
+            .accepted
+            .iter()
+            .filter(|j| !self.told.contains_key(*j))
+            .cloned()
+            .collect();
         for job in open.iter().filter(|_| !up.is_empty()) {
             for _ in 0..factor {
                 if self.rng.random_range(0..USUAL_POLL_MS) >= STORM_STEP_MS {
@@ -87,7 +114,10 @@
                 self.cover("a question was asked besides the usual ones");
                 let node = up[self.rng.random_range(0..up.len())];
                 let id = job.clone();
-                self.ask_once(node, Asked::Poll { job: job.clone() }, |to| Command::Poll { to, id });
+                self.ask_once(node, Asked::Poll { job: job.clone() }, |to| Command::Poll {
+                    to,
+                    id,
+                });
             }
         }
     }
@@ -122,7 +152,10 @@
             _ => spec.types = Some(vec!["none".into()]),
         }
         self.impossible.insert(spec.id.clone());
-        self.ask(Asked::Impossible, |to| Command::Submit { to, spec: Box::new(spec) });
+        self.ask(Asked::Impossible, |to| Command::Submit {
+            to,
+            spec: Box::new(spec),
+        });
     }
 
     /// An answer counts as older only if it was asked for after the newer one had been given.
@@ -132,7 +165,9 @@
             Asked::Poll { job } | Asked::Cancel { job } => (job, false),
             Asked::Impossible => {
                 if matches!(answer, Answer::Status { .. } | Answer::NotFound) {
-                    self.truth.broken.push(format!("accepted though it can never run: {answer:?}"));
+                    self.truth
+                        .broken
+                        .push(format!("accepted though it can never run: {answer:?}"));
                 }
                 return;
             }
@@ -179,12 +214,16 @@
                         if !self.wants_cancel.contains(&job) && !self.needs_unwanted(&job) {
                             bad.push(format!("went_back: {job} cancelled by nobody"));
                         }
-                        let runs = |w: &Worker| w.tasks.iter().any(|(k, t)| k.job == job && t.on_machine());
+                        let runs = |w: &Worker| {
+                            w.tasks.iter().any(|(k, t)| k.job == job && t.on_machine())
+                        };
                         let runs = self.truth.workers.values().any(|w| !w.dead && runs(w));
                         if !self.truth.cancelled.contains_key(&job) && runs {
                             let apart = |n: &Node| n.refused.max(n.cut_state.0) > self.now;
                             if self.nodes.iter().any(apart) {
-                                self.cover("a running job was cancelled while a controller was refused");
+                                self.cover(
+                                    "a running job was cancelled while a controller was refused",
+                                );
                             }
                         }
                         let first = !self.truth.cancelled.contains_key(&job);
@@ -215,6 +254,9 @@
 
     /// Whether users want a job cancelled that this one needs, directly or through others.
     pub(super) fn needs_unwanted(&self, id: &JobId) -> bool {
-        self.truth.jobs[id].needs.iter().any(|n| self.wants_cancel.contains(n) || self.needs_unwanted(n))
+        self.truth.jobs[id]
+            .needs
+            .iter()
+            .any(|n| self.wants_cancel.contains(n) || self.needs_unwanted(n))
     }
 }
--- a/crates/seamfront-core/tests/world/workers.rs
+++ b/crates/seamfront-core/tests/world/workers.rs
@@ -18,7 +18,10 @@
 impl Task {
     /// From having its image until it exits.
     pub fn on_machine(&self) -> bool {
-        matches!(self.state, TaskState::Waiting | TaskState::Running | TaskState::Saving)
+        matches!(
+            self.state,
+            TaskState::Waiting | TaskState::Running | TaskState::Saving
+        )
     }
 }
 
@@ -48,7 +51,11 @@
     /// What is not taken by tasks that have not exited.
     pub fn free(&self, jobs: &BTreeMap<JobId, JobSpec>) -> Amounts {
         let mut free = self.size;
-        for (k, _) in self.tasks.iter().filter(|(_, t)| !matches!(t.state, TaskState::Exited(_))) {
+        for (k, _) in self
+            .tasks
+            .iter()
+            .filter(|(_, t)| !matches!(t.state, TaskState::Exited(_)))
+        {
             free.sub(jobs[&k.job].need);
         }
         free
@@ -83,7 +90,10 @@
 }
 
 fn all_of(job: &JobId) -> std::ops::RangeInclusive<TaskKey> {
-    let at = |index| TaskKey { job: job.clone(), index };
+    let at = |index| TaskKey {
+        job: job.clone(),
+        index,
+    };
     at(0)..=at(u32::MAX)
 }
 
@@ -101,12 +111,22 @@
             tasks: w
                 .tasks
                 .iter()
-                .map(|(k, t)| TaskReport { task: k.clone(), attempt: t.attempt, state: t.state })
+                .map(|(k, t)| TaskReport {
+                    task: k.clone(),
+                    attempt: t.attempt,
+                    state: t.state,
+                })
                 .collect(),
         }
     }
 
-    pub fn obey(&mut self, now: Micros, id: &MachineId, orders: &[Order], run: impl Fn(&JobSpec) -> (Micros, bool)) {
+    pub fn obey(
+        &mut self,
+        now: Micros,
+        id: &MachineId,
+        orders: &[Order],
+        run: impl Fn(&JobSpec) -> (Micros, bool),
+    ) {
         for o in orders {
             let w = self.workers.get_mut(id).unwrap();
             match o {
@@ -114,9 +134,14 @@
                     if w.tasks.get(task).is_some_and(|t| t.attempt == *attempt) {
                         continue;
                     }
-                    let Some(spec) = self.jobs.get(&task.job) else { continue };
+                    let Some(spec) = self.jobs.get(&task.job) else {
+                        continue;
+                    };
                     let free = w.free(&self.jobs);
-                    let live = w.tasks.get(task).is_some_and(|t| !matches!(t.state, TaskState::Exited(_)));
+                    let live = w
+                        .tasks
+                        .get(task)
+                        .is_some_and(|t| !matches!(t.state, TaskState::Exited(_)));
                     let state = if live {
                         // Refused; the worker would show both, which one map entry can't: drop it.
                         continue;
@@ -126,14 +151,30 @@
                         TaskState::Fetching
                     };
                     let (fetch, _) = run(spec);
-                    let t = Task { attempt: *attempt, state, until: now + fetch, waiting_since: now, stopped: None };
+                    let t = Task {
+                        attempt: *attempt,
+                        state,
+                        until: now + fetch,
+                        waiting_since: now,
+                        stopped: None,
+                    };
                     w.tasks.insert(task.clone(), t);
-                    self.holders.entry(task.job.clone()).or_default().insert(id.clone());
+                    self.holders
+                        .entry(task.job.clone())
+                        .or_default()
+                        .insert(id.clone());
                 }
-                Order::Stop { task, attempt, grace } => {
-                    let Some(t) = w.tasks.get_mut(task).filter(|t| t.attempt == *attempt) else { continue };
+                Order::Stop {
+                    task,
+                    attempt,
+                    grace,
+                } => {
+                    let Some(t) = w.tasks.get_mut(task).filter(|t| t.attempt == *attempt) else {
+                        continue;
+                    };
                     let spec = &self.jobs[&task.job];
-                    let saves = t.state == TaskState::Running && spec.saves() && *grace >= spec.save;
+                    let saves =
+                        t.state == TaskState::Running && spec.saves() && *grace >= spec.save;
                     match t.state {
                         TaskState::Exited(_) => {}
                         TaskState::Saving if *grace > Micros::ZERO => {}
@@ -146,7 +187,8 @@
                     }
                 }
                 Order::Forget { task, attempt } => {
-                    let ended = |t: &Task| t.attempt == *attempt && matches!(t.state, TaskState::Exited(_));
+                    let ended =
+                        |t: &Task| t.attempt == *attempt && matches!(t.state, TaskState::Exited(_));
                     if w.tasks.get(task).is_some_and(ended) {
                         w.tasks.remove(task);
                         if w.tasks.range(all_of(&task.job)).next().is_none() {
@@ -158,10 +200,19 @@
         }
     }
 
-    fn everywhere<'a>(&'a self, job: &'a JobId) -> impl Iterator<Item = (&'a MachineId, &'a Worker, u32, &'a Task)> {
+    fn everywhere<'a>(
+        &'a self,
+        job: &'a JobId,
+    ) -> impl Iterator<Item = (&'a MachineId, &'a Worker, u32, &'a Task)> {
         let holders = self.holders.get(job).into_iter().flatten();
-        let up = holders.filter_map(|id| self.workers.get_key_value(id)).filter(|(_, w)| !w.dead);
-        up.flat_map(move |(id, w)| w.tasks.range(all_of(job)).map(move |(k, t)| (id, w, k.index, t)))
+        let up = holders
+            .filter_map(|id| self.workers.get_key_value(id))
+            .filter(|(_, w)| !w.dead);
+        up.flat_map(move |(id, w)| {
+            w.tasks
+                .range(all_of(job))
+                .map(move |(k, t)| (id, w, k.index, t))
+        })
     }
 
     /// The rules that hold at the moment a task comes to be on a machine.
@@ -183,7 +234,9 @@
             bad.push(format!("wrong_place: {key} on {id}"));
         }
         if spec.one_zone && others.iter().any(|o| o.0 != w.zone) {
-            bad.push(format!("wrong_place: {key} in another zone than its siblings"));
+            bad.push(format!(
+                "wrong_place: {key} in another zone than its siblings"
+            ));
         }
         let same = others.iter().filter(|o| o.0 == w.zone).count() as u32 + 1;
         if same > spec.zone_cap() {
@@ -192,24 +245,41 @@
         if let Some(confirmed) = self.cancelled.get(&key.job) {
             self.started_cancelled.push((key.clone(), *confirmed));
         }
-        if self.cancelled.get(&key.job).is_some_and(|t| now - *t > self.cancel) {
+        if self
+            .cancelled
+            .get(&key.job)
+            .is_some_and(|t| now - *t > self.cancel)
+        {
             bad.push(format!("ran_cancelled: {key} started"));
         }
-        let done = |n: &JobId| self.completed.get(n).map_or(0, |c| c.len() as u32) == self.jobs[n].tasks;
+        let done =
+            |n: &JobId| self.completed.get(n).map_or(0, |c| c.len() as u32) == self.jobs[n].tasks;
         if let Some(n) = spec.needs.iter().find(|n| !done(n)) {
             bad.push(format!("too_early: {key} started before {n} was done"));
         }
         let team = self.teams.iter().find(|t| t.name == spec.team).unwrap();
         let mut used = Amounts::default();
         let limited = team.limit.cpus > 0 || team.limit.gpus > 0;
-        for job in self.holders.keys().filter(|j| limited && self.jobs[*j].team == team.name) {
-            used.add(self.jobs[job].need.times(self.everywhere(job).filter(|x| x.3.on_machine()).count() as i64));
+        for job in self
+            .holders
+            .keys()
+            .filter(|j| limited && self.jobs[*j].team == team.name)
+        {
+            used.add(
+                self.jobs[job]
+                    .need
+                    .times(self.everywhere(job).filter(|x| x.3.on_machine()).count() as i64),
+            );
         }
-        if (team.limit.cpus > 0 && used.cpus > team.limit.cpus) || (team.limit.gpus > 0 && used.gpus > team.limit.gpus)
+        if (team.limit.cpus > 0 && used.cpus > team.limit.cpus)
+            || (team.limit.gpus > 0 && used.gpus > team.limit.gpus)
         {
             bad.push(format!("quota: {key} makes {used:?} of {}", team.name));
         }
-        self.broken.extend(bad.into_iter().map(|b| format!("{:.3} {b}", now.as_secs_decimal())));
+        self.broken.extend(
+            bad.into_iter()
+                .map(|b| format!("{:.3} {b}", now.as_secs_decimal())),
+        );
     }
 
     /// Since when a user has known that a job which this one needs, directly or through others, is cancelled.
@@ -218,8 +288,15 @@
         let mut seen = BTreeSet::new();
         let mut todo = vec![id.clone()];
         while let Some(id) = todo.pop() {
-            for n in self.jobs[&id].needs.iter().filter(|n| seen.insert((*n).clone())) {
-                since = since.into_iter().chain(self.cancelled.get(n).copied()).min();
+            for n in self.jobs[&id]
+                .needs
+                .iter()
+                .filter(|n| seen.insert((*n).clone()))
+            {
+                since = since
+                    .into_iter()
+                    .chain(self.cancelled.get(n).copied())
+                    .min();
                 todo.push(n.clone());
             }
         }
@@ -252,19 +329,30 @@
                         began.push((id.clone(), k.clone()));
                         t.waiting_since = now;
                         t.until = now + work(spec);
-                        t.state = if spec.kind == Kind::Gang { TaskState::Waiting } else { TaskState::Running };
+                        t.state = if spec.kind == Kind::Gang {
+                            TaskState::Waiting
+                        } else {
+                            TaskState::Running
+                        };
                     }
                     TaskState::Running
-                        if spec.kind != Kind::Gang && self.failing.contains(&k.job) && t.until <= now =>
+                        if spec.kind != Kind::Gang
+                            && self.failing.contains(&k.job)
+                            && t.until <= now =>
                     {
                         t.state = TaskState::Exited(Exit::Error);
                         self.failures += 1;
                     }
                     TaskState::Running if spec.kind == Kind::Array && t.until <= now => {
                         t.state = TaskState::Exited(Exit::Done);
-                        self.completed.entry(k.job.clone()).or_default().insert(k.index);
+                        self.completed
+                            .entry(k.job.clone())
+                            .or_default()
+                            .insert(k.index);
+                    }
+                    TaskState::Saving if t.until <= now => {
+                        t.state = TaskState::Exited(Exit::Stopped { saved: true })
                     }
-                    TaskState::Saving if t.until <= now => t.state = TaskState::Exited(Exit::Stopped { saved: true }),
                     TaskState::Waiting if now - t.waiting_since > self.gang_wait => {
                         t.state = TaskState::Exited(Exit::Alone)
                     }
@@ -281,7 +369,12 @@
                 let left: Vec<String> = self
                     .everywhere(&job)
                     .filter(|x| x.3.on_machine())
-                    .map(|(m, _, i, _)| format!("{:.3} ran_cancelled: {job}/{i} still on {m}", now.as_secs_decimal()))
+                    .map(|(m, _, i, _)| {
+                        format!(
+                            "{:.3} ran_cancelled: {job}/{i} still on {m}",
+                            now.as_secs_decimal()
+                        )
+                    })
                     .collect();
                 self.broken.extend(left);
             }
@@ -289,45 +382,93 @@
     }
 
     fn gangs(&mut self, now: Micros, work: &impl Fn(&JobSpec) -> Micros) {
-        let held = self.holders.iter().filter(|h| !h.1.is_empty()).map(|h| &self.jobs[h.0]);
+        let held = self
+            .holders
+            .iter()
+            .filter(|h| !h.1.is_empty())
+            .map(|h| &self.jobs[h.0]);
         let gangs: Vec<JobSpec> = held.filter(|j| j.kind == Kind::Gang).cloned().collect();
         for spec in gangs {
             let members: Vec<(MachineId, u32, u64, TaskState, Micros, bool)> = self
                 .everywhere(&spec.id)
-                .map(|(m, w, i, t)| (m.clone(), i, t.attempt, t.state, t.until, w.hung_until > now))
+                .map(|(m, w, i, t)| {
+                    (
+                        m.clone(),
+                        i,
+                        t.attempt,
+                        t.state,
+                        t.until,
+                        w.hung_until > now,
+                    )
+                })
                 .collect();
-            let Some(attempt) = members.iter().map(|m| m.2).max() else { continue };
+            let Some(attempt) = members.iter().map(|m| m.2).max() else {
+                continue;
+            };
             let here: Vec<_> = members.iter().filter(|m| m.2 == attempt).collect();
             let in_state = |s: TaskState| here.iter().filter(|m| m.3 == s && !m.5).count() as u32;
             let awake = |m: &&&(MachineId, u32, u64, TaskState, Micros, bool)| !m.5;
             if in_state(TaskState::Waiting) == spec.tasks {
                 let until = now + work(&spec);
                 for m in &here {
-                    let key = TaskKey { job: spec.id.clone(), index: m.1 };
-                    let t = self.workers.get_mut(&m.0).unwrap().tasks.get_mut(&key).unwrap();
+                    let key = TaskKey {
+                        job: spec.id.clone(),
+                        index: m.1,
+                    };
+                    let t = self
+                        .workers
+                        .get_mut(&m.0)
+                        .unwrap()
+                        .tasks
+                        .get_mut(&key)
+                        .unwrap();
                     (t.state, t.until) = (TaskState::Running, until);
                 }
             } else if in_state(TaskState::Running) == spec.tasks {
                 if here.iter().all(|m| m.4 <= now) {
                     let failing = self.failing.contains(&spec.id);
                     for m in &here {
-                        let key = TaskKey { job: spec.id.clone(), index: m.1 };
+                        let key = TaskKey {
+                            job: spec.id.clone(),
+                            index: m.1,
+                        };
                         let exit = if failing { Exit::Error } else { Exit::Done };
-                        self.workers.get_mut(&m.0).unwrap().tasks.get_mut(&key).unwrap().state =
-                            TaskState::Exited(exit);
+                        self.workers
+                            .get_mut(&m.0)
+                            .unwrap()
+                            .tasks
+                            .get_mut(&key)
+                            .unwrap()
+                            .state = TaskState::Exited(exit);
                         if failing {
                             self.failures += 1;
                             continue;
                         }
-                        self.completed.entry(spec.id.clone()).or_default().insert(m.1);
+                        self.completed
+                            .entry(spec.id.clone())
+                            .or_default()
+                            .insert(m.1);
                     }
                 }
             } else {
                 // Some run, some do not: after a while those that run notice.
                 let peer = self.gang_peer;
-                for m in here.iter().filter(|m| m.3 == TaskState::Running).filter(awake) {
-                    let key = TaskKey { job: spec.id.clone(), index: m.1 };
-                    let t = self.workers.get_mut(&m.0).unwrap().tasks.get_mut(&key).unwrap();
+                for m in here
+                    .iter()
+                    .filter(|m| m.3 == TaskState::Running)
+                    .filter(awake)
+                {
+                    let key = TaskKey {
+                        job: spec.id.clone(),
+                        index: m.1,
+                    };
+                    let t = self
+                        .workers
+                        .get_mut(&m.0)
+                        .unwrap()
+                        .tasks
+                        .get_mut(&key)
+                        .unwrap();
                     match t.stopped {
                         None => t.stopped = Some(now),
                         Some(s) if now - s > peer => t.state = TaskState::Exited(Exit::Peers),
--- a/crates/seamfront-lease/examples/fleet/keeper.rs
+++ b/crates/seamfront-lease/examples/fleet/keeper.rs
@@ -42,13 +42,26 @@
 
 /// Rented machines get their records with the end of the operation.
 pub fn rented(machines: &[String]) -> Outcome {
-    let put = |name: &String| Write::Put { key: machine_key(name), value: json!({"known": true}), lease: None };
-    Outcome::Done { writes: machines.iter().map(put).collect() }
+    let put = |name: &String| Write::Put {
+        key: machine_key(name),
+        value: json!({"known": true}),
+        lease: None,
+    };
+    Outcome::Done {
+        writes: machines.iter().map(put).collect(),
+    }
 }
 
 /// Returned machines lose their records with the end of the operation.
 pub fn returned(machines: &[String]) -> Outcome {
-    Outcome::Done { writes: machines.iter().map(|name| Write::Delete { key: machine_key(name) }).collect() }
+    Outcome::Done {
+        writes: machines
+            .iter()
+            .map(|name| Write::Delete {
+                key: machine_key(name),
+            })
+            .collect(),
+    }
 }
 
 pub fn machine_key(name: &str) -> String {
@@ -102,7 +115,10 @@
 
 impl Keeper {
     pub fn new(target: usize) -> Keeper {
-        Keeper { target, ..Keeper::default() }
+        Keeper {
+            target,
+            ..Keeper::default()
+        }
     }
 
     /// A list of records is asked for; whatever is rented from now on may not be in it.
@@ -114,7 +130,13 @@
     }
 
     /// Takes the recorded machines, and the orders that the log of renting shows as open.
-    pub fn list_read(&mut self, now: Micros, number: u64, machines: BTreeSet<String>, open: &BTreeSet<OperationName>) {
+    pub fn list_read(
+        &mut self,
+        now: Micros,
+        number: u64,
+        machines: BTreeSet<String>,
+        open: &BTreeSet<OperationName>,
+    ) {
         if number != self.list_number || number < self.first_list {
             return;
         }
@@ -125,7 +147,12 @@
         for unknown in self.unknown.values_mut() {
             match &mut unknown.confirmed {
                 Some(confirmed) => confirmed.orders.retain(|order| open.contains(order)),
-                None => unknown.confirmed = Some(Confirmed { since: now, orders: open.clone() }),
+                None => {
+                    unknown.confirmed = Some(Confirmed {
+                        since: now,
+                        orders: open.clone(),
+                    })
+                }
             }
         }
     }
@@ -153,14 +180,22 @@
                     _ => self.unknown.clear(),
                 }
             }
-            Effect::Began { request, operation, .. } if self.renting.contains_key(request) => {
+            Effect::Began {
+                request, operation, ..
+            } if self.renting.contains_key(request) => {
                 self.orders.insert(*operation, *request);
             }
-            Effect::Settled { operation, settlement, .. } => {
+            Effect::Settled {
+                operation,
+                settlement,
+                ..
+            } => {
                 if let Some(request) = self.orders.remove(&operation.name) {
                     self.renting.remove(&request);
                 }
-                if *settlement == Settlement::Done && matches!(Work::of(operation), Some(Work::Rent { .. })) {
+                if *settlement == Settlement::Done
+                    && matches!(Work::of(operation), Some(Work::Rent { .. }))
+                {
                     self.rented_since.extend(machines_of(operation));
                 }
             }
@@ -182,7 +217,13 @@
             return None;
         }
         let rented = self.rented_before.union(&self.rented_since);
-        let known = self.listed.as_ref()?.iter().chain(rented).collect::<BTreeSet<_>>().len();
+        let known = self
+            .listed
+            .as_ref()?
+            .iter()
+            .chain(rented)
+            .collect::<BTreeSet<_>>()
+            .len();
         let under_way: usize = self.renting.values().sum();
         let count = self.target.saturating_sub(known + under_way).min(ORDER);
         if count == 0 {
@@ -190,7 +231,11 @@
         }
         let request = self.request();
         self.renting.insert(request, count);
-        Some(Command::Begin { request, duty: RENTING.to_owned(), payload: Work::Rent { count }.payload() })
+        Some(Command::Begin {
+            request,
+            duty: RENTING.to_owned(),
+            payload: Work::Rent { count }.payload(),
+        })
     }
 
     /// Returns one machine, the `choice`-th of those that are known.
@@ -201,8 +246,15 @@
         let candidates: Vec<&String> = self.listed.as_ref()?.difference(&self.returning).collect();
         let name = (*candidates.get(choice % candidates.len().max(1))?).clone();
         self.returning.insert(name.clone());
-        let payload = Work::Return { machines: vec![name] }.payload();
-        Some(Command::Begin { request: self.request(), duty: RETURNING.to_owned(), payload })
+        let payload = Work::Return {
+            machines: vec![name],
+        }
+        .payload();
+        Some(Command::Begin {
+            request: self.request(),
+            duty: RETURNING.to_owned(),
+            payload,
+        })
     }
 
     /// Takes in machines that the cloud has listed for long and that have no record.
@@ -210,7 +262,9 @@
         if !self.active.contains(CLEANING) {
             return Vec::new();
         }
-        let Some(listed) = self.listed.as_ref() else { return Vec::new() };
+        let Some(listed) = self.listed.as_ref() else {
+            return Vec::new();
+        };
         let unknown: BTreeSet<&String> = cloud.difference(listed).collect();
         self.unknown.retain(|name, _| unknown.contains(name));
         let mut due = Vec::new();
@@ -227,7 +281,16 @@
     fn adoption(&mut self, name: &str) -> Command {
         self.unknown.remove(name);
         let key = machine_key(name);
-        let apply = vec![Write::Put { key: key.clone(), value: json!({"adopted": true}), lease: None }];
-        Command::Commit { request: self.request(), duty: CLEANING.to_owned(), when: vec![(key, 0)], apply }
+        let apply = vec![Write::Put {
+            key: key.clone(),
+            value: json!({"adopted": true}),
+            lease: None,
+        }];
+        Command::Commit {
+            request: self.request(),
+            duty: CLEANING.to_owned(),
+            when: vec![(key, 0)],
+            apply,
+        }
     }
 }
--- a/crates/seamfront-lease/src/driver.rs
+++ b/crates/seamfront-lease/src/driver.rs
@@ -98,7 +98,10 @@
 }
 
 /// Waits for a command, an answer, or the next tick. None: the embedding program has gone.
-async fn next_batch(commands: &Receiver<Command>, answered: &Receiver<Command>) -> Option<Vec<Command>> {
+async fn next_batch(
+    commands: &Receiver<Command>,
+    answered: &Receiver<Command>,
+) -> Option<Vec<Command>> {
     let command = async { commands.recv().await.ok().map(Some) };
     let answer = async { answered.recv().await.ok().map(Some) };
     let tick = async {
@@ -125,14 +128,27 @@
 ) {
     let calls = calls.clone();
     match effect {
-        Effect::Store { call, request } => executor.spawn(async move { calls.ask(call, request).await }).detach(),
-        Effect::Perform { duty, operation, attempt, permit, settling: _ } => {
-            executor.spawn(async move { calls.perform(duty, operation, attempt, permit).await }).detach();
+        Effect::Store { call, request } => executor
+            .spawn(async move { calls.ask(call, request).await })
+            .detach(),
+        Effect::Perform {
+            duty,
+            operation,
+            attempt,
+            permit,
+            settling: _,
+        } => {
+            executor
+                .spawn(async move { calls.perform(duty, operation, attempt, permit).await })
+                .detach();
         }
         event => {
             if events.try_send(event).is_err() {
                 dropped.set(dropped.get() + 1);
-                warn!(dropped = dropped.get(), "an event was dropped: nobody reads them");
+                warn!(
+                    dropped = dropped.get(),
+                    "an event was dropped: nobody reads them"
+                );
             }
         }
     }
@@ -153,11 +169,21 @@
         let name = operation.name;
         // The process may have been stopped since the manager's step, for however long.
         let outcome = if permit.valid(SteadyClock.now()) {
-            within(self.perform_time, self.performer.perform(&duty, &operation)).await.unwrap_or(Outcome::Unknown)
+            within(self.perform_time, self.performer.perform(&duty, &operation))
+                .await
+                .unwrap_or(Outcome::Unknown)
         } else {
             Outcome::NotPermitted
         };
-        let _ = self.answers.send(Command::Performed { duty, operation: name, attempt, outcome }).await;
+        let _ = self
+            .answers
+            .send(Command::Performed {
+                duty,
+                operation: name,
+                attempt,
+                outcome,
+            })
+            .await;
     }
 }
 
--- a/crates/seamfront-lease/src/log.rs
+++ b/crates/seamfront-lease/src/log.rs
@@ -5,7 +5,9 @@
 //! that belong to its end.
 
 use crate::port::{CommitOutcome, Outcome, Rejection, RequestId};
-use crate::record::{self, LogRecord, Operation, OperationName, SettledOperation, Settlement, FORMAT};
+use crate::record::{
+    self, LogRecord, Operation, OperationName, SettledOperation, Settlement, FORMAT,
+};
 use crate::settings::StoreLimits;
 use crate::store::Write;
 use crate::time::Micros;
@@ -32,7 +34,10 @@
     /// An attempt is under way.
     Performing { attempt: u64 },
     /// Its end is known; these changes are still to be written.
-    Ended { settlement: Settlement, writes: VecDeque<Write> },
+    Ended {
+        settlement: Settlement,
+        writes: VecDeque<Write>,
+    },
 }
 
 #[derive(Clone, Debug)]
@@ -152,9 +157,25 @@
     pub fn loaded(token: u64, version: u64, record: Option<LogRecord>) -> OperationLog {
         let record = record.unwrap_or_default();
         let ready = Step::Ready { from: Micros::ZERO };
-        let entry = |operation| Entry { operation, step: ready.clone(), request: None, retry: FIRST_RETRY };
-        let entries = record.open.into_iter().map(|operation| (operation.name, entry(operation))).collect();
-        OperationLog { token, version, ended: record.ended, recent: record.recent, entries, ..OperationLog::default() }
+        let entry = |operation| Entry {
+            operation,
+            step: ready.clone(),
+            request: None,
+            retry: FIRST_RETRY,
+        };
+        let entries = record
+            .open
+            .into_iter()
+            .map(|operation| (operation.name, entry(operation)))
+            .collect();
+        OperationLog {
+            token,
+            version,
+            ended: record.ended,
+            recent: record.recent,
+            entries,
+            ..OperationLog::default()
+        }
     }
 
     /// Operations that are begun or open.
@@ -169,7 +190,9 @@
 
     /// Whether an attempt is under way.
     pub fn performing(&self) -> bool {
-        self.entries.values().any(|entry| matches!(entry.step, Step::Performing { .. }))
+        self.entries
+            .values()
+            .any(|entry| matches!(entry.step, Step::Performing { .. }))
     }
 
     /// Whether a change of the log is under way, or its outcome unknown.
@@ -193,20 +216,33 @@
         if self.entries.len() >= most {
             return Err(Rejection::TooManyOpen);
         }
-        let name = OperationName { token: self.token, number: self.next_number + 1 };
+        let name = OperationName {
+            token: self.token,
+            number: self.next_number + 1,
+        };
         let operation = Operation { name, payload };
         // Alone it must fit into half of a log, or it could block all others.
         if record::write(&operation).to_string().len() > log_bytes(limits) / 2 {
             return Err(Rejection::TooLarge);
         }
         self.next_number += 1;
-        let entry = Entry { operation, step: Step::Waiting, request: Some(request), retry: FIRST_RETRY };
+        let entry = Entry {
+            operation,
+            step: Step::Waiting,
+            request: Some(request),
+            retry: FIRST_RETRY,
+        };
         self.entries.insert(name, entry);
         Ok(name)
     }
 
     /// Takes a fenced change. It is sent alone, since its conditions may fail.
-    pub fn commit(&mut self, commit: FencedCommit, most: usize, limits: &StoreLimits) -> Result<(), Rejection> {
+    pub fn commit(
+        &mut self,
+        commit: FencedCommit,
+        most: usize,
+        limits: &StoreLimits,
+    ) -> Result<(), Rejection> {
         if self.fenced.len() >= most {
             return Err(Rejection::TooManyOpen);
         }
@@ -226,10 +262,16 @@
     /// What is left of requests, as the duty was lost.
     pub fn unfinished(&self) -> Unfinished {
         let of = |wanted: Step| {
-            let entries = self.entries.values().filter(move |entry| entry.step == wanted);
+            let entries = self
+                .entries
+                .values()
+                .filter(move |entry| entry.step == wanted);
             entries.filter_map(|entry| entry.request).collect()
         };
-        let underway = self.underway.as_ref().and_then(|underway| underway.changes.fenced.as_ref());
+        let underway = self
+            .underway
+            .as_ref()
+            .and_then(|underway| underway.changes.fenced.as_ref());
         Unfinished {
             unrecorded: of(Step::Waiting),
             uncertain: of(Step::Recording),
@@ -241,7 +283,10 @@
     /// The next operation that may be performed.
     pub fn due(&self, now: Micros) -> Option<OperationName> {
         let due = |entry: &&Entry| matches!(entry.step, Step::Ready { from } if from <= now);
-        self.entries.values().find(due).map(|entry| entry.operation.name)
+        self.entries
+            .values()
+            .find(due)
+            .map(|entry| entry.operation.name)
     }
 
     /// Begins an attempt.
@@ -254,13 +299,21 @@
     /// Takes the outcome of an attempt. Another attempt's outcome changes nothing: a refusal that comes late says nothing
     /// of what a later attempt has done.
     pub fn performed(&mut self, name: OperationName, attempt: u64, outcome: Outcome, now: Micros) {
-        let Some(entry) = self.entries.get_mut(&name) else { return };
+        let Some(entry) = self.entries.get_mut(&name) else {
+            return;
+        };
         if entry.step != (Step::Performing { attempt }) {
             return;
         }
         entry.step = match outcome {
-            Outcome::Done { writes } => Step::Ended { settlement: Settlement::Done, writes: writes.into() },
-            Outcome::NotDone => Step::Ended { settlement: Settlement::NotDone, writes: VecDeque::new() },
+            Outcome::Done { writes } => Step::Ended {
+                settlement: Settlement::Done,
+                writes: writes.into(),
+            },
+            Outcome::NotDone => Step::Ended {
+                settlement: Settlement::NotDone,
+                writes: VecDeque::new(),
+            },
             Outcome::NotPermitted => Step::Ready { from: now },
             Outcome::Unknown => {
                 let from = now + entry.retry;
@@ -308,18 +361,30 @@
         let value = self.unchanged_value(limits)?;
         let commit = self.fenced.pop_front()?;
         let (when, writes) = (commit.when.clone(), commit.apply.clone());
-        let changes = Changes { fenced: Some(commit), ..self.no_changes() };
+        let changes = Changes {
+            fenced: Some(commit),
+            ..self.no_changes()
+        };
         Some(self.begin_write(changes, value, when, writes))
     }
 
     fn no_changes(&self) -> Changes {
-        Changes { ended_count: self.ended, recent: self.recent.clone(), ..Changes::default() }
+        Changes {
+            ended_count: self.ended,
+            recent: self.recent.clone(),
+            ..Changes::default()
+        }
     }
 
     /// The log as it is, with the next sequence. None: it does not fit any more, since the limits have shrunk.
     fn unchanged_value(&self, limits: &StoreLimits) -> Option<Value> {
         let recorded = |entry: &&Entry| !matches!(entry.step, Step::Waiting | Step::Recording);
-        let open: Vec<Operation> = self.entries.values().filter(recorded).map(|e| e.operation.clone()).collect();
+        let open: Vec<Operation> = self
+            .entries
+            .values()
+            .filter(recorded)
+            .map(|e| e.operation.clone())
+            .collect();
         let mut changes = self.no_changes();
         let value = self.shortened(&mut changes, &open, log_bytes(limits));
         (value.to_string().len() <= limits.value_bytes).then_some(value)
@@ -333,7 +398,12 @@
         writes: Vec<Write>,
     ) -> LogWrite {
         self.sequence += 1;
-        let write = LogWrite { version: self.version, value, when, writes };
+        let write = LogWrite {
+            version: self.version,
+            value,
+            when,
+            writes,
+        };
         self.underway = Some(Underway {
             sequence: self.sequence,
             changes,
@@ -352,11 +422,18 @@
         let mut writes = Vec::new();
         let mut bytes = 0;
         for (name, entry) in &self.entries {
-            let Step::Ended { settlement, writes: wanted } = &entry.step else { continue };
+            let Step::Ended {
+                settlement,
+                writes: wanted,
+            } = &entry.step
+            else {
+                continue;
+            };
             let mut taken = 0;
             for write in wanted {
                 let size = bytes_of(write);
-                let fits = writes.len() < most && (bytes + size <= TRANSACTION_BYTES || writes.is_empty());
+                let fits =
+                    writes.len() < most && (bytes + size <= TRANSACTION_BYTES || writes.is_empty());
                 if !fits {
                     break;
                 }
@@ -367,7 +444,10 @@
             let ends = taken == wanted.len();
             if ends {
                 changes.ended_count += 1;
-                changes.recent.push(SettledOperation { name: *name, settlement: settlement.clone() });
+                changes.recent.push(SettledOperation {
+                    name: *name,
+                    settlement: settlement.clone(),
+                });
             }
             if ends || taken > 0 {
                 changes.ended.insert(*name, (taken, ends));
@@ -384,9 +464,16 @@
     fn collect_begun(&self, changes: &mut Changes, limits: &StoreLimits) -> Option<Value> {
         let ends = |name: &OperationName| changes.ended.get(name).is_some_and(|ended| ended.1);
         let recorded = |entry: &&Entry| !matches!(entry.step, Step::Waiting | Step::Recording);
-        let kept = self.entries.values().filter(recorded).filter(|entry| !ends(&entry.operation.name));
+        let kept = self
+            .entries
+            .values()
+            .filter(recorded)
+            .filter(|entry| !ends(&entry.operation.name));
         let mut open: Vec<Operation> = kept.map(|entry| entry.operation.clone()).collect();
-        let waiting = self.entries.values().filter(|entry| entry.step == Step::Waiting);
+        let waiting = self
+            .entries
+            .values()
+            .filter(|entry| entry.step == Step::Waiting);
         let waiting: Vec<Operation> = waiting.map(|entry| entry.operation.clone()).collect();
         let most = log_bytes(limits);
         let mut size = self.shortened(changes, &open, most).to_string().len();
@@ -430,7 +517,9 @@
 
     /// The change under way was made, with this revision.
     pub fn written(&mut self, revision: u64, now: Micros) -> LogProgress {
-        let Some(underway) = self.underway.take() else { return LogProgress::default() };
+        let Some(underway) = self.underway.take() else {
+            return LogProgress::default();
+        };
         self.unclear = false;
         self.version = revision;
         if let Some((failed, _)) = underway.fencing {
@@ -438,36 +527,52 @@
         }
         let mut progress = LogProgress::default();
         for name in &underway.changes.began {
-            let Some(entry) = self.entries.get_mut(name) else { continue };
+            let Some(entry) = self.entries.get_mut(name) else {
+                continue;
+            };
             entry.step = Step::Ready { from: now };
-            progress.began.extend(entry.request.take().map(|request| (request, *name)));
+            progress
+                .began
+                .extend(entry.request.take().map(|request| (request, *name)));
         }
         for (name, (taken, ends)) in &underway.changes.ended {
             if *ends {
                 progress.settled.extend(self.remove_ended(*name));
-            } else if let Some(Step::Ended { writes, .. }) = self.entries.get_mut(name).map(|entry| &mut entry.step) {
+            } else if let Some(Step::Ended { writes, .. }) =
+                self.entries.get_mut(name).map(|entry| &mut entry.step)
+            {
                 writes.drain(..*taken);
             }
         }
-        progress.fenced = underway.changes.fenced.map(|commit| (commit.request, CommitOutcome::Committed(revision)));
+        progress.fenced = underway
+            .changes
+            .fenced
+            .map(|commit| (commit.request, CommitOutcome::Committed(revision)));
         self.ended = underway.changes.ended_count;
         self.recent = underway.changes.recent;
         progress
     }
 
     fn fenced_progress(&self, changes: Changes, outcome: CommitOutcome) -> LogProgress {
-        LogProgress { fenced: changes.fenced.map(|commit| (commit.request, outcome)), ..LogProgress::default() }
+        LogProgress {
+            fenced: changes.fenced.map(|commit| (commit.request, outcome)),
+            ..LogProgress::default()
+        }
     }
 
     fn remove_ended(&mut self, name: OperationName) -> Option<(Operation, Settlement)> {
         let entry = self.entries.remove(&name)?;
-        let Step::Ended { settlement, .. } = entry.step else { return None };
+        let Step::Ended { settlement, .. } = entry.step else {
+            return None;
+        };
         Some((entry.operation, settlement))
     }
 
     /// The store has not carried out the last copy.
     pub fn refused(&mut self) -> LogProgress {
-        let Some(underway) = &mut self.underway else { return LogProgress::default() };
+        let Some(underway) = &mut self.underway else {
+            return LogProgress::default();
+        };
         if underway.uncertain || underway.fencing.is_some() {
             underway.resend = true;
             return LogProgress::default();
@@ -477,7 +582,9 @@
 
     /// Conditions other than the claim and the log have failed.
     pub fn conflicted(&mut self, failed: Vec<String>) -> LogProgress {
-        let Some(underway) = &mut self.underway else { return LogProgress::default() };
+        let Some(underway) = &mut self.underway else {
+            return LogProgress::default();
+        };
         if !underway.uncertain {
             return self.withdraw(CommitOutcome::Conflict(failed));
         }
@@ -494,7 +601,9 @@
 
     /// The change under way was certainly not made, nor will be.
     fn withdraw(&mut self, outcome: CommitOutcome) -> LogProgress {
-        let Some(underway) = self.underway.take() else { return LogProgress::default() };
+        let Some(underway) = self.underway.take() else {
+            return LogProgress::default();
+        };
         for name in &underway.changes.began {
             if let Some(entry) = self.entries.get_mut(name) {
                 entry.step = Step::Waiting;
@@ -514,8 +623,12 @@
     /// Takes what a reading showed after a change without an answer.
     pub fn reread(&mut self, version: u64, stored: Option<&LogRecord>, now: Micros) -> Reread {
         self.unclear = false;
-        let Some(underway) = &mut self.underway else { return Reread::NotApplied };
-        let sequence = stored.filter(|record| record.token == self.token).map(|record| record.sequence);
+        let Some(underway) = &mut self.underway else {
+            return Reread::NotApplied;
+        };
+        let sequence = stored
+            .filter(|record| record.token == self.token)
+            .map(|record| record.sequence);
         if sequence == Some(underway.sequence) {
             return Reread::Applied(self.written(version, now));
         }
--- a/crates/seamfront-lease/src/manager/claims.rs
+++ b/crates/seamfront-lease/src/manager/claims.rs
@@ -8,7 +8,11 @@
 impl DutyManager {
     pub(super) fn claim_changed(&mut self, index: usize, claim: Option<SeenClaim>, version: u64) {
         let duty = &mut self.duties[index];
-        if duty.claim.as_ref().is_some_and(|seen| seen.version > version) {
+        if duty
+            .claim
+            .as_ref()
+            .is_some_and(|seen| seen.version > version)
+        {
             return;
         }
         let me = &self.settings.member;
@@ -26,21 +30,32 @@
     /// Says once who holds what was lost here.
     fn tell_successor(&mut self, index: usize) {
         let duty = &mut self.duties[index];
-        let (Some(token), Some(claim)) = (duty.lost, &duty.claim) else { return };
+        let (Some(token), Some(claim)) = (duty.lost, &duty.claim) else {
+            return;
+        };
         if claim.version <= token || claim.member.is_empty() {
             return;
         }
         duty.lost = None;
-        let successor = Successor { member: claim.member.clone(), token: claim.version };
+        let successor = Successor {
+            member: claim.member.clone(),
+            token: claim.version,
+        };
         let name = duty.name.clone();
         info!(duty = %name, token, successor = %successor.member, successor_token = successor.token, "duty replaced");
-        self.effects.push(Effect::Replaced { duty: name, token, successor });
+        self.effects.push(Effect::Replaced {
+            duty: name,
+            token,
+            successor,
+        });
     }
 
     /// Ends holding a duty at once. Its token is never acted on again.
     pub(super) fn lose(&mut self, index: usize, reason: LossReason) {
         let duty = &mut self.duties[index];
-        let Some(holding) = duty.holding.take() else { return };
+        let Some(holding) = duty.holding.take() else {
+            return;
+        };
         duty.spent = duty.spent.max(holding.token);
         duty.lost = Some(holding.token);
         duty.handover_wanted = None;
@@ -51,28 +66,43 @@
             warn!(duty = %name, token = holding.token, %reason, "duty lost");
         }
         self.end_requests(holding.log.unfinished());
-        self.effects.push(Effect::Lost { duty: name, token: holding.token, reason });
+        self.effects.push(Effect::Lost {
+            duty: name,
+            token: holding.token,
+            reason,
+        });
     }
 
     /// Tells what has become of requests under a token that is void.
     fn end_requests(&mut self, unfinished: Unfinished) {
         for request in unfinished.unrecorded {
-            self.effects.push(Effect::Rejected { request, rejection: Rejection::NotHeld });
+            self.effects.push(Effect::Rejected {
+                request,
+                rejection: Rejection::NotHeld,
+            });
         }
         for request in unfinished.uncertain {
             self.effects.push(Effect::Uncertain { request });
         }
         for request in unfinished.unsent {
-            self.effects.push(Effect::Committed { request, outcome: CommitOutcome::Lost });
+            self.effects.push(Effect::Committed {
+                request,
+                outcome: CommitOutcome::Lost,
+            });
         }
         if let Some(request) = unfinished.fenced {
-            self.effects.push(Effect::Committed { request, outcome: CommitOutcome::Unknown });
+            self.effects.push(Effect::Committed {
+                request,
+                outcome: CommitOutcome::Unknown,
+            });
         }
     }
 
     /// Whether a condition on this duty's claim has failed under the token that is held. If so, it is lost.
     pub(super) fn token_refused(&mut self, index: usize, token: u64, reply: &StateReply) -> bool {
-        let StateReply::Conflict { failed } = reply else { return false };
+        let StateReply::Conflict { failed } = reply else {
+            return false;
+        };
         if !failed.contains(&self.claim_key(index)) {
             return false;
         }
@@ -83,11 +113,16 @@
     }
 
     pub(super) fn held_token(&self, index: usize) -> Option<u64> {
-        self.duties[index].holding.as_ref().map(|holding| holding.token)
+        self.duties[index]
+            .holding
+            .as_ref()
+            .map(|holding| holding.token)
     }
 
     pub(super) fn claims_tick(&mut self) {
-        let Some(lease) = self.session.lease else { return };
+        let Some(lease) = self.session.lease else {
+            return;
+        };
         if self.session.registered.is_none() || self.session.superseded || !self.view.loaded() {
             return;
         }
@@ -140,12 +175,27 @@
         };
         self.duties[index].claim_busy = true;
         let key = self.claim_key(index);
-        let value = record::write(&ClaimRecord { format: FORMAT, member: self.settings.member.clone(), lease });
-        let apply = vec![Write::Put { key: key.clone(), value, lease: Some(lease) }];
+        let value = record::write(&ClaimRecord {
+            format: FORMAT,
+            member: self.settings.member.clone(),
+            lease,
+        });
+        let apply = vec![Write::Put {
+            key: key.clone(),
+            value,
+            lease: Some(lease),
+        }];
         let sent = self.now;
         self.store(
-            StateCall::Commit { when: vec![(key, expected)], apply },
-            Pending::Claim { duty: index, lease, sent },
+            StateCall::Commit {
+                when: vec![(key, expected)],
+                apply,
+            },
+            Pending::Claim {
+                duty: index,
+                lease,
+                sent,
+            },
         );
     }
 
@@ -155,11 +205,22 @@
         let since = *self.duties[index].free_since.get_or_insert(now);
         if let Some(holder) = self.group_holder(index) {
             let own = holder == self.settings.member;
-            let rank =
-                if own { 0 } else { 1 + spread::rank(&self.duties[index].name, &self.settings.member, &self.loads()) };
+            let rank = if own {
+                0
+            } else {
+                1 + spread::rank(
+                    &self.duties[index].name,
+                    &self.settings.member,
+                    &self.loads(),
+                )
+            };
             return now - since >= self.settings.takeover_step.times(rank as i64);
         }
-        let rank = spread::rank(&self.duties[index].name, &self.settings.member, &self.loads());
+        let rank = spread::rank(
+            &self.duties[index].name,
+            &self.settings.member,
+            &self.loads(),
+        );
         now - since >= self.settings.takeover_step.times(rank as i64)
     }
 
@@ -169,19 +230,32 @@
         if !together.contains(&self.duties[index].name) {
             return None;
         }
-        let group = self.duties.iter().filter(|duty| together.contains(&duty.name));
-        let holders = group.filter_map(|duty| duty.claim.as_ref()).map(|claim| claim.member.as_str());
-        spread::group_holder(holders.filter(|member| self.members.contains_key(*member))).map(str::to_owned)
+        let group = self
+            .duties
+            .iter()
+            .filter(|duty| together.contains(&duty.name));
+        let holders = group
+            .filter_map(|duty| duty.claim.as_ref())
+            .map(|claim| claim.member.as_str());
+        spread::group_holder(holders.filter(|member| self.members.contains_key(*member)))
+            .map(str::to_owned)
     }
 
     pub(super) fn claimed(&mut self, index: usize, lease: u64, sent: Micros, reply: StateReply) {
         self.duties[index].claim_busy = false;
         match reply {
             StateReply::Committed { revision } if self.session.lease == Some(lease) => {
-                let newer = self.duties[index].claim.as_ref().is_some_and(|claim| claim.version > revision);
+                let newer = self.duties[index]
+                    .claim
+                    .as_ref()
+                    .is_some_and(|claim| claim.version > revision);
                 if !newer && self.duties[index].holding.is_none() {
                     let member = self.settings.member.clone();
-                    self.duties[index].claim = Some(SeenClaim { version: revision, member, lease });
+                    self.duties[index].claim = Some(SeenClaim {
+                        version: revision,
+                        member,
+                        lease,
+                    });
                     self.hold(index, revision, Some(sent));
                 }
             }
@@ -220,9 +294,14 @@
     /// In the embedding program's time.
     pub(super) fn current_permit(&self, index: usize) -> Option<Permit> {
         let holding = self.duties[index].holding.as_ref()?;
-        let permit = holding.proof.permit(holding.token, &self.session.proof, &self.settings)?;
+        let permit = holding
+            .proof
+            .permit(holding.token, &self.session.proof, &self.settings)?;
         let valid = permit.valid(self.now);
-        valid.then_some(Permit { until: permit.until - self.clock_offset, ..permit })
+        valid.then_some(Permit {
+            until: permit.until - self.clock_offset,
+            ..permit
+        })
     }
 
     /// Proves all claims that need it with one transaction.
@@ -230,16 +309,30 @@
         if self.prove_busy || self.now < self.prove_next {
             return;
         }
-        let wanted = |duty: &Duty| duty.holding.as_ref().is_some_and(|holding| holding.proof_wanted);
+        let wanted = |duty: &Duty| {
+            duty.holding
+                .as_ref()
+                .is_some_and(|holding| holding.proof_wanted)
+        };
         if !self.duties.iter().any(wanted) {
             return;
         }
-        let held = (0..self.duties.len()).filter_map(|index| Some((index, self.held_token(index)?)));
+        let held =
+            (0..self.duties.len()).filter_map(|index| Some((index, self.held_token(index)?)));
         let claims: Vec<(usize, u64)> = held.collect();
         self.prove_busy = true;
-        let when = claims.iter().map(|(index, token)| (self.claim_key(*index), *token)).collect();
+        let when = claims
+            .iter()
+            .map(|(index, token)| (self.claim_key(*index), *token))
+            .collect();
         let sent = self.now;
-        self.store(StateCall::Commit { when, apply: Vec::new() }, Pending::Prove { sent, claims });
+        self.store(
+            StateCall::Commit {
+                when,
+                apply: Vec::new(),
+            },
+            Pending::Prove { sent, claims },
+        );
     }
 
     pub(super) fn proved(&mut self, sent: Micros, claims: &[(usize, u64)], reply: &StateReply) {
@@ -261,7 +354,10 @@
 
     /// A transaction on the claim under this token has succeeded.
     pub(super) fn claim_proven(&mut self, index: usize, token: u64, sent: Micros) {
-        let holding = self.duties[index].holding.as_mut().filter(|holding| holding.token == token);
+        let holding = self.duties[index]
+            .holding
+            .as_mut()
+            .filter(|holding| holding.token == token);
         if let Some(holding) = holding {
             holding.proof.proven(sent);
             holding.proof_wanted = false;
--- a/crates/seamfront-lease/src/manager/handover.rs
+++ b/crates/seamfront-lease/src/manager/handover.rs
@@ -12,7 +12,12 @@
 impl DutyManager {
     /// One duty at a time is handed over, and only once nothing of it is under way.
     pub(super) fn handover_tick(&mut self) {
-        let handing = |duty: &Duty| matches!(duty.holding.as_ref().map(|h| &h.phase), Some(Phase::HandingOver { .. }));
+        let handing = |duty: &Duty| {
+            matches!(
+                duty.holding.as_ref().map(|h| &h.phase),
+                Some(Phase::HandingOver { .. })
+            )
+        };
         match self.duties.iter().position(handing) {
             Some(index) => self.continue_handover(index),
             None => self.begin_handover(),
@@ -21,21 +26,34 @@
 
     fn begin_handover(&mut self) {
         for index in 0..self.duties.len() {
-            let Some(holding) = self.duties[index].holding.as_ref() else { continue };
+            let Some(holding) = self.duties[index].holding.as_ref() else {
+                continue;
+            };
             if holding.phase != Phase::Active || self.now < self.duties[index].claim_next {
                 continue;
             }
-            if self.leaving && self.loads().iter().all(|member| member.member == self.settings.member) {
+            if self.leaving
+                && self
+                    .loads()
+                    .iter()
+                    .all(|member| member.member == self.settings.member)
+            {
                 self.release(index);
                 continue;
             }
-            let Some(to) = self.wanted_receiver(index) else { continue };
+            let Some(to) = self.wanted_receiver(index) else {
+                continue;
+            };
             let since = self.now;
             let duty = &mut self.duties[index];
             duty.handover_wanted = None;
             info!(duty = %duty.name, %to, "handing duty over");
             if let Some(holding) = duty.holding.as_mut() {
-                holding.phase = Phase::HandingOver { to, since, sent: false };
+                holding.phase = Phase::HandingOver {
+                    to,
+                    since,
+                    sent: false,
+                };
             }
             return;
         }
@@ -52,7 +70,11 @@
         let others = || loads.iter().filter(|member| member.member != me);
         let least = || others().min_by_key(|member| (member.duties, member.load, &member.member));
         match &duty.handover_wanted {
-            Some(Some(to)) => return others().find(|member| member.member == *to).map(|member| member.member.clone()),
+            Some(Some(to)) => {
+                return others()
+                    .find(|member| member.member == *to)
+                    .map(|member| member.member.clone())
+            }
             Some(None) => return least().map(|member| member.member.clone()),
             None if self.leaving => return least().map(|member| member.member.clone()),
             None => {}
@@ -74,7 +96,10 @@
         if to == self.settings.member {
             return None;
         }
-        let up = self.members.get(&to).is_some_and(|seen| !seen.record.leaving);
+        let up = self
+            .members
+            .get(&to)
+            .is_some_and(|seen| !seen.record.leaving);
         if up {
             return Some(to);
         }
@@ -85,12 +110,17 @@
     }
 
     fn continue_handover(&mut self, index: usize) {
-        let Some(holding) = self.duties[index].holding.as_ref() else { return };
-        let Phase::HandingOver { to, since, sent } = holding.phase.clone() else { return };
+        let Some(holding) = self.duties[index].holding.as_ref() else {
+            return;
+        };
+        let Phase::HandingOver { to, since, sent } = holding.phase.clone() else {
+            return;
+        };
         if sent {
             return;
         }
-        let busy = holding.log.performing() || holding.log.writing() || holding.log.fenced_waiting();
+        let busy =
+            holding.log.performing() || holding.log.writing() || holding.log.fenced_waiting();
         if !busy {
             return self.transfer(index, &to);
         }
@@ -111,26 +141,49 @@
     /// One transaction makes the receiver the holder: there is no moment without one, nor with two. Nothing is done here
     /// from its sending on, unless it is known to have failed.
     fn transfer(&mut self, index: usize, to: &str) {
-        let Some(receiver) = self.members.get(to).filter(|seen| !seen.record.leaving).cloned() else {
+        let Some(receiver) = self
+            .members
+            .get(to)
+            .filter(|seen| !seen.record.leaving)
+            .cloned()
+        else {
             return self.keep(index);
         };
-        let Some(holding) = self.duties[index].holding.as_mut() else { return };
+        let Some(holding) = self.duties[index].holding.as_mut() else {
+            return;
+        };
         if let Phase::HandingOver { sent, .. } = &mut holding.phase {
             *sent = true;
         }
         let token = holding.token;
         let key = self.claim_key(index);
         let lease = receiver.record.lease;
-        let value = record::write(&ClaimRecord { format: FORMAT, member: to.to_owned(), lease });
+        let value = record::write(&ClaimRecord {
+            format: FORMAT,
+            member: to.to_owned(),
+            lease,
+        });
         let mut when = vec![(key.clone(), token), (keys::member(to), receiver.version)];
-        let mut apply = vec![Write::Put { key, value, lease: Some(lease) }];
+        let mut apply = vec![Write::Put {
+            key,
+            value,
+            lease: Some(lease),
+        }];
         let name = &self.duties[index].name;
-        if let Some((request, version)) = self.moves.get(name).filter(|(request, _)| request.to == to) {
+        if let Some((request, version)) =
+            self.moves.get(name).filter(|(request, _)| request.to == to)
+        {
             debug_assert_eq!(request.to, to);
             when.push((keys::move_request(name), *version));
-            apply.push(Write::Delete { key: keys::move_request(name) });
-        }
-        let pending = Pending::Transfer { duty: index, token, to: to.to_owned() };
+            apply.push(Write::Delete {
+                key: keys::move_request(name),
+            });
+        }
+        let pending = Pending::Transfer {
+            duty: index,
+            token,
+            to: to.to_owned(),
+        };
         self.store(StateCall::Commit { when, apply }, pending);
     }
 
@@ -142,11 +195,17 @@
             StateReply::Committed { revision } => {
                 self.lose(index, LossReason::HandedOver);
                 let lease = self.members.get(to).map_or(0, |seen| seen.record.lease);
-                let claim = SeenClaim { version: *revision, member: to.to_owned(), lease };
+                let claim = SeenClaim {
+                    version: *revision,
+                    member: to.to_owned(),
+                    lease,
+                };
                 self.claim_changed(index, Some(claim), *revision);
             }
             // Certainly not made: the receiver has gone, or the store refused.
-            StateReply::Conflict { .. } | StateReply::NoSuchLease | StateReply::Refused => self.keep(index),
+            StateReply::Conflict { .. } | StateReply::NoSuchLease | StateReply::Refused => {
+                self.keep(index)
+            }
             // It may yet be made. Our token is given up; if the claim stays ours, it is claimed anew under another, and
             // the transfer fails if it comes then.
             _ => self.lose(index, LossReason::HandedOver),
@@ -155,7 +214,9 @@
 
     /// Gives a duty up with nobody there to take it.
     fn release(&mut self, index: usize) {
-        let Some(token) = self.held_token(index) else { return };
+        let Some(token) = self.held_token(index) else {
+            return;
+        };
         self.lose(index, LossReason::HandedOver);
         self.remove_claim(index, token);
     }
@@ -165,14 +226,23 @@
         self.duties[index].claim_busy = true;
         let key = self.claim_key(index);
         let apply = vec![Write::Delete { key: key.clone() }];
-        self.store(StateCall::Commit { when: vec![(key, version)], apply }, Pending::Release { duty: index });
+        self.store(
+            StateCall::Commit {
+                when: vec![(key, version)],
+                apply,
+            },
+            Pending::Release { duty: index },
+        );
     }
 
     pub(super) fn released(&mut self, index: usize, reply: &StateReply) {
         let duty = &mut self.duties[index];
         duty.claim_busy = false;
         duty.claim_next = self.now + RETRY;
-        let ours = duty.claim.as_ref().is_some_and(|claim| claim.version <= duty.spent);
+        let ours = duty
+            .claim
+            .as_ref()
+            .is_some_and(|claim| claim.version <= duty.spent);
         if ours && matches!(reply, StateReply::Committed { .. }) {
             // Before the view shows it, or it would be taken for a claim that is to be overwritten.
             duty.claim = None;
--- a/crates/seamfront-lease/src/manager/mod.rs
+++ b/crates/seamfront-lease/src/manager/mod.rs
@@ -46,7 +46,11 @@
     /// The duty is performed.
     Active,
     /// It goes to another member once nothing is under way.
-    HandingOver { to: String, since: Micros, sent: bool },
+    HandingOver {
+        to: String,
+        since: Micros,
+        sent: bool,
+    },
 }
 
 /// A duty that is held here.
@@ -92,18 +96,45 @@
 /// What a request to the store is for.
 #[derive(Debug)]
 enum Pending {
-    Grant { sent: Micros },
-    Renew { sent: Micros, lease: u64 },
+    Grant {
+        sent: Micros,
+    },
+    Renew {
+        sent: Micros,
+        lease: u64,
+    },
     View,
-    Register { record: MemberRecord },
+    Register {
+        record: MemberRecord,
+    },
     Unregister,
     Version,
-    Claim { duty: usize, lease: u64, sent: Micros },
-    Prove { sent: Micros, claims: Vec<(usize, u64)> },
-    LogRead { duty: usize, token: u64 },
-    LogWrite { duty: usize, token: u64, sent: Micros },
-    Transfer { duty: usize, token: u64, to: String },
-    Release { duty: usize },
+    Claim {
+        duty: usize,
+        lease: u64,
+        sent: Micros,
+    },
+    Prove {
+        sent: Micros,
+        claims: Vec<(usize, u64)>,
+    },
+    LogRead {
+        duty: usize,
+        token: u64,
+    },
+    LogWrite {
+        duty: usize,
+        token: u64,
+        sent: Micros,
+    },
+    Transfer {
+        duty: usize,
+        token: u64,
+        to: String,
+    },
+    Release {
+        duty: usize,
+    },
     Switch,
 }
 
@@ -201,13 +232,24 @@
 
     /// Duties that may be performed here now, with their tokens.
     pub fn active(&self) -> Vec<(&str, u64)> {
-        let holding = |duty: &Duty| duty.holding.as_ref().filter(|h| h.phase == Phase::Active).map(|h| h.token);
-        self.duties.iter().filter_map(|duty| Some((duty.name.as_str(), holding(duty)?))).collect()
+        let holding = |duty: &Duty| {
+            duty.holding
+                .as_ref()
+                .filter(|h| h.phase == Phase::Active)
+                .map(|h| h.token)
+        };
+        self.duties
+            .iter()
+            .filter_map(|duty| Some((duty.name.as_str(), holding(duty)?)))
+            .collect()
     }
 
     /// The token of a duty that may be performed here.
     pub fn token(&self, duty: &str) -> Option<u64> {
-        self.active().into_iter().find(|held| held.0 == duty).map(|held| held.1)
+        self.active()
+            .into_iter()
+            .find(|held| held.0 == duty)
+            .map(|held| held.1)
     }
 
     /// Who holds a duty, as far as this member sees.
@@ -218,9 +260,13 @@
 
     /// Asks for a proof of a duty's claim where the permit has run out or soon will: an effect is about to begin.
     pub fn want_proof(&mut self, duty: &str) {
-        let Some(index) = self.index(duty) else { return };
+        let Some(index) = self.index(duty) else {
+            return;
+        };
         let half = self.settings.proof_time().over(2);
-        let fresh = self.current_permit(index).is_some_and(|permit| permit.until + self.clock_offset > self.now + half);
+        let fresh = self
+            .current_permit(index)
+            .is_some_and(|permit| permit.until + self.clock_offset > self.now + half);
         if let Some(holding) = self.duties[index].holding.as_mut() {
             holding.proof_wanted |= !fresh;
         }
@@ -228,7 +274,8 @@
 
     /// Whether a duty is held here, be it that its predecessor's operations are not settled yet.
     pub fn holds(&self, duty: &str) -> bool {
-        self.index(duty).is_some_and(|index| self.duties[index].holding.is_some())
+        self.index(duty)
+            .is_some_and(|index| self.duties[index].holding.is_some())
     }
 
     /// The right to begin an effect of a duty now, if there is one without another request to the store.
@@ -249,11 +296,18 @@
             self.now = shifted;
             return;
         }
-        warn!(back_s = (self.now - shifted).as_secs_decimal(), "the steady clock went back; proving everything anew");
+        warn!(
+            back_s = (self.now - shifted).as_secs_decimal(),
+            "the steady clock went back; proving everything anew"
+        );
         self.clock_offset = self.now - now;
         self.session.proof.clear();
         self.session.renew_next = self.now;
-        for holding in self.duties.iter_mut().filter_map(|duty| duty.holding.as_mut()) {
+        for holding in self
+            .duties
+            .iter_mut()
+            .filter_map(|duty| duty.holding.as_mut())
+        {
             holding.proof.clear();
         }
     }
@@ -261,17 +315,35 @@
     fn take(&mut self, command: Command) {
         match command {
             Command::Store { call, reply } => self.store_reply(call, reply),
-            Command::Begin { request, duty, payload } => self.begin(request, &duty, payload),
-            Command::Commit { request, duty, when, apply } => self.fenced_commit(request, &duty, when, apply),
-            Command::Performed { duty, operation, attempt, outcome } => {
+            Command::Begin {
+                request,
+                duty,
+                payload,
+            } => self.begin(request, &duty, payload),
+            Command::Commit {
+                request,
+                duty,
+                when,
+                apply,
+            } => self.fenced_commit(request, &duty, when, apply),
+            Command::Performed {
+                duty,
+                operation,
+                attempt,
+                outcome,
+            } => {
                 let now = self.now;
-                let holding = self.index(&duty).and_then(|index| self.duties[index].holding.as_mut());
+                let holding = self
+                    .index(&duty)
+                    .and_then(|index| self.duties[index].holding.as_mut());
                 if let Some(holding) = holding {
                     holding.log.performed(operation, attempt, outcome, now);
                 }
             }
             Command::TokenRefused { duty, token } => {
-                let index = self.index(&duty).filter(|index| self.held_token(*index) == Some(token));
+                let index = self
+                    .index(&duty)
+                    .filter(|index| self.held_token(*index) == Some(token));
                 if let Some(index) = index {
                     self.lose(index, LossReason::TokenRefused);
                 }
@@ -306,7 +378,9 @@
     }
 
     fn store_reply(&mut self, call: CallId, reply: StateReply) {
-        let Some(pending) = self.calls.remove(&call) else { return };
+        let Some(pending) = self.calls.remove(&call) else {
+            return;
+        };
         match pending {
             Pending::Grant { sent } => self.granted(sent, reply),
             Pending::Renew { sent, lease } => self.renewed(sent, lease, reply),
@@ -361,7 +435,9 @@
     fn fill_budget(&mut self) {
         const MICROS_PER_SECOND: i64 = 1_000_000;
         let rate = self.settings.limits.changes_per_second * 1_000;
-        let passed = (self.now - self.budget_filled).0.clamp(0, MICROS_PER_SECOND);
+        let passed = (self.now - self.budget_filled)
+            .0
+            .clamp(0, MICROS_PER_SECOND);
         self.budget_filled = self.now;
         self.budget = (self.budget + rate * passed / MICROS_PER_SECOND).min(rate);
     }
@@ -377,14 +453,21 @@
 
     /// All members that are up, with what they hold.
     fn loads(&self) -> Vec<MemberLoad> {
-        let holders = self.duties.iter().filter_map(|duty| duty.claim.as_ref().map(|claim| claim.member.as_str()));
+        let holders = self
+            .duties
+            .iter()
+            .filter_map(|duty| duty.claim.as_ref().map(|claim| claim.member.as_str()));
         let counts = crate::spread::count_by_holder(holders);
         let load = |(name, seen): (&String, &SeenMember)| MemberLoad {
             member: name.clone(),
             duties: counts.get(name.as_str()).copied().unwrap_or(0),
             load: seen.record.load,
         };
-        self.members.iter().filter(|(_, seen)| !seen.record.leaving).map(load).collect()
+        self.members
+            .iter()
+            .filter(|(_, seen)| !seen.record.leaving)
+            .map(load)
+            .collect()
     }
 
     fn claim_key(&self, index: usize) -> String {
--- a/crates/seamfront-lease/src/manager/operations.rs
+++ b/crates/seamfront-lease/src/manager/operations.rs
@@ -22,7 +22,10 @@
 
     fn ready_holding(&mut self, duty: &str) -> Result<&mut Holding, Rejection> {
         let index = self.index(duty).ok_or(Rejection::UnknownDuty)?;
-        let holding = self.duties[index].holding.as_mut().ok_or(Rejection::NotHeld)?;
+        let holding = self.duties[index]
+            .holding
+            .as_mut()
+            .ok_or(Rejection::NotHeld)?;
         match holding.phase {
             Phase::Active => Ok(holding),
             Phase::HandingOver { .. } => Err(Rejection::HandingOver),
@@ -43,14 +46,19 @@
     fn log_read_tick(&mut self, index: usize) {
         let now = self.now;
         let duty = &mut self.duties[index];
-        let Some(holding) = duty.holding.as_mut() else { return };
+        let Some(holding) = duty.holding.as_mut() else {
+            return;
+        };
         let wanted = holding.phase == Phase::Loading || holding.log.unclear();
         if !wanted || holding.log_busy || now < holding.log_next {
             return;
         }
         holding.log_busy = true;
         let (key, token) = (keys::log(&duty.name), holding.token);
-        self.store(StateCall::Get { key }, Pending::LogRead { duty: index, token });
+        self.store(
+            StateCall::Get { key },
+            Pending::LogRead { duty: index, token },
+        );
     }
 
     pub(super) fn log_read(&mut self, index: usize, token: u64, reply: StateReply) {
@@ -59,7 +67,9 @@
         }
         let key = keys::log(&self.duties[index].name);
         let stored = match reply {
-            StateReply::Entry(entry) => record::read::<LogRecord>(&key, &entry.value).map(|r| (entry.version, Some(r))),
+            StateReply::Entry(entry) => {
+                record::read::<LogRecord>(&key, &entry.value).map(|r| (entry.version, Some(r)))
+            }
             StateReply::Missing => Ok((0, None)),
             _ => {
                 let now = self.now;
@@ -78,7 +88,9 @@
 
     fn log_known(&mut self, index: usize, version: u64, stored: Option<LogRecord>) {
         let now = self.now;
-        let Some(holding) = self.duties[index].holding.as_mut() else { return };
+        let Some(holding) = self.duties[index].holding.as_mut() else {
+            return;
+        };
         holding.log_busy = false;
         if holding.phase == Phase::Loading {
             holding.log = OperationLog::loaded(holding.token, version, stored);
@@ -111,28 +123,58 @@
         let budget = self.has_budget();
         let (now, limits) = (self.now, self.settings.limits);
         let duty = &mut self.duties[index];
-        let Some(holding) = duty.holding.as_mut() else { return };
-        if !budget || now < holding.log_next || matches!(holding.phase, Phase::HandingOver { sent: true, .. }) {
+        let Some(holding) = duty.holding.as_mut() else {
+            return;
+        };
+        if !budget
+            || now < holding.log_next
+            || matches!(holding.phase, Phase::HandingOver { sent: true, .. })
+        {
             return;
         }
-        let Some(write) = holding.log.next_write(&limits) else { return };
+        let Some(write) = holding.log.next_write(&limits) else {
+            return;
+        };
         let (key, token) = (keys::log(&duty.name), holding.token);
-        let mut when = vec![(keys::claim(&duty.name), token), (key.clone(), write.version)];
+        let mut when = vec![
+            (keys::claim(&duty.name), token),
+            (key.clone(), write.version),
+        ];
         when.extend(write.when);
-        let mut apply = vec![Write::Put { key, value: write.value, lease: None }];
+        let mut apply = vec![Write::Put {
+            key,
+            value: write.value,
+            lease: None,
+        }];
         apply.extend(write.writes);
         self.spend(apply.len());
         let sent = self.now;
-        self.store(StateCall::Commit { when, apply }, Pending::LogWrite { duty: index, token, sent });
+        self.store(
+            StateCall::Commit { when, apply },
+            Pending::LogWrite {
+                duty: index,
+                token,
+                sent,
+            },
+        );
     }
 
-    pub(super) fn log_written(&mut self, index: usize, token: u64, sent: Micros, reply: &StateReply) {
+    pub(super) fn log_written(
+        &mut self,
+        index: usize,
+        token: u64,
+        sent: Micros,
+        reply: &StateReply,
+    ) {
         if self.token_refused(index, token, reply) {
             return;
         }
         let now = self.now;
         let log_key = keys::log(&self.duties[index].name);
-        let holding = self.duties[index].holding.as_mut().filter(|holding| holding.token == token);
+        let holding = self.duties[index]
+            .holding
+            .as_mut()
+            .filter(|holding| holding.token == token);
         let Some(holding) = holding else { return };
         let progress = match reply {
             StateReply::Committed { revision } => {
@@ -144,7 +186,9 @@
                 holding.log_next = now + RETRY;
                 holding.log.refused()
             }
-            StateReply::Conflict { failed } if !failed.contains(&log_key) => holding.log.conflicted(failed.clone()),
+            StateReply::Conflict { failed } if !failed.contains(&log_key) => {
+                holding.log.conflicted(failed.clone())
+            }
             // A copy that came late has changed the log, or nobody knows.
             _ => {
                 holding.log.write_unclear();
@@ -157,10 +201,18 @@
     fn log_progress(&mut self, index: usize, progress: LogProgress) {
         let duty = self.duties[index].name.clone();
         for (request, operation) in progress.began {
-            self.effects.push(Effect::Began { request, duty: duty.clone(), operation });
+            self.effects.push(Effect::Began {
+                request,
+                duty: duty.clone(),
+                operation,
+            });
         }
         for (operation, settlement) in progress.settled {
-            self.effects.push(Effect::Settled { duty: duty.clone(), operation, settlement });
+            self.effects.push(Effect::Settled {
+                duty: duty.clone(),
+                operation,
+                settlement,
+            });
         }
         if let Some((request, outcome)) = progress.fenced {
             self.effects.push(Effect::Committed { request, outcome });
@@ -173,7 +225,9 @@
     fn phase_tick(&mut self, index: usize) {
         let permitted = self.current_permit(index).is_some();
         let duty = &mut self.duties[index];
-        let Some(holding) = duty.holding.as_mut() else { return };
+        let Some(holding) = duty.holding.as_mut() else {
+            return;
+        };
         if holding.phase != Phase::Settling || holding.log.unsettled() {
             return;
         }
@@ -192,15 +246,25 @@
             let permit = self.current_permit(index);
             let attempt = self.next_number();
             let duty = &mut self.duties[index];
-            let Some(holding) = duty.holding.as_mut() else { return };
+            let Some(holding) = duty.holding.as_mut() else {
+                return;
+            };
             let Some(permit) = permit else {
                 holding.proof_wanted = true;
                 return;
             };
-            let Some(operation) = holding.log.attempt(name, attempt) else { return };
+            let Some(operation) = holding.log.attempt(name, attempt) else {
+                return;
+            };
             let settling = name.token != holding.token;
             let duty = duty.name.clone();
-            self.effects.push(Effect::Perform { duty, operation, attempt, permit, settling });
+            self.effects.push(Effect::Perform {
+                duty,
+                operation,
+                attempt,
+                permit,
+                settling,
+            });
         }
     }
 
@@ -222,7 +286,11 @@
         apply: Vec<Write>,
     ) {
         let limits = self.settings.limits;
-        let commit = FencedCommit { request, when, apply };
+        let commit = FencedCommit {
+            request,
+            when,
+            apply,
+        };
         let accepted = match self.ready_holding(duty) {
             Ok(holding) => holding.log.commit(commit, FENCED_WAITING, &limits),
             Err(rejection) => Err(rejection),
--- a/crates/seamfront-lease/src/manager/session.rs
+++ b/crates/seamfront-lease/src/manager/session.rs
@@ -48,7 +48,12 @@
         self.session.renew_busy = true;
         let sent = self.now;
         match self.session.lease {
-            None => self.store(StateCall::Grant { ttl: self.settings.lease }, Pending::Grant { sent }),
+            None => self.store(
+                StateCall::Grant {
+                    ttl: self.settings.lease,
+                },
+                Pending::Grant { sent },
+            ),
             Some(lease) => self.store(StateCall::Renew { lease }, Pending::Renew { sent, lease }),
         }
     }
@@ -95,13 +100,24 @@
     }
 
     fn own_record(&self, lease: u64) -> MemberRecord {
-        MemberRecord { format: FORMAT, lease, load: self.load, leaving: self.leaving, settings: self.settings.shared() }
+        MemberRecord {
+            format: FORMAT,
+            lease,
+            load: self.load,
+            leaving: self.leaving,
+            settings: self.settings.shared(),
+        }
     }
 
     /// Writes the member's record, and rewrites it when others should know of a change.
     fn register_tick(&mut self) {
-        let Some(lease) = self.session.lease else { return };
-        if !self.view.loaded() || self.session.register_busy || self.now < self.session.register_next {
+        let Some(lease) = self.session.lease else {
+            return;
+        };
+        if !self.view.loaded()
+            || self.session.register_busy
+            || self.now < self.session.register_next
+        {
             return;
         }
         if self.settings_differ() {
@@ -113,21 +129,39 @@
         }
         let key = keys::member(&self.settings.member);
         let stored = self.members.get(&self.settings.member);
-        let stranger = stored.is_some_and(|seen| !self.session.own_leases.contains(&seen.record.lease));
+        let stranger =
+            stored.is_some_and(|seen| !self.session.own_leases.contains(&seen.record.lease));
         if stranger && self.session.registered_once {
             return self.superseded();
         }
         // A former incarnation's record can be overwritten: that process can't come back.
-        let version = self.session.registered.or(stored.map(|seen| seen.version)).unwrap_or(0);
+        let version = self
+            .session
+            .registered
+            .or(stored.map(|seen| seen.version))
+            .unwrap_or(0);
         self.session.register_busy = true;
         let value = record::write(&record);
-        let apply = vec![Write::Put { key: key.clone(), value, lease: Some(lease) }];
-        self.store(StateCall::Commit { when: vec![(key, version)], apply }, Pending::Register { record });
+        let apply = vec![Write::Put {
+            key: key.clone(),
+            value,
+            lease: Some(lease),
+        }];
+        self.store(
+            StateCall::Commit {
+                when: vec![(key, version)],
+                apply,
+            },
+            Pending::Register { record },
+        );
     }
 
     fn worth_writing(&self, record: &MemberRecord) -> bool {
-        let Some(written) = &self.session.written else { return true };
-        let load_changed = written.load.abs_diff(record.load) >= LOAD_STEP && self.now >= self.session.load_next;
+        let Some(written) = &self.session.written else {
+            return true;
+        };
+        let load_changed =
+            written.load.abs_diff(record.load) >= LOAD_STEP && self.now >= self.session.load_next;
         written.lease != record.lease || written.leaving != record.leaving || load_changed
     }
 
@@ -142,7 +176,10 @@
                 self.session.registered = Some(revision);
                 self.session.registered_once = true;
                 self.session.load_next = self.now + LOAD_EVERY;
-                let own = SeenMember { record: record.clone(), version: revision };
+                let own = SeenMember {
+                    record: record.clone(),
+                    version: revision,
+                };
                 self.members.insert(self.settings.member.clone(), own);
                 self.session.written = Some(record);
             }
@@ -178,7 +215,11 @@
             }
             return;
         }
-        if self.session.registered.is_some_and(|version| version < seen.version) {
+        if self
+            .session
+            .registered
+            .is_some_and(|version| version < seen.version)
+        {
             self.superseded();
         }
     }
@@ -189,11 +230,21 @@
         let own = self.settings.shared();
         let me = &self.settings.member;
         let registered = self.session.registered.is_some();
-        let others = self.members.iter().filter(|(name, _)| *name != me && (!registered || *name < me));
-        let difference = others.filter_map(|(name, seen)| Some((name.clone(), own.difference(&seen.record.settings)?)));
-        let Some((member, field)) = difference.min() else { return false };
+        let others = self
+            .members
+            .iter()
+            .filter(|(name, _)| *name != me && (!registered || *name < me));
+        let difference = others.filter_map(|(name, seen)| {
+            Some((name.clone(), own.difference(&seen.record.settings)?))
+        });
+        let Some((member, field)) = difference.min() else {
+            return false;
+        };
         if self.tell_once(format!("settings differ: {member} {field}")) {
-            warn!(member, field, "settings differ from another member's; no duty is taken");
+            warn!(
+                member,
+                field, "settings differ from another member's; no duty is taken"
+            );
         }
         true
     }
@@ -201,19 +252,36 @@
     /// Says once and for good that this member knows duties.
     fn version_tick(&mut self) {
         let known = self.versions.contains_key(&self.settings.member);
-        if known || self.session.version_busy || !self.view.loaded() || self.settings.former_claim.is_none() {
+        if known
+            || self.session.version_busy
+            || !self.view.loaded()
+            || self.settings.former_claim.is_none()
+        {
             return;
         }
         self.session.version_busy = true;
         let key = keys::version(&self.settings.member);
         let value = record::write(&VersionRecord { format: FORMAT });
-        let apply = vec![Write::Put { key: key.clone(), value, lease: None }];
-        self.store(StateCall::Commit { when: vec![(key, 0)], apply }, Pending::Version);
+        let apply = vec![Write::Put {
+            key: key.clone(),
+            value,
+            lease: None,
+        }];
+        self.store(
+            StateCall::Commit {
+                when: vec![(key, 0)],
+                apply,
+            },
+            Pending::Version,
+        );
     }
 
     pub(super) fn unregistered(&mut self, reply: &StateReply) {
         self.session.register_busy = false;
-        let gone = matches!(reply, StateReply::Committed { .. } | StateReply::Conflict { .. });
+        let gone = matches!(
+            reply,
+            StateReply::Committed { .. } | StateReply::Conflict { .. }
+        );
         if !gone {
             self.session.register_next = self.now + RETRY;
             return;
@@ -225,11 +293,22 @@
 
     /// Removes the member's record once nothing is held any more.
     pub(super) fn leave_tick(&mut self) {
-        let holds = self.duties.iter().any(|duty| duty.holding.is_some() || duty.claim_busy);
-        if !self.leaving || holds || self.session.register_busy || self.now < self.session.register_next {
+        let holds = self
+            .duties
+            .iter()
+            .any(|duty| duty.holding.is_some() || duty.claim_busy);
+        if !self.leaving
+            || holds
+            || self.session.register_busy
+            || self.now < self.session.register_next
+        {
             return;
         }
-        let told = self.session.written.as_ref().is_some_and(|record| record.leaving);
+        let told = self
+            .session
+            .written
+            .as_ref()
+            .is_some_and(|record| record.leaving);
         let (Some(version), true) = (self.session.registered, told) else {
             if self.session.lease.is_none() || self.session.superseded {
                 self.left = true;
@@ -240,6 +319,12 @@
         let key = keys::member(&self.settings.member);
         self.session.register_busy = true;
         let apply = vec![Write::Delete { key: key.clone() }];
-        self.store(StateCall::Commit { when: vec![(key, version)], apply }, Pending::Unregister);
+        self.store(
+            StateCall::Commit {
+                when: vec![(key, version)],
+                apply,
+            },
+            Pending::Unregister,
+        );
     }
 }
--- a/crates/seamfront-lease/src/manager/switch.rs
+++ b/crates/seamfront-lease/src/manager/switch.rs
@@ -14,22 +14,49 @@
     }
 
     pub(super) fn switch_tick(&mut self) {
-        let Some(key) = self.settings.former_claim.clone() else { return };
-        let Some(version) = self.former_claim else { return };
-        if self.switch.is_some() || self.switch_busy || self.now < self.switch_next || !self.view.loaded() {
+        let Some(key) = self.settings.former_claim.clone() else {
+            return;
+        };
+        let Some(version) = self.former_claim else {
+            return;
+        };
+        if self.switch.is_some()
+            || self.switch_busy
+            || self.now < self.switch_next
+            || !self.view.loaded()
+        {
             return;
         }
-        let known: Option<Vec<(String, u64)>> =
-            self.settings.members.iter().map(|m| Some((keys::version(m), *self.versions.get(m)?))).collect();
+        let known: Option<Vec<(String, u64)>> = self
+            .settings
+            .members
+            .iter()
+            .map(|m| Some((keys::version(m), *self.versions.get(m)?)))
+            .collect();
         let Some(versions) = known else { return };
         self.switch_busy = true;
         let mut when = vec![(key.clone(), version), (keys::SWITCH.to_owned(), 0)];
         when.extend(versions);
-        let nobody = record::write(&FormerClaimRecord { member: String::new(), lease: 0 });
-        let switch = SwitchRecord { format: FORMAT, by: self.settings.member.clone(), ended: version };
+        let nobody = record::write(&FormerClaimRecord {
+            member: String::new(),
+            lease: 0,
+        });
+        let switch = SwitchRecord {
+            format: FORMAT,
+            by: self.settings.member.clone(),
+            ended: version,
+        };
         let apply = vec![
-            Write::Put { key, value: nobody, lease: None },
-            Write::Put { key: keys::SWITCH.to_owned(), value: record::write(&switch), lease: None },
+            Write::Put {
+                key,
+                value: nobody,
+                lease: None,
+            },
+            Write::Put {
+                key: keys::SWITCH.to_owned(),
+                value: record::write(&switch),
+                lease: None,
+            },
         ];
         self.store(StateCall::Commit { when, apply }, Pending::Switch);
     }
--- a/crates/seamfront-lease/src/manager/views.rs
+++ b/crates/seamfront-lease/src/manager/views.rs
@@ -37,9 +37,18 @@
 
     fn view_read(&mut self, entries: Vec<Change>, revision: u64) {
         let present: BTreeSet<&String> = entries.iter().map(|entry| &entry.key).collect();
-        let gone: Vec<String> = self.seen_keys.iter().filter(|key| !present.contains(key)).cloned().collect();
+        let gone: Vec<String> = self
+            .seen_keys
+            .iter()
+            .filter(|key| !present.contains(key))
+            .cloned()
+            .collect();
         for key in gone {
-            self.changed(Change { key, value: None, version: revision });
+            self.changed(Change {
+                key,
+                value: None,
+                version: revision,
+            });
         }
         for entry in entries {
             self.changed(entry);
@@ -91,25 +100,42 @@
         let claim: Option<ClaimRecord> = self.parse(change);
         if claim.is_none() && change.value.is_some() {
             // Somebody holds it, whoever that is: it is not free.
-            let unknown = SeenClaim { version: change.version, member: String::new(), lease: 0 };
+            let unknown = SeenClaim {
+                version: change.version,
+                member: String::new(),
+                lease: 0,
+            };
             return self.claim_changed(index, Some(unknown), change.version);
         }
-        let seen = claim.map(|c| SeenClaim { version: change.version, member: c.member, lease: c.lease });
+        let seen = claim.map(|c| SeenClaim {
+            version: change.version,
+            member: c.member,
+            lease: c.lease,
+        });
         self.claim_changed(index, seen, change.version);
     }
 
     fn member_changed(&mut self, member: &str, change: &Change) {
-        let older = self.members.get(member).is_some_and(|seen| seen.version > change.version);
+        let older = self
+            .members
+            .get(member)
+            .is_some_and(|seen| seen.version > change.version);
         if older {
             return;
         }
         let record: Option<MemberRecord> = self.parse(change);
-        let seen = record.map(|record| SeenMember { record, version: change.version });
+        let seen = record.map(|record| SeenMember {
+            record,
+            version: change.version,
+        });
         if member == self.settings.member {
             self.own_record_changed(seen.as_ref());
         } else if seen.is_some() && !self.settings.members.iter().any(|name| name == member) {
             if self.tell_once(format!("unknown member {member}")) {
-                warn!(member, "a member that the settings do not name; it gets no duty from here");
+                warn!(
+                    member,
+                    "a member that the settings do not name; it gets no duty from here"
+                );
             }
             return;
         }
@@ -131,7 +157,9 @@
     fn move_changed(&mut self, duty: &str, change: &Change) {
         let request: Option<MoveRecord> = self.parse(change);
         match request {
-            Some(request) => self.moves.insert(duty.to_owned(), (request, change.version)),
+            Some(request) => self
+                .moves
+                .insert(duty.to_owned(), (request, change.version)),
             None => self.moves.remove(duty),
         };
     }
--- a/crates/seamfront-lease/src/permit.rs
+++ b/crates/seamfront-lease/src/permit.rs
@@ -60,7 +60,12 @@
     }
 
     /// Until when an effect may begin, if at all: the lease must hold, and the proof must be recent.
-    pub fn permit(&self, token: u64, lease: &LeaseProof, settings: &LeaseSettings) -> Option<Permit> {
+    pub fn permit(
+        &self,
+        token: u64,
+        lease: &LeaseProof,
+        settings: &LeaseSettings,
+    ) -> Option<Permit> {
         let proven = self.proven? + settings.proof_time();
         let until = proven.min(lease.until(settings)?);
         Some(Permit { token, until })
--- a/crates/seamfront-lease/src/record.rs
+++ b/crates/seamfront-lease/src/record.rs
@@ -33,9 +33,14 @@
 /// Reads a stored value.
 pub fn read<T: DeserializeOwned>(key: &str, value: &Value) -> Result<T, RecordError> {
     match value.get("format").and_then(Value::as_u64) {
-        Some(format) if format > u64::from(FORMAT) => Err(RecordError::Newer { key: key.to_owned(), format }),
-        _ => T::deserialize(value)
-            .map_err(|error| RecordError::Unreadable { key: key.to_owned(), reason: error.to_string() }),
+        Some(format) if format > u64::from(FORMAT) => Err(RecordError::Newer {
+            key: key.to_owned(),
+            format,
+        }),
+        _ => T::deserialize(value).map_err(|error| RecordError::Unreadable {
+            key: key.to_owned(),
+            reason: error.to_string(),
+        }),
     }
 }
 
--- a/crates/seamfront-lease/src/settings.rs
+++ b/crates/seamfront-lease/src/settings.rs
@@ -63,7 +63,12 @@
 
 impl LeaseSettings {
     /// Settings with the usual times, for a store with these limits.
-    pub fn new(member: &str, members: &[&str], duties: &[&str], limits: StoreLimits) -> LeaseSettings {
+    pub fn new(
+        member: &str,
+        members: &[&str],
+        duties: &[&str],
+        limits: StoreLimits,
+    ) -> LeaseSettings {
         LeaseSettings {
             member: member.to_owned(),
             members: members.iter().map(|name| (*name).to_owned()).collect(),
@@ -98,7 +103,11 @@
 
     /// What must be the same at all members.
     pub fn shared(&self) -> SharedSettings {
-        SharedSettings { lease_ms: self.lease.0 / 1_000, duties: self.duties.clone(), members: self.members.clone() }
+        SharedSettings {
+            lease_ms: self.lease.0 / 1_000,
+            duties: self.duties.clone(),
+            members: self.members.clone(),
+        }
     }
 
     /// Refuses settings that could not work, naming the first field that is wrong.
@@ -108,41 +117,80 @@
         require(self.members.contains(&self.member), "member", || {
             format!("{:?} is not among the members", self.member)
         })?;
-        let unknown = self.together.iter().find(|name| !self.duties.contains(name));
-        require(unknown.is_none(), "together", || format!("{:?} is not among the duties", unknown))?;
-        require(self.store_answer > Micros::ZERO, "store_answer", || "must be more than 0".to_owned())?;
-        require(self.lease <= LONGEST_LEASE, "lease", || "must be at most 600 s".to_owned())?;
+        let unknown = self
+            .together
+            .iter()
+            .find(|name| !self.duties.contains(name));
+        require(unknown.is_none(), "together", || {
+            format!("{:?} is not among the duties", unknown)
+        })?;
+        require(self.store_answer > Micros::ZERO, "store_answer", || {
+            "must be more than 0".to_owned()
+        })?;
+        require(self.lease <= LONGEST_LEASE, "lease", || {
+            "must be at most 600 s".to_owned()
+        })?;
         // A renewal whose answer is lost must leave time for another before the holder stops.
         let least = self.renew_every() + self.store_answer;
         require(self.acting_time() > least, "lease", || {
-            let (lease, answer) = (self.lease.as_secs_decimal(), self.store_answer.as_secs_decimal());
+            let (lease, answer) = (
+                self.lease.as_secs_decimal(),
+                self.store_answer.as_secs_decimal(),
+            );
             format!("{lease} s is too short for a store that may take {answer} s to answer")
         })?;
-        require(self.takeover_step > Micros::ZERO, "takeover_step", || "must be more than 0".to_owned())?;
-        require(self.open_operations > 0, "open_operations", || "must be at least 1".to_owned())?;
-        require(self.limits.value_bytes >= 1_024, "limits.value_bytes", || "must be at least 1024".to_owned())?;
-        require(self.limits.transaction_changes >= 3, "limits.transaction_changes", || {
-            "must be at least 3".to_owned()
+        require(self.takeover_step > Micros::ZERO, "takeover_step", || {
+            "must be more than 0".to_owned()
+        })?;
+        require(self.open_operations > 0, "open_operations", || {
+            "must be at least 1".to_owned()
         })?;
-        require(self.limits.changes_per_second > 0, "limits.changes_per_second", || "must be more than 0".to_owned())
+        require(
+            self.limits.value_bytes >= 1_024,
+            "limits.value_bytes",
+            || "must be at least 1024".to_owned(),
+        )?;
+        require(
+            self.limits.transaction_changes >= 3,
+            "limits.transaction_changes",
+            || "must be at least 3".to_owned(),
+        )?;
+        require(
+            self.limits.changes_per_second > 0,
+            "limits.changes_per_second",
+            || "must be more than 0".to_owned(),
+        )
     }
 }
 
-fn require(holds: bool, field: &'static str, reason: impl FnOnce() -> String) -> Result<(), SettingsError> {
+fn require(
+    holds: bool,
+    field: &'static str,
+    reason: impl FnOnce() -> String,
+) -> Result<(), SettingsError> {
     if holds {
         return Ok(());
     }
-    Err(SettingsError { field, reason: reason() })
+    Err(SettingsError {
+        field,
+        reason: reason(),
+    })
 }
 
 fn check_names(field: &'static str, names: &[String]) -> Result<(), SettingsError> {
     require(!names.is_empty(), field, || "must not be empty".to_owned())?;
     let distinct: BTreeSet<&String> = names.iter().collect();
-    require(distinct.len() == names.len(), field, || "a name stands twice".to_owned())?;
+    require(distinct.len() == names.len(), field, || {
+        "a name stands twice".to_owned()
+    })?;
     for name in names {
-        let characters = name.chars().all(|c| c.is_ascii_alphanumeric() || "-_.".contains(c));
+        let characters = name
+            .chars()
+            .all(|c| c.is_ascii_alphanumeric() || "-_.".contains(c));
         let fits = !name.is_empty() && name.len() <= LONGEST_NAME && characters;
-        require(fits, field, || format!("{name:?} is no name: letters, digits, '-', '_' and '.' only"))?;
+        require(fits, field, || {
+            format!("{name:?} is no name: letters, digits, '-', '_' and '.' only")
+        })?;
     }
     Ok(())
 }
--- a/crates/seamfront-lease/src/spread.rs
+++ b/crates/seamfront-lease/src/spread.rs
@@ -27,16 +27,23 @@
 
 /// A member's place in turn for a free duty: the least loaded first, different duties in different order.
 pub fn rank(duty: &str, member: &str, members: &[MemberLoad]) -> usize {
-    let Some(own) = members.iter().find(|m| m.member == member) else { return members.len() };
+    let Some(own) = members.iter().find(|m| m.member == member) else {
+        return members.len();
+    };
     let own_key = (own.score(), hash(duty, member));
-    members.iter().filter(|m| (m.score(), hash(duty, &m.member)) < own_key).count()
+    members
+        .iter()
+        .filter(|m| (m.score(), hash(duty, &m.member)) < own_key)
+        .count()
 }
 
 /// Who should hold the duties of a group that belong together: whoever holds most of them, by name where that is not
 /// decided. None: nobody holds any.
 pub fn group_holder<'a>(holders: impl Iterator<Item = &'a str>) -> Option<&'a str> {
     let counts = count_by_holder(holders);
-    let most = counts.into_iter().max_by_key(|(member, count)| (*count, Reverse(*member)))?;
+    let most = counts
+        .into_iter()
+        .max_by_key(|(member, count)| (*count, Reverse(*member)))?;
     Some(most.0)
 }
 
@@ -66,5 +73,7 @@
     const OFFSET: u64 = 0xcbf2_9ce4_8422_2325;
     const PRIME: u64 = 0x0000_0100_0000_01b3;
     let bytes = duty.bytes().chain([0]).chain(member.bytes());
-    bytes.fold(OFFSET, |hash, byte| (hash ^ u64::from(byte)).wrapping_mul(PRIME))
+    bytes.fold(OFFSET, |hash, byte| {
+        (hash ^ u64::from(byte)).wrapping_mul(PRIME)
+    })
 }
--- a/crates/seamfront-lease/src/time.rs
+++ b/crates/seamfront-lease/src/time.rs
@@ -4,7 +4,9 @@
 use std::ops::{Add, AddAssign, Sub};
 
 /// Whole microseconds, used both for instants (since the process began) and for spans.
-#[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
+#[derive(
+    Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
+)]
 pub struct Micros(pub i64);
 
 impl Micros {
--- a/crates/seamfront-lease/src/view.rs
+++ b/crates/seamfront-lease/src/view.rs
@@ -64,9 +64,16 @@
     pub fn request(&self, prefix: &str, hold: Micros) -> StateCall {
         let prefix = prefix.to_owned();
         if self.loaded && self.listing.is_none() {
-            return StateCall::Changes { prefix, after: self.seen, hold };
+            return StateCall::Changes {
+                prefix,
+                after: self.seen,
+                hold,
+            };
         }
-        let after = self.listing.as_ref().and_then(|l| l.1.keys().next_back().cloned());
+        let after = self
+            .listing
+            .as_ref()
+            .and_then(|l| l.1.keys().next_back().cloned());
         StateCall::List { prefix, after }
     }
 
@@ -78,11 +85,21 @@
     /// Takes the answer to a request.
     pub fn take(&mut self, reply: StateReply) -> ViewUpdate {
         match reply {
-            StateReply::Page { entries, more, revision } => self.take_page(entries, more, revision),
+            StateReply::Page {
+                entries,
+                more,
+                revision,
+            } => self.take_page(entries, more, revision),
             StateReply::Changes { revision, events } => {
                 // Two answers may hold the same change; the older must not undo the newer.
                 let new = events.into_iter().filter(|event| event.2 > self.seen);
-                let changes = new.map(|(key, value, version)| Change { key, value, version }).collect();
+                let changes = new
+                    .map(|(key, value, version)| Change {
+                        key,
+                        value,
+                        version,
+                    })
+                    .collect();
                 ViewUpdate::Changed { changes, revision }
             }
             StateReply::TooOld => {
@@ -94,8 +111,12 @@
     }
 
     fn take_page(&mut self, entries: Vec<Entry>, more: bool, revision: u64) -> ViewUpdate {
-        let listing = self.listing.get_or_insert_with(|| (revision, BTreeMap::new()));
-        listing.1.extend(entries.into_iter().map(|entry| (entry.key.clone(), entry)));
+        let listing = self
+            .listing
+            .get_or_insert_with(|| (revision, BTreeMap::new()));
+        listing
+            .1
+            .extend(entries.into_iter().map(|entry| (entry.key.clone(), entry)));
         if more {
             return ViewUpdate::Partial;
         }
@@ -103,7 +124,16 @@
         self.loaded = true;
         self.seen = self.seen.max(first);
         let entries = entries.into_values();
-        let entries = entries.map(|e| Change { key: e.key, value: Some(e.value), version: e.version }).collect();
-        ViewUpdate::Read { entries, revision: first }
+        let entries = entries
+            .map(|e| Change {
+                key: e.key,
+                value: Some(e.value),
+                version: e.version,
+            })
+            .collect();
+        ViewUpdate::Read {
+            entries,
+            revision: first,
+        }
     }
 }
--- a/crates/seamfront-lease/tests/forms.rs
+++ b/crates/seamfront-lease/tests/forms.rs
@@ -24,14 +24,23 @@
     assert_eq!(write(&record).to_string(), text);
     for field in required {
         let mut lacking = value.clone();
-        assert!(lacking.as_object_mut().unwrap().remove(*field).is_some(), "{field} is not in {text}");
-        assert!(read::<T>("some/key", &lacking).is_err(), "{text} is read without {field}");
+        assert!(
+            lacking.as_object_mut().unwrap().remove(*field).is_some(),
+            "{field} is not in {text}"
+        );
+        assert!(
+            read::<T>("some/key", &lacking).is_err(),
+            "{text} is read without {field}"
+        );
     }
     // Fields of a later version of this format are ignored.
     let mut later = value;
     if let Some(fields) = later.as_object_mut() {
         fields.insert("later".to_owned(), json!([1]));
-        assert_eq!(write(&read::<T>("some/key", &later).unwrap()).to_string(), text);
+        assert_eq!(
+            write(&read::<T>("some/key", &later).unwrap()).to_string(),
+            text
+        );
     }
 }
 
@@ -62,40 +71,78 @@
         keys::MOVE_PREFIX,
         keys::LOG_PREFIX,
     ];
-    assert_eq!(prefixes, ["duty/", "duty/claim/", "duty/member/", "duty/version/", "duty/move/", "duty-log/"]);
+    assert_eq!(
+        prefixes,
+        [
+            "duty/",
+            "duty/claim/",
+            "duty/member/",
+            "duty/version/",
+            "duty/move/",
+            "duty-log/"
+        ]
+    );
     assert_eq!(FORMAT, 1);
 }
 
 #[test]
 fn records() {
-    kept::<ClaimRecord>(r#"{"format":1,"lease":7,"member":"n0"}"#, &["format", "lease", "member"]);
+    kept::<ClaimRecord>(
+        r#"{"format":1,"lease":7,"member":"n0"}"#,
+        &["format", "lease", "member"],
+    );
     kept::<MemberRecord>(
         r#"{"format":1,"lease":7,"leaving":true,"load":35,"settings":{"duties":["renting","moving"],"lease_ms":4000,"members":["n0","n1"]}}"#,
         &["format", "lease", "leaving", "load", "settings"],
     );
-    kept::<SharedSettings>(r#"{"duties":[],"lease_ms":1,"members":[]}"#, &["duties", "lease_ms", "members"]);
+    kept::<SharedSettings>(
+        r#"{"duties":[],"lease_ms":1,"members":[]}"#,
+        &["duties", "lease_ms", "members"],
+    );
     kept::<VersionRecord>(r#"{"format":1}"#, &["format"]);
     kept::<MoveRecord>(r#"{"format":1,"to":"n1"}"#, &["format", "to"]);
-    kept::<SwitchRecord>(r#"{"by":"n0","ended":41,"format":1}"#, &["by", "ended", "format"]);
+    kept::<SwitchRecord>(
+        r#"{"by":"n0","ended":41,"format":1}"#,
+        &["by", "ended", "format"],
+    );
     kept::<FormerClaimRecord>(r#"{"lease":0,"member":""}"#, &["lease", "member"]);
     kept::<OperationName>(r#"{"number":3,"token":41}"#, &["number", "token"]);
-    kept::<Operation>(r#"{"name":{"number":3,"token":41},"payload":{"any":[1,null]}}"#, &["name"]);
+    kept::<Operation>(
+        r#"{"name":{"number":3,"token":41},"payload":{"any":[1,null]}}"#,
+        &["name"],
+    );
     kept::<Settlement>(r#""done""#, &[]);
     kept::<Settlement>(r#""not_done""#, &[]);
-    kept::<SettledOperation>(r#"{"name":{"number":3,"token":41},"settlement":"not_done"}"#, &["name", "settlement"]);
+    kept::<SettledOperation>(
+        r#"{"name":{"number":3,"token":41},"settlement":"not_done"}"#,
+        &["name", "settlement"],
+    );
     let fields = ["ended", "format", "open", "recent", "sequence", "token"];
-    kept::<LogRecord>(r#"{"ended":0,"format":1,"open":[],"recent":[],"sequence":0,"token":0}"#, &fields);
+    kept::<LogRecord>(
+        r#"{"ended":0,"format":1,"open":[],"recent":[],"sequence":0,"token":0}"#,
+        &fields,
+    );
     kept::<LogRecord>(
         r#"{"ended":2,"format":1,"open":[{"name":{"number":3,"token":41},"payload":{"count":1}}],"recent":[{"name":{"number":1,"token":41},"settlement":"done"},{"name":{"number":2,"token":41},"settlement":"not_done"}],"sequence":5,"token":41}"#,
         &fields,
     );
-    assert_eq!(OperationName { token: 41, number: 3 }.to_string(), "41-3");
+    assert_eq!(
+        OperationName {
+            token: 41,
+            number: 3
+        }
+        .to_string(),
+        "41-3"
+    );
 }
 
 #[test]
 fn a_newer_format_is_refused() {
     let refused = read::<VersionRecord>("duty/version/n0", &json!({"format": 2})).unwrap_err();
-    assert_eq!(refused.to_string(), "duty/version/n0: format 2 is newer than 1");
+    assert_eq!(
+        refused.to_string(),
+        "duty/version/n0: format 2 is newer than 1"
+    );
 }
 
 // ---- a member and its store ------------------------------------------------------------------
@@ -113,23 +160,53 @@
 
 impl Rig {
     fn new(member: &str, former: Option<&str>) -> Rig {
-        let limits = StoreLimits { value_bytes: 8_192, transaction_changes: 10, changes_per_second: 50 };
+        let limits = StoreLimits {
+            value_bytes: 8_192,
+            transaction_changes: 10,
+            changes_per_second: 50,
+        };
         let mut settings = LeaseSettings::new(member, &["n0", "n1"], &["renting"], limits);
         settings.former_claim = former.map(str::to_owned);
         let manager = DutyManager::new(settings).unwrap();
         let (waiting, next, written, told) = (vec![], vec![], vec![], vec![]);
-        Rig { now: Micros::from_secs(1), store: Store::with_page(100), manager, waiting, next, written, told }
+        Rig {
+            now: Micros::from_secs(1),
+            store: Store::with_page(100),
+            manager,
+            waiting,
+            next,
+            written,
+            told,
+        }
     }
 
     fn put(&mut self, key: &str, value: &str, lease: Option<u64>) {
         let value = serde_json::from_str(value).unwrap();
-        let apply = vec![Write::Put { key: key.to_owned(), value, lease }];
-        let reply = self.store.execute(self.now, &StateCall::Commit { when: vec![], apply });
-        assert!(matches!(reply, Some(StateReply::Committed { .. })), "{reply:?}");
+        let apply = vec![Write::Put {
+            key: key.to_owned(),
+            value,
+            lease,
+        }];
+        let reply = self.store.execute(
+            self.now,
+            &StateCall::Commit {
+                when: vec![],
+                apply,
+            },
+        );
+        assert!(
+            matches!(reply, Some(StateReply::Committed { .. })),
+            "{reply:?}"
+        );
     }
 
     fn lease(&mut self) -> u64 {
-        match self.store.execute(self.now, &StateCall::Grant { ttl: Micros::from_secs(600) }) {
+        match self.store.execute(
+            self.now,
+            &StateCall::Grant {
+                ttl: Micros::from_secs(600),
+            },
+        ) {
             Some(StateReply::Lease { id }) => id,
             other => panic!("no lease: {other:?}"),
         }
@@ -152,10 +229,20 @@
                     self.waiting.push((call, request));
                     continue;
                 };
-                if let (StateCall::Commit { apply, .. }, StateReply::Committed { .. }) = (&request, &reply) {
+                if let (StateCall::Commit { apply, .. }, StateReply::Committed { .. }) =
+                    (&request, &reply)
+                {
                     self.written.extend(apply.iter().map(|write| match write {
-                        Write::Put { key, value, lease: None } => format!("{key} {value}"),
-                        Write::Put { key, value, lease: Some(lease) } => format!("{key} {value} under {lease}"),
+                        Write::Put {
+                            key,
+                            value,
+                            lease: None,
+                        } => format!("{key} {value}"),
+                        Write::Put {
+                            key,
+                            value,
+                            lease: Some(lease),
+                        } => format!("{key} {value} under {lease}"),
                         Write::Delete { key } => format!("{key} gone"),
                     }));
                 }
@@ -165,25 +252,39 @@
     }
 
     fn begin(&mut self, request: u64, payload: Value) {
-        self.next.push(Command::Begin { request, duty: "renting".to_owned(), payload });
+        self.next.push(Command::Begin {
+            request,
+            duty: "renting".to_owned(),
+            payload,
+        });
         self.run(200);
     }
 
     /// Ends the attempt that was asked for last.
     fn performed(&mut self, outcome: Outcome) {
         let attempt = self.told.iter().rev().find_map(|effect| match effect {
-            Effect::Perform { operation, attempt, .. } => Some((operation.name, *attempt)),
+            Effect::Perform {
+                operation, attempt, ..
+            } => Some((operation.name, *attempt)),
             _ => None,
         });
         let (operation, attempt) = attempt.expect("an attempt");
-        self.next.push(Command::Performed { duty: "renting".to_owned(), operation, attempt, outcome });
+        self.next.push(Command::Performed {
+            duty: "renting".to_owned(),
+            operation,
+            attempt,
+            outcome,
+        });
         self.run(200);
     }
 }
 
 /// The lines of a text, without the spaces before them.
 fn lines(text: &str) -> Vec<&str> {
-    text.lines().map(str::trim_start).filter(|line| !line.is_empty()).collect()
+    text.lines()
+        .map(str::trim_start)
+        .filter(|line| !line.is_empty())
+        .collect()
 }
 
 #[test]
--- a/crates/seamfront-lease/tests/hard_cases.rs
+++ b/crates/seamfront-lease/tests/hard_cases.rs
@@ -13,7 +13,11 @@
 use serde_json::{json, Value};
 use store::Store;
 
-const LIMITS: StoreLimits = StoreLimits { value_bytes: 8_192, transaction_changes: 10, changes_per_second: 50 };
+const LIMITS: StoreLimits = StoreLimits {
+    value_bytes: 8_192,
+    transaction_changes: 10,
+    changes_per_second: 50,
+};
 const DUTY: &str = "renting";
 
 fn ms(n: i64) -> Micros {
@@ -26,7 +30,9 @@
 
 fn writes(request: &StateCall, key: &str) -> bool {
     match request {
-        StateCall::Commit { apply, .. } => apply.iter().any(|w| matches!(w, Write::Put { key: k, .. } if k == key)),
+        StateCall::Commit { apply, .. } => apply
+            .iter()
+            .any(|w| matches!(w, Write::Put { key: k, .. } if k == key)),
         _ => false,
     }
 }
@@ -48,7 +54,15 @@
         let manager = DutyManager::new(settings).expect("settings");
         let store = Store::with(100, LIMITS.value_bytes, LIMITS.transaction_changes);
         let now = ms(1_000_000);
-        Rig { now, store, manager, told: Vec::new(), waiting: Vec::new(), performing: Vec::new(), claims: 0 }
+        Rig {
+            now,
+            store,
+            manager,
+            told: Vec::new(),
+            waiting: Vec::new(),
+            performing: Vec::new(),
+            claims: 0,
+        }
     }
 
     /// A rig whose member holds the duty.
@@ -72,7 +86,11 @@
                     self.claims += usize::from(writes(&request, &keys::claim(DUTY)));
                     self.waiting.push((call, request));
                 }
-                Effect::Perform { ref operation, attempt, .. } => {
+                Effect::Perform {
+                    ref operation,
+                    attempt,
+                    ..
+                } => {
                     self.performing.push((operation.name, attempt));
                     self.told.push(effect);
                 }
@@ -103,40 +121,80 @@
 
     /// Takes the next request that is a commit with these changes out of what waits, without carrying it out.
     fn take_commit(&mut self, key: &str) -> (CallId, StateCall) {
-        let index = self.waiting.iter().position(|(_, request)| writes(request, key)).expect("no such commit waits");
+        let index = self
+            .waiting
+            .iter()
+            .position(|(_, request)| writes(request, key))
+            .expect("no such commit waits");
         self.waiting.remove(index)
     }
 
     fn unanswered(&mut self, call: CallId) {
-        self.step(vec![Command::Store { call, reply: StateReply::Unknown }]);
+        self.step(vec![Command::Store {
+            call,
+            reply: StateReply::Unknown,
+        }]);
     }
 
     fn begin(&mut self, request: RequestId) {
-        self.step(vec![Command::Begin { request, duty: DUTY.to_owned(), payload: json!({"count": 1}) }]);
+        self.step(vec![Command::Begin {
+            request,
+            duty: DUTY.to_owned(),
+            payload: json!({"count": 1}),
+        }]);
     }
 
     fn performed(&mut self, (operation, attempt): (OperationName, u64), outcome: Outcome) {
-        self.step(vec![Command::Performed { duty: DUTY.to_owned(), operation, attempt, outcome }]);
+        self.step(vec![Command::Performed {
+            duty: DUTY.to_owned(),
+            operation,
+            attempt,
+            outcome,
+        }]);
     }
 
     fn done() -> Outcome {
-        Outcome::Done { writes: vec![Write::Put { key: "machine/i-1".to_owned(), value: json!({}), lease: None }] }
+        Outcome::Done {
+            writes: vec![Write::Put {
+                key: "machine/i-1".to_owned(),
+                value: json!({}),
+                lease: None,
+            }],
+        }
     }
 
     /// Another member that is up, with a lease of its own.
     fn neighbour(&mut self, settings: &LeaseSettings) -> u64 {
-        let Some(StateReply::Lease { id }) = self.store.execute(self.now, &StateCall::Grant { ttl: ms(600_000) })
+        let Some(StateReply::Lease { id }) = self
+            .store
+            .execute(self.now, &StateCall::Grant { ttl: ms(600_000) })
         else {
             panic!("no lease");
         };
-        let record = MemberRecord { format: FORMAT, lease: id, load: 0, leaving: false, settings: settings.shared() };
+        let record = MemberRecord {
+            format: FORMAT,
+            lease: id,
+            load: 0,
+            leaving: false,
+            settings: settings.shared(),
+        };
         self.put(&keys::member("n1"), record::write(&record), Some(id));
         id
     }
 
     fn put(&mut self, key: &str, value: Value, lease: Option<u64>) -> u64 {
-        let apply = vec![Write::Put { key: key.to_owned(), value, lease }];
-        match self.store.execute(self.now, &StateCall::Commit { when: Vec::new(), apply }) {
+        let apply = vec![Write::Put {
+            key: key.to_owned(),
+            value,
+            lease,
+        }];
+        match self.store.execute(
+            self.now,
+            &StateCall::Commit {
+                when: Vec::new(),
+                apply,
+            },
+        ) {
             Some(StateReply::Committed { revision }) => revision,
             other => panic!("not written: {other:?}"),
         }
@@ -144,11 +202,18 @@
 
     /// The neighbour takes the duty, as if the member's lease had ended.
     fn replace(&mut self, lease: u64) -> u64 {
-        self.put(&keys::claim(DUTY), json!({"format": FORMAT, "member": "n1", "lease": lease}), Some(lease))
+        self.put(
+            &keys::claim(DUTY),
+            json!({"format": FORMAT, "member": "n1", "lease": lease}),
+            Some(lease),
+        )
     }
 
     fn log(&self) -> Value {
-        self.store.keys.get(&keys::log(DUTY)).map_or(Value::Null, |entry| entry.0.clone())
+        self.store
+            .keys
+            .get(&keys::log(DUTY))
+            .map_or(Value::Null, |entry| entry.0.clone())
     }
 
     fn lost(&self) -> Vec<LossReason> {
@@ -160,7 +225,10 @@
     }
 
     fn settled(&self) -> usize {
-        self.told.iter().filter(|effect| matches!(effect, Effect::Settled { .. })).count()
+        self.told
+            .iter()
+            .filter(|effect| matches!(effect, Effect::Settled { .. }))
+            .count()
     }
 }
 
@@ -192,9 +260,19 @@
     rig.run(ms(1_000));
     assert!(rig.performing.is_empty());
     assert_eq!(rig.lost().len(), 1);
-    let replaced: Vec<&Effect> = rig.told.iter().filter(|e| matches!(e, Effect::Replaced { .. })).collect();
-    let expected = Successor { member: "n1".to_owned(), token: successor };
-    assert!(matches!(replaced[..], [Effect::Replaced { successor, .. }] if *successor == expected), "{replaced:?}");
+    let replaced: Vec<&Effect> = rig
+        .told
+        .iter()
+        .filter(|e| matches!(e, Effect::Replaced { .. }))
+        .collect();
+    let expected = Successor {
+        member: "n1".to_owned(),
+        token: successor,
+    };
+    assert!(
+        matches!(replaced[..], [Effect::Replaced { successor, .. }] if *successor == expected),
+        "{replaced:?}"
+    );
 }
 
 /// The lease may end a lease after the last renewal was *sent*, however late its answer came, and whatever transactions
@@ -206,22 +284,35 @@
     rig.now += ms(1_000);
     rig.step(Vec::new());
     let sent = rig.now;
-    let index = rig.waiting.iter().position(|(_, request)| matches!(request, StateCall::Renew { .. }));
+    let index = rig
+        .waiting
+        .iter()
+        .position(|(_, request)| matches!(request, StateCall::Renew { .. }));
     let (call, _) = rig.waiting.remove(index.expect("a renewal"));
     rig.now += ms(1_400);
-    rig.step(vec![Command::Store { call, reply: StateReply::Renewed }]);
+    rig.step(vec![Command::Store {
+        call,
+        reply: StateReply::Renewed,
+    }]);
     // All further renewals are refused; transactions are not.
     rig.now += ms(1_100);
     rig.begin(1);
     for (call, request) in std::mem::take(&mut rig.waiting) {
         let refused = matches!(request, StateCall::Renew { .. });
-        let reply = if refused { Some(StateReply::Refused) } else { rig.store.execute(rig.now, &request) };
+        let reply = if refused {
+            Some(StateReply::Refused)
+        } else {
+            rig.store.execute(rig.now, &request)
+        };
         if let Some(reply) = reply {
             rig.step(vec![Command::Store { call, reply }]);
         }
     }
     let permit = rig.manager.permit(DUTY).expect("a permit");
-    assert!(permit.until <= sent + settings().acting_time(), "the lease is relied on beyond its time");
+    assert!(
+        permit.until <= sent + settings().acting_time(),
+        "the lease is relied on beyond its time"
+    );
 }
 
 #[test]
@@ -254,8 +345,15 @@
     rig.performed(attempt, Rig::done());
     rig.run(ms(500));
     assert_eq!(rig.lost(), [LossReason::TokenRefused]);
-    assert!(!rig.store.keys.contains_key("machine/i-1"), "written under a void token");
-    assert_eq!(rig.log()["open"].as_array().map(Vec::len), Some(1), "the operation is the successor's now");
+    assert!(
+        !rig.store.keys.contains_key("machine/i-1"),
+        "written under a void token"
+    );
+    assert_eq!(
+        rig.log()["open"].as_array().map(Vec::len),
+        Some(1),
+        "the operation is the successor's now"
+    );
 }
 
 #[test]
@@ -269,17 +367,30 @@
     let log = json!({"format": FORMAT, "token": 3, "sequence": 9, "ended": 5, "open": open, "recent": []});
     rig.put(&keys::log(DUTY), log, None);
     rig.run(ms(2_000));
-    let old = OperationName { token: 3, number: 7 };
+    let old = OperationName {
+        token: 3,
+        number: 7,
+    };
     assert_eq!(rig.performing.first().map(|p| p.0), Some(old));
-    assert_eq!(rig.token(), 0, "active with open operations of a predecessor");
+    assert_eq!(
+        rig.token(),
+        0,
+        "active with open operations of a predecessor"
+    );
     rig.begin(1);
-    let rejected = Effect::Rejected { request: 1, rejection: Rejection::NotHeld };
+    let rejected = Effect::Rejected {
+        request: 1,
+        rejection: Rejection::NotHeld,
+    };
     assert!(rig.told.contains(&rejected));
     let attempt = rig.performing[0];
     rig.performed(attempt, Outcome::NotDone);
     rig.run(ms(500));
     assert!(rig.token() > 0);
-    let settled = rig.told.iter().any(|e| matches!(e, Effect::Settled { operation, .. } if operation.name == old));
+    let settled = rig
+        .told
+        .iter()
+        .any(|e| matches!(e, Effect::Settled { operation, .. } if operation.name == old));
     assert!(settled);
     assert_eq!(rig.log()["ended"], json!(6));
 }
@@ -305,7 +416,11 @@
         rig.run(ms(500));
         assert_eq!(rig.settled(), 1);
         rig.store.execute(rig.now, &commit);
-        assert_eq!(rig.log()["open"], json!([]), "an operation that has ended is open again");
+        assert_eq!(
+            rig.log()["open"],
+            json!([]),
+            "an operation that has ended is open again"
+        );
     }
 }
 
@@ -313,8 +428,17 @@
 fn a_fenced_change_without_an_answer_is_never_made_after_it_was_called_a_conflict() {
     let mut rig = Rig::active();
     let key = "machine/i-9".to_owned();
-    let apply = vec![Write::Put { key: key.clone(), value: json!({}), lease: None }];
-    let commit = Command::Commit { request: 5, duty: DUTY.to_owned(), when: vec![(key.clone(), 0)], apply };
+    let apply = vec![Write::Put {
+        key: key.clone(),
+        value: json!({}),
+        lease: None,
+    }];
+    let commit = Command::Commit {
+        request: 5,
+        duty: DUTY.to_owned(),
+        when: vec![(key.clone(), 0)],
+        apply,
+    };
     rig.step(vec![commit]);
     let (call, late) = rig.take_commit(&key);
     rig.unanswered(call);
@@ -322,14 +446,26 @@
     rig.put(&key, json!({"other": true}), None);
     rig.run(ms(1_500));
     let outcome = rig.told.iter().find_map(|effect| match effect {
-        Effect::Committed { request: 5, outcome } => Some(outcome.clone()),
+        Effect::Committed {
+            request: 5,
+            outcome,
+        } => Some(outcome.clone()),
         _ => None,
     });
     assert_eq!(outcome, Some(CommitOutcome::Conflict(vec![key.clone()])));
     // The record is removed, and the late copy's own condition holds again.
-    rig.store.execute(rig.now, &StateCall::Commit { when: vec![], apply: vec![Write::Delete { key: key.clone() }] });
+    rig.store.execute(
+        rig.now,
+        &StateCall::Commit {
+            when: vec![],
+            apply: vec![Write::Delete { key: key.clone() }],
+        },
+    );
     rig.store.execute(rig.now, &late);
-    assert!(!rig.store.keys.contains_key(&key), "written after it was called a conflict");
+    assert!(
+        !rig.store.keys.contains_key(&key),
+        "written after it was called a conflict"
+    );
 }
 
 #[test]
@@ -338,7 +474,11 @@
     let call = loop {
         rig.now += ms(50);
         rig.step(Vec::new());
-        if rig.waiting.iter().any(|(_, request)| writes(request, &keys::claim(DUTY))) {
+        if rig
+            .waiting
+            .iter()
+            .any(|(_, request)| writes(request, &keys::claim(DUTY)))
+        {
             let (call, commit) = rig.take_commit(&keys::claim(DUTY));
             rig.store.execute(rig.now, &commit);
             break call;
@@ -361,17 +501,31 @@
     rig.performed(first, Rig::done());
     rig.run(ms(200));
     let before = rig.token();
-    rig.step(vec![Command::HandOver { duty: DUTY.to_owned(), to: Some("n1".to_owned()) }]);
+    rig.step(vec![Command::HandOver {
+        duty: DUTY.to_owned(),
+        to: Some("n1".to_owned()),
+    }]);
     rig.step(Vec::new());
     let (call, transfer) = rig.take_commit(&keys::claim(DUTY));
-    assert_eq!(rig.token(), 0, "acts although the transfer may have been made");
+    assert_eq!(
+        rig.token(),
+        0,
+        "acts although the transfer may have been made"
+    );
     rig.unanswered(call);
     assert_eq!(rig.lost(), [LossReason::HandedOver]);
     rig.run(ms(1_000));
-    assert!(rig.token() > before, "the claim that stayed ours is taken under another token");
+    assert!(
+        rig.token() > before,
+        "the claim that stayed ours is taken under another token"
+    );
     rig.store.execute(rig.now, &transfer);
     let claim = rig.store.keys.get(&keys::claim(DUTY)).expect("a claim");
-    assert_ne!(claim.2, Some(lease), "the late transfer has taken the duty away");
+    assert_ne!(
+        claim.2,
+        Some(lease),
+        "the late transfer has taken the duty away"
+    );
 }
 
 #[test]
@@ -380,9 +534,20 @@
     rig.neighbour(&settings());
     rig.run(ms(200));
     let before = rig.token();
-    rig.step(vec![Command::HandOver { duty: DUTY.to_owned(), to: Some("n1".to_owned()) }]);
-    let member = Write::Delete { key: keys::member("n1") };
-    rig.store.execute(rig.now, &StateCall::Commit { when: vec![], apply: vec![member] });
+    rig.step(vec![Command::HandOver {
+        duty: DUTY.to_owned(),
+        to: Some("n1".to_owned()),
+    }]);
+    let member = Write::Delete {
+        key: keys::member("n1"),
+    };
+    rig.store.execute(
+        rig.now,
+        &StateCall::Commit {
+            when: vec![],
+            apply: vec![member],
+        },
+    );
     rig.run(ms(1_000));
     assert_eq!(rig.token(), before);
     assert!(rig.lost().is_empty());
@@ -403,14 +568,21 @@
     for _ in 0..4 {
         for (call, request) in std::mem::take(&mut rig.waiting) {
             let refused = matches!(request, StateCall::Renew { .. });
-            let reply = if refused { Some(StateReply::Refused) } else { rig.store.execute(store_now, &request) };
+            let reply = if refused {
+                Some(StateReply::Refused)
+            } else {
+                rig.store.execute(store_now, &request)
+            };
             if let Some(reply) = reply {
                 rig.step(vec![Command::Store { call, reply }]);
             }
         }
         rig.now += ms(50);
     }
-    assert!(rig.manager.permit(DUTY).is_none(), "a renewal of before the jump is relied on");
+    assert!(
+        rig.manager.permit(DUTY).is_none(),
+        "a renewal of before the jump is relied on"
+    );
     assert!(rig.performing.is_empty());
 }
 
@@ -434,11 +606,20 @@
 #[test]
 fn a_second_process_of_the_same_name_ends_the_first() {
     let mut rig = Rig::active();
-    let Some(StateReply::Lease { id }) = rig.store.execute(rig.now, &StateCall::Grant { ttl: ms(60_000) }) else {
+    let Some(StateReply::Lease { id }) = rig
+        .store
+        .execute(rig.now, &StateCall::Grant { ttl: ms(60_000) })
+    else {
         panic!("no lease");
     };
     let settings = settings().shared();
-    let record = MemberRecord { format: FORMAT, lease: id, load: 0, leaving: false, settings };
+    let record = MemberRecord {
+        format: FORMAT,
+        lease: id,
+        load: 0,
+        leaving: false,
+        settings,
+    };
     rig.put(&keys::member("n0"), record::write(&record), Some(id));
     rig.run(ms(1_000));
     assert_eq!(rig.lost(), [LossReason::Superseded]);
@@ -454,24 +635,46 @@
     rig.neighbour(&other);
     rig.run(ms(5_000));
     assert_eq!(rig.token(), 0);
-    assert!(!rig.store.keys.contains_key(&keys::member("n0")), "registered with other settings");
+    assert!(
+        !rig.store.keys.contains_key(&keys::member("n0")),
+        "registered with other settings"
+    );
     // Once the other has gone, there is nothing to differ from.
-    let member = Write::Delete { key: keys::member("n1") };
-    rig.store.execute(rig.now, &StateCall::Commit { when: vec![], apply: vec![member] });
+    let member = Write::Delete {
+        key: keys::member("n1"),
+    };
+    rig.store.execute(
+        rig.now,
+        &StateCall::Commit {
+            when: vec![],
+            apply: vec![member],
+        },
+    );
     rig.run(ms(2_000));
     assert!(rig.token() > 0);
 }
 
 #[test]
 fn a_log_that_cannot_be_read_is_left_as_it_is() {
-    for log in [json!({"format": 99, "open": []}), json!({"format": 1, "open": "x"}), json!("x")] {
+    for log in [
+        json!({"format": 99, "open": []}),
+        json!({"format": 1, "open": "x"}),
+        json!("x"),
+    ] {
         let mut rig = Rig::new(settings());
         let version = rig.put(&keys::log(DUTY), log.clone(), None);
         rig.run(ms(30_000));
         assert_eq!(rig.token(), 0);
         let stored = rig.store.keys.get(&keys::log(DUTY)).expect("the log");
-        assert_eq!((&stored.0, stored.1), (&log, version), "written over or deleted");
-        assert!(rig.lost().iter().all(|reason| *reason == LossReason::UnreadableLog));
+        assert_eq!(
+            (&stored.0, stored.1),
+            (&log, version),
+            "written over or deleted"
+        );
+        assert!(rig
+            .lost()
+            .iter()
+            .all(|reason| *reason == LossReason::UnreadableLog));
         assert!(rig.lost().len() < 5, "claimed again and again");
     }
 }
@@ -491,13 +694,37 @@
     let mut rig = Rig::active();
     rig.begin(1);
     rig.answer_all();
-    let put = |n: usize| Write::Put { key: format!("machine/i-{n:03}"), value: json!({}), lease: None };
+    let put = |n: usize| Write::Put {
+        key: format!("machine/i-{n:03}"),
+        value: json!({}),
+        lease: None,
+    };
     let attempt = rig.performing[0];
-    rig.performed(attempt, Outcome::Done { writes: (0..35).map(put).collect() });
+    rig.performed(
+        attempt,
+        Outcome::Done {
+            writes: (0..35).map(put).collect(),
+        },
+    );
     rig.run(ms(3_000));
-    assert_eq!(rig.store.keys.keys().filter(|key| key.starts_with("machine/")).count(), 35);
+    assert_eq!(
+        rig.store
+            .keys
+            .keys()
+            .filter(|key| key.starts_with("machine/"))
+            .count(),
+        35
+    );
     assert_eq!(rig.settled(), 1);
-    let settled = rig.told.iter().any(|e| matches!(e, Effect::Settled { settlement: Settlement::Done, .. }));
+    let settled = rig.told.iter().any(|e| {
+        matches!(
+            e,
+            Effect::Settled {
+                settlement: Settlement::Done,
+                ..
+            }
+        )
+    });
     assert!(settled);
 }
 
@@ -507,14 +734,36 @@
     for request in 1..=40 {
         rig.begin(request);
     }
-    let many = |effect: &&Effect| matches!(effect, Effect::Rejected { rejection: Rejection::TooManyOpen, .. });
+    let many = |effect: &&Effect| {
+        matches!(
+            effect,
+            Effect::Rejected {
+                rejection: Rejection::TooManyOpen,
+                ..
+            }
+        )
+    };
     assert_eq!(rig.told.iter().filter(many).count(), 8);
     let mut rig = Rig::active();
     let payload = json!({"text": "x".repeat(5_000)});
-    rig.step(vec![Command::Begin { request: 1, duty: DUTY.to_owned(), payload }]);
-    assert!(rig.told.contains(&Effect::Rejected { request: 1, rejection: Rejection::TooLarge }));
-    rig.step(vec![Command::Begin { request: 2, duty: "baking".to_owned(), payload: json!({}) }]);
-    assert!(rig.told.contains(&Effect::Rejected { request: 2, rejection: Rejection::UnknownDuty }));
+    rig.step(vec![Command::Begin {
+        request: 1,
+        duty: DUTY.to_owned(),
+        payload,
+    }]);
+    assert!(rig.told.contains(&Effect::Rejected {
+        request: 1,
+        rejection: Rejection::TooLarge
+    }));
+    rig.step(vec![Command::Begin {
+        request: 2,
+        duty: "baking".to_owned(),
+        payload: json!({}),
+    }]);
+    assert!(rig.told.contains(&Effect::Rejected {
+        request: 2,
+        rejection: Rejection::UnknownDuty
+    }));
 }
 
 #[test]
@@ -523,7 +772,13 @@
     rig.step(vec![Command::Leave]);
     rig.run(ms(3_000));
     assert!(rig.told.contains(&Effect::Left));
-    assert!(rig.store.keys.keys().all(|key| !key.starts_with(keys::CONTROL_PREFIX)), "left something behind");
+    assert!(
+        rig.store
+            .keys
+            .keys()
+            .all(|key| !key.starts_with(keys::CONTROL_PREFIX)),
+        "left something behind"
+    );
 }
 
 #[test]
@@ -537,16 +792,29 @@
     assert!(rig.told.contains(&Effect::Left));
     let claim = &rig.store.keys[&keys::claim(DUTY)];
     assert_eq!(claim.2, Some(lease));
-    let changes = StateCall::Changes { prefix: keys::CLAIM_PREFIX.to_owned(), after: before, hold: Micros::ZERO };
-    let Some(StateReply::Changes { events, .. }) = rig.store.execute(rig.now, &changes) else { panic!("no changes") };
-    assert!(events.iter().all(|event| event.1.is_some()), "nobody held it: {events:?}");
+    let changes = StateCall::Changes {
+        prefix: keys::CLAIM_PREFIX.to_owned(),
+        after: before,
+        hold: Micros::ZERO,
+    };
+    let Some(StateReply::Changes { events, .. }) = rig.store.execute(rig.now, &changes) else {
+        panic!("no changes")
+    };
+    assert!(
+        events.iter().all(|event| event.1.is_some()),
+        "nobody held it: {events:?}"
+    );
 }
 
 #[test]
 fn an_operators_request_moves_a_duty_once() {
     let mut rig = Rig::active();
     let lease = rig.neighbour(&settings());
-    rig.put(&keys::move_request(DUTY), json!({"format": FORMAT, "to": "n1"}), None);
+    rig.put(
+        &keys::move_request(DUTY),
+        json!({"format": FORMAT, "to": "n1"}),
+        None,
+    );
     rig.run(ms(1_000));
     assert_eq!(rig.store.keys[&keys::claim(DUTY)].2, Some(lease));
     assert!(!rig.store.keys.contains_key(&keys::move_request(DUTY)));
@@ -563,22 +831,46 @@
     assert_eq!(refused(|s| s.lease = ms(2_000)), Some("lease"));
     assert_eq!(refused(|s| s.lease = ms(601_000)), Some("lease"));
     assert_eq!(refused(|s| s.store_answer = ms(3_000)), Some("lease"));
-    assert_eq!(refused(|s| s.store_answer = Micros::ZERO), Some("store_answer"));
+    assert_eq!(
+        refused(|s| s.store_answer = Micros::ZERO),
+        Some("store_answer")
+    );
     assert_eq!(refused(|s| s.member = "n9".to_owned()), Some("member"));
     assert_eq!(refused(|s| s.duties.clear()), Some("duties"));
-    assert_eq!(refused(|s| s.duties = vec!["a b".to_owned()]), Some("duties"));
-    assert_eq!(refused(|s| s.members = vec!["n0".to_owned(), "n0".to_owned()]), Some("members"));
+    assert_eq!(
+        refused(|s| s.duties = vec!["a b".to_owned()]),
+        Some("duties")
+    );
+    assert_eq!(
+        refused(|s| s.members = vec!["n0".to_owned(), "n0".to_owned()]),
+        Some("members")
+    );
     assert_eq!(refused(|s| s.open_operations = 0), Some("open_operations"));
-    assert_eq!(refused(|s| s.limits.value_bytes = 100), Some("limits.value_bytes"));
-    assert_eq!(refused(|s| s.limits.transaction_changes = 2), Some("limits.transaction_changes"));
-    assert_eq!(refused(|s| s.limits.changes_per_second = 0), Some("limits.changes_per_second"));
-    assert_eq!(refused(|s| s.takeover_step = Micros::ZERO), Some("takeover_step"));
+    assert_eq!(
+        refused(|s| s.limits.value_bytes = 100),
+        Some("limits.value_bytes")
+    );
+    assert_eq!(
+        refused(|s| s.limits.transaction_changes = 2),
+        Some("limits.transaction_changes")
+    );
+    assert_eq!(
+        refused(|s| s.limits.changes_per_second = 0),
+        Some("limits.changes_per_second")
+    );
+    assert_eq!(
+        refused(|s| s.takeover_step = Micros::ZERO),
+        Some("takeover_step")
+    );
 }
 
 // ---- the switch from one claim to many -----------------------------------------------------
 
 fn with_former_claim() -> LeaseSettings {
-    LeaseSettings { former_claim: Some("leader".to_owned()), ..settings() }
+    LeaseSettings {
+        former_claim: Some("leader".to_owned()),
+        ..settings()
+    }
 }
 
 #[test]
@@ -593,13 +885,32 @@
     assert!(rig.token() > 0);
     // An old process that comes back finds a claim that it can't take.
     let value = json!({"member": "n1", "lease": 77});
-    let apply = vec![Write::Put { key: "leader".to_owned(), value, lease: None }];
-    let take = StateCall::Commit { when: vec![("leader".to_owned(), 0)], apply: apply.clone() };
-    assert!(matches!(rig.store.execute(rig.now, &take), Some(StateReply::Conflict { .. })));
+    let apply = vec![Write::Put {
+        key: "leader".to_owned(),
+        value,
+        lease: None,
+    }];
+    let take = StateCall::Commit {
+        when: vec![("leader".to_owned(), 0)],
+        apply: apply.clone(),
+    };
+    assert!(matches!(
+        rig.store.execute(rig.now, &take),
+        Some(StateReply::Conflict { .. })
+    ));
     // What it may still have under way under the former claim fails.
-    let late = StateCall::Commit { when: vec![("leader".to_owned(), version)], apply };
-    assert!(matches!(rig.store.execute(rig.now, &late), Some(StateReply::Conflict { .. })));
-    assert_eq!(rig.store.keys["leader"].2, None, "what stands there must not end with a lease");
+    let late = StateCall::Commit {
+        when: vec![("leader".to_owned(), version)],
+        apply,
+    };
+    assert!(matches!(
+        rig.store.execute(rig.now, &late),
+        Some(StateReply::Conflict { .. })
+    ));
+    assert_eq!(
+        rig.store.keys["leader"].2, None,
+        "what stands there must not end with a lease"
+    );
 }
 
 #[test]
--- a/crates/seamfront-lease/tests/histories/main.rs
+++ b/crates/seamfront-lease/tests/histories/main.rs
@@ -47,17 +47,32 @@
             let by = [ms(-5_000), ms(30_000), ms(-300), ms(3_000)][world.draw(0, 3) as usize];
             world.jump_clock(node, by);
         }
-        15 => world.command(node, Command::HandOver { duty: keeper::RETURNING.to_owned(), to: None }),
+        15 => world.command(
+            node,
+            Command::HandOver {
+                duty: keeper::RETURNING.to_owned(),
+                to: None,
+            },
+        ),
         _ => {
             let to = format!("n{}", world.draw(0, 2));
-            world.command(node, Command::HandOver { duty: keeper::RENTING.to_owned(), to: Some(to) });
+            world.command(
+                node,
+                Command::HandOver {
+                    duty: keeper::RENTING.to_owned(),
+                    to: Some(to),
+                },
+            );
         }
     }
 }
 
 /// `HISTORIES=1000` plays so many: a long run.
 fn histories() -> u64 {
-    std::env::var("HISTORIES").ok().and_then(|count| count.parse().ok()).unwrap_or(HISTORIES)
+    std::env::var("HISTORIES")
+        .ok()
+        .and_then(|count| count.parse().ok())
+        .unwrap_or(HISTORIES)
 }
 
 /// `HISTORY=2` plays that one alone and prints what the members log.
@@ -88,7 +103,10 @@
 fn no_history_has_two_holders_nor_doubles() {
     let mut coverage = Coverage::default();
     if let Some(seed) = chosen() {
-        let _ = tracing_subscriber::fmt().without_time().with_ansi(false).try_init();
+        let _ = tracing_subscriber::fmt()
+            .without_time()
+            .with_ansi(false)
+            .try_init();
         play(seed);
         return;
     }
@@ -99,20 +117,35 @@
     println!("{coverage:?}");
     let seen = [
         ("duties taken", coverage.taken, 1_000),
-        ("operations settled for a predecessor", coverage.settled_for_predecessor, 1_000),
-        ("effects whose permit had run out", coverage.not_permitted, 20),
+        (
+            "operations settled for a predecessor",
+            coverage.settled_for_predecessor,
+            1_000,
+        ),
+        (
+            "effects whose permit had run out",
+            coverage.not_permitted,
+            20,
+        ),
         ("requests carried out late", coverage.late_requests, 500),
         ("rentals carried out late", coverage.late_rentals, 100),
         ("tokens refused by the store", coverage.refused_tokens, 10),
         ("successors told", coverage.replaced, 500),
         ("duties handed over", coverage.handed_over, 200),
-        ("answers after the replacement", coverage.answers_after_loss, 50),
+        (
+            "answers after the replacement",
+            coverage.answers_after_loss,
+            50,
+        ),
         ("settling interrupted", coverage.settling_interrupted, 20),
         ("freezes", coverage.freezes, 300),
         ("clocks that jumped", coverage.clock_jumps, 80),
     ];
     for (what, count, least) in seen {
-        assert!(count >= least, "{what}: {count}, at least {least} are wanted");
+        assert!(
+            count >= least,
+            "{what}: {count}, at least {least} are wanted"
+        );
     }
 }
 
@@ -120,7 +153,9 @@
 #[test]
 fn old_and_new_versions_never_act_beside_each_other() {
     for seed in 0..20 {
-        let former = |settings: &mut LeaseSettings| settings.former_claim = Some(world::FORMER_CLAIM.to_owned());
+        let former = |settings: &mut LeaseSettings| {
+            settings.former_claim = Some(world::FORMER_CLAIM.to_owned())
+        };
         let mut world = World::with(2_000 + seed, 3, former);
         for node in 0..3 {
             world.boot_old(node);
@@ -147,7 +182,13 @@
         world.run_for(ms(20_000));
         world.boot_old(0);
         world.run_for(ms(20_000));
-        assert!(world.nodes[0].old.as_ref().is_none_or(|old| old.token.is_none()), "the former claim was taken");
+        assert!(
+            world.nodes[0]
+                .old
+                .as_ref()
+                .is_none_or(|old| old.token.is_none()),
+            "the former claim was taken"
+        );
         world.boot(0);
         world.run_for(ms(90_000));
         world.churn = false;
@@ -161,7 +202,11 @@
     for seed in 0..8 {
         let mut world = World::new(1_000 + seed, 3);
         world.run_for(ms(20_000));
-        let small = StoreLimits { value_bytes: 1_024, transaction_changes: 3, changes_per_second: 5 };
+        let small = StoreLimits {
+            value_bytes: 1_024,
+            transaction_changes: 3,
+            changes_per_second: 5,
+        };
         world.shrink(small);
         for _ in 0..20 {
             let pause = ms(world.draw(500, 4_000));
