--- a/crates/seamfront-lease/tests/histories/world.rs
+++ b/crates/seamfront-lease/tests/histories/world.rs
@@ -18,7 +18,12 @@
 
 pub const TARGET: usize = 6;
 pub const FORMER_CLAIM: &str = "leader";
-const DUTIES: [&str; 4] = [keeper::RENTING, keeper::RETURNING, keeper::CLEANING, "moving"];
+const DUTIES: [&str; 4] = [
+    keeper::RENTING,
+    keeper::RETURNING,
+    keeper::CLEANING,
+    "moving",
+];
 const STEP: i64 = 50;
 const LIST_LAG: i64 = 10_000;
 /// Requests that are held back come at most so much later.
@@ -28,7 +33,11 @@
     Micros::from_millis(n)
 }
 
-pub const LIMITS: StoreLimits = StoreLimits { value_bytes: 32 * 1024, transaction_changes: 48, changes_per_second: 30 };
+pub const LIMITS: StoreLimits = StoreLimits {
+    value_bytes: 32 * 1024,
+    transaction_changes: 48,
+    changes_per_second: 30,
+};
 
 /// What can go wrong, each until some time.
 #[derive(Default, Clone, Copy)]
@@ -113,15 +122,51 @@
 }
 
 enum Event {
-    Store { node: usize, life: u64, call: u64, request: StateCall },
-    Late { request: StateCall },
-    Watch { node: usize, life: u64, call: u64, request: StateCall, until: Micros },
-    Perform { node: usize, life: u64, work: Attempt, permit: Permit },
-    Cloud { node: usize, life: u64, work: Attempt, answered: bool },
-    Give { node: usize, life: u64, command: Box<Command> },
-    List { node: usize, life: u64, number: u64 },
-    Step { node: usize, life: u64 },
-    Boot { node: usize },
+    Store {
+        node: usize,
+        life: u64,
+        call: u64,
+        request: StateCall,
+    },
+    Late {
+        request: StateCall,
+    },
+    Watch {
+        node: usize,
+        life: u64,
+        call: u64,
+        request: StateCall,
+        until: Micros,
+    },
+    Perform {
+        node: usize,
+        life: u64,
+        work: Attempt,
+        permit: Permit,
+    },
+    Cloud {
+        node: usize,
+        life: u64,
+        work: Attempt,
+        answered: bool,
+    },
+    Give {
+        node: usize,
+        life: u64,
+        command: Box<Command>,
+    },
+    List {
+        node: usize,
+        life: u64,
+        number: u64,
+    },
+    Step {
+        node: usize,
+        life: u64,
+    },
+    Boot {
+        node: usize,
+    },
 }
 
 #[derive(Clone)]
@@ -170,7 +215,11 @@
             queue: BTreeMap::new(),
             next: 0,
             nodes: Vec::new(),
-            store: Store::with(7, settings.limits.value_bytes, settings.limits.transaction_changes),
+            store: Store::with(
+                7,
+                settings.limits.value_bytes,
+                settings.limits.transaction_changes,
+            ),
             cloud: Cloud::default(),
             trouble: Trouble::default(),
             coverage: Coverage::default(),
@@ -286,18 +335,28 @@
             self.step(node, vec![Command::SetLimits(limits)]);
         }
         self.run_for(ms(2_000));
-        self.store.limit(limits.value_bytes, limits.transaction_changes);
+        self.store
+            .limit(limits.value_bytes, limits.transaction_changes);
     }
 
     pub fn command(&mut self, node: usize, command: Command) {
         let life = self.nodes[node].life;
-        self.after(ms(0), Event::Give { node, life, command: Box::new(command) });
+        self.after(
+            ms(0),
+            Event::Give {
+                node,
+                life,
+                command: Box::new(command),
+            },
+        );
     }
 
     fn step(&mut self, node: usize, commands: Vec<Command>) {
         let local = self.local(node);
         let _span = tracing::info_span!("member", node, at = self.now.as_secs_decimal()).entered();
-        let Some(manager) = self.nodes[node].manager.as_mut() else { return };
+        let Some(manager) = self.nodes[node].manager.as_mut() else {
+            return;
+        };
         let effects = manager.step(local, commands);
         for effect in effects {
             self.carry_out(node, effect);
@@ -305,13 +364,21 @@
     }
 
     fn carry_out(&mut self, node: usize, effect: Effect) {
-        let orders =
-            |operation: &Operation| self.cloud.machines_of(&keeper::order_name(keeper::RENTING, operation.name));
+        let orders = |operation: &Operation| {
+            self.cloud
+                .machines_of(&keeper::order_name(keeper::RENTING, operation.name))
+        };
         self.nodes[node].keeper.told(&effect, orders);
         let life = self.nodes[node].life;
         self.observe(node, &effect);
         let (until, one_in) = self.trouble.freeze_at_effects;
-        let acts = matches!(effect, Effect::Store { request: StateCall::Commit { .. }, .. } | Effect::Perform { .. });
+        let acts = matches!(
+            effect,
+            Effect::Store {
+                request: StateCall::Commit { .. },
+                ..
+            } | Effect::Perform { .. }
+        );
         if acts && self.now < until && self.chance(one_in) {
             let time = ms(self.draw(500, 60_000));
             self.freeze(node, time);
@@ -320,13 +387,39 @@
             Effect::Store { call, request } => {
                 self.count(&request);
                 let delay = Micros(self.draw(200, 3_000));
-                self.after(delay, Event::Store { node, life, call, request });
+                self.after(
+                    delay,
+                    Event::Store {
+                        node,
+                        life,
+                        call,
+                        request,
+                    },
+                );
             }
-            Effect::Perform { duty, operation, attempt, permit, .. } => {
+            Effect::Perform {
+                duty,
+                operation,
+                attempt,
+                permit,
+                ..
+            } => {
                 self.last_permit = Some(permit);
-                let work = Attempt { duty, operation, attempt };
+                let work = Attempt {
+                    duty,
+                    operation,
+                    attempt,
+                };
                 let delay = Micros(self.draw(0, 500));
-                self.after(delay, Event::Perform { node, life, work, permit });
+                self.after(
+                    delay,
+                    Event::Perform {
+                        node,
+                        life,
+                        work,
+                        permit,
+                    },
+                );
             }
             _ => {}
         }
@@ -372,8 +465,12 @@
             }
             Effect::Replaced { duty, token, .. } => {
                 self.coverage.replaced += 1;
-                if !self.nodes[node].told_replaced.insert((duty.clone(), *token)) {
-                    self.broken.push(format!("{duty} {token}: its successor was told twice"));
+                if !self.nodes[node]
+                    .told_replaced
+                    .insert((duty.clone(), *token))
+                {
+                    self.broken
+                        .push(format!("{duty} {token}: its successor was told twice"));
                 }
             }
             Effect::Settled { operation, .. } => self.check_settled(operation),
@@ -385,7 +482,11 @@
 
     /// Plays until that time.
     pub fn run_until(&mut self, end: Micros) {
-        while let Some(entry) = self.queue.first_entry().filter(|entry| entry.key().0 <= end) {
+        while let Some(entry) = self
+            .queue
+            .first_entry()
+            .filter(|entry| entry.key().0 <= end)
+        {
             let ((at, _), event) = entry.remove_entry();
             self.now = at;
             self.store_time();
@@ -394,7 +495,12 @@
             if performs {
                 self.check_fleet();
             }
-            assert!(self.broken.is_empty(), "at {}: {:?}", self.now.as_secs_decimal(), self.broken);
+            assert!(
+                self.broken.is_empty(),
+                "at {}: {:?}",
+                self.now.as_secs_decimal(),
+                self.broken
+            );
         }
         self.now = end;
     }
@@ -418,7 +524,9 @@
     /// Frozen processes take nothing in and let nothing out: their events wait.
     fn held_by_freeze(&self, event: &Event) -> Option<Micros> {
         let node = match event {
-            Event::Store { node, .. } | Event::Perform { node, .. } | Event::Give { node, .. } => node,
+            Event::Store { node, .. } | Event::Perform { node, .. } | Event::Give { node, .. } => {
+                node
+            }
             Event::Step { node, .. } | Event::List { node, .. } => node,
             _ => return None,
         };
@@ -437,28 +545,55 @@
                 }
             }
             Event::Step { node, life } => self.handle_step(node, life),
-            Event::Give { node, life, command } => {
+            Event::Give {
+                node,
+                life,
+                command,
+            } => {
                 if self.nodes[node].life == life {
                     self.note_answer(node, &command);
                     self.step(node, vec![*command]);
                 }
             }
-            Event::Store { node, life, call, request } => self.handle_store(node, life, call, request),
+            Event::Store {
+                node,
+                life,
+                call,
+                request,
+            } => self.handle_store(node, life, call, request),
             Event::Late { request } => {
                 if self.now < self.trouble.store_out {
                     return;
                 }
                 self.store.execute(self.now, &request);
             }
-            Event::Watch { node, life, call, request, until } => self.handle_watch(node, life, call, request, until),
-            Event::Perform { node, life, work, permit } => self.handle_perform(node, life, work, permit),
-            Event::Cloud { node, life, work, answered } => self.handle_cloud(node, life, work, answered),
+            Event::Watch {
+                node,
+                life,
+                call,
+                request,
+                until,
+            } => self.handle_watch(node, life, call, request, until),
+            Event::Perform {
+                node,
+                life,
+                work,
+                permit,
+            } => self.handle_perform(node, life, work, permit),
+            Event::Cloud {
+                node,
+                life,
+                work,
+                answered,
+            } => self.handle_cloud(node, life, work, answered),
             Event::List { node, life, number } => self.handle_list(node, life, number),
         }
     }
 
     fn note_answer(&mut self, node: usize, command: &Command) {
-        let Command::Performed { duty, .. } = command else { return };
+        let Command::Performed { duty, .. } = command else {
+            return;
+        };
         let claim = self.store.keys.get(&keys::claim(duty));
         if claim.is_none_or(|claim| claim.0["member"] != json!(format!("n{node}"))) {
             self.coverage.answers_after_loss += 1;
@@ -495,7 +630,8 @@
         }
         if now >= self.nodes[node].look_next {
             self.nodes[node].look_next = now + ms(2_000);
-            let seen: BTreeSet<String> = self.cloud.listed(now - ms(LIST_LAG)).into_iter().collect();
+            let seen: BTreeSet<String> =
+                self.cloud.listed(now - ms(LIST_LAG)).into_iter().collect();
             commands.extend(self.nodes[node].keeper.take_in(now, &seen));
         }
         self.step(node, commands);
@@ -512,16 +648,25 @@
         }
         let machines = self.recorded_machines();
         let log = self.store.keys.get(&keys::log(keeper::RENTING));
-        let log = log.and_then(|entry| LogRecord::deserialize(&entry.0).ok()).unwrap_or_default();
+        let log = log
+            .and_then(|entry| LogRecord::deserialize(&entry.0).ok())
+            .unwrap_or_default();
         let open = log.open.iter().map(|operation| operation.name).collect();
         let now = self.now;
-        self.nodes[node].keeper.list_read(now, number, machines, &open);
+        self.nodes[node]
+            .keeper
+            .list_read(now, number, machines, &open);
     }
 
     pub fn recorded_machines(&self) -> BTreeSet<String> {
         let prefix = keeper::MACHINE_PREFIX;
-        let keys = self.store.keys.range(prefix.to_owned()..).take_while(|(key, _)| key.starts_with(prefix));
-        keys.map(|(key, _)| key[prefix.len()..].to_owned()).collect()
+        let keys = self
+            .store
+            .keys
+            .range(prefix.to_owned()..)
+            .take_while(|(key, _)| key.starts_with(prefix));
+        keys.map(|(key, _)| key[prefix.len()..].to_owned())
+            .collect()
     }
 
     // ---- the store -----------------------------------------------------------------------
@@ -537,44 +682,102 @@
             return;
         }
         let (hold_until, one_in) = self.trouble.hold_back;
-        if matches!(request, StateCall::Commit { .. }) && self.now < hold_until && self.chance(one_in) {
+        if matches!(request, StateCall::Commit { .. })
+            && self.now < hold_until
+            && self.chance(one_in)
+        {
             self.coverage.late_requests += 1;
             let late = ms(self.draw(500, HELD_BACK));
             self.after(late, Event::Late { request });
-            return self.reply(node, life, call, StateReply::Unknown, self.settings.store_answer);
+            return self.reply(
+                node,
+                life,
+                call,
+                StateReply::Unknown,
+                self.settings.store_answer,
+            );
         }
         if refused {
             return self.reply(node, life, call, StateReply::Refused, ms(2));
         }
         let slow = self.now < self.trouble.store_slow;
-        let reply = self.store.execute(self.now, &request).unwrap_or(StateReply::Refused);
+        let reply = self
+            .store
+            .execute(self.now, &request)
+            .unwrap_or(StateReply::Refused);
         let (lose_until, one_in) = self.trouble.lose_answers;
         if self.now < lose_until && self.chance(one_in) {
-            return self.reply(node, life, call, StateReply::Unknown, self.settings.store_answer);
+            return self.reply(
+                node,
+                life,
+                call,
+                StateReply::Unknown,
+                self.settings.store_answer,
+            );
         }
-        let delay = if slow { ms(self.draw(300, 1_900)) } else { Micros(self.draw(300, 9_000)) };
+        let delay = if slow {
+            ms(self.draw(300, 1_900))
+        } else {
+            Micros(self.draw(300, 9_000))
+        };
         if delay > self.settings.store_answer {
-            return self.reply(node, life, call, StateReply::Unknown, self.settings.store_answer);
+            return self.reply(
+                node,
+                life,
+                call,
+                StateReply::Unknown,
+                self.settings.store_answer,
+            );
         }
         self.reply(node, life, call, reply, delay);
     }
 
     fn reply(&mut self, node: usize, life: u64, call: u64, reply: StateReply, delay: Micros) {
         let command = Box::new(Command::Store { call, reply });
-        self.after(delay, Event::Give { node, life, command });
+        self.after(
+            delay,
+            Event::Give {
+                node,
+                life,
+                command,
+            },
+        );
     }
 
-    fn handle_watch(&mut self, node: usize, life: u64, call: u64, request: StateCall, until: Micros) {
+    fn handle_watch(
+        &mut self,
+        node: usize,
+        life: u64,
+        call: u64,
+        request: StateCall,
+        until: Micros,
+    ) {
         if self.nodes[node].life != life {
             return;
         }
         let waits = self.now < self.trouble.store_out.max(self.nodes[node].refused);
-        let reply = if waits { None } else { self.store.execute(self.now, &request) };
-        let none = StateReply::Changes { revision: 0, events: Vec::new() };
+        let reply = if waits {
+            None
+        } else {
+            self.store.execute(self.now, &request)
+        };
+        let none = StateReply::Changes {
+            revision: 0,
+            events: Vec::new(),
+        };
         match reply {
             Some(reply) => self.reply(node, life, call, reply, Micros(self.now.0 % 3_000 + 200)),
             None if self.now >= until => self.reply(node, life, call, none, ms(1)),
-            None => self.after(ms(20), Event::Watch { node, life, call, request, until }),
+            None => self.after(
+                ms(20),
+                Event::Watch {
+                    node,
+                    life,
+                    call,
+                    request,
+                    until,
+                },
+            ),
         }
     }
 
@@ -586,7 +789,12 @@
         let token = self.claim_version(duty)?;
         let active = |node: &Node| {
             let manager = node.manager.as_ref();
-            manager.is_some_and(|manager| manager.active().iter().any(|held| held.0 == duty && held.1 == token))
+            manager.is_some_and(|manager| {
+                manager
+                    .active()
+                    .iter()
+                    .any(|held| held.0 == duty && held.1 == token)
+            })
         };
         self.nodes.iter().position(active)
     }
@@ -600,7 +808,12 @@
         if !permit.valid(self.local(node)) {
             self.coverage.not_permitted += 1;
             let (duty, operation, attempt) = (work.duty, work.operation.name, work.attempt);
-            let command = Command::Performed { duty, operation, attempt, outcome: Outcome::NotPermitted };
+            let command = Command::Performed {
+                duty,
+                operation,
+                attempt,
+                outcome: Outcome::NotPermitted,
+            };
             return self.step(node, vec![command]);
         }
         self.check_holder(&work.duty, permit.token);
@@ -608,17 +821,45 @@
         if self.now < hold_until && self.chance(one_in) {
             // In a socket: carried out after its holder has given it up, perhaps after its successor's.
             let late = ms(self.draw(500, HELD_BACK));
-            self.after(late, Event::Cloud { node, life, work: work.clone(), answered: false });
+            self.after(
+                late,
+                Event::Cloud {
+                    node,
+                    life,
+                    work: work.clone(),
+                    answered: false,
+                },
+            );
             return self.outcome(node, life, &work, Outcome::Unknown, ms(1_500));
         }
         let delay = ms(self.draw(5, 400));
-        self.after(delay, Event::Cloud { node, life, work, answered: true });
+        self.after(
+            delay,
+            Event::Cloud {
+                node,
+                life,
+                work,
+                answered: true,
+            },
+        );
     }
 
     fn outcome(&mut self, node: usize, life: u64, work: &Attempt, outcome: Outcome, delay: Micros) {
         let (duty, operation, attempt) = (work.duty.clone(), work.operation.name, work.attempt);
-        let command = Box::new(Command::Performed { duty, operation, attempt, outcome });
-        self.after(delay, Event::Give { node, life, command });
+        let command = Box::new(Command::Performed {
+            duty,
+            operation,
+            attempt,
+            outcome,
+        });
+        self.after(
+            delay,
+            Event::Give {
+                node,
+                life,
+                command,
+            },
+        );
     }
 
     fn handle_cloud(&mut self, node: usize, life: u64, work: Attempt, answered: bool) {
@@ -662,24 +903,38 @@
     fn check_holder(&mut self, duty: &str, token: u64) {
         let current = self.claim_version(duty);
         if current != Some(token) {
-            self.broken.push(format!("{duty}: acts under {token}, the store has {current:?}"));
+            self.broken.push(format!(
+                "{duty}: acts under {token}, the store has {current:?}"
+            ));
         }
     }
 
     /// A machine is returned by one operation only.
     fn check_return(&mut self, operation: &Operation, machines: &[String]) {
         for machine in machines {
-            let first = *self.returned_by.entry(machine.clone()).or_insert(operation.name);
+            let first = *self
+                .returned_by
+                .entry(machine.clone())
+                .or_insert(operation.name);
             if first != operation.name {
-                self.broken.push(format!("{machine}: returned by {first} and by {}", operation.name));
+                self.broken.push(format!(
+                    "{machine}: returned by {first} and by {}",
+                    operation.name
+                ));
             }
         }
     }
 
     fn check_settled(&mut self, operation: &Operation) {
         if let Some(Work::Return { machines }) = Work::of(operation) {
-            if machines.iter().any(|machine| self.cloud.live().contains(machine)) {
-                self.broken.push(format!("{}: settled, and its machine is there", operation.name));
+            if machines
+                .iter()
+                .any(|machine| self.cloud.live().contains(machine))
+            {
+                self.broken.push(format!(
+                    "{}: settled, and its machine is there",
+                    operation.name
+                ));
             }
         }
     }
@@ -688,29 +943,49 @@
         let most = TARGET + self.cloud.rented_after_refusal;
         let live = self.cloud.live().len();
         if live > most {
-            self.broken.push(format!("{live} machines where {most} may be"));
+            self.broken
+                .push(format!("{live} machines where {most} may be"));
         }
     }
 
     pub fn describe(&self) -> String {
         let active = |node: &Node| node.manager.as_ref().map(|m| format!("{:?}", m.active()));
         let active: Vec<_> = self.nodes.iter().map(active).collect();
-        let claims: Vec<_> = self.store.keys.iter().filter(|(key, _)| key.starts_with("duty")).collect();
+        let claims: Vec<_> = self
+            .store
+            .keys
+            .iter()
+            .filter(|(key, _)| key.starts_with("duty"))
+            .collect();
         format!("{} {active:?}\n{claims:?}", self.now.as_secs_decimal())
     }
 
     /// Once all is quiet: each duty has one holder, every machine is known, nothing is open.
     pub fn check_end(&mut self) {
         for duty in DUTIES {
-            let active = |node: &&Node| node.manager.as_ref().is_some_and(|m| m.active().iter().any(|a| a.0 == duty));
+            let active = |node: &&Node| {
+                node.manager
+                    .as_ref()
+                    .is_some_and(|m| m.active().iter().any(|a| a.0 == duty))
+            };
             let holders = self.nodes.iter().filter(active).count();
             assert_eq!(holders, 1, "holders of {duty}: {}", self.describe());
-            let open = self.store.keys.get(&keys::log(duty)).map(|entry| entry.0["open"].clone());
-            assert!(open.is_none_or(|open| open == json!([])), "operations of {duty} are open");
+            let open = self
+                .store
+                .keys
+                .get(&keys::log(duty))
+                .map(|entry| entry.0["open"].clone());
+            assert!(
+                open.is_none_or(|open| open == json!([])),
+                "operations of {duty} are open"
+            );
         }
         let known = self.recorded_machines();
         let live = self.cloud.live().clone();
-        assert_eq!(known, live, "machines that are known, and that are paid for");
+        assert_eq!(
+            known, live,
+            "machines that are known, and that are paid for"
+        );
         assert!(live.len() >= TARGET, "machines are missing");
     }
 
@@ -722,11 +997,15 @@
         if now < self.trouble.store_out.max(self.nodes[node].refused) {
             return;
         }
-        let Some(mut old) = self.nodes[node].old.take() else { return };
+        let Some(mut old) = self.nodes[node].old.take() else {
+            return;
+        };
         if now >= old.next {
             old.next = now + ms(1_000);
             let renew = old.lease.map(|lease| StateCall::Renew { lease });
-            let request = renew.unwrap_or(StateCall::Grant { ttl: self.settings.lease });
+            let request = renew.unwrap_or(StateCall::Grant {
+                ttl: self.settings.lease,
+            });
             match self.store.execute(now, &request) {
                 Some(StateReply::Lease { id }) => old.lease = Some(id),
                 Some(StateReply::NoSuchLease) => old = OldVersion::default(),
@@ -734,14 +1013,27 @@
             }
             if let Some(lease) = old.lease {
                 let value = json!({"member": format!("n{node}"), "lease": lease});
-                let apply = vec![Write::Put { key: FORMER_CLAIM.to_owned(), value, lease: Some(lease) }];
-                let request = StateCall::Commit { when: vec![(FORMER_CLAIM.to_owned(), 0)], apply };
-                if let Some(StateReply::Committed { revision }) = self.store.execute(now, &request) {
+                let apply = vec![Write::Put {
+                    key: FORMER_CLAIM.to_owned(),
+                    value,
+                    lease: Some(lease),
+                }];
+                let request = StateCall::Commit {
+                    when: vec![(FORMER_CLAIM.to_owned(), 0)],
+                    apply,
+                };
+                if let Some(StateReply::Committed { revision }) = self.store.execute(now, &request)
+                {
                     old.token = Some(revision);
                 }
             }
         }
-        let current = self.store.execute(now, &StateCall::Get { key: FORMER_CLAIM.to_owned() });
+        let current = self.store.execute(
+            now,
+            &StateCall::Get {
+                key: FORMER_CLAIM.to_owned(),
+            },
+        );
         let held = matches!(&current, Some(StateReply::Entry(Entry { version, .. })) if Some(*version) == old.token);
         old.token = old.token.filter(|_| held);
         let token = old.token;
@@ -756,7 +1048,8 @@
         let former = self.store.keys.get(FORMER_CLAIM);
         let ended = former.is_some_and(|entry| entry.0["member"] == json!("") && entry.2.is_none());
         if held && !ended {
-            self.broken.push("duties are held beside the former claim".to_owned());
+            self.broken
+                .push("duties are held beside the former claim".to_owned());
         }
     }
 }
--- a/crates/seamfront-lease/tests/stand_ins/cloud.rs
+++ b/crates/seamfront-lease/tests/stand_ins/cloud.rs
@@ -27,7 +27,13 @@
 
 impl Cloud {
     /// Rents machines under a name: once only, whoever repeats it. None: no capacity.
-    pub fn rent(&mut self, now: Micros, order: &str, count: usize, capacity: bool) -> Option<Vec<String>> {
+    pub fn rent(
+        &mut self,
+        now: Micros,
+        order: &str,
+        count: usize,
+        capacity: bool,
+    ) -> Option<Vec<String>> {
         if let Some(machines) = self.orders.get(order) {
             self.repeated_orders += 1;
             return Some(machines.clone());
@@ -42,7 +48,13 @@
         let mut machines = Vec::new();
         for _ in 0..count {
             let name = format!("i-{:06}", self.ledger.len() + 1);
-            self.ledger.insert(name.clone(), Machine { rented: now, returned: None });
+            self.ledger.insert(
+                name.clone(),
+                Machine {
+                    rented: now,
+                    returned: None,
+                },
+            );
             self.live.insert(name.clone());
             machines.push(name);
         }
@@ -58,7 +70,11 @@
     /// Returns machines; unknown names are ignored.
     pub fn delete(&mut self, now: Micros, machines: &[String]) {
         for name in machines {
-            match self.ledger.get_mut(name).filter(|machine| machine.returned.is_none()) {
+            match self
+                .ledger
+                .get_mut(name)
+                .filter(|machine| machine.returned.is_none())
+            {
                 Some(machine) => {
                     machine.returned = Some(now);
                     self.live.remove(name);
@@ -70,8 +86,14 @@
 
     /// Machines as the list showed them at that time.
     pub fn listed(&self, at: Micros) -> Vec<String> {
-        let shown = |machine: &Machine| machine.rented <= at && machine.returned.is_none_or(|returned| returned > at);
-        self.ledger.iter().filter(|(_, machine)| shown(machine)).map(|(name, _)| name.clone()).collect()
+        let shown = |machine: &Machine| {
+            machine.rented <= at && machine.returned.is_none_or(|returned| returned > at)
+        };
+        self.ledger
+            .iter()
+            .filter(|(_, machine)| shown(machine))
+            .map(|(name, _)| name.clone())
+            .collect()
     }
 
     /// Machines that are paid for.
--- a/crates/seamfront-lease/tests/stand_ins/store.rs
+++ b/crates/seamfront-lease/tests/stand_ins/store.rs
@@ -36,7 +36,12 @@
     }
 
     pub fn with(page: usize, value_bytes: usize, txn_ops: usize) -> Store {
-        Store { page, value_bytes, txn_ops, ..Store::default() }
+        Store {
+            page,
+            value_bytes,
+            txn_ops,
+            ..Store::default()
+        }
     }
 
     /// Takes less from now on.
@@ -49,9 +54,11 @@
     pub fn execute(&mut self, now: Micros, call: &StateCall) -> Option<StateReply> {
         Some(match call {
             StateCall::Get { key } => match self.keys.get(key) {
-                Some((v, version, _)) => {
-                    StateReply::Entry(Entry { key: key.clone(), value: v.clone(), version: *version })
-                }
+                Some((v, version, _)) => StateReply::Entry(Entry {
+                    key: key.clone(),
+                    value: v.clone(),
+                    version: *version,
+                }),
                 None => StateReply::Missing,
             },
             StateCall::List { prefix, after } => {
@@ -61,11 +68,19 @@
                     .range(prefix.clone()..)
                     .take_while(|(k, _)| k.starts_with(prefix.as_str()))
                     .filter(|(k, _)| **k > from)
-                    .map(|(k, v)| Entry { key: k.clone(), value: v.0.clone(), version: v.1 })
+                    .map(|(k, v)| Entry {
+                        key: k.clone(),
+                        value: v.0.clone(),
+                        version: v.1,
+                    })
                     .collect();
                 let more = all.len() > self.page;
                 let entries = all.into_iter().take(self.page).collect();
-                StateReply::Page { entries, more, revision: self.revision }
+                StateReply::Page {
+                    entries,
+                    more,
+                    revision: self.revision,
+                }
             }
             StateCall::Commit { when, apply } => {
                 let bad: Vec<String> = when
@@ -86,26 +101,38 @@
                 let conditions = when.len();
                 let bytes: usize = apply.iter().map(size_of).sum();
                 assert!(bytes <= TRANSACTION_BYTES, "a transaction of {bytes} bytes");
-                assert!(apply.len() <= self.txn_ops && conditions <= 4 * self.txn_ops, "a transaction is too large");
+                assert!(
+                    apply.len() <= self.txn_ops && conditions <= 4 * self.txn_ops,
+                    "a transaction is too large"
+                );
                 if !apply.is_empty() {
                     self.revision += 1;
                 }
                 for w in apply {
                     match w {
                         Write::Put { key, value, lease } => {
-                            assert!(value.to_string().len() <= self.value_bytes, "value of {key} is too large");
-                            self.keys.insert(key.clone(), (value.clone(), self.revision, *lease));
-                            self.log.push((self.revision, key.clone(), Some(value.clone())));
+                            assert!(
+                                value.to_string().len() <= self.value_bytes,
+                                "value of {key} is too large"
+                            );
+                            self.keys
+                                .insert(key.clone(), (value.clone(), self.revision, *lease));
+                            self.log
+                                .push((self.revision, key.clone(), Some(value.clone())));
                         }
                         Write::Delete { key } => self.remove(key),
                     }
                 }
-                StateReply::Committed { revision: self.revision }
+                StateReply::Committed {
+                    revision: self.revision,
+                }
             }
             StateCall::Grant { ttl } => {
                 self.next_lease += 1;
                 self.leases.insert(self.next_lease, (now + *ttl, *ttl));
-                StateReply::Lease { id: self.next_lease }
+                StateReply::Lease {
+                    id: self.next_lease,
+                }
             }
             StateCall::Renew { lease } => match self.leases.get_mut(lease) {
                 Some(l) => {
@@ -114,7 +141,11 @@
                 }
                 None => StateReply::NoSuchLease,
             },
-            StateCall::Changes { prefix, after, hold } => {
+            StateCall::Changes {
+                prefix,
+                after,
+                hold,
+            } => {
                 let from = self.log.partition_point(|(r, _, _)| r <= after);
                 let events: Vec<(String, Option<Value>, u64)> = self.log[from..]
                     .iter()
@@ -124,7 +155,10 @@
                 if events.is_empty() && *hold > Micros::ZERO {
                     return None;
                 }
-                StateReply::Changes { revision: self.revision, events }
+                StateReply::Changes {
+                    revision: self.revision,
+                    events,
+                }
             }
         })
     }
@@ -136,10 +170,20 @@
     }
 
     pub fn expire(&mut self, now: Micros) {
-        let over: Vec<u64> = self.leases.iter().filter(|l| l.1 .0 < now).map(|l| *l.0).collect();
+        let over: Vec<u64> = self
+            .leases
+            .iter()
+            .filter(|l| l.1 .0 < now)
+            .map(|l| *l.0)
+            .collect();
         for lease in over {
             self.leases.remove(&lease);
-            let keys: Vec<String> = self.keys.iter().filter(|k| k.1 .2 == Some(lease)).map(|k| k.0.clone()).collect();
+            let keys: Vec<String> = self
+                .keys
+                .iter()
+                .filter(|k| k.1 .2 == Some(lease))
+                .map(|k| k.0.clone())
+                .collect();
             if !keys.is_empty() {
                 self.revision += 1;
             }
--- a/crates/seamfront-report/src/page.rs
+++ b/crates/seamfront-report/src/page.rs
@@ -24,7 +24,12 @@
     }
     for (group, series) in series {
         let plot = plot::durations(group, &series)?;
-        let _ = write!(html, "<h2>{}</h2>\n{plot}\n{}", escape(group), durations_table(&series));
+        let _ = write!(
+            html,
+            "<h2>{}</h2>\n{plot}\n{}",
+            escape(group),
+            durations_table(&series)
+        );
     }
     let mut counts: BTreeMap<&str, Vec<&Count>> = BTreeMap::new();
     for count in &run.counts {
@@ -32,7 +37,12 @@
     }
     for (group, counts) in counts {
         let plot = plot::counts(group, &counts)?;
-        let _ = write!(html, "<h2>{}</h2>\n{plot}\n{}", escape(group), counts_table(&counts));
+        let _ = write!(
+            html,
+            "<h2>{}</h2>\n{plot}\n{}",
+            escape(group),
+            counts_table(&counts)
+        );
     }
     html.push_str("</body></html>\n");
     Ok(html)
@@ -45,7 +55,12 @@
     }
     table.push_str("</tr>\n");
     for one in series {
-        let _ = write!(table, "<tr><td>{}</td><td>{}</td>", escape(&one.name), one.durations.len());
+        let _ = write!(
+            table,
+            "<tr><td>{}</td><td>{}</td>",
+            escape(&one.name),
+            one.durations.len()
+        );
         for percent in PERCENTILES {
             let seconds = one.durations.value_at_percentile(percent) as f64 / MICROS_PER_SECOND;
             let _ = write!(table, "<td>{seconds:.3}</td>");
@@ -60,12 +75,18 @@
     let mut table = "<table><tr><th>series</th><th>size</th><th>value</th></tr>\n".to_owned();
     for count in counts {
         let (series, size, value) = (escape(&count.series), count.size, count.value);
-        let _ = writeln!(table, "<tr><td>{series}</td><td>{size}</td><td>{value:.1}</td></tr>");
+        let _ = writeln!(
+            table,
+            "<tr><td>{series}</td><td>{size}</td><td>{value:.1}</td></tr>"
+        );
     }
     table.push_str("</table>\n");
     table
 }
 
 fn escape(text: &str) -> String {
-    text.replace('&', "&amp;").replace('<', "&lt;").replace('>', "&gt;").replace('"', "&quot;")
+    text.replace('&', "&amp;")
+        .replace('<', "&lt;")
+        .replace('>', "&gt;")
+        .replace('"', "&quot;")
 }
--- a/crates/seamfront-report/src/plot.rs
+++ b/crates/seamfront-report/src/plot.rs
@@ -17,7 +17,8 @@
 
 /// What share of the durations lies below which time, a curve for each series.
 pub fn durations(title: &str, series: &[&Series]) -> Result<String, ReportError> {
-    let longest = series.iter().map(|s| s.durations.max()).max().unwrap_or(0) as f64 / MICROS_PER_SECOND;
+    let longest =
+        series.iter().map(|s| s.durations.max()).max().unwrap_or(0) as f64 / MICROS_PER_SECOND;
     let mut svg = String::new();
     draw_durations(&mut svg, title, series, longest).map_err(|error| made(title, &error))?;
     Ok(svg)
@@ -27,17 +28,30 @@
     let area = area(svg, title)?;
     let range = 0.0..(longest * 1.05).max(0.001);
     let mut builder = ChartBuilder::on(&area);
-    builder.margin(MARGIN).x_label_area_size(LABELS).y_label_area_size(LABELS);
+    builder
+        .margin(MARGIN)
+        .x_label_area_size(LABELS)
+        .y_label_area_size(LABELS);
     let mut chart = builder.build_cartesian_2d(range, 0.0..100.0)?;
-    chart.configure_mesh().x_desc("seconds").y_desc("percent of all").draw()?;
+    chart
+        .configure_mesh()
+        .x_desc("seconds")
+        .y_desc("percent of all")
+        .draw()?;
     for (index, one) in series.iter().enumerate() {
         let color = Palette99::pick(index).to_rgba();
         let at = |step: u32| {
             let percent = f64::from(step) * 100.0 / f64::from(STEPS);
-            (one.durations.value_at_percentile(percent) as f64 / MICROS_PER_SECOND, percent)
+            (
+                one.durations.value_at_percentile(percent) as f64 / MICROS_PER_SECOND,
+                percent,
+            )
         };
-        let drawn = chart.draw_series(LineSeries::new((0..=STEPS).map(at), color.stroke_width(2)))?;
-        drawn.label(&one.name).legend(move |(x, y)| PathElement::new([(x, y), (x + 18, y)], color.stroke_width(2)));
+        let drawn =
+            chart.draw_series(LineSeries::new((0..=STEPS).map(at), color.stroke_width(2)))?;
+        drawn
+            .label(&one.name)
+            .legend(move |(x, y)| PathElement::new([(x, y), (x + 18, y)], color.stroke_width(2)));
     }
     legend(&mut chart)?;
     area.present()?;
@@ -54,20 +68,32 @@
 fn draw_counts(svg: &mut String, title: &str, counts: &[&Count]) -> Drawn<()> {
     let mut lines: BTreeMap<&str, Vec<(f64, f64)>> = BTreeMap::new();
     for count in counts {
-        lines.entry(&count.series).or_default().push((count.size as f64, count.value));
+        lines
+            .entry(&count.series)
+            .or_default()
+            .push((count.size as f64, count.value));
     }
     let largest = counts.iter().map(|count| count.size).max().unwrap_or(1) as f64;
     let most = counts.iter().map(|count| count.value).fold(0.0, f64::max);
     let area = area(svg, title)?;
     let mut builder = ChartBuilder::on(&area);
-    builder.margin(MARGIN).x_label_area_size(LABELS).y_label_area_size(LABELS);
+    builder
+        .margin(MARGIN)
+        .x_label_area_size(LABELS)
+        .y_label_area_size(LABELS);
     let mut chart = builder.build_cartesian_2d(0.0..largest * 1.05, 0.0..(most * 1.1).max(1.0))?;
     chart.configure_mesh().x_desc("size").draw()?;
     for (index, (name, points)) in lines.into_iter().enumerate() {
         let color = Palette99::pick(index).to_rgba();
         let drawn = chart.draw_series(LineSeries::new(points.clone(), color.stroke_width(2)))?;
-        drawn.label(name).legend(move |(x, y)| PathElement::new([(x, y), (x + 18, y)], color.stroke_width(2)));
-        chart.draw_series(points.into_iter().map(|point| Circle::new(point, DOT, color.filled())))?;
+        drawn
+            .label(name)
+            .legend(move |(x, y)| PathElement::new([(x, y), (x + 18, y)], color.stroke_width(2)));
+        chart.draw_series(
+            points
+                .into_iter()
+                .map(|point| Circle::new(point, DOT, color.filled())),
+        )?;
     }
     legend(&mut chart)?;
     area.present()?;
@@ -87,6 +113,9 @@
 
 fn legend<'a>(chart: &mut Chart<'a>) -> Drawn<()> {
     let mut labels = chart.configure_series_labels();
-    labels.background_style(WHITE.mix(0.85)).border_style(BLACK.mix(0.3)).position(SeriesLabelPosition::LowerRight);
+    labels
+        .background_style(WHITE.mix(0.85))
+        .border_style(BLACK.mix(0.3))
+        .position(SeriesLabelPosition::LowerRight);
     labels.draw()
 }
--- a/crates/seamfront-report/src/record.rs
+++ b/crates/seamfront-report/src/record.rs
@@ -49,9 +49,21 @@
 #[derive(Serialize, Deserialize)]
 #[serde(tag = "kind", rename_all = "snake_case")]
 enum Line {
-    Run { format: u32, title: String },
-    Durations { group: String, series: String, histogram: String },
-    Count { group: String, series: String, size: u64, value: f64 },
+    Run {
+        format: u32,
+        title: String,
+    },
+    Durations {
+        group: String,
+        series: String,
+        histogram: String,
+    },
+    Count {
+        group: String,
+        series: String,
+        size: u64,
+        value: f64,
+    },
 }
 
 /// Durations of one kind.
@@ -100,7 +112,10 @@
 impl Recorder {
     /// A run under this title.
     pub fn new(title: &str) -> Recorder {
-        Recorder { title: title.to_owned(), ..Recorder::default() }
+        Recorder {
+            title: title.to_owned(),
+            ..Recorder::default()
+        }
     }
 
     /// Records a duration.
@@ -116,19 +131,36 @@
 
     /// Records a count.
     pub fn count(&mut self, group: &str, series: &str, size: u64, value: f64) {
-        self.counts.push(Count { group: group.to_owned(), series: series.to_owned(), size, value });
+        self.counts.push(Count {
+            group: group.to_owned(),
+            series: series.to_owned(),
+            size,
+            value,
+        });
     }
 
     /// Writes the record.
     pub fn write(&self, path: &Path) -> Result<(), ReportError> {
         let mut text = Vec::new();
-        let mut lines = vec![Line::Run { format: FORMAT, title: self.title.clone() }];
+        let mut lines = vec![Line::Run {
+            format: FORMAT,
+            title: self.title.clone(),
+        }];
         for ((group, series), histogram) in &self.durations {
             let histogram = encode(histogram)?;
-            lines.push(Line::Durations { group: group.clone(), series: series.clone(), histogram });
+            lines.push(Line::Durations {
+                group: group.clone(),
+                series: series.clone(),
+                histogram,
+            });
         }
         let counts = self.counts.iter().cloned();
-        lines.extend(counts.map(|c| Line::Count { group: c.group, series: c.series, size: c.size, value: c.value }));
+        lines.extend(counts.map(|c| Line::Count {
+            group: c.group,
+            series: c.series,
+            size: c.size,
+            value: c.value,
+        }));
         for line in &lines {
             let line = serde_json::to_string(line).map_err(|error| made("a line", &error))?;
             writeln!(text, "{line}").map_err(|error| file(path, error))?;
@@ -141,19 +173,40 @@
 pub fn read(text: &str) -> Result<Run, ReportError> {
     let mut run = Run::default();
     for (index, text) in text.lines().enumerate() {
-        let refused = |reason: String| ReportError::Line { line: index + 1, reason };
+        let refused = |reason: String| ReportError::Line {
+            line: index + 1,
+            reason,
+        };
         let line: Line = serde_json::from_str(text).map_err(|error| refused(error.to_string()))?;
         match line {
             Line::Run { format, .. } if format > FORMAT => {
                 return Err(refused(format!("format {format} is newer than {FORMAT}")));
             }
             Line::Run { title, .. } => run.title = title,
-            Line::Durations { group, series, histogram } => {
+            Line::Durations {
+                group,
+                series,
+                histogram,
+            } => {
                 let durations = decode(&histogram).map_err(refused)?;
-                run.series.push(Series { group, name: series, durations });
+                run.series.push(Series {
+                    group,
+                    name: series,
+                    durations,
+                });
             }
-            Line::Count { group, series, size, value } if value.is_finite() => {
-                run.counts.push(Count { group, series, size, value });
+            Line::Count {
+                group,
+                series,
+                size,
+                value,
+            } if value.is_finite() => {
+                run.counts.push(Count {
+                    group,
+                    series,
+                    size,
+                    value,
+                });
             }
             Line::Count { .. } => return Err(refused("value: not a number".to_owned())),
         }
@@ -173,14 +226,24 @@
 }
 
 fn decode(text: &str) -> Result<Histogram<u64>, String> {
-    let bytes = STANDARD.decode(text).map_err(|error| format!("histogram: {error}"))?;
-    Deserializer::new().deserialize(&mut bytes.as_slice()).map_err(|error| format!("histogram: {error}"))
+    let bytes = STANDARD
+        .decode(text)
+        .map_err(|error| format!("histogram: {error}"))?;
+    Deserializer::new()
+        .deserialize(&mut bytes.as_slice())
+        .map_err(|error| format!("histogram: {error}"))
 }
 
 pub(crate) fn made(what: &str, reason: &dyn std::fmt::Display) -> ReportError {
-    ReportError::Made { what: what.to_owned(), reason: reason.to_string() }
+    ReportError::Made {
+        what: what.to_owned(),
+        reason: reason.to_string(),
+    }
 }
 
 fn file(path: &Path, error: std::io::Error) -> ReportError {
-    ReportError::File { path: path.display().to_string(), error }
+    ReportError::File {
+        path: path.display().to_string(),
+        error,
+    }
 }
--- a/crates/seamfront-report/tests/reports.rs
+++ b/crates/seamfront-report/tests/reports.rs
@@ -9,13 +9,20 @@
 fn record() -> String {
     let mut recorder = Recorder::new("a <run>");
     for n in 1..=1_000 {
-        recorder.duration("gaps", "crash, 3 members", n * 10_000).expect("recorded");
+        recorder
+            .duration("gaps", "crash, 3 members", n * 10_000)
+            .expect("recorded");
     }
-    recorder.duration("gaps", "handover", 5_000).expect("recorded");
+    recorder
+        .duration("gaps", "handover", 5_000)
+        .expect("recorded");
     recorder.count("requests a minute", "duties", 3, 70.0);
     recorder.count("requests a minute", "duties", 7, 150.5);
     let number = WRITTEN.fetch_add(1, Ordering::Relaxed);
-    let path = std::env::temp_dir().join(format!("seamfront-report-{}-{number}.jsonl", std::process::id()));
+    let path = std::env::temp_dir().join(format!(
+        "seamfront-report-{}-{number}.jsonl",
+        std::process::id()
+    ));
     recorder.write(&path).expect("written");
     let text = std::fs::read_to_string(&path).expect("read");
     std::fs::remove_file(&path).expect("removed");
@@ -27,7 +34,11 @@
     let run = read(&record()).expect("a record");
     assert_eq!(run.title, "a <run>");
     assert_eq!(run.series.len(), 2);
-    let crashes = run.series.iter().find(|series| series.name == "crash, 3 members").expect("the series");
+    let crashes = run
+        .series
+        .iter()
+        .find(|series| series.name == "crash, 3 members")
+        .expect("the series");
     assert_eq!(crashes.durations.len(), 1_000);
     let median = crashes.durations.value_at_percentile(50.0);
     assert!((4_990_000..=5_010_000).contains(&median), "{median}");
@@ -47,9 +58,16 @@
 fn what_cannot_be_read_is_refused_by_its_line() {
     let good = record();
     let first = good.lines().next().expect("a line");
-    let refused = |line: &str| read(&format!("{first}\n{line}\n")).expect_err("refused").to_string();
+    let refused = |line: &str| {
+        read(&format!("{first}\n{line}\n"))
+            .expect_err("refused")
+            .to_string()
+    };
     assert!(refused("{").starts_with("line 2: "));
-    assert!(refused(r#"{"kind":"durations","group":"a","series":"b","histogram":"AAAA"}"#).starts_with("line 2: "));
+    assert!(
+        refused(r#"{"kind":"durations","group":"a","series":"b","histogram":"AAAA"}"#)
+            .starts_with("line 2: ")
+    );
     assert!(refused(r#"{"kind":"run","format":9,"title":"x"}"#).contains("format 9 is newer"));
     assert!(refused(r#"{"kind":"tea"}"#).contains("tea"));
 }
--- a/crates/seamfront/build.rs
+++ b/crates/seamfront/build.rs
@@ -8,6 +8,12 @@
         .output_type("crate::mesh::Receipt")
         .codec_path("crate::mesh::JsonCodec")
         .build();
-    let service = tonic_build::manual::Service::builder().name("Mesh").package("seamfront").method(deliver).build();
-    tonic_build::manual::Builder::new().build_transport(false).compile(&[service]);
+    let service = tonic_build::manual::Service::builder()
+        .name("Mesh")
+        .package("seamfront")
+        .method(deliver)
+        .build();
+    tonic_build::manual::Builder::new()
+        .build_transport(false)
+        .compile(&[service]);
 }
--- a/crates/seamfront/examples/duty_holder/main.rs
+++ b/crates/seamfront/examples/duty_holder/main.rs
@@ -84,11 +84,22 @@
     async fn rent(&self, duty: &str, operation: &Operation, count: usize) -> Outcome {
         let name = keeper::order_name(duty, operation.name);
         let (kind, zone) = ("small".to_owned(), "a".to_owned());
-        let request = CloudCall::Rent { name, kind, zone, spot: false, count: count as u32 };
+        let request = CloudCall::Rent {
+            name,
+            kind,
+            zone,
+            spot: false,
+            count: count as u32,
+        };
         match cloud::call(&self.client, self.addr, &request).await {
             CloudReply::Rented(machines) => {
-                let machines: Vec<String> = machines.iter().map(|machine| machine.as_str().to_owned()).collect();
-                self.rented.borrow_mut().insert(operation.name, machines.clone());
+                let machines: Vec<String> = machines
+                    .iter()
+                    .map(|machine| machine.as_str().to_owned())
+                    .collect();
+                self.rented
+                    .borrow_mut()
+                    .insert(operation.name, machines.clone());
                 keeper::rented(&machines)
             }
             CloudReply::NoCapacity => Outcome::NotDone,
@@ -97,8 +108,17 @@
     }
 
     async fn give_back(&self, machines: &[String]) -> Outcome {
-        let ids = machines.iter().map(|name| MachineId::from(name.as_str())).collect();
-        match cloud::call(&self.client, self.addr, &CloudCall::Delete { machines: ids }).await {
+        let ids = machines
+            .iter()
+            .map(|name| MachineId::from(name.as_str()))
+            .collect();
+        match cloud::call(
+            &self.client,
+            self.addr,
+            &CloudCall::Delete { machines: ids },
+        )
+        .await
+        {
             CloudReply::Deleted => keeper::returned(machines),
             _ => Outcome::Unknown,
         }
@@ -145,7 +165,8 @@
     fn take_events(&mut self) {
         while let Ok(event) = self.events.try_recv() {
             let rented = self.cloud.rented.borrow();
-            let machines_of = |operation: &Operation| rented.get(&operation.name).cloned().unwrap_or_default();
+            let machines_of =
+                |operation: &Operation| rented.get(&operation.name).cloned().unwrap_or_default();
             self.keeper.told(&event, machines_of);
         }
     }
@@ -157,7 +178,9 @@
         }
         self.list_next = now + LIST_EVERY;
         let number = self.keeper.list_begins();
-        let (Some(machines), Some(open)) = (self.recorded().await, self.open_orders().await) else { return };
+        let (Some(machines), Some(open)) = (self.recorded().await, self.open_orders().await) else {
+            return;
+        };
         // What came meanwhile may void the list.
         self.take_events();
         self.keeper.list_read(now, number, machines, &open);
@@ -167,12 +190,19 @@
         let mut machines = BTreeSet::new();
         let mut after = None;
         loop {
-            let request = StateCall::List { prefix: keeper::MACHINE_PREFIX.to_owned(), after };
-            let StateReply::Page { entries, more, .. } = state::call(&self.client, self.state, &request).await else {
+            let request = StateCall::List {
+                prefix: keeper::MACHINE_PREFIX.to_owned(),
+                after,
+            };
+            let StateReply::Page { entries, more, .. } =
+                state::call(&self.client, self.state, &request).await
+            else {
                 return None;
             };
             after = entries.last().map(|entry| entry.key.clone());
-            let names = entries.iter().filter_map(|entry| entry.key.strip_prefix(keeper::MACHINE_PREFIX));
+            let names = entries
+                .iter()
+                .filter_map(|entry| entry.key.strip_prefix(keeper::MACHINE_PREFIX));
             machines.extend(names.map(str::to_owned));
             if !more {
                 return Some(machines);
@@ -182,10 +212,21 @@
 
     async fn open_orders(&self) -> Option<BTreeSet<OperationName>> {
         let key = keys::log(keeper::RENTING);
-        match state::call(&self.client, self.state, &StateCall::Get { key: key.clone() }).await {
+        match state::call(
+            &self.client,
+            self.state,
+            &StateCall::Get { key: key.clone() },
+        )
+        .await
+        {
             StateReply::Entry(entry) => {
                 let log: LogRecord = record::read(&key, &entry.value).ok()?;
-                Some(log.open.into_iter().map(|operation| operation.name).collect())
+                Some(
+                    log.open
+                        .into_iter()
+                        .map(|operation| operation.name)
+                        .collect(),
+                )
             }
             StateReply::Missing => Some(BTreeSet::new()),
             _ => None,
@@ -211,7 +252,10 @@
         let mut after = None;
         loop {
             let request = CloudCall::List { after };
-            let CloudReply::Page { machines: page, more } = cloud::call(&self.client, self.cloud.addr, &request).await
+            let CloudReply::Page {
+                machines: page,
+                more,
+            } = cloud::call(&self.client, self.cloud.addr, &request).await
             else {
                 return None;
             };
@@ -226,9 +270,17 @@
 
 fn main() -> ExitCode {
     let args = Args::parse();
-    tracing_subscriber::fmt().with_writer(std::io::stderr).with_ansi(false).without_time().init();
+    tracing_subscriber::fmt()
+        .with_writer(std::io::stderr)
+        .with_ansi(false)
+        .without_time()
+        .init();
     let members: Vec<&str> = args.members.iter().map(String::as_str).collect();
-    let limits = StoreLimits { value_bytes: 32 * 1024, transaction_changes: 48, changes_per_second: 100 };
+    let limits = StoreLimits {
+        value_bytes: 32 * 1024,
+        transaction_changes: 48,
+        changes_per_second: 100,
+    };
     let duties = [keeper::RENTING, keeper::RETURNING, keeper::CLEANING];
     let mut settings = LeaseSettings::new(&args.member, &members, &duties, limits);
     settings.lease = Micros::from_millis(args.lease_ms);
@@ -243,9 +295,16 @@
     let client = Client::default();
     let (commands, command_queue) = async_channel::bounded(64);
     let (event_queue, events) = async_channel::bounded(4_096);
-    let cloud = Rc::new(HttpCloud { client: client.clone(), addr: args.cloud, rented: RefCell::default() });
+    let cloud = Rc::new(HttpCloud {
+        client: client.clone(),
+        addr: args.cloud,
+        rented: RefCell::default(),
+    });
     let driver = Driver {
-        store: Rc::new(HttpStore { client: client.clone(), addr: args.state }),
+        store: Rc::new(HttpStore {
+            client: client.clone(),
+            addr: args.state,
+        }),
         performer: cloud.clone(),
         commands: command_queue,
         events: event_queue,
--- a/crates/seamfront/examples/measure_duties/main.rs
+++ b/crates/seamfront/examples/measure_duties/main.rs
@@ -63,7 +63,13 @@
         Trouble::Freeze => world.freeze(holder, minute),
         Trouble::Cut => world.nodes[holder].refused = world.now + minute,
         Trouble::Handover => {
-            world.command(holder, Command::HandOver { duty: keeper::RENTING.to_owned(), to: None });
+            world.command(
+                holder,
+                Command::HandOver {
+                    duty: keeper::RENTING.to_owned(),
+                    to: None,
+                },
+            );
         }
     }
     let mut since = world.now;
@@ -83,12 +89,21 @@
 
 /// The same for the leader's claim, until another controller has it.
 fn leader_gap(seed: u64, members: usize) -> Option<Micros> {
-    let scale = Scale { nodes: members, ..SMALL };
+    let scale = Scale {
+        nodes: members,
+        ..SMALL
+    };
     let mut world = scheduler::World::sized(seed, scale);
     world.run_until(ms(25_000 + (seed as i64 * 137) % 1_000));
     let holder = world.holder("leader")?;
     let begin = world.now;
-    world.fault(world.now, Fault::Crash { nodes: vec![holder], back: ms(60_000) });
+    world.fault(
+        world.now,
+        Fault::Crash {
+            nodes: vec![holder],
+            back: ms(60_000),
+        },
+    );
     while world.now < begin + ms(LONGEST) {
         let next = world.now + ms(LOOK);
         world.run_until(next);
@@ -102,14 +117,26 @@
 fn record_gaps(recorder: &mut Recorder, members: usize) -> Result<(), ReportError> {
     for (trouble, name) in TROUBLES {
         for seed in 0..ROUNDS {
-            let Some(gap) = duty_gap(seed, members, trouble) else { continue };
-            recorder.duration(GAPS, &format!("duty, {name}, {members} members"), gap.0 as u64)?;
+            let Some(gap) = duty_gap(seed, members, trouble) else {
+                continue;
+            };
+            recorder.duration(
+                GAPS,
+                &format!("duty, {name}, {members} members"),
+                gap.0 as u64,
+            )?;
         }
     }
     if members < 32 {
         for seed in 0..ROUNDS {
-            let Some(gap) = leader_gap(seed, members) else { continue };
-            recorder.duration(GAPS, &format!("leader's claim, crash, {members} members"), gap.0 as u64)?;
+            let Some(gap) = leader_gap(seed, members) else {
+                continue;
+            };
+            recorder.duration(
+                GAPS,
+                &format!("leader's claim, crash, {members} members"),
+                gap.0 as u64,
+            )?;
         }
     }
     Ok(())
@@ -127,10 +154,23 @@
         let minutes = AT_REST as f64 / 60.0;
         let requests: u64 = world.requests.values().sum();
         let size = members as u64;
-        recorder.count(REQUESTS, &format!("all duties, {name}"), size, requests as f64 / minutes);
-        recorder.count(CHANGES, &format!("each duty, {name}"), size, world.changes as f64 / minutes / DUTIES);
+        recorder.count(
+            REQUESTS,
+            &format!("all duties, {name}"),
+            size,
+            requests as f64 / minutes,
+        );
+        recorder.count(
+            CHANGES,
+            &format!("each duty, {name}"),
+            size,
+            world.changes as f64 / minutes / DUTIES,
+        );
         let machines = (world.cloud.ledger.len() - rented) as f64 / minutes;
-        println!("{members} members, {name}: {machines:.0} machines a minute, {:?}", world.requests);
+        println!(
+            "{members} members, {name}: {machines:.0} machines a minute, {:?}",
+            world.requests
+        );
     }
 }
 
--- a/crates/seamfront/src/cloud.rs
+++ b/crates/seamfront/src/cloud.rs
@@ -101,16 +101,28 @@
 pub async fn call(client: &Client, to: SocketAddr, request: &CloudCall) -> CloudReply {
     let (method, path, body) = match request {
         CloudCall::Types => (Method::Get, "/machine_types".to_owned(), None),
-        CloudCall::Rent { name, kind, zone, spot, count } => {
+        CloudCall::Rent {
+            name,
+            kind,
+            zone,
+            spot,
+            count,
+        } => {
             let body = json!({"encomenda": name, "modelo": kind, "praca": zone, "emprestados": spot, "count": count});
             (Method::Post, "/hosts".to_owned(), Some(body))
         }
         CloudCall::Delete { machines } => {
             let names: Vec<&str> = machines.iter().map(|m| m.as_str()).collect();
-            (Method::Post, "/hosts/delete".to_owned(), Some(json!({ "fornalhas": names })))
+            (
+                Method::Post,
+                "/hosts/delete".to_owned(),
+                Some(json!({ "fornalhas": names })),
+            )
         }
         CloudCall::List { after } => {
-            let after = after.as_ref().map_or(String::new(), |a| format!("after={a}&"));
+            let after = after
+                .as_ref()
+                .map_or(String::new(), |a| format!("after={a}&"));
             (Method::Get, format!("/hosts?{after}page=500"), None)
         }
     };
@@ -129,13 +141,20 @@
         (CloudCall::Rent { .. }, 200) => serde_json::from_slice::<WireRented>(&bytes)
             .ok()
             .map(|r| CloudReply::Rented(r.fornalhas.iter().map(|f| f.as_str().into()).collect())),
-        (CloudCall::Rent { .. }, 503) if String::from_utf8_lossy(&bytes).contains("no capacity") => {
+        (CloudCall::Rent { .. }, 503)
+            if String::from_utf8_lossy(&bytes).contains("no capacity") =>
+        {
             Some(CloudReply::NoCapacity)
         }
         (CloudCall::Delete { .. }, 200) => Some(CloudReply::Deleted),
-        (CloudCall::List { .. }, 200) => serde_json::from_slice::<WireList>(&bytes)
-            .ok()
-            .map(|l| CloudReply::Page { machines: l.fornalhas.into_iter().filter_map(listed).collect(), more: l.more }),
+        (CloudCall::List { .. }, 200) => {
+            serde_json::from_slice::<WireList>(&bytes)
+                .ok()
+                .map(|l| CloudReply::Page {
+                    machines: l.fornalhas.into_iter().filter_map(listed).collect(),
+                    more: l.more,
+                })
+        }
         _ => None,
     };
     reply.unwrap_or_else(|| {
--- a/crates/seamfront/src/driver.rs
+++ b/crates/seamfront/src/driver.rs
@@ -56,7 +56,9 @@
         }
         let reply = http::within(ANSWER_TIME, rx.recv()).await;
         self.waiting.borrow_mut().remove(&to);
-        reply.and_then(Result::ok).unwrap_or_else(|| Reply::later(1))
+        reply
+            .and_then(Result::ok)
+            .unwrap_or_else(|| Reply::later(1))
     }
 
     async fn handle(&self, req: Incoming) -> Reply {
@@ -66,10 +68,17 @@
         match path.as_slice() {
             ["up"] if get => self.ask(|to| Command::Health { to }).await,
             ["hello"] if post => {
-                let Some(body) = req.body else { return Reply::error(400, "body: too long") };
+                let Some(body) = req.body else {
+                    return Reply::error(400, "body: too long");
+                };
                 match workers::parse_report(&body) {
                     Ok(report) => {
-                        let mut r = self.ask(|to| Command::Report { to, report: Box::new(report) }).await;
+                        let mut r = self
+                            .ask(|to| Command::Report {
+                                to,
+                                report: Box::new(report),
+                            })
+                            .await;
                         r.worker = true;
                         r
                     }
@@ -77,18 +86,38 @@
                 }
             }
             ["submissions"] if post => {
-                let Some(body) = req.body else { return Reply::error(400, "body: too long") };
+                let Some(body) = req.body else {
+                    return Reply::error(400, "body: too long");
+                };
                 match users::parse_submission(&body) {
-                    Ok(spec) => self.ask(|to| Command::Submit { to, spec: Box::new(spec) }).await,
+                    Ok(spec) => {
+                        self.ask(|to| Command::Submit {
+                            to,
+                            spec: Box::new(spec),
+                        })
+                        .await
+                    }
                     Err(why) => Reply::error(400, &why),
                 }
             }
             ["submissions", id] if get => match users::valid_id(id) {
-                true => self.ask(|to| Command::Poll { to, id: JobId::from(*id) }).await,
+                true => {
+                    self.ask(|to| Command::Poll {
+                        to,
+                        id: JobId::from(*id),
+                    })
+                    .await
+                }
                 false => Reply::error(404, "no such job"),
             },
             ["submissions", id, "abort"] if post => match users::valid_id(id) {
-                true => self.ask(|to| Command::Cancel { to, id: JobId::from(*id) }).await,
+                true => {
+                    self.ask(|to| Command::Cancel {
+                        to,
+                        id: JobId::from(*id),
+                    })
+                    .await
+                }
                 false => Reply::error(404, "no such job"),
             },
             ["up" | "hello" | "submissions"] | ["submissions", _] | ["submissions", _, "abort"] => {
@@ -119,24 +148,38 @@
     }
 
     fn carry_out(&self, effect: Effect) {
-        let (client, queue, settings) = (self.client.clone(), self.queue.clone(), self.settings.clone());
+        let (client, queue, settings) = (
+            self.client.clone(),
+            self.queue.clone(),
+            self.settings.clone(),
+        );
         let start = self.start;
         match effect {
             Effect::Answer { to, answer } => self.reply(to, users::reply(&answer)),
-            Effect::Orders { to, token, orders } => self.reply(to, workers::orders_reply(token, &orders)),
+            Effect::Orders { to, token, orders } => {
+                self.reply(to, workers::orders_reply(token, &orders))
+            }
             Effect::Elsewhere { to, member } => {
                 let name = member.and_then(|m| settings.core.members.get(m));
                 self.reply(to, workers::elsewhere_reply(name.map(String::as_str)));
             }
             Effect::Healthy { to, yes } => {
-                let r = if yes { Reply::json(200, "{}".to_owned()) } else { Reply::error(503, "not ready") };
+                let r = if yes {
+                    Reply::json(200, "{}".to_owned())
+                } else {
+                    Reply::error(503, "not ready")
+                };
                 self.reply(to, r);
             }
             Effect::State { call, request } => self.spawn(async move {
                 let reply = state::call(&client, settings.state, &request).await;
                 let _ = queue.send(Command::State { call, reply }).await;
             }),
-            Effect::Cloud { call, request, until } => self.spawn(async move {
+            Effect::Cloud {
+                call,
+                request,
+                until,
+            } => self.spawn(async move {
                 // The process may have been stopped since the engine's step, for however long.
                 let reply = if until.is_some_and(|until| start.elapsed() >= duration(until)) {
                     CloudReply::Failed
@@ -145,9 +188,22 @@
                 };
                 let _ = queue.send(Command::Cloud { call, reply }).await;
             }),
-            Effect::Direct { call, machine, addr, session, token, orders } => self.spawn(async move {
+            Effect::Direct {
+                call,
+                machine,
+                addr,
+                session,
+                token,
+                orders,
+            } => self.spawn(async move {
                 let outcome = workers::direct(&client, &addr, session, token, &orders).await;
-                let _ = queue.send(Command::Direct { call, machine, outcome }).await;
+                let _ = queue
+                    .send(Command::Direct {
+                        call,
+                        machine,
+                        outcome,
+                    })
+                    .await;
             }),
             Effect::Mesh { to, message } => {
                 if let Some(Some(peer)) = self.peers.get(to) {
@@ -180,7 +236,11 @@
     let (queue, commands) = async_channel::bounded::<Command>(QUEUE);
     let waiting: Waiting = Rc::default();
     let client = Client::default();
-    let desk = Desk { queue: queue.clone(), waiting: waiting.clone(), next: Rc::default() };
+    let desk = Desk {
+        queue: queue.clone(),
+        waiting: waiting.clone(),
+        next: Rc::default(),
+    };
     let me = core.members[core.me].clone();
     let mut peers = Vec::new();
     for (k, name) in core.members.iter().enumerate() {
@@ -190,7 +250,14 @@
         }
         let (tx, rx) = async_channel::bounded(MESH_QUEUE);
         peers.push(Some(tx));
-        ex.spawn(mesh::deliver(ex, me.clone(), name.clone(), settings.peers[k], rx)).detach();
+        ex.spawn(mesh::deliver(
+            ex,
+            me.clone(),
+            name.clone(),
+            settings.peers[k],
+            rx,
+        ))
+        .detach();
     }
     let out = Out {
         ex,
@@ -213,7 +280,8 @@
     let engine = Engine::new(core.clone());
     async_io::block_on(ex.run(async move {
         let owner = own(engine, commands, out);
-        let failed = async { server.await.map_err(RunError::from) }.or(async { mesh.await.map_err(RunError::from) });
+        let failed = async { server.await.map_err(RunError::from) }
+            .or(async { mesh.await.map_err(RunError::from) });
         failed
             .or(async {
                 owner.await;
--- a/crates/seamfront/src/duties.rs
+++ b/crates/seamfront/src/duties.rs
@@ -42,7 +42,10 @@
 
     fn from_str(text: &str) -> Result<MoveRequest, String> {
         let (duty, to) = text.split_once('=').ok_or("must be DUTY=MEMBER")?;
-        Ok(MoveRequest { duty: duty.to_owned(), to: to.to_owned() })
+        Ok(MoveRequest {
+            duty: duty.to_owned(),
+            to: to.to_owned(),
+        })
     }
 }
 
@@ -64,13 +67,34 @@
     }
     let lease = seamfront_core::duties::lease_settings(&settings.core);
     if !lease.duties.contains(&request.duty) {
-        return invalid("move-duty", format!("{:?} is no duty; there is {}", request.duty, lease.duties.join(", ")));
+        return invalid(
+            "move-duty",
+            format!(
+                "{:?} is no duty; there is {}",
+                request.duty,
+                lease.duties.join(", ")
+            ),
+        );
     }
     // What belongs together goes together.
-    let group = if lease.together.contains(&request.duty) { lease.together } else { vec![request.duty.clone()] };
-    let value = record::write(&MoveRecord { format: FORMAT, to: request.to.clone() });
-    let put = |duty: &String| Write::Put { key: keys::move_request(duty), value: value.clone(), lease: None };
-    let commit = StateCall::Commit { when: Vec::new(), apply: group.iter().map(put).collect() };
+    let group = if lease.together.contains(&request.duty) {
+        lease.together
+    } else {
+        vec![request.duty.clone()]
+    };
+    let value = record::write(&MoveRecord {
+        format: FORMAT,
+        to: request.to.clone(),
+    });
+    let put = |duty: &String| Write::Put {
+        key: keys::move_request(duty),
+        value: value.clone(),
+        lease: None,
+    };
+    let commit = StateCall::Commit {
+        when: Vec::new(),
+        apply: group.iter().map(put).collect(),
+    };
     async_io::block_on(async {
         match state::call(&Client::default(), settings.state, &commit).await {
             StateReply::Committed { .. } => Ok(()),
@@ -86,13 +110,27 @@
     async_io::block_on(async {
         let client = Client::default();
         let control = list(&client, settings, keys::CONTROL_PREFIX).await?;
-        let in_use =
-            |entry: &&Entry| entry.key.starts_with(keys::MEMBER_PREFIX) || entry.key.starts_with(keys::CLAIM_PREFIX);
+        let in_use = |entry: &&Entry| {
+            entry.key.starts_with(keys::MEMBER_PREFIX) || entry.key.starts_with(keys::CLAIM_PREFIX)
+        };
         if let Some(entry) = control.iter().find(in_use) {
-            let reason = format!("{} is there: end all controllers that have duties on first", entry.key);
-            return Err(DutyCommandError::Invalid { field: "end-duties", reason });
+            let reason = format!(
+                "{} is there: end all controllers that have duties on first",
+                entry.key
+            );
+            return Err(DutyCommandError::Invalid {
+                field: "end-duties",
+                reason,
+            });
         }
-        let leader = match state::call(&client, settings.state, &StateCall::Get { key: LEADER_CLAIM.to_owned() }).await
+        let leader = match state::call(
+            &client,
+            settings.state,
+            &StateCall::Get {
+                key: LEADER_CLAIM.to_owned(),
+            },
+        )
+        .await
         {
             StateReply::Entry(entry) => Some(entry),
             StateReply::Missing => None,
@@ -103,14 +141,20 @@
         let mut when = vec![(keys::SWITCH.to_owned(), switch.version)];
         when.extend(lease.duties.iter().map(|duty| (keys::claim(duty), 0)));
         when.extend(lease.members.iter().map(|member| (keys::member(member), 0)));
-        let mut apply = vec![Write::Delete { key: keys::SWITCH.to_owned() }];
+        let mut apply = vec![Write::Delete {
+            key: keys::SWITCH.to_owned(),
+        }];
         if let Some(leader) = leader {
             when.push((leader.key.clone(), leader.version));
             apply.push(Write::Delete { key: leader.key });
         }
         // The next switch waits until all have begun with duties on again.
-        let versions = control.iter().filter(|entry| entry.key.starts_with(keys::VERSION_PREFIX));
-        apply.extend(versions.map(|entry| Write::Delete { key: entry.key.clone() }));
+        let versions = control
+            .iter()
+            .filter(|entry| entry.key.starts_with(keys::VERSION_PREFIX));
+        apply.extend(versions.map(|entry| Write::Delete {
+            key: entry.key.clone(),
+        }));
         match state::call(&client, settings.state, &StateCall::Commit { when, apply }).await {
             StateReply::Committed { .. } => Ok(()),
             other => Err(DutyCommandError::State(format!("not written: {other:?}"))),
@@ -118,11 +162,18 @@
     })
 }
 
-async fn list(client: &Client, settings: &Service, prefix: &str) -> Result<Vec<Entry>, DutyCommandError> {
+async fn list(
+    client: &Client,
+    settings: &Service,
+    prefix: &str,
+) -> Result<Vec<Entry>, DutyCommandError> {
     let mut all = Vec::new();
     loop {
         let after = all.last().map(|entry: &Entry| entry.key.clone());
-        let request = StateCall::List { prefix: prefix.to_owned(), after };
+        let request = StateCall::List {
+            prefix: prefix.to_owned(),
+            after,
+        };
         match state::call(client, settings.state, &request).await {
             StateReply::Page { entries, more, .. } => {
                 all.extend(entries);
@@ -137,8 +188,10 @@
 
 /// A line for each duty, member and request. What can't be read is said to be so.
 fn describe(control: &[Entry], logs: &[Entry]) -> String {
-    let logs: BTreeMap<&str, &Entry> =
-        logs.iter().filter_map(|entry| Some((entry.key.strip_prefix(keys::LOG_PREFIX)?, entry))).collect();
+    let logs: BTreeMap<&str, &Entry> = logs
+        .iter()
+        .filter_map(|entry| Some((entry.key.strip_prefix(keys::LOG_PREFIX)?, entry)))
+        .collect();
     let mut text = String::new();
     for entry in control {
         let line = if let Some(duty) = entry.key.strip_prefix(keys::CLAIM_PREFIX) {
@@ -169,7 +222,10 @@
         Some(Ok(log)) => format!("{} open, {} ended", log.open.len(), log.ended),
         Some(Err(error)) => error.to_string(),
     };
-    format!("duty {duty}: held by {} under token {}; {operations}", claim.member, entry.version)
+    format!(
+        "duty {duty}: held by {} under token {}; {operations}",
+        claim.member, entry.version
+    )
 }
 
 fn describe_member(member: &str, entry: &Entry) -> String {
--- a/crates/seamfront/src/http.rs
+++ b/crates/seamfront/src/http.rs
@@ -94,7 +94,9 @@
             Some(s) => s,
             None => {
                 let connect = within(CONNECT_TIME.min(limit), TcpStream::connect(to)).await;
-                let Some(Ok(s)) = connect else { return Err(Failure::NotSent) };
+                let Some(Ok(s)) = connect else {
+                    return Err(Failure::NotSent);
+                };
                 let _ = s.set_nodelay(true);
                 s
             }
@@ -106,16 +108,22 @@
                 request.insert_header("content-type", "application/json");
                 request.set_body(b);
             }
-            let mut response = async_h1::connect(stream.clone(), request).await.map_err(|_| Failure::Unknown)?;
+            let mut response = async_h1::connect(stream.clone(), request)
+                .await
+                .map_err(|_| Failure::Unknown)?;
             let status = response.status() as u16;
-            let closing = response.header("connection").is_some_and(|c| c.as_str().eq_ignore_ascii_case("close"));
+            let closing = response
+                .header("connection")
+                .is_some_and(|c| c.as_str().eq_ignore_ascii_case("close"));
             let bytes = response.body_bytes().await.map_err(|_| Failure::Unknown)?;
             if !closing {
                 self.keep(to, stream);
             }
             Ok((status, bytes))
         };
-        within(limit, exchange).await.unwrap_or(Err(Failure::Unknown))
+        within(limit, exchange)
+            .await
+            .unwrap_or(Err(Failure::Unknown))
     }
 }
 
@@ -174,7 +182,13 @@
 impl Reply {
     /// An answer with a body.
     pub fn json(status: u16, body: String) -> Reply {
-        Reply { status, body, retry_after: None, worker: false, close: false }
+        Reply {
+            status,
+            body,
+            retry_after: None,
+            worker: false,
+            close: false,
+        }
     }
 
     /// An answer that names an error.
@@ -220,7 +234,11 @@
         connections.make_room(most);
         next += 1;
         let id = next;
-        let c = Connection { used: Instant::now(), worker: false, stream: stream.clone() };
+        let c = Connection {
+            used: Instant::now(),
+            worker: false,
+            stream: stream.clone(),
+        };
         connections.open.borrow_mut().insert(id, c);
         let (connections, handle) = (connections.clone(), handle.clone());
         ex.spawn(async move {
@@ -234,7 +252,12 @@
     }
 }
 
-async fn converse<F, Fut>(stream: TcpStream, connections: &Connections, id: u64, handle: F) -> http_types::Result<()>
+async fn converse<F, Fut>(
+    stream: TcpStream,
+    connections: &Connections,
+    id: u64,
+    handle: F,
+) -> http_types::Result<()>
 where
     F: Fn(Incoming) -> Fut,
     Fut: Future<Output = Reply>,
@@ -244,17 +267,25 @@
         async move {
             let mut body = Vec::new();
             let mut limited = req.take_body().take(BODY_MAX + 1);
-            let whole = matches!(within(BODY_TIME, limited.read_to_end(&mut body)).await, Some(Ok(_)));
+            let whole = matches!(
+                within(BODY_TIME, limited.read_to_end(&mut body)).await,
+                Some(Ok(_))
+            );
             let url = req.url();
             let path = url.path().to_owned();
             let fits = whole && body.len() as u64 <= BODY_MAX;
-            let incoming = Incoming { method: req.method(), path, body: fits.then_some(body) };
+            let incoming = Incoming {
+                method: req.method(),
+                path,
+                body: fits.then_some(body),
+            };
             let reply = handle(incoming).await;
             if let Some(c) = connections.open.borrow_mut().get_mut(&id) {
                 c.used = Instant::now();
                 c.worker |= reply.worker;
             }
-            let status = StatusCode::try_from(reply.status).unwrap_or(StatusCode::InternalServerError);
+            let status =
+                StatusCode::try_from(reply.status).unwrap_or(StatusCode::InternalServerError);
             let mut res = Response::new(status);
             res.insert_header("content-type", "application/json");
             if let Some(s) = reply.retry_after {
--- a/crates/seamfront/src/main.rs
+++ b/crates/seamfront/src/main.rs
@@ -41,19 +41,28 @@
 
 fn main() -> ExitCode {
     let args = Args::parse();
-    let level = std::env::var("LOG_LEVEL").ok().and_then(|l| l.parse().ok()).unwrap_or(tracing::Level::INFO);
+    let level = std::env::var("LOG_LEVEL")
+        .ok()
+        .and_then(|l| l.parse().ok())
+        .unwrap_or(tracing::Level::INFO);
     // More than info is of use only about ourselves: libraries tell each frame of each connection.
     let others = LevelFilter::from(level).min(LevelFilter::INFO);
-    let told = Targets::new().with_target("seamfront", level).with_default(others);
-    let lines = tracing_subscriber::fmt::layer().with_writer(std::io::stderr).without_time().with_ansi(false);
+    let told = Targets::new()
+        .with_target("seamfront", level)
+        .with_default(others);
+    let lines = tracing_subscriber::fmt::layer()
+        .with_writer(std::io::stderr)
+        .without_time()
+        .with_ansi(false);
     tracing_subscriber::registry().with(lines).with(told).init();
-    let settings = match settings::load(&args.config).and_then(|settings| settings.with_duties(args.duties)) {
-        Ok(s) => s,
-        Err(e) => {
-            let _ = writeln!(std::io::stderr(), "seamfront: {e}");
-            return ExitCode::from(2);
-        }
-    };
+    let settings =
+        match settings::load(&args.config).and_then(|settings| settings.with_duties(args.duties)) {
+            Ok(s) => s,
+            Err(e) => {
+                let _ = writeln!(std::io::stderr(), "seamfront: {e}");
+                return ExitCode::from(2);
+            }
+        };
     if args.check {
         let _ = writeln!(std::io::stdout(), "settings are valid");
         return ExitCode::SUCCESS;
@@ -71,9 +80,24 @@
 }
 
 fn duty_command(args: &Args, settings: &settings::Service) -> ExitCode {
-    let moved = args.move_duty.as_ref().map_or(Ok(()), |request| duties::request_move(settings, request));
-    let ended = moved.and_then(|()| if args.end_duties { duties::end(settings) } else { Ok(()) });
-    let shown = ended.and_then(|()| if args.show_duties { duties::show(settings) } else { Ok(String::new()) });
+    let moved = args
+        .move_duty
+        .as_ref()
+        .map_or(Ok(()), |request| duties::request_move(settings, request));
+    let ended = moved.and_then(|()| {
+        if args.end_duties {
+            duties::end(settings)
+        } else {
+            Ok(())
+        }
+    });
+    let shown = ended.and_then(|()| {
+        if args.show_duties {
+            duties::show(settings)
+        } else {
+            Ok(String::new())
+        }
+    });
     match shown {
         Ok(text) => {
             let _ = write!(std::io::stdout(), "{text}");
--- a/crates/seamfront/src/mesh.rs
+++ b/crates/seamfront/src/mesh.rs
@@ -60,7 +60,9 @@
 /// Reads messages from JSON.
 pub struct JsonDecoder<D>(PhantomData<D>);
 
-impl<E: Serialize + Send + 'static, D: DeserializeOwned + Send + 'static> Codec for JsonCodec<E, D> {
+impl<E: Serialize + Send + 'static, D: DeserializeOwned + Send + 'static> Codec
+    for JsonCodec<E, D>
+{
     type Encode = E;
     type Decode = D;
     type Encoder = JsonEncoder<E>;
@@ -81,7 +83,8 @@
 
     fn encode(&mut self, item: E, dst: &mut EncodeBuf<'_>) -> Result<(), Status> {
         use tonic::codegen::Bytes;
-        let bytes = Bytes::from(serde_json::to_vec(&item).map_err(|e| Status::internal(e.to_string()))?);
+        let bytes =
+            Bytes::from(serde_json::to_vec(&item).map_err(|e| Status::internal(e.to_string()))?);
         hyper_buf::put(dst, &bytes);
         Ok(())
     }
@@ -96,7 +99,9 @@
         if bytes.is_empty() {
             return Ok(None);
         }
-        serde_json::from_slice(&bytes).map(Some).map_err(|e| Status::invalid_argument(e.to_string()))
+        serde_json::from_slice(&bytes)
+            .map(Some)
+            .map_err(|e| Status::invalid_argument(e.to_string()))
     }
 }
 
@@ -173,8 +178,8 @@
                 let mut service = service.clone();
                 async move { service.call(req).await }
             });
-            let conn =
-                hyper::server::conn::http2::Builder::new(Spawn(ex)).serve_connection(FuturesIo::new(stream), handler);
+            let conn = hyper::server::conn::http2::Builder::new(Spawn(ex))
+                .serve_connection(FuturesIo::new(stream), handler);
             if let Err(e) = conn.await {
                 debug!(%e, "a peer's connection ended");
             }
@@ -213,7 +218,12 @@
         }
     })
     .detach();
-    let origin = http::Uri::builder().scheme("http").authority(to.to_string()).path_and_query("/").build().ok()?;
+    let origin = http::Uri::builder()
+        .scheme("http")
+        .authority(to.to_string())
+        .path_and_query("/")
+        .build()
+        .ok()?;
     Some(MeshClient::with_origin(Http2(sender), origin).max_decoding_message_size(MESSAGE_MAX))
 }
 
@@ -240,7 +250,14 @@
             while queue.try_recv().is_ok() {}
             continue;
         };
-        let sent = within(CALL_TIME, c.deliver(Envelope { from: me.clone(), message })).await;
+        let sent = within(
+            CALL_TIME,
+            c.deliver(Envelope {
+                from: me.clone(),
+                message,
+            }),
+        )
+        .await;
         match sent {
             Some(Ok(_)) => {
                 if !reached {
--- a/crates/seamfront/src/settings.rs
+++ b/crates/seamfront/src/settings.rs
@@ -29,7 +29,10 @@
 }
 
 fn invalid(field: impl Into<String>, why: impl Into<String>) -> SettingsError {
-    SettingsError::Invalid { field: field.into(), why: why.into() }
+    SettingsError::Invalid {
+        field: field.into(),
+        why: why.into(),
+    }
 }
 
 /// Everything a process needs: the core's settings and the addresses round it.
@@ -57,7 +60,9 @@
         self.core.tuning.duties |= wanted;
         if self.core.tuning.duties {
             let settings = seamfront_core::duties::lease_settings(&self.core);
-            settings.validate().map_err(|e| invalid(format!("duties: {}", e.field), e.reason))?;
+            settings
+                .validate()
+                .map_err(|e| invalid(format!("duties: {}", e.field), e.reason))?;
         }
         Ok(self)
     }
@@ -152,7 +157,10 @@
             rps: least(self.rps, self.next.rps),
             write_rps: least(self.write_rps, self.next.write_rps),
             value_kb: least(self.value_kb, self.next.value_kb),
-            txn_ops: self.next.txn_ops.map_or(self.txn_ops, |n| n.min(self.txn_ops)),
+            txn_ops: self
+                .next
+                .txn_ops
+                .map_or(self.txn_ops, |n| n.min(self.txn_ops)),
             next: FileStateNext::default(),
         }
     }
@@ -171,7 +179,10 @@
 
 /// Reads the settings file, and the operators' own beside it.
 pub fn load(path: &Path) -> Result<Service, SettingsError> {
-    let unreadable = |p: &Path, why: String| SettingsError::Unreadable { path: p.display().to_string(), why };
+    let unreadable = |p: &Path, why: String| SettingsError::Unreadable {
+        path: p.display().to_string(),
+        why,
+    };
     let text = std::fs::read_to_string(path).map_err(|e| unreadable(path, e.to_string()))?;
     let ini_path = path.with_file_name("seamfront.ini");
     let ini = match std::fs::read_to_string(&ini_path) {
@@ -186,10 +197,19 @@
 pub fn parse(toml_text: &str, ini_text: Option<&str>) -> Result<Service, SettingsError> {
     let file: File = toml::from_str(toml_text).map_err(|e| {
         // The parser's message names the field; one line is enough.
-        invalid("settings", e.to_string().split('\n').filter(|l| !l.trim().is_empty()).collect::<Vec<_>>().join(" | "))
+        invalid(
+            "settings",
+            e.to_string()
+                .split('\n')
+                .filter(|l| !l.trim().is_empty())
+                .collect::<Vec<_>>()
+                .join(" | "),
+        )
     })?;
-    let addr =
-        |field: &str, s: &str| s.parse::<SocketAddr>().map_err(|_| invalid(field, format!("`{s}` is not IP:PORT")));
+    let addr = |field: &str, s: &str| {
+        s.parse::<SocketAddr>()
+            .map_err(|_| invalid(field, format!("`{s}` is not IP:PORT")))
+    };
     let secs = |field: &str, v: f64| {
         if v.is_finite() && v > 0.0 && v <= 1e6 {
             Ok(Micros::from_secs_decimal(v))
@@ -211,20 +231,34 @@
     let mut members = vec![(file.member.clone(), mesh)];
     for m in &file.members {
         if members.iter().any(|x| x.0 == m.member) {
-            return Err(invalid("members.member", format!("`{}` is named twice", m.member)));
+            return Err(invalid(
+                "members.member",
+                format!("`{}` is named twice", m.member),
+            ));
         }
         members.push((m.member.clone(), addr("members.peer_addr", &m.peer_addr)?));
     }
     members.sort();
     let mut teams = Vec::new();
     for t in &file.params.teams {
-        for (f, v) in [("cpus", t.cpus), ("cpus_max", t.cpus_max), ("gpus", t.gpus), ("gpus_max", t.gpus_max)] {
+        for (f, v) in [
+            ("cpus", t.cpus),
+            ("cpus_max", t.cpus_max),
+            ("gpus", t.gpus),
+            ("gpus_max", t.gpus_max),
+        ] {
             if !v.is_finite() || !(0.0..=1e9).contains(&v) {
-                return Err(invalid(format!("params.teams.{f}"), format!("of `{}` must not be negative", t.name)));
+                return Err(invalid(
+                    format!("params.teams.{f}"),
+                    format!("of `{}` must not be negative", t.name),
+                ));
             }
         }
         if teams.iter().any(|x: &Team| x.name == t.name) {
-            return Err(invalid("params.teams.name", format!("`{}` is named twice", t.name)));
+            return Err(invalid(
+                "params.teams.name",
+                format!("`{}` is named twice", t.name),
+            ));
         }
         teams.push(Team {
             name: t.name.clone(),
@@ -292,7 +326,12 @@
     for (section, props) in ini.iter() {
         for (key, value) in props.iter() {
             let field = format!("{}.{key}", section.unwrap_or(""));
-            let bad = |why: &str| invalid(format!("seamfront.ini: {field}"), format!("`{value}` {why}"));
+            let bad = |why: &str| {
+                invalid(
+                    format!("seamfront.ini: {field}"),
+                    format!("`{value}` {why}"),
+                )
+            };
             let secs = |least: f64, most: f64| match value.trim().parse::<f64>() {
                 Ok(v) if (least..=most).contains(&v) => Ok(Micros::from_secs_decimal(v)),
                 _ => Err(bad(&format!("must be seconds from {least} to {most}"))),
--- a/crates/seamfront/src/state.rs
+++ b/crates/seamfront/src/state.rs
@@ -22,7 +22,11 @@
 
 impl From<WirePair> for Entry {
     fn from(p: WirePair) -> Entry {
-        Entry { key: p.key, value: p.data, version: p.rasura }
+        Entry {
+            key: p.key,
+            value: p.data,
+            version: p.rasura,
+        }
     }
 }
 
@@ -67,12 +71,23 @@
 }
 
 fn commit_body(when: &[(String, u64)], apply: &[Write]) -> Value {
-    let when: Vec<Value> = when.iter().map(|(k, v)| json!({"key": k, "rasura": v})).collect();
+    let when: Vec<Value> = when
+        .iter()
+        .map(|(k, v)| json!({"key": k, "rasura": v}))
+        .collect();
     let apply: Vec<Value> = apply
         .iter()
         .map(|w| match w {
-            Write::Put { key, value, lease: Some(l) } => json!({"write": key, "data": value, "vale": l}),
-            Write::Put { key, value, lease: None } => json!({"write": key, "data": value}),
+            Write::Put {
+                key,
+                value,
+                lease: Some(l),
+            } => json!({"write": key, "data": value, "vale": l}),
+            Write::Put {
+                key,
+                value,
+                lease: None,
+            } => json!({"write": key, "data": value}),
             Write::Delete { key } => json!({"remove": key}),
         })
         .collect();
@@ -88,20 +103,47 @@
     let (method, path, body, limit) = match request {
         StateCall::Get { key } => (Method::Get, format!("/kv/{key}"), None, CALL_TIME),
         StateCall::List { prefix, after } => {
-            let after = after.as_ref().map_or(String::new(), |a| format!("&after={a}"));
-            (Method::Get, format!("/kv?prefix={prefix}{after}&page={PAGE}"), None, CALL_TIME)
-        }
-        StateCall::Commit { when, apply } => {
-            (Method::Post, "/commit".to_owned(), Some(commit_body(when, apply)), CALL_TIME)
+            let after = after
+                .as_ref()
+                .map_or(String::new(), |a| format!("&after={a}"));
+            (
+                Method::Get,
+                format!("/kv?prefix={prefix}{after}&page={PAGE}"),
+                None,
+                CALL_TIME,
+            )
         }
-        StateCall::Grant { ttl } => {
-            (Method::Post, "/grants".to_owned(), Some(json!({"ttl_ms": ttl.0 / 1_000})), CALL_TIME)
-        }
-        StateCall::Renew { lease } => (Method::Post, format!("/grants/{lease}/renew"), None, CALL_TIME),
-        StateCall::Changes { prefix, after, hold } => {
+        StateCall::Commit { when, apply } => (
+            Method::Post,
+            "/commit".to_owned(),
+            Some(commit_body(when, apply)),
+            CALL_TIME,
+        ),
+        StateCall::Grant { ttl } => (
+            Method::Post,
+            "/grants".to_owned(),
+            Some(json!({"ttl_ms": ttl.0 / 1_000})),
+            CALL_TIME,
+        ),
+        StateCall::Renew { lease } => (
+            Method::Post,
+            format!("/grants/{lease}/renew"),
+            None,
+            CALL_TIME,
+        ),
+        StateCall::Changes {
+            prefix,
+            after,
+            hold,
+        } => {
             let ms = hold.0 / 1_000;
             let path = format!("/changes?prefix={prefix}&after={after}&hold_ms={ms}");
-            (Method::Get, path, None, CALL_TIME + Duration::from_millis(ms.max(0) as u64))
+            (
+                Method::Get,
+                path,
+                None,
+                CALL_TIME + Duration::from_millis(ms.max(0) as u64),
+            )
         }
     };
     let body = body.map(|b| b.to_string().into_bytes());
@@ -132,10 +174,18 @@
         (StateCall::List { .. }, 200) => {
             let p: WirePage = read(bytes)?;
             let entries = p.pairs.into_iter().map(Entry::from).collect();
-            StateReply::Page { entries, more: p.more, revision: p.caderno }
+            StateReply::Page {
+                entries,
+                more: p.more,
+                revision: p.caderno,
+            }
         }
-        (StateCall::Commit { .. }, 200) => StateReply::Committed { revision: read::<WireRevision>(bytes)?.caderno },
-        (StateCall::Commit { .. }, 409) => StateReply::Conflict { failed: read::<WireFailed>(bytes)?.failed },
+        (StateCall::Commit { .. }, 200) => StateReply::Committed {
+            revision: read::<WireRevision>(bytes)?.caderno,
+        },
+        (StateCall::Commit { .. }, 409) => StateReply::Conflict {
+            failed: read::<WireFailed>(bytes)?.failed,
+        },
         (StateCall::Commit { .. }, 400) => {
             let text = String::from_utf8_lossy(bytes);
             if !text.contains("no such lease") {
@@ -143,7 +193,9 @@
             }
             StateReply::NoSuchLease
         }
-        (StateCall::Grant { .. }, 200) => StateReply::Lease { id: read::<WireLease>(bytes)?.vale },
+        (StateCall::Grant { .. }, 200) => StateReply::Lease {
+            id: read::<WireLease>(bytes)?.vale,
+        },
         (StateCall::Renew { .. }, 200) => StateReply::Renewed,
         (StateCall::Renew { .. }, 404) => StateReply::NoSuchLease,
         (StateCall::Changes { .. }, 410) => StateReply::TooOld,
@@ -158,7 +210,10 @@
                 }
             }
             events.sort_by_key(|e| e.2);
-            StateReply::Changes { revision: c.caderno, events }
+            StateReply::Changes {
+                revision: c.caderno,
+                events,
+            }
         }
         _ => return None,
     })
--- a/crates/seamfront/src/users.rs
+++ b/crates/seamfront/src/users.rs
@@ -12,7 +12,8 @@
 
 /// Job ids are `j-` and digits.
 pub fn valid_id(id: &str) -> bool {
-    id.strip_prefix("j-").is_some_and(|n| (1..=30).contains(&n.len()) && n.bytes().all(|b| b.is_ascii_digit()))
+    id.strip_prefix("j-")
+        .is_some_and(|n| (1..=30).contains(&n.len()) && n.bytes().all(|b| b.is_ascii_digit()))
 }
 
 struct Fields<'a>(&'a Map<String, Value>);
@@ -58,7 +59,11 @@
 
     fn one_of<T: Copy>(&self, name: &str, choices: &[(&str, T)]) -> Result<T, String> {
         let text = self.text(name)?;
-        choices.iter().find(|c| c.0 == text).map(|c| c.1).ok_or_else(|| format!("{name}: `{text}` is unknown"))
+        choices
+            .iter()
+            .find(|c| c.0 == text)
+            .map(|c| c.1)
+            .ok_or_else(|| format!("{name}: `{text}` is unknown"))
     }
 }
 
@@ -73,24 +78,47 @@
     let tasks = match f.get("paes") {
         Some(v) => match v.as_u64() {
             Some(n @ 1..=TASKS_MAX) => n as u32,
-            _ => return Err(format!("paes: must be a whole number from 1 to {TASKS_MAX}")),
+            _ => {
+                return Err(format!(
+                    "paes: must be a whole number from 1 to {TASKS_MAX}"
+                ))
+            }
         },
         None => return Err("paes: missing".to_owned()),
     };
     let types = match f.get("modelos") {
         None => None,
         Some(Value::Array(a)) if a.len() <= TYPES_MAX => {
-            let names = a.iter().map(|v| v.as_str().filter(|s| s.len() <= NAME_MAX).map(str::to_owned));
-            Some(names.collect::<Option<Vec<String>>>().ok_or("modelos: must hold texts")?)
+            let names = a.iter().map(|v| {
+                v.as_str()
+                    .filter(|s| s.len() <= NAME_MAX)
+                    .map(str::to_owned)
+            });
+            Some(
+                names
+                    .collect::<Option<Vec<String>>>()
+                    .ok_or("modelos: must hold texts")?,
+            )
         }
         Some(_) => return Err("modelos: must be a list of texts or null".to_owned()),
     };
-    let need = Amounts::needed(f.amount("cores")?, f.amount("accelerators")?, f.amount("ram_gb")?);
+    let need = Amounts::needed(
+        f.amount("cores")?,
+        f.amount("accelerators")?,
+        f.amount("ram_gb")?,
+    );
     Ok(JobSpec {
         id: id.as_str().into(),
         class: f.text("fornada")?,
         team: f.text("equipe")?,
-        kind: f.one_of("feitio", &[("array", Kind::Array), ("group", Kind::Gang), ("service", Kind::Service)])?,
+        kind: f.one_of(
+            "feitio",
+            &[
+                ("array", Kind::Array),
+                ("group", Kind::Gang),
+                ("service", Kind::Service),
+            ],
+        )?,
         priority: f.one_of(
             "vez",
             &[
@@ -112,7 +140,10 @@
         estimate: f.span("assa_s")?,
         checkpoint: f.span("vira_s")?,
         save: f.span("guarda_s")?,
-        deadline: f.get("entrega_s").map(|_| f.span("entrega_s")).transpose()?,
+        deadline: f
+            .get("entrega_s")
+            .map(|_| f.span("entrega_s"))
+            .transpose()?,
         submitted: Micros::ZERO,
         needs: needs(&f, &id)?,
         needs_parts: 0,
@@ -121,11 +152,18 @@
 
 /// Jobs that have to be done first; each counts once.
 fn needs(f: &Fields, own: &str) -> Result<Vec<JobId>, String> {
-    let Some(value) = f.get("espera") else { return Ok(Vec::new()) };
-    let list = value.as_array().ok_or("espera: must be a list of job ids or null")?;
+    let Some(value) = f.get("espera") else {
+        return Ok(Vec::new());
+    };
+    let list = value
+        .as_array()
+        .ok_or("espera: must be a list of job ids or null")?;
     let mut needs = std::collections::BTreeSet::new();
     for v in list {
-        let id = v.as_str().filter(|s| valid_id(s)).ok_or("espera: must hold job ids")?;
+        let id = v
+            .as_str()
+            .filter(|s| valid_id(s))
+            .ok_or("espera: must hold job ids")?;
         if id == own {
             return Err("espera: names the job itself".to_owned());
         }
@@ -137,7 +175,13 @@
 /// What a user is told.
 pub fn reply(answer: &Answer) -> Reply {
     match answer {
-        Answer::Status { created, id, state, done, running } => {
+        Answer::Status {
+            created,
+            id,
+            state,
+            done,
+            running,
+        } => {
             let state = match state {
                 ShownState::Queued => "queued",
                 ShownState::Running => "running",
--- a/crates/seamfront/src/workers.rs
+++ b/crates/seamfront/src/workers.rs
@@ -42,7 +42,10 @@
 /// Reads a task's name on the wire.
 pub fn task_key(s: &str) -> Option<TaskKey> {
     let (job, index) = s.rsplit_once('/')?;
-    Some(TaskKey { job: job.into(), index: index.parse().ok()? })
+    Some(TaskKey {
+        job: job.into(),
+        index: index.parse().ok()?,
+    })
 }
 
 fn task_state(t: &WireTask) -> Option<TaskState> {
@@ -53,7 +56,9 @@
         "saving" => TaskState::Saving,
         "exited" => TaskState::Exited(match t.motivo.as_deref()? {
             "done" => Exit::Done,
-            "halted" => Exit::Stopped { saved: t.saved.unwrap_or(false) },
+            "halted" => Exit::Stopped {
+                saved: t.saved.unwrap_or(false),
+            },
             "peers" => Exit::Peers,
             "alone" => Exit::Alone,
             "error" => Exit::Error,
@@ -74,7 +79,11 @@
     for t in &w.paes {
         let task = task_key(&t.pao).ok_or_else(|| format!("paes.pao: `{}`", t.pao))?;
         let state = task_state(t).ok_or_else(|| format!("paes.ponto: `{}`", t.ponto))?;
-        tasks.push(TaskReport { task, attempt: t.tentativa, state });
+        tasks.push(TaskReport {
+            task,
+            attempt: t.tentativa,
+            state,
+        });
     }
     let notice = match w.aviso_s {
         Some(s) if !s.is_finite() => return Err("aviso_s".to_owned()),
@@ -93,18 +102,29 @@
 
 fn orders_json(orders: &[Order]) -> Vec<Value> {
     let one = |o: &Order| match o {
-        Order::Start { task, attempt } => json!({"ordem": "run", "pao": task.to_string(), "tentativa": attempt}),
-        Order::Stop { task, attempt, grace } => json!({
+        Order::Start { task, attempt } => {
+            json!({"ordem": "run", "pao": task.to_string(), "tentativa": attempt})
+        }
+        Order::Stop {
+            task,
+            attempt,
+            grace,
+        } => json!({
             "ordem": "stop", "pao": task.to_string(), "tentativa": attempt, "folga_s": grace.as_secs_decimal()
         }),
-        Order::Forget { task, attempt } => json!({"ordem": "clear", "pao": task.to_string(), "tentativa": attempt}),
+        Order::Forget { task, attempt } => {
+            json!({"ordem": "clear", "pao": task.to_string(), "tentativa": attempt})
+        }
     };
     orders.iter().take(ORDERS_MAX).map(one).collect()
 }
 
 /// The answer to a report, with orders.
 pub fn orders_reply(token: u64, orders: &[Order]) -> Reply {
-    let mut r = Reply::json(200, json!({"bastao": token, "ordens": orders_json(orders)}).to_string());
+    let mut r = Reply::json(
+        200,
+        json!({"bastao": token, "ordens": orders_json(orders)}).to_string(),
+    );
     r.worker = true;
     r
 }
@@ -116,15 +136,33 @@
 }
 
 /// Sends orders straight to a worker.
-pub async fn direct(client: &Client, addr: &str, session: u64, token: u64, orders: &[Order]) -> DirectOutcome {
-    let Ok(to) = addr.parse::<SocketAddr>() else { return DirectOutcome::NotSent };
+pub async fn direct(
+    client: &Client,
+    addr: &str,
+    session: u64,
+    token: u64,
+    orders: &[Order],
+) -> DirectOutcome {
+    let Ok(to) = addr.parse::<SocketAddr>() else {
+        return DirectOutcome::NotSent;
+    };
     let body = json!({"bastao": token, "turno": session, "ordens": orders_json(orders)});
-    let sent = client.call(to, Method::Post, "/commands", Some(body.to_string().into_bytes()), DIRECT_TIME).await;
+    let sent = client
+        .call(
+            to,
+            Method::Post,
+            "/commands",
+            Some(body.to_string().into_bytes()),
+            DIRECT_TIME,
+        )
+        .await;
     match sent {
         Err(Failure::NotSent) => DirectOutcome::NotSent,
         Err(Failure::Unknown) => DirectOutcome::Unknown,
         Ok((200 | 409, bytes)) => match parse_report(&bytes) {
-            Ok(report) => DirectOutcome::Settled { report: Box::new(report) },
+            Ok(report) => DirectOutcome::Settled {
+                report: Box::new(report),
+            },
             Err(why) => {
                 warn!(addr, why, "odd answer of a worker");
                 DirectOutcome::Unknown
--- a/crates/seamfront/tests/duties.rs
+++ b/crates/seamfront/tests/duties.rs
@@ -21,7 +21,12 @@
         let service = StateService::new();
         let shared = service.clone();
         let state = http::serve(move |method, path, body| shared.handle(method, path, &body));
-        Pair { dir, state, service, mesh: [free_port(), free_port()] }
+        Pair {
+            dir,
+            state,
+            service,
+            mesh: [free_port(), free_port()],
+        }
     }
 
     /// Settings of one of the two; each has a folder of its own.
@@ -30,8 +35,15 @@
         let dir = self.dir.join(names[member]);
         std::fs::create_dir_all(&dir).unwrap();
         let text = include_str!("../../../docs/settings.example.toml")
-            .replace("member = \"beta\"", &format!("member = \"{}\"", names[1 - member]))
-            .replacen("member = \"alpha\"", &format!("member = \"{}\"", names[member]), 1)
+            .replace(
+                "member = \"beta\"",
+                &format!("member = \"{}\"", names[1 - member]),
+            )
+            .replacen(
+                "member = \"alpha\"",
+                &format!("member = \"{}\"", names[member]),
+                1,
+            )
             .replace("127.0.0.1:8080", &free_port().to_string())
             .replace("127.0.0.1:8081", &self.mesh[member].to_string())
             .replace("127.0.0.1:8091", &self.mesh[1 - member].to_string())
@@ -46,11 +58,16 @@
     }
 
     fn has(&self, key: &str) -> bool {
-        self.service.handle("GET", &format!("/kv/{key}"), &json!(null)).0 == 200
+        self.service
+            .handle("GET", &format!("/kv/{key}"), &json!(null))
+            .0
+            == 200
     }
 
     fn holder(&self) -> Option<String> {
-        let (_, claim) = self.service.handle("GET", "/kv/duty/claim/cleaning", &json!(null));
+        let (_, claim) = self
+            .service
+            .handle("GET", "/kv/duty/claim/cleaning", &json!(null));
         claim["data"]["member"].as_str().map(str::to_owned)
     }
 }
@@ -62,15 +79,28 @@
 }
 
 fn run(settings: &Path, args: &[&str]) -> (bool, String) {
-    let output = program().args(args).arg("--config").arg(settings).output().unwrap();
+    let output = program()
+        .args(args)
+        .arg("--config")
+        .arg(settings)
+        .output()
+        .unwrap();
     let text = [output.stdout, output.stderr].concat();
-    (output.status.success(), String::from_utf8_lossy(&text).into_owned())
+    (
+        output.status.success(),
+        String::from_utf8_lossy(&text).into_owned(),
+    )
 }
 
 #[test]
 fn controllers_clean_up_and_a_duty_is_moved_by_hand() {
     let pair = Pair::new("duties");
-    for key in ["needs/j-000007/00001", "part/0/j-000007/00000", "needs/j-000008/00001", "end/j-000007"] {
+    for key in [
+        "needs/j-000007/00001",
+        "part/0/j-000007/00000",
+        "needs/j-000008/00001",
+        "end/j-000007",
+    ] {
         pair.put(key);
     }
     let ((alpha, alpha_text), (beta, beta_text)) = (pair.settings(0), pair.settings(1));
@@ -84,11 +114,15 @@
 
     eventually("both up", || {
         let (worked, text) = run(&settings, &["--show-duties"]);
-        (worked && text.contains("member alpha: up") && text.contains("member beta: up")).then_some(())
+        (worked && text.contains("member alpha: up") && text.contains("member beta: up"))
+            .then_some(())
     });
     let holder = pair.holder().expect("a holder");
     let other = if holder == "alpha" { "beta" } else { "alpha" };
-    let (worked, text) = run(&settings, &["--show-duties", "--move-duty", &format!("cleaning={other}")]);
+    let (worked, text) = run(
+        &settings,
+        &["--show-duties", "--move-duty", &format!("cleaning={other}")],
+    );
     assert!(worked, "{text}");
     assert!(text.contains("duty cleaning: held by"), "{text}");
     eventually("moved", || pair.holder().filter(|now| now == other));
@@ -97,7 +131,9 @@
     // A successor takes over from one that is killed.
     let (worked, text) = run(&settings, &["--move-duty", "cleaning=alpha"]);
     assert!(worked, "{text}");
-    eventually("moved to the first", || pair.holder().filter(|now| now == "alpha"));
+    eventually("moved to the first", || {
+        pair.holder().filter(|now| now == "alpha")
+    });
     drop(first);
     eventually("taken over", || pair.holder().filter(|now| now == "beta"));
     drop(second);
@@ -122,10 +158,15 @@
     assert!(!worked && text.contains("end-duties"), "{text}");
     drop((first, second));
     let _first = start(&alpha, &alpha_text, &[]);
-    eventually("ended", || run(&settings, &["--end-duties"]).0.then_some(()));
+    eventually("ended", || {
+        run(&settings, &["--end-duties"]).0.then_some(())
+    });
     let leader = || {
         let (_, claim) = pair.service.handle("GET", "/kv/leader", &json!(null));
-        claim["data"]["member"].as_str().filter(|member| *member == "alpha").map(str::to_owned)
+        claim["data"]["member"]
+            .as_str()
+            .filter(|member| *member == "alpha")
+            .map(str::to_owned)
     };
     eventually("a leader", leader);
     assert!(!pair.has("duty/switch"));
--- a/crates/seamfront/tests/duty_freezes.rs
+++ b/crates/seamfront/tests/duty_freezes.rs
@@ -87,18 +87,30 @@
         member.frozen = true;
         member.steps = self.rng.random_range(8..60);
         self.counts.freezes += 1;
-        self.counts.holders_of_returns +=
-            usize::from(self.holders.get("returning").is_some_and(|holder| holder == name));
+        self.counts.holders_of_returns += usize::from(
+            self.holders
+                .get("returning")
+                .is_some_and(|holder| holder == name),
+        );
         let lease = LEASE_MS as i64;
         let mut draw = |most: i64| Duration::from_millis(self.rng.random_range(0..most) as u64);
         let thaw_after = draw(3 * lease);
-        let hold_back = if draw(2).is_zero() { Duration::ZERO } else { draw(2 * lease) };
+        let hold_back = if draw(2).is_zero() {
+            Duration::ZERO
+        } else {
+            draw(2 * lease)
+        };
         self.counts.held_back += usize::from(!hold_back.is_zero());
-        Some(Freeze { hold_back, thaw_after })
+        Some(Freeze {
+            hold_back,
+            thaw_after,
+        })
     }
 
     fn thaw(&mut self, name: &str) {
-        let Some(member) = self.members.get_mut(name) else { return };
+        let Some(member) = self.members.get_mut(name) else {
+            return;
+        };
         if let Some(pid) = Pid::from_raw(member.process.id() as i32) {
             let _ = kill_process(pid, Signal::CONT);
         }
@@ -123,11 +135,19 @@
     fn note_returns(&mut self, log: &Value) {
         for operation in log["open"].as_array().into_iter().flatten() {
             let name = operation["name"].to_string();
-            for machine in operation["payload"]["return"]["machines"].as_array().into_iter().flatten() {
+            for machine in operation["payload"]["return"]["machines"]
+                .as_array()
+                .into_iter()
+                .flatten()
+            {
                 let machine = machine.as_str().unwrap_or("").to_owned();
-                let first = self.returned_by.entry(machine.clone()).or_insert(name.clone());
+                let first = self
+                    .returned_by
+                    .entry(machine.clone())
+                    .or_insert(name.clone());
                 if *first != name {
-                    self.broken.push(format!("{machine} is returned by {first} and by {name}"));
+                    self.broken
+                        .push(format!("{machine} is returned by {first} and by {name}"));
                 }
             }
         }
@@ -136,23 +156,36 @@
     fn rent(&mut self, now: Micros, body: &Value) -> (u16, Value) {
         let order = body["encomenda"].as_str().unwrap_or("").to_owned();
         let count = body["count"].as_u64().unwrap_or(0) as usize;
-        let machines = self.cloud.rent(now, &order, count, true).unwrap_or_default();
+        let machines = self
+            .cloud
+            .rent(now, &order, count, true)
+            .unwrap_or_default();
         let live = self.cloud.live().len();
         if live > TARGET {
-            self.broken.push(format!("{live} machines after {order}, at most {TARGET} may be"));
+            self.broken.push(format!(
+                "{live} machines after {order}, at most {TARGET} may be"
+            ));
         }
         (200, json!({ "fornalhas": machines }))
     }
 
     fn list(&self, now: Micros) -> (u16, Value) {
-        let machine = |id: String| json!({"id": id, "modelo": "small", "praca": "a", "ponto": "running"});
-        let listed: Vec<Value> = self.cloud.listed(now - LIST_LAG).into_iter().map(machine).collect();
+        let machine =
+            |id: String| json!({"id": id, "modelo": "small", "praca": "a", "ponto": "running"});
+        let listed: Vec<Value> = self
+            .cloud
+            .listed(now - LIST_LAG)
+            .into_iter()
+            .map(machine)
+            .collect();
         (200, json!({ "fornalhas": listed, "more": false }))
     }
 
     fn delete(&mut self, now: Micros, body: &Value) -> (u16, Value) {
         let names = body["fornalhas"].as_array().into_iter().flatten();
-        let names: Vec<String> = names.filter_map(|name| name.as_str().map(str::to_owned)).collect();
+        let names: Vec<String> = names
+            .filter_map(|name| name.as_str().map(str::to_owned))
+            .collect();
         self.cloud.delete(now, &names);
         (200, json!({}))
     }
@@ -166,7 +199,9 @@
     carry_out: impl FnOnce() -> (u16, Value),
 ) -> (u16, Value) {
     let freeze = world.lock().unwrap().freeze(member, important);
-    let Some(freeze) = freeze else { return carry_out() };
+    let Some(freeze) = freeze else {
+        return carry_out();
+    };
     std::thread::sleep(freeze.hold_back);
     let answer = carry_out();
     let (world, member) = (world.clone(), member.to_owned());
@@ -210,13 +245,32 @@
         })
     });
     let process = Command::new(program())
-        .args(["--member", name, "--members", names, "--target", &TARGET.to_string()])
+        .args([
+            "--member",
+            name,
+            "--members",
+            names,
+            "--target",
+            &TARGET.to_string(),
+        ])
         .args(["--state", &state.to_string(), "--cloud", &cloud.to_string()])
-        .args(["--lease-ms", &LEASE_MS.to_string(), "--answer-ms", &ANSWER_MS.to_string()])
+        .args([
+            "--lease-ms",
+            &LEASE_MS.to_string(),
+            "--answer-ms",
+            &ANSWER_MS.to_string(),
+        ])
         .stderr(Stdio::null())
         .spawn()
         .expect("the example duty_holder is built with the tests");
-    world.lock().unwrap().members.insert(name.to_owned(), Member { process, frozen: false, steps: 40 });
+    world.lock().unwrap().members.insert(
+        name.to_owned(),
+        Member {
+            process,
+            frozen: false,
+            steps: 40,
+        },
+    );
 }
 
 /// Ends the processes, also when a check fails.
@@ -224,7 +278,10 @@
 
 impl Drop for Processes {
     fn drop(&mut self) {
-        let mut shared = self.0.lock().unwrap_or_else(|poisoned| poisoned.into_inner());
+        let mut shared = self
+            .0
+            .lock()
+            .unwrap_or_else(|poisoned| poisoned.into_inner());
         for member in shared.members.values_mut() {
             let _ = member.process.kill();
             let _ = member.process.wait();
@@ -234,7 +291,11 @@
 
 fn known(service: &StateService) -> BTreeSet<String> {
     let store = service.store.lock().unwrap();
-    store.keys.keys().filter_map(|key| key.strip_prefix("machine/").map(str::to_owned)).collect()
+    store
+        .keys
+        .keys()
+        .filter_map(|key| key.strip_prefix("machine/").map(str::to_owned))
+        .collect()
 }
 
 fn wait_until(world: &World, wanted: usize, what: &str, done: impl Fn(&Shared) -> bool) {
@@ -247,14 +308,20 @@
                 return;
             }
         }
-        assert!(begin.elapsed() < PATIENCE * wanted.max(FREEZES) as u32, "{what} has not come");
+        assert!(
+            begin.elapsed() < PATIENCE * wanted.max(FREEZES) as u32,
+            "{what} has not come"
+        );
         std::thread::sleep(Duration::from_millis(20));
     }
 }
 
 #[test]
 fn holders_frozen_at_any_step_rent_and_return_nothing_twice() {
-    let wanted = std::env::var("FREEZES").ok().and_then(|count| count.parse().ok()).unwrap_or(FREEZES);
+    let wanted = std::env::var("FREEZES")
+        .ok()
+        .and_then(|count| count.parse().ok())
+        .unwrap_or(FREEZES);
     let world: World = Arc::new(Mutex::new(Shared {
         rng: StdRng::seed_from_u64(SEED),
         members: BTreeMap::new(),
@@ -276,10 +343,18 @@
     });
     // Returns go on for ever, so the ledger and the records agree only between two of them.
     let agree = |shared: &Shared| known(&service) == *shared.cloud.live();
-    wait_until(&world, wanted, "a moment in which all machines are known", agree);
+    wait_until(
+        &world,
+        wanted,
+        "a moment in which all machines are known",
+        agree,
+    );
     let shared = world.lock().unwrap();
     let (counts, ledger) = (&shared.counts, &shared.cloud.ledger);
-    let returned = ledger.values().filter(|machine| machine.returned.is_some()).count();
+    let returned = ledger
+        .values()
+        .filter(|machine| machine.returned.is_some())
+        .count();
     println!(
         "{} freezes, {} with a request held back, {} of the holder of returns; {} machines, {returned} returned; \
          {} orders and {} returns repeated",
@@ -291,11 +366,22 @@
         shared.cloud.repeated_returns,
     );
     assert!(counts.freezes >= wanted);
-    assert!(counts.held_back * 5 >= wanted, "too few requests were held back");
-    assert!(counts.holders_of_returns * 20 >= wanted, "too few holders were frozen");
+    assert!(
+        counts.held_back * 5 >= wanted,
+        "too few requests were held back"
+    );
+    assert!(
+        counts.holders_of_returns * 20 >= wanted,
+        "too few holders were frozen"
+    );
     assert!(returned * 2 >= wanted, "too little was done");
     assert_eq!(shared.cloud.rented_after_refusal, 0);
     // Each return that was recorded names another machine, and none that is paid for was recorded as returned.
-    let paid: Vec<&String> = shared.cloud.live().iter().filter(|m| !known(&service).contains(*m)).collect();
+    let paid: Vec<&String> = shared
+        .cloud
+        .live()
+        .iter()
+        .filter(|m| !known(&service).contains(*m))
+        .collect();
     assert!(paid.is_empty(), "nobody knows {paid:?}");
 }
--- a/crates/seamfront/tests/end_to_end.rs
+++ b/crates/seamfront/tests/end_to_end.rs
@@ -47,7 +47,12 @@
                 (200, json!({ "fornalhas": ids }))
             }
             _ => {
-                for id in body["fornalhas"].as_array().into_iter().flatten().filter_map(|v| v.as_str()) {
+                for id in body["fornalhas"]
+                    .as_array()
+                    .into_iter()
+                    .flatten()
+                    .filter_map(|v| v.as_str())
+                {
                     if let Some(w) = machines.get(id) {
                         w.lock().unwrap().gone = true;
                     }
@@ -71,7 +76,14 @@
 
 impl Worker {
     fn start(id: String, controllers: Vec<SocketAddr>) -> Arc<Mutex<Worker>> {
-        let w = Worker { addr: String::new(), token: 0, seq: 0, tasks: BTreeMap::new(), gone: false, ever: vec![] };
+        let w = Worker {
+            addr: String::new(),
+            token: 0,
+            seq: 0,
+            tasks: BTreeMap::new(),
+            gone: false,
+            ever: vec![],
+        };
         let w = Arc::new(Mutex::new(w));
         let (mine, name) = (w.clone(), id.clone());
         let addr = serve(move |_, _, body| {
@@ -95,7 +107,12 @@
                     }
                     w.report(&id)
                 };
-                match call(controllers[k % controllers.len()], "POST", "/hello", &report.to_string()) {
+                match call(
+                    controllers[k % controllers.len()],
+                    "POST",
+                    "/hello",
+                    &report.to_string(),
+                ) {
                     Some((200, body)) => {
                         let mut w = mine.lock().unwrap();
                         if body["bastao"].as_u64() >= Some(w.token) {
@@ -119,7 +136,8 @@
                     let attempt = o["tentativa"].as_u64().unwrap_or(0);
                     let lasts = if task.starts_with("j-9") { 3_600 } else { 1 };
                     self.ever.push(task.clone());
-                    self.tasks.insert(task, (attempt, Instant::now() + Duration::from_secs(lasts)));
+                    self.tasks
+                        .insert(task, (attempt, Instant::now() + Duration::from_secs(lasts)));
                 }
                 Some("stop") => {
                     if let Some(t) = self.tasks.get_mut(&task) {
@@ -164,7 +182,10 @@
     let mut body: Value = serde_json::from_str(&job(id, kind, tasks, "research")).unwrap();
     match value {
         Value::Null => body.as_object_mut().unwrap().remove(field),
-        value => body.as_object_mut().unwrap().insert(field.to_owned(), value),
+        value => body
+            .as_object_mut()
+            .unwrap()
+            .insert(field.to_owned(), value),
     };
     body.to_string()
 }
@@ -184,17 +205,28 @@
     let controller = start(&dir, &text, &[]);
     eventually("listening", || call(bind, "GET", "/up", ""));
     let asked = [
-        ("POST", "/submissions", job("j-000001", "array", 1, "research")),
+        (
+            "POST",
+            "/submissions",
+            job("j-000001", "array", 1, "research"),
+        ),
         ("GET", "/submissions/j-000001", String::new()),
         ("POST", "/submissions/j-000001/abort", String::new()),
     ];
     for (method, path, body) in asked {
-        let (status, retry_after, _) = call_with_retry_after(bind, method, path, &body).expect("an answer");
+        let (status, retry_after, _) =
+            call_with_retry_after(bind, method, path, &body).expect("an answer");
         assert_eq!(status, 503, "{method} {path}");
-        assert!(retry_after.is_some_and(|s| (1..=30).contains(&s)), "{method} {path}: {retry_after:?}");
+        assert!(
+            retry_after.is_some_and(|s| (1..=30).contains(&s)),
+            "{method} {path}: {retry_after:?}"
+        );
     }
     // A body that no state of things could make valid is refused all the same.
-    assert_eq!(call(bind, "POST", "/submissions", "{}").map(|r| r.0), Some(400));
+    assert_eq!(
+        call(bind, "POST", "/submissions", "{}").map(|r| r.0),
+        Some(400)
+    );
     drop(controller);
     let _ = std::fs::remove_dir_all(&dir);
 }
@@ -213,12 +245,17 @@
         .replace("127.0.0.1:8443", &cloud.to_string())
         .replace("127.0.0.1:2379", &state.to_string());
     let controller = start(&dir, &text, &[]);
-    eventually("healthy", || call(bind, "GET", "/up", "").filter(|r| r.0 == 200));
+    eventually("healthy", || {
+        call(bind, "GET", "/up", "").filter(|r| r.0 == 200)
+    });
 
     let submit = |body: &str| call(bind, "POST", "/submissions", body);
     let status = |r: Option<(u16, Value)>| r.map(|r| r.0);
     assert_eq!(status(submit("{}")), Some(400));
-    assert_eq!(status(submit(&job("j-000001", "array", 3, "nobody"))), Some(422));
+    assert_eq!(
+        status(submit(&job("j-000001", "array", 3, "nobody"))),
+        Some(422)
+    );
     assert_eq!(status(submit(&"x".repeat(70_000))), Some(400));
     // Fits no machine type; more than its team's limit, for a gang and a service all tasks at once.
     for (kind, tasks, field, value) in [
@@ -232,22 +269,55 @@
         let body = changed("j-000002", kind, tasks, field, value);
         assert_eq!(status(submit(&body)), Some(422), "{body}");
     }
-    for field in ["feitio", "paes", "cores", "receita", "emprestados", "guarda_s"] {
-        assert_eq!(status(submit(&changed("j-000002", "array", 1, field, Value::Null))), Some(400), "{field}");
+    for field in [
+        "feitio",
+        "paes",
+        "cores",
+        "receita",
+        "emprestados",
+        "guarda_s",
+    ] {
+        assert_eq!(
+            status(submit(&changed("j-000002", "array", 1, field, Value::Null))),
+            Some(400),
+            "{field}"
+        );
     }
-    assert_eq!(status(call(bind, "GET", "/submissions/j-000002", "")), Some(404), "never accepted");
-    assert_eq!(status(call(bind, "GET", "/submissions/j-777777", "")), Some(404));
+    assert_eq!(
+        status(call(bind, "GET", "/submissions/j-000002", "")),
+        Some(404),
+        "never accepted"
+    );
+    assert_eq!(
+        status(call(bind, "GET", "/submissions/j-777777", "")),
+        Some(404)
+    );
     assert_eq!(status(call(bind, "GET", "/nothing", "")), Some(404));
-    assert_eq!(status(call(bind, "DELETE", "/submissions/j-000001", "")), Some(405));
+    assert_eq!(
+        status(call(bind, "DELETE", "/submissions/j-000001", "")),
+        Some(405)
+    );
     assert_eq!(status(call(bind, "POST", "/hello", "{}")), Some(400));
 
-    assert_eq!(status(submit(&job("j-000010", "array", 6, "research"))), Some(201));
-    assert_eq!(status(submit(&job("j-000010", "array", 6, "research"))), Some(200));
+    assert_eq!(
+        status(submit(&job("j-000010", "array", 6, "research"))),
+        Some(201)
+    );
+    assert_eq!(
+        status(submit(&job("j-000010", "array", 6, "research"))),
+        Some(200)
+    );
     // A repetition is known, whatever its body says by now.
     let repeated = changed("j-000010", "array", 6, "cores", json!(900.0));
     assert_eq!(status(submit(&repeated)), Some(200));
-    assert_eq!(status(submit(&job("j-000011", "group", 2, "research"))), Some(201));
-    assert_eq!(status(submit(&job("j-900001", "service", 2, "research"))), Some(201));
+    assert_eq!(
+        status(submit(&job("j-000011", "group", 2, "research"))),
+        Some(201)
+    );
+    assert_eq!(
+        status(submit(&job("j-900001", "service", 2, "research"))),
+        Some(201)
+    );
     let state_of = |id: &str| {
         let (s, body) = call(bind, "GET", &format!("/submissions/{id}"), "")?;
         (s == 200).then(|| body["ponto"].as_str().unwrap_or("").to_owned())
@@ -266,29 +336,46 @@
     assert_eq!(status(after("j-000020", json!(["j-777777"]))), Some(422));
     assert_eq!(status(after("j-000020", json!("j-000010"))), Some(400));
     assert_eq!(status(after("j-000020", json!(["j-000010"]))), Some(201));
-    assert_eq!(status(after("j-000021", json!(["j-000010", "j-000020"]))), Some(201));
+    assert_eq!(
+        status(after("j-000021", json!(["j-000010", "j-000020"]))),
+        Some(201)
+    );
     eventually("chain done", || is("j-000021", "done"));
-    assert_eq!(status(submit(&job("j-900002", "service", 1, "research"))), Some(201));
+    assert_eq!(
+        status(submit(&job("j-900002", "service", 1, "research"))),
+        Some(201)
+    );
     eventually("second service running", || is("j-900002", "running"));
     assert_eq!(status(after("j-000030", json!(["j-900002"]))), Some(201));
     assert_eq!(status(after("j-000031", json!(["j-000030"]))), Some(201));
     assert_eq!(state_of("j-000031").as_deref(), Some("queued"));
-    eventually("cancelled", || call(bind, "POST", "/submissions/j-900002/abort", "").filter(|r| r.0 == 200));
-    eventually("cancelled with what it needs", || is("j-000030", "withdrawn"));
-    eventually("cancelled at the end of the chain", || is("j-000031", "withdrawn"));
+    eventually("cancelled", || {
+        call(bind, "POST", "/submissions/j-900002/abort", "").filter(|r| r.0 == 200)
+    });
+    eventually("cancelled with what it needs", || {
+        is("j-000030", "withdrawn")
+    });
+    eventually("cancelled at the end of the chain", || {
+        is("j-000031", "withdrawn")
+    });
     let (s, body) = after("j-000032", json!(["j-000031"])).unwrap();
     assert_eq!((s, body["ponto"].as_str()), (201, Some("withdrawn")));
 
     drop(controller);
     let controller = start(&dir, &text, &[]);
-    eventually("service still known after a restart", || is("j-900001", "running"));
+    eventually("service still known after a restart", || {
+        is("j-900001", "running")
+    });
     assert_eq!(state_of("j-000010").as_deref(), Some("done"));
-    let (s, body) =
-        eventually("cancelled", || call(bind, "POST", "/submissions/j-900001/abort", "").filter(|r| r.0 == 200));
+    let (s, body) = eventually("cancelled", || {
+        call(bind, "POST", "/submissions/j-900001/abort", "").filter(|r| r.0 == 200)
+    });
     assert_eq!((s, body["ponto"].as_str()), (200, Some("withdrawn")));
     eventually("replicas gone", || {
         let machines = machines.lock().unwrap();
-        let left = machines.values().any(|w| w.lock().unwrap().tasks.keys().any(|k| k.starts_with("j-9")));
+        let left = machines
+            .values()
+            .any(|w| w.lock().unwrap().tasks.keys().any(|k| k.starts_with("j-9")));
         (!left).then_some(())
     });
     let mut started: Vec<String> = Vec::new();
@@ -298,7 +385,11 @@
     started.sort();
     let before = started.len();
     started.dedup();
-    assert_eq!(before, started.len(), "each task was started once, the restart notwithstanding: {started:?}");
+    assert_eq!(
+        before,
+        started.len(),
+        "each task was started once, the restart notwithstanding: {started:?}"
+    );
     assert_eq!(started.len(), 13);
     drop(controller);
     let _ = std::fs::remove_dir_all(&dir);
--- a/crates/seamfront/tests/forms.rs
+++ b/crates/seamfront/tests/forms.rs
@@ -32,15 +32,29 @@
 #[test]
 fn submissions() {
     assert_eq!(submitted(SUBMISSION), SUBMITTED);
-    for (wire, kept) in [("array", "Array"), ("group", "Gang"), ("service", "Service")] {
+    for (wire, kept) in [
+        ("array", "Array"),
+        ("group", "Gang"),
+        ("service", "Service"),
+    ] {
         let text = SUBMISSION.replace("\"group\"", &format!("{wire:?}"));
-        assert_eq!(submitted(&text), SUBMITTED.replace("\"Gang\"", &format!("{kept:?}")));
+        assert_eq!(
+            submitted(&text),
+            SUBMITTED.replace("\"Gang\"", &format!("{kept:?}"))
+        );
     }
-    let priorities =
-        [("critical", "Critical"), ("urgent", "Urgent"), ("normal", "Normal"), ("best_effort", "BestEffort")];
+    let priorities = [
+        ("critical", "Critical"),
+        ("urgent", "Urgent"),
+        ("normal", "Normal"),
+        ("best_effort", "BestEffort"),
+    ];
     for (wire, kept) in priorities {
         let text = SUBMISSION.replace("\"urgent\"", &format!("{wire:?}"));
-        assert_eq!(submitted(&text), SUBMITTED.replace("\"Urgent\"", &format!("{kept:?}")));
+        assert_eq!(
+            submitted(&text),
+            SUBMITTED.replace("\"Urgent\"", &format!("{kept:?}"))
+        );
     }
     for field in ["one_zone", "scatter", "emprestados"] {
         let kept = match field {
@@ -51,9 +65,15 @@
         let (on, off) = (format!("\"{field}\":true"), format!("\"{field}\":false"));
         let (kept_on, kept_off) = (format!("\"{kept}\":true"), format!("\"{kept}\":false"));
         let turned = if SUBMISSION.contains(&on) {
-            (SUBMISSION.replace(&on, &off), SUBMITTED.replace(&kept_on, &kept_off))
+            (
+                SUBMISSION.replace(&on, &off),
+                SUBMITTED.replace(&kept_on, &kept_off),
+            )
         } else {
-            (SUBMISSION.replace(&off, &on), SUBMITTED.replace(&kept_off, &kept_on))
+            (
+                SUBMISSION.replace(&off, &on),
+                SUBMITTED.replace(&kept_off, &kept_on),
+            )
         };
         assert_eq!(submitted(&turned.0), turned.1);
     }
@@ -83,7 +103,13 @@
 #[test]
 fn answers_to_users() {
     let status = |created, state, done, running| {
-        text_of(&users::reply(&Answer::Status { created, id: "j-4".into(), state, done, running }))
+        text_of(&users::reply(&Answer::Status {
+            created,
+            id: "j-4".into(),
+            state,
+            done,
+            running,
+        }))
     };
     assert_eq!(
         status(true, ShownState::Queued, 0, 0),
@@ -93,22 +119,44 @@
         status(false, ShownState::Running, 3, 13),
         r#"200 {"done":3,"id":"j-4","ponto":"running","running":13} None"#
     );
-    assert_eq!(status(false, ShownState::Done, 16, 0), r#"200 {"done":16,"id":"j-4","ponto":"done","running":0} None"#);
+    assert_eq!(
+        status(false, ShownState::Done, 16, 0),
+        r#"200 {"done":16,"id":"j-4","ponto":"done","running":0} None"#
+    );
     assert_eq!(
         status(false, ShownState::Cancelled, 1, 0),
         r#"200 {"done":1,"id":"j-4","ponto":"withdrawn","running":0} None"#
     );
     for (answer, expected) in [
         (Answer::NotFound, r#"404 {"error":"no such job"} None"#),
-        (Answer::Impossible(Impossible::UnknownTeam), r#"422 {"error":"equipe: unknown team"} None"#),
-        (Answer::Impossible(Impossible::NoMachineFits), r#"422 {"error":"no allowed machine type fits a task"} None"#),
-        (Answer::Impossible(Impossible::OverLimit), r#"422 {"error":"the job needs more than its team's limit"} None"#),
+        (
+            Answer::Impossible(Impossible::UnknownTeam),
+            r#"422 {"error":"equipe: unknown team"} None"#,
+        ),
+        (
+            Answer::Impossible(Impossible::NoMachineFits),
+            r#"422 {"error":"no allowed machine type fits a task"} None"#,
+        ),
+        (
+            Answer::Impossible(Impossible::OverLimit),
+            r#"422 {"error":"the job needs more than its team's limit"} None"#,
+        ),
         (
             Answer::Impossible(Impossible::NeedNeverAccepted("j-9".into())),
             r#"422 {"error":"espera: j-9 was never accepted"} None"#,
         ),
-        (Answer::Later { after: Micros::from_secs(3) }, r#"503 {"error":"come back later"} Some(3)"#),
-        (Answer::Later { after: Micros::ZERO }, r#"503 {"error":"come back later"} Some(1)"#),
+        (
+            Answer::Later {
+                after: Micros::from_secs(3),
+            },
+            r#"503 {"error":"come back later"} Some(3)"#,
+        ),
+        (
+            Answer::Later {
+                after: Micros::ZERO,
+            },
+            r#"503 {"error":"come back later"} Some(1)"#,
+        ),
     ] {
         assert_eq!(text_of(&users::reply(&answer)), expected);
     }
@@ -121,59 +169,135 @@
 /// One line for a report: its fields in this order, each task as a line of its own.
 fn report_text(body: &str) -> Result<String, String> {
     let r = workers::parse_report(body.as_bytes())?;
-    let tasks: String = r.tasks.iter().map(|t| format!(" | {} {} {:?}", t.task, t.attempt, t.state)).collect();
+    let tasks: String = r
+        .tasks
+        .iter()
+        .map(|t| format!(" | {} {} {:?}", t.task, t.attempt, t.state))
+        .collect();
     let notice = r.notice.map(|n| n.0);
-    Ok(format!("{} {} {} {} {} {notice:?}{tasks}", r.machine, r.addr, r.session, r.seq, r.token))
+    Ok(format!(
+        "{} {} {} {} {} {notice:?}{tasks}",
+        r.machine, r.addr, r.session, r.seq, r.token
+    ))
 }
 
 #[test]
 fn reports_of_workers() {
     let head = "i-000031 10.2.0.31:9100 3 19 77 Some(31500000)";
-    assert_eq!(report_text(REPORT).unwrap(), format!("{head} | j-5/2 4 Running"));
+    assert_eq!(
+        report_text(REPORT).unwrap(),
+        format!("{head} | j-5/2 4 Running")
+    );
     let states = [
         (r#""ponto":"pulling""#, TaskState::Fetching),
         (r#""ponto":"gathering""#, TaskState::Waiting),
         (r#""ponto":"running""#, TaskState::Running),
         (r#""ponto":"saving""#, TaskState::Saving),
-        (r#""ponto":"exited","motivo":"done""#, TaskState::Exited(Exit::Done)),
-        (r#""ponto":"exited","motivo":"halted""#, TaskState::Exited(Exit::Stopped { saved: false })),
-        (r#""ponto":"exited","motivo":"halted","saved":false"#, TaskState::Exited(Exit::Stopped { saved: false })),
-        (r#""ponto":"exited","motivo":"halted","saved":true"#, TaskState::Exited(Exit::Stopped { saved: true })),
-        (r#""ponto":"exited","motivo":"peers""#, TaskState::Exited(Exit::Peers)),
-        (r#""ponto":"exited","motivo":"alone""#, TaskState::Exited(Exit::Alone)),
-        (r#""ponto":"exited","motivo":"error""#, TaskState::Exited(Exit::Error)),
-        (r#""ponto":"exited","motivo":"no_room""#, TaskState::Exited(Exit::NoRoom)),
-        (r#""ponto":"exited","motivo":"in_use""#, TaskState::Exited(Exit::Busy)),
-        (r#""ponto":"exited","motivo":"unknown""#, TaskState::Exited(Exit::Unknown)),
+        (
+            r#""ponto":"exited","motivo":"done""#,
+            TaskState::Exited(Exit::Done),
+        ),
+        (
+            r#""ponto":"exited","motivo":"halted""#,
+            TaskState::Exited(Exit::Stopped { saved: false }),
+        ),
+        (
+            r#""ponto":"exited","motivo":"halted","saved":false"#,
+            TaskState::Exited(Exit::Stopped { saved: false }),
+        ),
+        (
+            r#""ponto":"exited","motivo":"halted","saved":true"#,
+            TaskState::Exited(Exit::Stopped { saved: true }),
+        ),
+        (
+            r#""ponto":"exited","motivo":"peers""#,
+            TaskState::Exited(Exit::Peers),
+        ),
+        (
+            r#""ponto":"exited","motivo":"alone""#,
+            TaskState::Exited(Exit::Alone),
+        ),
+        (
+            r#""ponto":"exited","motivo":"error""#,
+            TaskState::Exited(Exit::Error),
+        ),
+        (
+            r#""ponto":"exited","motivo":"no_room""#,
+            TaskState::Exited(Exit::NoRoom),
+        ),
+        (
+            r#""ponto":"exited","motivo":"in_use""#,
+            TaskState::Exited(Exit::Busy),
+        ),
+        (
+            r#""ponto":"exited","motivo":"unknown""#,
+            TaskState::Exited(Exit::Unknown),
+        ),
     ];
     for (text, state) in states {
         let body = REPORT.replace(r#""ponto":"running""#, text);
-        assert_eq!(report_text(&body).unwrap(), format!("{head} | j-5/2 4 {state:?}"));
+        assert_eq!(
+            report_text(&body).unwrap(),
+            format!("{head} | j-5/2 4 {state:?}")
+        );
     }
     // What may be missing, or null.
     let least = "i-000031 10.2.0.31:9100 3 19 0 None";
-    assert_eq!(report_text(r#"{"fornalha":"i-000031","addr":"10.2.0.31:9100","turno":3,"conta":19}"#).unwrap(), least);
+    assert_eq!(
+        report_text(r#"{"fornalha":"i-000031","addr":"10.2.0.31:9100","turno":3,"conta":19}"#)
+            .unwrap(),
+        least
+    );
     let null = r#"{"fornalha":"i-000031","addr":"10.2.0.31:9100","turno":3,"conta":19,"aviso_s":null,"paes":[]}"#;
     assert_eq!(report_text(null).unwrap(), least);
     for field in ["fornalha", "addr", "turno", "conta"] {
         let mut lacking: Value = serde_json::from_str(REPORT).unwrap();
         lacking.as_object_mut().unwrap().remove(field);
-        assert!(report_text(&lacking.to_string()).unwrap_err().contains(field), "{field}");
+        assert!(
+            report_text(&lacking.to_string())
+                .unwrap_err()
+                .contains(field),
+            "{field}"
+        );
     }
-    for (field, text) in
-        [("pao", r#""pao":"j-5/2","#), ("tentativa", r#""tentativa":4,"#), ("ponto", r#","ponto":"running""#)]
-    {
-        assert!(report_text(&REPORT.replace(text, "")).unwrap_err().contains(field), "{field}");
+    for (field, text) in [
+        ("pao", r#""pao":"j-5/2","#),
+        ("tentativa", r#""tentativa":4,"#),
+        ("ponto", r#","ponto":"running""#),
+    ] {
+        assert!(
+            report_text(&REPORT.replace(text, ""))
+                .unwrap_err()
+                .contains(field),
+            "{field}"
+        );
     }
 }
 
 fn all_orders() -> Vec<Order> {
-    let task = |index| TaskKey { job: "j-5".into(), index };
+    let task = |index| TaskKey {
+        job: "j-5".into(),
+        index,
+    };
     vec![
-        Order::Start { task: task(2), attempt: 4 },
-        Order::Stop { task: task(3), attempt: 1, grace: Micros::from_millis(2_500) },
-        Order::Stop { task: task(3), attempt: 1, grace: Micros::ZERO },
-        Order::Forget { task: task(0), attempt: 9 },
+        Order::Start {
+            task: task(2),
+            attempt: 4,
+        },
+        Order::Stop {
+            task: task(3),
+            attempt: 1,
+            grace: Micros::from_millis(2_500),
+        },
+        Order::Stop {
+            task: task(3),
+            attempt: 1,
+            grace: Micros::ZERO,
+        },
+        Order::Forget {
+            task: task(0),
+            attempt: 9,
+        },
     ]
 }
 
@@ -185,8 +309,14 @@
         text_of(&workers::orders_reply(77, &all_orders())),
         format!(r#"200 {{"bastao":77,"ordens":{ORDERS}}} None"#)
     );
-    assert_eq!(text_of(&workers::orders_reply(0, &[])), r#"200 {"bastao":0,"ordens":[]} None"#);
-    assert_eq!(text_of(&workers::elsewhere_reply(Some("beta"))), r#"421 {"mestre":"beta"} None"#);
+    assert_eq!(
+        text_of(&workers::orders_reply(0, &[])),
+        r#"200 {"bastao":0,"ordens":[]} None"#
+    );
+    assert_eq!(
+        text_of(&workers::elsewhere_reply(Some("beta"))),
+        r#"421 {"mestre":"beta"} None"#
+    );
     assert_eq!(text_of(&workers::elsewhere_reply(None)), "421 {} None");
 }
 
@@ -197,7 +327,10 @@
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let addr = listener.local_addr().unwrap();
     let (sender, arrived) = channel();
-    let answer = format!("HTTP/1.1 {status} X\r\ncontent-length: {}\r\n\r\n{body}", body.len());
+    let answer = format!(
+        "HTTP/1.1 {status} X\r\ncontent-length: {}\r\n\r\n{body}",
+        body.len()
+    );
     std::thread::spawn(move || {
         for stream in listener.incoming().flatten() {
             let mut out = stream.try_clone().unwrap();
@@ -205,7 +338,9 @@
             while let Some((first, body)) = stand_ins::http::read_message(&mut reader) {
                 let request = first.trim_end().trim_end_matches(" HTTP/1.1");
                 let text = format!("{request} {}", String::from_utf8(body).unwrap());
-                if sender.send(text.trim_end().to_owned()).is_err() || out.write_all(answer.as_bytes()).is_err() {
+                if sender.send(text.trim_end().to_owned()).is_err()
+                    || out.write_all(answer.as_bytes()).is_err()
+                {
                     break;
                 }
             }
@@ -226,8 +361,18 @@
         outcome
     };
     for status in [200, 409] {
-        let DirectOutcome::Settled { report } = send(status, REPORT) else { panic!("{status}: not settled") };
-        assert_eq!((report.machine.as_str(), report.session, report.seq, report.token), ("i-000031", 3, 19, 77));
+        let DirectOutcome::Settled { report } = send(status, REPORT) else {
+            panic!("{status}: not settled")
+        };
+        assert_eq!(
+            (
+                report.machine.as_str(),
+                report.session,
+                report.seq,
+                report.token
+            ),
+            ("i-000031", 3, 19, 77)
+        );
     }
     assert!(matches!(send(400, "{}"), DirectOutcome::Unknown));
     assert!(matches!(send(200, "{}"), DirectOutcome::Unknown));
@@ -244,7 +389,11 @@
     match reply {
         StateReply::Entry(e) => format!("entry {}", entry(e)),
         StateReply::Missing => "missing".to_owned(),
-        StateReply::Page { entries, more, revision } => {
+        StateReply::Page {
+            entries,
+            more,
+            revision,
+        } => {
             let entries: Vec<String> = entries.into_iter().map(entry).collect();
             format!("page {} more {more} at {revision}", entries.join(", "))
         }
@@ -254,7 +403,10 @@
         StateReply::Renewed => "renewed".to_owned(),
         StateReply::Changes { revision, events } => {
             let shown = |(key, value, at): (String, Option<Value>, u64)| {
-                format!("{key} {} {at}", value.map_or("gone".to_owned(), |v| v.to_string()))
+                format!(
+                    "{key} {} {at}",
+                    value.map_or("gone".to_owned(), |v| v.to_string())
+                )
             };
             let events: Vec<String> = events.into_iter().map(shown).collect();
             format!("changes {} to {revision}", events.join(", "))
@@ -268,20 +420,36 @@
 
 #[test]
 fn reading_from_the_state_service() {
-    let get = StateCall::Get { key: "job/j-4".into() };
+    let get = StateCall::Get {
+        key: "job/j-4".into(),
+    };
     let sent = "GET /kv/job/j-4";
     let pair = r#"{"key":"job/j-4","data":{"a":[1]},"rasura":31,"vale":7}"#;
-    assert_eq!(ask_state(&get, sent, 200, pair), r#"entry job/j-4 {"a":[1]} 31"#);
-    assert_eq!(ask_state(&get, sent, 200, r#"{"key":"a","rasura":3}"#), "entry a null 3");
+    assert_eq!(
+        ask_state(&get, sent, 200, pair),
+        r#"entry job/j-4 {"a":[1]} 31"#
+    );
+    assert_eq!(
+        ask_state(&get, sent, 200, r#"{"key":"a","rasura":3}"#),
+        "entry a null 3"
+    );
     assert_eq!(ask_state(&get, sent, 404, r#"{"caderno":40}"#), "missing");
     for lacking in [r#"{"data":1,"rasura":3}"#, r#"{"key":"a","data":1}"#] {
         assert_eq!(ask_state(&get, sent, 200, lacking), "unknown");
     }
-    for (status, expected) in [(429, "refused"), (503, "refused"), (400, "refused"), (500, "unknown")] {
+    for (status, expected) in [
+        (429, "refused"),
+        (503, "refused"),
+        (400, "refused"),
+        (500, "unknown"),
+    ] {
         assert_eq!(ask_state(&get, sent, status, "{}"), expected);
     }
 
-    let list = |after: Option<&str>| StateCall::List { prefix: "work/0/".into(), after: after.map(str::to_owned) };
+    let list = |after: Option<&str>| StateCall::List {
+        prefix: "work/0/".into(),
+        after: after.map(str::to_owned),
+    };
     let page = r#"{"pairs":[{"key":"work/0/j-1","data":{},"rasura":5},{"key":"work/0/j-2","data":[],"rasura":6}],"more":true,"caderno":44}"#;
     assert_eq!(
         ask_state(&list(None), "GET /kv?prefix=work/0/&page=300", 200, page),
@@ -289,41 +457,119 @@
     );
     let sent = "GET /kv?prefix=work/0/&after=work/0/j-2&page=300";
     assert_eq!(
-        ask_state(&list(Some("work/0/j-2")), sent, 200, r#"{"pairs":[],"caderno":45}"#),
+        ask_state(
+            &list(Some("work/0/j-2")),
+            sent,
+            200,
+            r#"{"pairs":[],"caderno":45}"#
+        ),
         "page  more false at 45"
     );
-    assert_eq!(ask_state(&list(Some("work/0/j-2")), sent, 200, r#"{"pairs":[],"more":false}"#), "unknown");
+    assert_eq!(
+        ask_state(
+            &list(Some("work/0/j-2")),
+            sent,
+            200,
+            r#"{"pairs":[],"more":false}"#
+        ),
+        "unknown"
+    );
 
-    let changes = StateCall::Changes { prefix: "duty/".into(), after: 31, hold: Micros::from_millis(1_500) };
+    let changes = StateCall::Changes {
+        prefix: "duty/".into(),
+        after: 31,
+        hold: Micros::from_millis(1_500),
+    };
     let sent = "GET /changes?prefix=duty/&after=31&hold_ms=1500";
-    let body =
-        r#"{"caderno":40,"events":[{"write":"duty/b","data":{"x":1},"rasura":39},{"remove":"duty/a","rasura":33}]}"#;
-    assert_eq!(ask_state(&changes, sent, 200, body), r#"changes duty/a gone 33, duty/b {"x":1} 39 to 40"#);
-    assert_eq!(ask_state(&changes, sent, 200, r#"{"caderno":41}"#), "changes  to 41");
-    assert_eq!(ask_state(&changes, sent, 200, r#"{"caderno":41,"events":[{"rasura":40}]}"#), "unknown");
+    let body = r#"{"caderno":40,"events":[{"write":"duty/b","data":{"x":1},"rasura":39},{"remove":"duty/a","rasura":33}]}"#;
+    assert_eq!(
+        ask_state(&changes, sent, 200, body),
+        r#"changes duty/a gone 33, duty/b {"x":1} 39 to 40"#
+    );
+    assert_eq!(
+        ask_state(&changes, sent, 200, r#"{"caderno":41}"#),
+        "changes  to 41"
+    );
+    assert_eq!(
+        ask_state(
+            &changes,
+            sent,
+            200,
+            r#"{"caderno":41,"events":[{"rasura":40}]}"#
+        ),
+        "unknown"
+    );
     assert_eq!(ask_state(&changes, sent, 410, "{}"), "too old");
 }
 
 #[test]
 fn writing_to_the_state_service() {
-    let put = |lease| Write::Put { key: "a/b".into(), value: serde_json::json!({"x": null}), lease };
-    let commit = |apply| StateCall::Commit { when: vec![("a/b".into(), 0), ("leader".into(), 41)], apply };
-    let all = commit(vec![put(Some(7)), put(None), Write::Delete { key: "c/d".into() }]);
+    let put = |lease| Write::Put {
+        key: "a/b".into(),
+        value: serde_json::json!({"x": null}),
+        lease,
+    };
+    let commit = |apply| StateCall::Commit {
+        when: vec![("a/b".into(), 0), ("leader".into(), 41)],
+        apply,
+    };
+    let all = commit(vec![
+        put(Some(7)),
+        put(None),
+        Write::Delete { key: "c/d".into() },
+    ]);
     let sent = r#"POST /commit {"apply":[{"data":{"x":null},"vale":7,"write":"a/b"},{"data":{"x":null},"write":"a/b"},{"remove":"c/d"}],"when":[{"key":"a/b","rasura":0},{"key":"leader","rasura":41}]}"#;
-    assert_eq!(ask_state(&all, sent, 200, r#"{"caderno":42}"#), "committed 42");
-    assert_eq!(ask_state(&all, sent, 409, r#"{"failed":["a/b","leader"],"caderno":43}"#), "conflict a/b, leader");
+    assert_eq!(
+        ask_state(&all, sent, 200, r#"{"caderno":42}"#),
+        "committed 42"
+    );
+    assert_eq!(
+        ask_state(
+            &all,
+            sent,
+            409,
+            r#"{"failed":["a/b","leader"],"caderno":43}"#
+        ),
+        "conflict a/b, leader"
+    );
     assert_eq!(ask_state(&all, sent, 409, "{}"), "conflict ");
-    assert_eq!(ask_state(&all, sent, 400, r#"{"error":"no such lease"}"#), "no such lease");
-    assert_eq!(ask_state(&all, sent, 400, r#"{"error":"malformed"}"#), "refused");
+    assert_eq!(
+        ask_state(&all, sent, 400, r#"{"error":"no such lease"}"#),
+        "no such lease"
+    );
+    assert_eq!(
+        ask_state(&all, sent, 400, r#"{"error":"malformed"}"#),
+        "refused"
+    );
     assert_eq!(ask_state(&all, sent, 200, "{}"), "unknown");
-    let compare = r#"POST /commit {"when":[{"key":"a/b","rasura":0},{"key":"leader","rasura":41}]}"#;
-    assert_eq!(ask_state(&commit(vec![]), compare, 200, r#"{"caderno":42}"#), "committed 42");
+    let compare =
+        r#"POST /commit {"when":[{"key":"a/b","rasura":0},{"key":"leader","rasura":41}]}"#;
+    assert_eq!(
+        ask_state(&commit(vec![]), compare, 200, r#"{"caderno":42}"#),
+        "committed 42"
+    );
 
-    let grant = StateCall::Grant { ttl: Micros::from_secs(4) };
-    assert_eq!(ask_state(&grant, r#"POST /grants {"ttl_ms":4000}"#, 200, r#"{"vale":7}"#), "lease 7");
+    let grant = StateCall::Grant {
+        ttl: Micros::from_secs(4),
+    };
+    assert_eq!(
+        ask_state(
+            &grant,
+            r#"POST /grants {"ttl_ms":4000}"#,
+            200,
+            r#"{"vale":7}"#
+        ),
+        "lease 7"
+    );
     let renew = StateCall::Renew { lease: 7 };
-    assert_eq!(ask_state(&renew, "POST /grants/7/renew", 200, "{}"), "renewed");
-    assert_eq!(ask_state(&renew, "POST /grants/7/renew", 404, "{}"), "no such lease");
+    assert_eq!(
+        ask_state(&renew, "POST /grants/7/renew", 200, "{}"),
+        "renewed"
+    );
+    assert_eq!(
+        ask_state(&renew, "POST /grants/7/renew", 404, "{}"),
+        "no such lease"
+    );
 }
 
 // ---- the cloud -------------------------------------------------------------------------------
@@ -339,8 +585,16 @@
         CloudReply::NoCapacity => "no capacity".to_owned(),
         CloudReply::Deleted => "deleted".to_owned(),
         CloudReply::Page { machines, more } => {
-            let shown = |m: &Listed| format!("{} {} {} {} {:?} {}", m.id, m.kind, m.zone, m.spot, m.state, m.age.0);
-            format!("{} more {more}", machines.iter().map(shown).collect::<Vec<_>>().join(", "))
+            let shown = |m: &Listed| {
+                format!(
+                    "{} {} {} {} {:?} {}",
+                    m.id, m.kind, m.zone, m.spot, m.state, m.age.0
+                )
+            };
+            format!(
+                "{} more {more}",
+                machines.iter().map(shown).collect::<Vec<_>>().join(", ")
+            )
         }
         CloudReply::Failed => "failed".to_owned(),
     }
@@ -353,21 +607,54 @@
         ask_cloud(&CloudCall::Types, "GET /machine_types", 200, types),
         r#"[{"name":"g4","size":{"c":48000,"g":4000,"r":384500},"cache_mb":100000,"fetch_mb_s":500,"price":6250,"spot_price":2125,"boot":40500000,"zones":["a","b"]},{"name":"m","size":{"c":8000,"g":0,"r":32000},"cache_mb":0,"fetch_mb_s":0,"price":0,"spot_price":0,"boot":0,"zones":[]}]"#
     );
-    for lacking in [r#"{}"#, r#"{"modelos":[{"cores":8,"ram_gb":32,"pracas":[]}]}"#] {
-        assert_eq!(ask_cloud(&CloudCall::Types, "GET /machine_types", 200, lacking), "failed");
+    for lacking in [
+        r#"{}"#,
+        r#"{"modelos":[{"cores":8,"ram_gb":32,"pracas":[]}]}"#,
+    ] {
+        assert_eq!(
+            ask_cloud(&CloudCall::Types, "GET /machine_types", 200, lacking),
+            "failed"
+        );
     }
 
-    let rent = CloudCall::Rent { name: "r-41-2".into(), kind: "g4".into(), zone: "b".into(), spot: true, count: 12 };
+    let rent = CloudCall::Rent {
+        name: "r-41-2".into(),
+        kind: "g4".into(),
+        zone: "b".into(),
+        spot: true,
+        count: 12,
+    };
     let sent = r#"POST /hosts {"count":12,"emprestados":true,"encomenda":"r-41-2","modelo":"g4","praca":"b"}"#;
-    assert_eq!(ask_cloud(&rent, sent, 200, r#"{"fornalhas":["i-1","i-2"]}"#), r#"rented ["i-1", "i-2"]"#);
-    assert_eq!(ask_cloud(&rent, sent, 503, r#"{"error":"no capacity"}"#), "no capacity");
-    assert_eq!(ask_cloud(&rent, sent, 503, r#"{"error":"trouble"}"#), "failed");
+    assert_eq!(
+        ask_cloud(&rent, sent, 200, r#"{"fornalhas":["i-1","i-2"]}"#),
+        r#"rented ["i-1", "i-2"]"#
+    );
+    assert_eq!(
+        ask_cloud(&rent, sent, 503, r#"{"error":"no capacity"}"#),
+        "no capacity"
+    );
+    assert_eq!(
+        ask_cloud(&rent, sent, 503, r#"{"error":"trouble"}"#),
+        "failed"
+    );
     assert_eq!(ask_cloud(&rent, sent, 200, "{}"), "failed");
 
-    let delete = CloudCall::Delete { machines: vec!["i-1".into(), "i-2".into()] };
-    assert_eq!(ask_cloud(&delete, r#"POST /hosts/delete {"fornalhas":["i-1","i-2"]}"#, 200, "{}"), "deleted");
+    let delete = CloudCall::Delete {
+        machines: vec!["i-1".into(), "i-2".into()],
+    };
+    assert_eq!(
+        ask_cloud(
+            &delete,
+            r#"POST /hosts/delete {"fornalhas":["i-1","i-2"]}"#,
+            200,
+            "{}"
+        ),
+        "deleted"
+    );
 
-    let list = |after: Option<&str>| CloudCall::List { after: after.map(Into::into) };
+    let list = |after: Option<&str>| CloudCall::List {
+        after: after.map(Into::into),
+    };
     let machine = r#"{"id":"i-1","addr":"10.2.0.1:9100","modelo":"g4","praca":"b","emprestados":true,"ponto":"starting","held_s":61.5}"#;
     let more = format!(
         r#"{{"fornalhas":[{machine},{},{},{{"id":"i-4","modelo":"m","praca":"a","ponto":"running"}}],"more":true}}"#,
@@ -380,7 +667,10 @@
          i-4 m a false Running 0 more true"
     );
     let sent = "GET /hosts?after=i-4&page=500";
-    assert_eq!(ask_cloud(&list(Some("i-4")), sent, 200, r#"{"fornalhas":[]}"#), " more false");
+    assert_eq!(
+        ask_cloud(&list(Some("i-4")), sent, 200, r#"{"fornalhas":[]}"#),
+        " more false"
+    );
     assert_eq!(ask_cloud(&list(Some("i-4")), sent, 200, "{}"), "failed");
     assert_eq!(ask_cloud(&list(Some("i-4")), sent, 429, "{}"), "failed");
 }
@@ -466,22 +756,37 @@
     let c = &s.core;
     let mut lines = vec![
         format!("{} of {} at {}", c.me, c.members.join(" "), peers.join(" ")),
-        format!("bind {} mesh {} cloud {} state {} sockets {}", s.bind, s.mesh, s.cloud, s.state, s.sockets),
+        format!(
+            "bind {} mesh {} cloud {} state {} sockets {}",
+            s.bind, s.mesh, s.cloud, s.state, s.sockets
+        ),
     ];
     for t in &c.teams {
         let (g, l) = (t.guarantee, t.limit);
-        lines.push(format!("team {} {} {} {} up to {} {} {}", t.name, g.cpus, g.gpus, g.ram, l.cpus, l.gpus, l.ram));
+        lines.push(format!(
+            "team {} {} {} {} up to {} {} {}",
+            t.name, g.cpus, g.gpus, g.ram, l.cpus, l.gpus, l.ram
+        ));
     }
     for o in &c.objectives {
-        lines.push(format!("class {} started {} within {}", o.class, o.started, o.within.0));
+        lines.push(format!(
+            "class {} started {} within {}",
+            o.class, o.started, o.within.0
+        ));
     }
     let workers = [c.report, c.lease, c.gang_wait, c.gang_peer, c.cancel].map(|t| t.0);
     lines.push(format!("workers {workers:?}"));
-    lines.push(format!("state {} {} {} {}", c.state_rps, c.write_rps, c.value_bytes, c.txn_ops));
+    lines.push(format!(
+        "state {} {} {} {}",
+        c.state_rps, c.write_rps, c.value_bytes, c.txn_ops
+    ));
     lines.push(format!("cloud {} {}", c.cloud_rps, c.list_lag.0));
     let t = &c.tuning;
     let times = [t.claim_ttl, t.move_every, t.idle_keep].map(|t| t.0);
-    lines.push(format!("operators {times:?} {} {}", t.retry_limit, t.duties));
+    lines.push(format!(
+        "operators {times:?} {} {}",
+        t.retry_limit, t.duties
+    ));
     lines.join("\n")
 }
 
@@ -501,18 +806,45 @@
 fn settings_files() {
     assert_eq!(settings_text(PLATFORM, Some(OPERATORS)), SETTINGS);
     let operators = SETTINGS.lines().last().unwrap();
-    assert_eq!(settings_text(PLATFORM, None), SETTINGS.replace(operators, DEFAULTS));
-    assert_eq!(settings_text(PLATFORM, Some("")), SETTINGS.replace(operators, DEFAULTS));
+    assert_eq!(
+        settings_text(PLATFORM, None),
+        SETTINGS.replace(operators, DEFAULTS)
+    );
+    assert_eq!(
+        settings_text(PLATFORM, Some("")),
+        SETTINGS.replace(operators, DEFAULTS)
+    );
     // Each of the operators' settings by itself.
     for (line, ini) in [
-        ("operators [6000000, 2000000, 40000000] 3 false", "[claims]\nttl_s = 6\n"),
-        ("operators [4000000, 3000000, 40000000] 3 false", "[shares]\nmove_every_s = 3\n"),
-        ("operators [4000000, 2000000, 1000000] 3 false", "[fleet]\nidle_keep_s = 1\n"),
-        ("operators [4000000, 2000000, 40000000] 9 false", "[gangs]\nretry_limit = 9\n"),
-        ("operators [4000000, 2000000, 40000000] 3 true", "[duties]\non = yes\n"),
-        ("operators [4000000, 2000000, 40000000] 3 false", "[duties]\non = no\n"),
+        (
+            "operators [6000000, 2000000, 40000000] 3 false",
+            "[claims]\nttl_s = 6\n",
+        ),
+        (
+            "operators [4000000, 3000000, 40000000] 3 false",
+            "[shares]\nmove_every_s = 3\n",
+        ),
+        (
+            "operators [4000000, 2000000, 1000000] 3 false",
+            "[fleet]\nidle_keep_s = 1\n",
+        ),
+        (
+            "operators [4000000, 2000000, 40000000] 9 false",
+            "[gangs]\nretry_limit = 9\n",
+        ),
+        (
+            "operators [4000000, 2000000, 40000000] 3 true",
+            "[duties]\non = yes\n",
+        ),
+        (
+            "operators [4000000, 2000000, 40000000] 3 false",
+            "[duties]\non = no\n",
+        ),
     ] {
-        assert_eq!(settings_text(PLATFORM, Some(ini)), SETTINGS.replace(operators, line));
+        assert_eq!(
+            settings_text(PLATFORM, Some(ini)),
+            SETTINGS.replace(operators, line)
+        );
     }
     // The platform's next limits, each by itself.
     let state = "state 201 81 31744 47";
@@ -522,8 +854,14 @@
         ("value_kb = 2.0", "state 201 81 2048 47"),
         ("txn_ops = 15", "state 201 81 31744 15"),
     ] {
-        let toml = PLATFORM.replace("[params.cloud]", &format!("[params.state.next]\n{next}\n\n[params.cloud]"));
-        assert_eq!(settings_text(&toml, Some(OPERATORS)), SETTINGS.replace(state, line));
+        let toml = PLATFORM.replace(
+            "[params.cloud]",
+            &format!("[params.state.next]\n{next}\n\n[params.cloud]"),
+        );
+        assert_eq!(
+            settings_text(&toml, Some(OPERATORS)),
+            SETTINGS.replace(state, line)
+        );
     }
 }
 
@@ -534,8 +872,13 @@
         "member bind mesh_addr peer_addr cloud state name cpus cpus_max gpus gpus_max kind report_s lease_s \
                     gang_wait_s gang_peer_s cancel_s rps write_rps value_kb txn_ops list_lag_s fd_limit";
     for field in required.split_whitespace() {
-        let line = PLATFORM.lines().find(|line| line.starts_with(&format!("{field} = "))).expect(field);
-        let error = settings::parse(&PLATFORM.replacen(line, "", 1), None).expect_err(field).to_string();
+        let line = PLATFORM
+            .lines()
+            .find(|line| line.starts_with(&format!("{field} = ")))
+            .expect(field);
+        let error = settings::parse(&PLATFORM.replacen(line, "", 1), None)
+            .expect_err(field)
+            .to_string();
         assert!(error.contains(&format!("`{field}`")), "{field}: {error}");
     }
     // Lists may be missing.
@@ -567,7 +910,10 @@
     type Data = Bytes;
     type Error = std::convert::Infallible;
 
-    fn poll_frame(mut self: Pin<&mut Self>, _: &mut Context<'_>) -> Poll<Option<Result<Frame<Bytes>, Self::Error>>> {
+    fn poll_frame(
+        mut self: Pin<&mut Self>,
+        _: &mut Context<'_>,
+    ) -> Poll<Option<Result<Frame<Bytes>, Self::Error>>> {
         Poll::Ready(self.0.take().map(|bytes| Ok(Frame::data(bytes))))
     }
 }
@@ -575,12 +921,15 @@
 /// All data of a body, and the gRPC status that follows it.
 async fn read_all(mut body: hyper::body::Incoming) -> (Vec<u8>, Option<String>) {
     let (mut data, mut status) = (Vec::new(), None);
-    while let Some(Ok(frame)) = std::future::poll_fn(|cx| Pin::new(&mut body).poll_frame(cx)).await {
+    while let Some(Ok(frame)) = std::future::poll_fn(|cx| Pin::new(&mut body).poll_frame(cx)).await
+    {
         match frame.into_data() {
             Ok(bytes) => data.extend(bytes),
             Err(frame) => {
                 let trailers = frame.into_trailers().unwrap_or_default();
-                status = trailers.get("grpc-status").map(|s| s.to_str().unwrap().to_owned());
+                status = trailers
+                    .get("grpc-status")
+                    .map(|s| s.to_str().unwrap().to_owned());
             }
         }
     }
@@ -589,7 +938,12 @@
 
 /// A gRPC message: not compressed, its length, its text.
 fn framed(text: &str) -> Vec<u8> {
-    [&[0], &(text.len() as u32).to_be_bytes()[..], text.as_bytes()].concat()
+    [
+        &[0],
+        &(text.len() as u32).to_be_bytes()[..],
+        text.as_bytes(),
+    ]
+    .concat()
 }
 
 const ENVELOPE: &str = r#"{"from":"alpha","message":{"Cancelled":{"job":"j-1","tasks":3}}}"#;
@@ -601,22 +955,40 @@
         let listener = async_net::TcpListener::bind("127.0.0.1:0").await.unwrap();
         let to = listener.local_addr().unwrap();
         let (queue, messages) = async_channel::unbounded();
-        ex.spawn(mesh::deliver(ex, "alpha".into(), "beta".into(), to, messages)).detach();
-        queue.send(MeshMessage::Cancelled { job: "j-1".into(), tasks: 3 }).await.unwrap();
+        ex.spawn(mesh::deliver(
+            ex,
+            "alpha".into(),
+            "beta".into(),
+            to,
+            messages,
+        ))
+        .detach();
+        queue
+            .send(MeshMessage::Cancelled {
+                job: "j-1".into(),
+                tasks: 3,
+            })
+            .await
+            .unwrap();
         let (stream, _) = listener.accept().await.unwrap();
         let (sender, arrived) = async_channel::unbounded();
-        let handler = hyper::service::service_fn(move |request: http::Request<hyper::body::Incoming>| {
-            let sender = sender.clone();
-            async move {
-                let kind = request.headers()["content-type"].to_str().unwrap().to_owned();
-                let head = format!("{} {} {kind}", request.method(), request.uri().path());
-                let (data, _) = read_all(request.into_body()).await;
-                sender.send((head, data)).await.unwrap();
-                Ok::<_, std::convert::Infallible>(http::Response::new(Once(None)))
-            }
-        });
+        let handler =
+            hyper::service::service_fn(move |request: http::Request<hyper::body::Incoming>| {
+                let sender = sender.clone();
+                async move {
+                    let kind = request.headers()["content-type"]
+                        .to_str()
+                        .unwrap()
+                        .to_owned();
+                    let head = format!("{} {} {kind}", request.method(), request.uri().path());
+                    let (data, _) = read_all(request.into_body()).await;
+                    sender.send((head, data)).await.unwrap();
+                    Ok::<_, std::convert::Infallible>(http::Response::new(Once(None)))
+                }
+            });
         let io = smol_hyper::rt::FuturesIo::new(stream);
-        ex.spawn(hyper::server::conn::http2::Builder::new(Spawn(ex)).serve_connection(io, handler)).detach();
+        ex.spawn(hyper::server::conn::http2::Builder::new(Spawn(ex)).serve_connection(io, handler))
+            .detach();
         let (head, data) = arrived.recv().await.unwrap();
         assert_eq!(head, "POST /seamfront.Mesh/Deliver application/grpc");
         assert_eq!(data, framed(ENVELOPE));
@@ -629,7 +1001,13 @@
     async_io::block_on(ex.run(async {
         let bind = stand_ins::process::free_port();
         let (queue, commands) = async_channel::unbounded();
-        ex.spawn(mesh::serve(ex, bind, vec!["beta".into(), "alpha".into()], queue)).detach();
+        ex.spawn(mesh::serve(
+            ex,
+            bind,
+            vec!["beta".into(), "alpha".into()],
+            queue,
+        ))
+        .detach();
         let stream = loop {
             match async_net::TcpStream::connect(bind).await {
                 Ok(stream) => break stream,
@@ -637,7 +1015,9 @@
             }
         };
         let io = smol_hyper::rt::FuturesIo::new(stream);
-        let (mut sender, connection) = hyper::client::conn::http2::handshake(Spawn(ex), io).await.unwrap();
+        let (mut sender, connection) = hyper::client::conn::http2::handshake(Spawn(ex), io)
+            .await
+            .unwrap();
         ex.spawn(connection).detach();
         for (text, status, answer) in [
             (ENVELOPE, "0", framed("{}")),
@@ -650,12 +1030,30 @@
                 .body(Once(Some(framed(text).into())))
                 .unwrap();
             let response = sender.send_request(request).await.unwrap();
-            let in_head = response.headers().get("grpc-status").map(|s| s.to_str().unwrap().to_owned());
+            let in_head = response
+                .headers()
+                .get("grpc-status")
+                .map(|s| s.to_str().unwrap().to_owned());
             let (data, in_trailers) = read_all(response.into_body()).await;
-            assert_eq!((in_head.or(in_trailers).as_deref(), data), (Some(status), answer), "{text}");
+            assert_eq!(
+                (in_head.or(in_trailers).as_deref(), data),
+                (Some(status), answer),
+                "{text}"
+            );
         }
-        let Ok(Command::Mesh { from, message }) = commands.try_recv() else { panic!("no message") };
-        assert_eq!((from, message), (1, MeshMessage::Cancelled { job: "j-1".into(), tasks: 3 }));
+        let Ok(Command::Mesh { from, message }) = commands.try_recv() else {
+            panic!("no message")
+        };
+        assert_eq!(
+            (from, message),
+            (
+                1,
+                MeshMessage::Cancelled {
+                    job: "j-1".into(),
+                    tasks: 3
+                }
+            )
+        );
         assert!(commands.is_empty());
     }));
 }
@@ -673,15 +1071,23 @@
 /// Status and body of an answer.
 fn request(to: SocketAddr, method: &str, path: &str, body: &str) -> Option<String> {
     let mut stream = TcpStream::connect(to).ok()?;
-    let head = format!("{method} {path} HTTP/1.1\r\nhost: x\r\ncontent-length: {}\r\n\r\n", body.len());
+    let head = format!(
+        "{method} {path} HTTP/1.1\r\nhost: x\r\ncontent-length: {}\r\n\r\n",
+        body.len()
+    );
     stream.write_all(format!("{head}{body}").as_bytes()).ok()?;
     let (first, body) = stand_ins::http::read_message(&mut BufReader::new(stream))?;
-    Some(format!("{} {}", first.split(' ').nth(1)?, String::from_utf8(body).ok()?))
+    Some(format!(
+        "{} {}",
+        first.split(' ').nth(1)?,
+        String::from_utf8(body).ok()?
+    ))
 }
 
 #[test]
 fn a_controller_answers() {
-    let types = r#"{"modelos":[{"name":"g4","cores":48,"accelerators":4,"ram_gb":384,"pracas":["b"]}]}"#;
+    let types =
+        r#"{"modelos":[{"name":"g4","cores":48,"accelerators":4,"ram_gb":384,"pracas":["b"]}]}"#;
     let (cloud, _requests) = server(200, types);
     let at = stand_ins::process::free_port();
     let dir = std::env::temp_dir().join(format!("seamfront-forms-{}", std::process::id()));
@@ -690,40 +1096,102 @@
     let text = PLATFORM
         .replace(&PLATFORM[members], "")
         .replace("127.0.0.1:7001", &at.to_string())
-        .replace("127.0.0.1:7002", &stand_ins::process::free_port().to_string())
+        .replace(
+            "127.0.0.1:7002",
+            &stand_ins::process::free_port().to_string(),
+        )
         .replace("127.0.0.1:7005", &cloud.to_string())
         .replace("127.0.0.1:7006", &stand_ins::state_service().to_string());
     let _controller = stand_ins::process::start(&dir, &text, &[]);
-    let submission = SUBMISSION.replace(r#","espera":["j-7","j-8"]"#, "").replace("\"sound\"", "\"vision\"");
+    let submission = SUBMISSION
+        .replace(r#","espera":["j-7","j-8"]"#, "")
+        .replace("\"sound\"", "\"vision\"");
     let accepted = stand_ins::process::eventually("the job is accepted", || {
         request(at, "POST", "/submissions", &submission).filter(|answer| !answer.starts_with("503"))
     });
-    assert_eq!(accepted, r#"201 {"done":0,"id":"j-000031","ponto":"queued","running":0}"#);
+    assert_eq!(
+        accepted,
+        r#"201 {"done":0,"id":"j-000031","ponto":"queued","running":0}"#
+    );
     let too_long = " ".repeat(65 * 1024);
     for (method, path, body, expected) in [
         ("GET", "/up", "", "200 {}"),
-        ("POST", "/submissions", submission.as_str(), r#"200 {"done":0,"id":"j-000031","ponto":"queued","running":0}"#),
-        ("GET", "/submissions/j-000031", "", r#"200 {"done":0,"id":"j-000031","ponto":"queued","running":0}"#),
+        (
+            "POST",
+            "/submissions",
+            submission.as_str(),
+            r#"200 {"done":0,"id":"j-000031","ponto":"queued","running":0}"#,
+        ),
+        (
+            "GET",
+            "/submissions/j-000031",
+            "",
+            r#"200 {"done":0,"id":"j-000031","ponto":"queued","running":0}"#,
+        ),
         (
             "POST",
             "/submissions/j-000031/abort",
             "",
             r#"200 {"done":0,"id":"j-000031","ponto":"withdrawn","running":0}"#,
         ),
-        ("GET", "/submissions/j-5", "", r#"404 {"error":"no such job"}"#),
-        ("GET", "/submissions/other", "", r#"404 {"error":"no such job"}"#),
-        ("POST", "/submissions/other/abort", "", r#"404 {"error":"no such job"}"#),
-        ("POST", "/submissions", "[]", r#"400 {"error":"not an object"}"#),
-        ("POST", "/submissions", too_long.as_str(), r#"400 {"error":"body: too long"}"#),
-        ("POST", "/hello", too_long.as_str(), r#"400 {"error":"body: too long"}"#),
+        (
+            "GET",
+            "/submissions/j-5",
+            "",
+            r#"404 {"error":"no such job"}"#,
+        ),
+        (
+            "GET",
+            "/submissions/other",
+            "",
+            r#"404 {"error":"no such job"}"#,
+        ),
+        (
+            "POST",
+            "/submissions/other/abort",
+            "",
+            r#"404 {"error":"no such job"}"#,
+        ),
+        (
+            "POST",
+            "/submissions",
+            "[]",
+            r#"400 {"error":"not an object"}"#,
+        ),
+        (
+            "POST",
+            "/submissions",
+            too_long.as_str(),
+            r#"400 {"error":"body: too long"}"#,
+        ),
+        (
+            "POST",
+            "/hello",
+            too_long.as_str(),
+            r#"400 {"error":"body: too long"}"#,
+        ),
         ("POST", "/hello", REPORT, "421 {}"),
         ("GET", "/hello", "", r#"405 {"error":"method not allowed"}"#),
         ("POST", "/up", "", r#"405 {"error":"method not allowed"}"#),
-        ("POST", "/submissions/j-5", "", r#"405 {"error":"method not allowed"}"#),
-        ("GET", "/submissions/j-5/abort", "", r#"405 {"error":"method not allowed"}"#),
+        (
+            "POST",
+            "/submissions/j-5",
+            "",
+            r#"405 {"error":"method not allowed"}"#,
+        ),
+        (
+            "GET",
+            "/submissions/j-5/abort",
+            "",
+            r#"405 {"error":"method not allowed"}"#,
+        ),
         ("GET", "/other", "", r#"404 {"error":"no such path"}"#),
     ] {
-        assert_eq!(request(at, method, path, body).as_deref(), Some(expected), "{method} {path}");
+        assert_eq!(
+            request(at, method, path, body).as_deref(),
+            Some(expected),
+            "{method} {path}"
+        );
     }
     let _ = std::fs::remove_dir_all(&dir);
 }
@@ -735,16 +1203,29 @@
     let service = stand_ins::StateService::new();
     let put = |key: &str, value: &str| {
         let body = format!(r#"{{"when":[],"apply":[{{"write":"{key}","data":{value}}}]}}"#);
-        assert_eq!(service.handle("POST", "/commit", &serde_json::from_str(&body).unwrap()).0, 200);
+        assert_eq!(
+            service
+                .handle("POST", "/commit", &serde_json::from_str(&body).unwrap())
+                .0,
+            200
+        );
     };
     let all = || -> Vec<String> {
         let store = service.store.lock().unwrap();
-        store.keys.iter().map(|(key, entry)| format!("{key} {}", entry.0)).collect()
+        store
+            .keys
+            .iter()
+            .map(|(key, entry)| format!("{key} {}", entry.0))
+            .collect()
     };
     let shared = service.clone();
     let at = stand_ins::http::serve(move |method, path, body| shared.handle(method, path, &body));
-    let settings = settings::parse(&PLATFORM.replace("127.0.0.1:7006", &at.to_string()), None).unwrap();
-    assert_eq!(duties::show(&settings).unwrap(), "no duty is held and no member is up\n");
+    let settings =
+        settings::parse(&PLATFORM.replace("127.0.0.1:7006", &at.to_string()), None).unwrap();
+    assert_eq!(
+        duties::show(&settings).unwrap(),
+        "no duty is held and no member is up\n"
+    );
     let request: duties::MoveRequest = "cleaning=gamma".parse().unwrap();
     duties::request_move(&settings, &request).unwrap();
     let request: duties::MoveRequest = "moving=aaa".parse().unwrap();
@@ -758,16 +1239,24 @@
             r#"duty/move/returning {"format":1,"to":"aaa"}"#,
         ]
     );
-    put("duty/claim/cleaning", r#"{"format":1,"lease":7,"member":"alpha"}"#);
-    put("duty/claim/renting", r#"{"format":1,"lease":7,"member":"alpha"}"#);
+    put(
+        "duty/claim/cleaning",
+        r#"{"format":1,"lease":7,"member":"alpha"}"#,
+    );
+    put(
+        "duty/claim/renting",
+        r#"{"format":1,"lease":7,"member":"alpha"}"#,
+    );
     put(
         "duty-log/renting",
         r#"{"ended":2,"format":1,"open":[{"name":{"number":3,"token":41},"payload":{}}],"recent":[],"sequence":5,"token":41}"#,
     );
-    let member =
-        r#"{"format":1,"lease":7,"leaving":false,"load":35,"settings":{"duties":[],"lease_ms":4000,"members":[]}}"#;
+    let member = r#"{"format":1,"lease":7,"leaving":false,"load":35,"settings":{"duties":[],"lease_ms":4000,"members":[]}}"#;
     put("duty/member/alpha", member);
-    put("duty/member/gamma", &member.replace("\"leaving\":false", "\"leaving\":true"));
+    put(
+        "duty/member/gamma",
+        &member.replace("\"leaving\":false", "\"leaving\":true"),
+    );
     put("duty/switch", r#"{"by":"alpha","ended":3,"format":1}"#);
     put("duty/version/alpha", r#"{"format":1}"#);
     put("leader", r#"{"lease":0,"member":""}"#);
@@ -781,13 +1270,34 @@
 duty returning: to be moved to aaa
 ";
     assert_eq!(duties::show(&settings).unwrap(), shown);
-    assert!(duties::end(&settings).unwrap_err().to_string().contains("duty/claim/cleaning"));
-    for key in ["duty/claim/cleaning", "duty/claim/renting", "duty/member/alpha", "duty/member/gamma"] {
+    assert!(duties::end(&settings)
+        .unwrap_err()
+        .to_string()
+        .contains("duty/claim/cleaning"));
+    for key in [
+        "duty/claim/cleaning",
+        "duty/claim/renting",
+        "duty/member/alpha",
+        "duty/member/gamma",
+    ] {
         let body = format!(r#"{{"when":[],"apply":[{{"remove":"{key}"}}]}}"#);
-        assert_eq!(service.handle("POST", "/commit", &serde_json::from_str(&body).unwrap()).0, 200);
+        assert_eq!(
+            service
+                .handle("POST", "/commit", &serde_json::from_str(&body).unwrap())
+                .0,
+            200
+        );
     }
     duties::end(&settings).unwrap();
-    let left: Vec<String> = all().iter().map(|line| line.split(' ').next().unwrap().to_owned()).collect();
-    let moves = ["duty/move/cleaning", "duty/move/moving", "duty/move/renting", "duty/move/returning"];
+    let left: Vec<String> = all()
+        .iter()
+        .map(|line| line.split(' ').next().unwrap().to_owned())
+        .collect();
+    let moves = [
+        "duty/move/cleaning",
+        "duty/move/moving",
+        "duty/move/renting",
+        "duty/move/returning",
+    ];
     assert_eq!(left, [&["duty-log/renting"], &moves[..]].concat());
 }
--- a/crates/seamfront/tests/parsing.rs
+++ b/crates/seamfront/tests/parsing.rs
@@ -18,7 +18,10 @@
 #[test]
 fn a_whole_submission_is_taken() {
     let job = parse(&submission()).unwrap();
-    assert_eq!((job.tasks, job.need.cpus, job.need.gpus), (16, 8_000, 1_000));
+    assert_eq!(
+        (job.tasks, job.need.cpus, job.need.gpus),
+        (16, 8_000, 1_000)
+    );
     assert_eq!(job.save.0, 4_000_000);
     let mut v = submission();
     for optional in ["modelos", "praca", "entrega_s"] {
@@ -60,9 +63,33 @@
 #[test]
 fn every_bad_field_is_named() {
     let wrong: [(&str, Vec<Value>); 14] = [
-        ("id", vec![json!(7), json!("x-1"), json!("j-"), json!("j-1a"), json!(""), Value::Null]),
-        ("paes", vec![json!(0), json!(100_001), json!(1.5), json!(16.0), json!("3"), json!(-1), Value::Null]),
-        ("cores", vec![json!(-1), json!("8"), json!(1e300), Value::Null]),
+        (
+            "id",
+            vec![
+                json!(7),
+                json!("x-1"),
+                json!("j-"),
+                json!("j-1a"),
+                json!(""),
+                Value::Null,
+            ],
+        ),
+        (
+            "paes",
+            vec![
+                json!(0),
+                json!(100_001),
+                json!(1.5),
+                json!(16.0),
+                json!("3"),
+                json!(-1),
+                Value::Null,
+            ],
+        ),
+        (
+            "cores",
+            vec![json!(-1), json!("8"), json!(1e300), Value::Null],
+        ),
         ("accelerators", vec![json!(-0.5), json!([])]),
         ("ram_gb", vec![json!(true)]),
         ("feitio", vec![json!("band"), json!(1)]),
@@ -97,7 +124,10 @@
     let good = json!([{"pao":"j-1/3","tentativa":2,"ponto":"running"},
         {"pao":"j-2/0","tentativa":1,"ponto":"exited","motivo":"halted","saved":true}]);
     let r = workers::parse_report(report(good).as_bytes()).unwrap();
-    assert_eq!(r.tasks[1].state, TaskState::Exited(Exit::Stopped { saved: true }));
+    assert_eq!(
+        r.tasks[1].state,
+        TaskState::Exited(Exit::Stopped { saved: true })
+    );
     assert_eq!(r.tasks[0].task.to_string(), "j-1/3");
     for bad in [
         json!([{"pao":"j-1/3","tentativa":2,"ponto":"dancing"}]),
@@ -106,7 +136,10 @@
         json!([{"pao":"j-1/1","tentativa":-2,"ponto":"running"}]),
         json!([{"pao":"j-1/1","tentativa":1,"ponto":"exited","motivo":"boredom"}]),
     ] {
-        assert!(workers::parse_report(report(bad.clone()).as_bytes()).is_err(), "{bad}");
+        assert!(
+            workers::parse_report(report(bad.clone()).as_bytes()).is_err(),
+            "{bad}"
+        );
     }
 }
 
@@ -116,7 +149,10 @@
     let ini = include_str!("../../../docs/seamfront.example.ini");
     let s = settings::parse(good, Some(ini)).expect("the examples are valid");
     assert_eq!(s.core.members, ["alpha", "beta"]);
-    assert_eq!(s.core.tuning.idle_keep, seamfront_core::types::Tuning::default().idle_keep);
+    assert_eq!(
+        s.core.tuning.idle_keep,
+        seamfront_core::types::Tuning::default().idle_keep
+    );
     assert!(settings::parse(&good.replace("ram_mb", "unknown_field"), None).is_ok());
     for (from, to, field) in [
         ("report_s = 2.0", "report_s = -2.0", "report_s"),
@@ -128,7 +164,9 @@
         ("fd_limit = 2000", "fd_limit = 3", "fd_limit"),
     ] {
         assert!(good.contains(from));
-        let e = settings::parse(&good.replacen(from, to, 1), None).expect_err(field).to_string();
+        let e = settings::parse(&good.replacen(from, to, 1), None)
+            .expect_err(field)
+            .to_string();
         assert!(e.contains(field) && !e.contains('\n'), "{field}: {e}");
     }
     for (bad, field) in [
@@ -136,7 +174,9 @@
         ("[fleet]\nidle = 3", "fleet.idle"),
         ("ttl_s = 3", "ttl_s"),
     ] {
-        let e = settings::parse(good, Some(bad)).expect_err(field).to_string();
+        let e = settings::parse(good, Some(bad))
+            .expect_err(field)
+            .to_string();
         assert!(e.contains(field), "{e}");
     }
 }
@@ -154,8 +194,18 @@
     assert_eq!(parse(Value::Null).unwrap().needs, []);
     assert_eq!(parse(json!([])).unwrap().needs, []);
     let needs = parse(json!(["j-9", "j-8", "j-9"])).unwrap().needs;
-    assert_eq!(needs.iter().map(|n| n.as_str()).collect::<Vec<_>>(), ["j-8", "j-9"]);
-    for bad in [json!("j-8"), json!([8]), json!(["j-x"]), json!(["j-7"]), json!({"j-8": 1}), json!([null])] {
+    assert_eq!(
+        needs.iter().map(|n| n.as_str()).collect::<Vec<_>>(),
+        ["j-8", "j-9"]
+    );
+    for bad in [
+        json!("j-8"),
+        json!([8]),
+        json!(["j-x"]),
+        json!(["j-7"]),
+        json!({"j-8": 1}),
+        json!([null]),
+    ] {
         assert!(parse(bad.clone()).unwrap_err().contains("espera"), "{bad}");
     }
 }
@@ -164,12 +214,27 @@
 #[test]
 fn the_smaller_of_present_and_coming_limits_holds() {
     let good = include_str!("../../../docs/settings.example.toml");
-    let with = |next: &str| settings::parse(&good.replace("[params.cloud]", &format!("{next}\n[params.cloud]")), None);
+    let with = |next: &str| {
+        settings::parse(
+            &good.replace("[params.cloud]", &format!("{next}\n[params.cloud]")),
+            None,
+        )
+    };
     let now = with("").unwrap().core;
-    let s = with("[params.state.next]\nwrite_rps = 20.0\nvalue_kb = 2.0\ntxn_ops = 16\n").unwrap().core;
-    assert_eq!((s.write_rps, s.value_bytes, s.txn_ops, s.state_rps), (20, 2_048, 16, now.state_rps));
-    let s = with("[params.state.next]\nwrite_rps = 9000.0\nvalue_kb = 900.0\n").unwrap().core;
-    assert_eq!((s.write_rps, s.value_bytes, s.txn_ops), (now.write_rps, now.value_bytes, now.txn_ops));
+    let s = with("[params.state.next]\nwrite_rps = 20.0\nvalue_kb = 2.0\ntxn_ops = 16\n")
+        .unwrap()
+        .core;
+    assert_eq!(
+        (s.write_rps, s.value_bytes, s.txn_ops, s.state_rps),
+        (20, 2_048, 16, now.state_rps)
+    );
+    let s = with("[params.state.next]\nwrite_rps = 9000.0\nvalue_kb = 900.0\n")
+        .unwrap()
+        .core;
+    assert_eq!(
+        (s.write_rps, s.value_bytes, s.txn_ops),
+        (now.write_rps, now.value_bytes, now.txn_ops)
+    );
     assert!(with("[params.state.next]\ntxn_ops = 0\n").is_err());
 }
 
@@ -182,7 +247,11 @@
     let spec: seamfront_core::types::JobSpec = serde_json::from_str(job).unwrap();
     assert!(spec.needs.is_empty());
     let as_value = |text: &str| serde_json::from_str::<Value>(text).unwrap();
-    assert_eq!(serde_json::to_value(&spec).unwrap(), as_value(job), "written as before");
+    assert_eq!(
+        serde_json::to_value(&spec).unwrap(),
+        as_value(job),
+        "written as before"
+    );
     let work = r#"{"team":"t","need":{"c":1000,"g":0,"r":2000},"e":1,"dr":false,"a":[[0,2]],"n":7,"d":[[0,2],[4,5]],"p":{"i-000231":[[2,4,6]]},"pk":0}"#;
     let record: WorkRecord = serde_json::from_str(work).unwrap();
     assert_eq!(serde_json::to_value(&record).unwrap(), as_value(work));
@@ -202,7 +271,10 @@
     let claim = r#"{"member":"n0","lease":4}"#;
     let value: seamfront_core::store_session::ClaimValue = serde_json::from_str(claim).unwrap();
     assert_eq!(serde_json::to_value(&value).unwrap(), as_value(claim));
-    for end in [r#"{"cancelled":true,"tasks":3}"#, r#"{"cancelled":false,"tasks":3}"#] {
+    for end in [
+        r#"{"cancelled":true,"tasks":3}"#,
+        r#"{"cancelled":false,"tasks":3}"#,
+    ] {
         let record: seamfront_core::users::EndRecord = serde_json::from_str(end).unwrap();
         assert_eq!(serde_json::to_value(record).unwrap(), as_value(end));
     }
--- a/crates/seamfront/tests/stand_ins/http.rs
+++ b/crates/seamfront/tests/stand_ins/http.rs
@@ -39,7 +39,9 @@
 }
 
 /// A stand-in's server: one thread a connection.
-pub fn serve(handle: impl Fn(&str, &str, Value) -> (u16, Value) + Send + Sync + 'static) -> SocketAddr {
+pub fn serve(
+    handle: impl Fn(&str, &str, Value) -> (u16, Value) + Send + Sync + 'static,
+) -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let addr = listener.local_addr().unwrap();
     let handle = Arc::new(handle);
@@ -52,9 +54,16 @@
                 while let Some((first, body)) = read_message(&mut r) {
                     let mut words = first.split(' ');
                     let (method, path) = (words.next().unwrap_or(""), words.next().unwrap_or(""));
-                    let (status, reply) = handle(method, path, serde_json::from_slice(&body).unwrap_or(Value::Null));
+                    let (status, reply) = handle(
+                        method,
+                        path,
+                        serde_json::from_slice(&body).unwrap_or(Value::Null),
+                    );
                     let text = reply.to_string();
-                    let head = format!("HTTP/1.1 {status} X\r\ncontent-length: {}\r\n\r\n", text.len());
+                    let head = format!(
+                        "HTTP/1.1 {status} X\r\ncontent-length: {}\r\n\r\n",
+                        text.len()
+                    );
                     if out.write_all(format!("{head}{text}").as_bytes()).is_err() {
                         break;
                     }
@@ -78,9 +87,16 @@
 ) -> Option<(u16, Option<u64>, Value)> {
     let mut s = TcpStream::connect_timeout(&to, Duration::from_secs(1)).ok()?;
     s.set_read_timeout(Some(Duration::from_secs(6))).ok()?;
-    let head = format!("{method} {path} HTTP/1.1\r\nhost: x\r\ncontent-length: {}\r\n\r\n", body.len());
+    let head = format!(
+        "{method} {path} HTTP/1.1\r\nhost: x\r\ncontent-length: {}\r\n\r\n",
+        body.len()
+    );
     s.write_all(format!("{head}{body}").as_bytes()).ok()?;
     let (first, retry_after, body) = read_whole_message(&mut BufReader::new(s))?;
     let status = first.split(' ').nth(1)?.parse().ok()?;
-    Some((status, retry_after, serde_json::from_slice(&body).unwrap_or(Value::Null)))
+    Some((
+        status,
+        retry_after,
+        serde_json::from_slice(&body).unwrap_or(Value::Null),
+    ))
 }
--- a/crates/seamfront/tests/stand_ins/mod.rs
+++ b/crates/seamfront/tests/stand_ins/mod.rs
@@ -37,7 +37,10 @@
 
 impl StateService {
     pub fn new() -> StateService {
-        StateService { store: Arc::new(Mutex::new(store::Store::with_page(100))), begin: Instant::now() }
+        StateService {
+            store: Arc::new(Mutex::new(store::Store::with_page(100))),
+            begin: Instant::now(),
+        }
     }
 
     pub fn now(&self) -> Micros {
@@ -90,15 +93,24 @@
     let bare = path.split('?').next().unwrap_or("");
     let parts: Vec<&str> = bare.trim_start_matches('/').splitn(3, '/').collect();
     match (method, parts.as_slice()) {
-        ("GET", ["kv"]) => StateCall::List { prefix: text("prefix").unwrap_or_default(), after: text("after") },
-        ("GET", ["kv", ..]) => StateCall::Get { key: bare["/kv/".len()..].to_owned() },
+        ("GET", ["kv"]) => StateCall::List {
+            prefix: text("prefix").unwrap_or_default(),
+            after: text("after"),
+        },
+        ("GET", ["kv", ..]) => StateCall::Get {
+            key: bare["/kv/".len()..].to_owned(),
+        },
         ("GET", ["changes"]) => StateCall::Changes {
             prefix: text("prefix").unwrap_or_default(),
             after: number("after"),
             hold: Micros::from_millis(number("hold_ms") as i64),
         },
-        ("POST", ["grants"]) => StateCall::Grant { ttl: Micros::from_millis(body["ttl_ms"].as_i64().unwrap_or(0)) },
-        ("POST", ["grants", id, "renew"]) => StateCall::Renew { lease: id.parse().unwrap_or(0) },
+        ("POST", ["grants"]) => StateCall::Grant {
+            ttl: Micros::from_millis(body["ttl_ms"].as_i64().unwrap_or(0)),
+        },
+        ("POST", ["grants", id, "renew"]) => StateCall::Renew {
+            lease: id.parse().unwrap_or(0),
+        },
         _ => parse_commit(body),
     }
 }
@@ -106,21 +118,40 @@
 fn parse_commit(body: &Value) -> StateCall {
     let list = |k: &str| body[k].as_array().cloned().unwrap_or_default();
     let name = |v: &Value| v.as_str().unwrap_or("").to_owned();
-    let when = list("when").iter().map(|w| (name(&w["key"]), w["rasura"].as_u64().unwrap_or(0))).collect();
+    let when = list("when")
+        .iter()
+        .map(|w| (name(&w["key"]), w["rasura"].as_u64().unwrap_or(0)))
+        .collect();
     let change = |a: &Value| match a.get("write") {
-        Some(k) => Put::Put { key: name(k), value: a["data"].clone(), lease: a["vale"].as_u64() },
-        None => Put::Delete { key: name(&a["remove"]) },
+        Some(k) => Put::Put {
+            key: name(k),
+            value: a["data"].clone(),
+            lease: a["vale"].as_u64(),
+        },
+        None => Put::Delete {
+            key: name(&a["remove"]),
+        },
     };
-    StateCall::Commit { when, apply: list("apply").iter().map(change).collect() }
+    StateCall::Commit {
+        when,
+        apply: list("apply").iter().map(change).collect(),
+    }
 }
 
 fn answer(request: &StateCall, reply: StateReply) -> (u16, Value) {
     match reply {
         StateReply::Entry(e) => (200, pair(e)),
         StateReply::Missing => (404, json!({"caderno": 0})),
-        StateReply::Page { entries, more, revision } => {
+        StateReply::Page {
+            entries,
+            more,
+            revision,
+        } => {
             let pairs: Vec<Value> = entries.into_iter().map(pair).collect();
-            (200, json!({"pairs": pairs, "more": more, "caderno": revision}))
+            (
+                200,
+                json!({"pairs": pairs, "more": more, "caderno": revision}),
+            )
         }
         StateReply::Committed { revision } => (200, json!({ "caderno": revision })),
         StateReply::Conflict { failed } => (409, json!({"failed": failed, "caderno": 0})),
--- a/crates/seamfront/tests/stand_ins/process.rs
+++ b/crates/seamfront/tests/stand_ins/process.rs
@@ -16,7 +16,10 @@
 }
 
 pub fn free_port() -> SocketAddr {
-    TcpListener::bind("127.0.0.1:0").unwrap().local_addr().unwrap()
+    TcpListener::bind("127.0.0.1:0")
+        .unwrap()
+        .local_addr()
+        .unwrap()
 }
 
 pub fn program() -> Command {
@@ -26,7 +29,15 @@
 pub fn start(dir: &Path, text: &str, args: &[&str]) -> Controller {
     let path = dir.join("settings.toml");
     std::fs::write(&path, text).unwrap();
-    Controller(program().args(args).arg("--config").arg(path).env("LOG_LEVEL", "warn").spawn().unwrap())
+    Controller(
+        program()
+            .args(args)
+            .arg("--config")
+            .arg(path)
+            .env("LOG_LEVEL", "warn")
+            .spawn()
+            .unwrap(),
+    )
 }
 
 /// Waits for what must come; only a run that hangs fails by the clock.
