--- a/crates/seamfront-core/src/boots.rs
+++ b/crates/seamfront-core/src/boot_times.rs
@@ -15,7 +15,7 @@
 
 /// What is known of one type.
 #[derive(Clone, Debug, Default)]
-struct OfKind {
+struct TypeBootTimes {
     /// How long the last ones took.
     recent: VecDeque<Micros>,
     /// When the latest rented of those that are up was rented.
@@ -31,14 +31,14 @@
 
 /// Boots seen by a leader, and the machines whose boot it waits for.
 #[derive(Clone, Debug, Default)]
-pub struct Boots {
-    kinds: BTreeMap<String, OfKind>,
+pub struct BootTimes {
+    kinds: BTreeMap<String, TypeBootTimes>,
     waiting: BTreeMap<MachineId, Booting>,
 }
 
-impl Boots {
+impl BootTimes {
     /// A machine was rented.
-    pub fn rented(&mut self, id: MachineId, kind: &str, now: Micros) {
+    pub fn provisioned(&mut self, id: MachineId, kind: &str, now: Micros) {
         self.waiting.entry(id).or_insert_with(|| Booting {
             kind: kind.to_owned(),
             since: now,
@@ -46,7 +46,7 @@
     }
 
     /// Takes in which of the machines that are waited for are up.
-    pub fn learn(&mut self, now: Micros, up: impl Fn(&MachineId) -> bool) {
+    pub fn record_boots(&mut self, now: Micros, up: impl Fn(&MachineId) -> bool) {
         let kinds = &mut self.kinds;
         self.waiting.retain(|id, booting| {
             if !up(id) {
@@ -85,7 +85,7 @@
 
     /// Whether a machine will hardly come up any more: it takes twice as long as slow ones lately, and one that
     /// was rented after it is up.
-    pub fn given_up(&self, id: &MachineId, usual: Micros, now: Micros) -> bool {
+    pub fn presumed_failed(&self, id: &MachineId, usual: Micros, now: Micros) -> bool {
         let Some(booting) = self.waiting.get(id) else {
             return false;
         };
--- a/crates/seamfront-core/src/capacity/mod.rs
+++ b/crates/seamfront-core/src/capacity/mod.rs
@@ -1,20 +1,20 @@
 //! How many machines of which kind: a pure plan from what the shards tell. Carrying it out is the
 //! leader's business.
 
-use crate::boots::Boots;
-use crate::fleet::MachineRecord;
-use crate::port::{MachineView, Need};
+use crate::boot_times::BootTimes;
+use crate::machine::MachineRecord;
+use crate::port::{MachineView, ResourceRequest};
 use crate::types::*;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
 mod planner;
-mod renting;
+mod provisioning;
 
 /// `rent/<name>`: written before the cloud is asked, so that a successor repeats the same request
 /// under the same name instead of renting twice.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct RentRecord {
+pub struct ProvisioningRecord {
     /// The shard that the machines are for.
     #[serde(rename = "share")]
     pub shard: usize,
@@ -40,7 +40,7 @@
     /// Its record in the state service.
     pub record: &'a MachineRecord,
     /// What it has in all.
-    pub size: Amounts,
+    pub size: Resources,
     /// What its owner last told of it.
     pub view: Option<&'a MachineView>,
     /// Since it was assigned to its shard.
@@ -54,8 +54,8 @@
     fn bad(&self) -> bool {
         self.view.is_some_and(|v| v.bad)
     }
-    fn gathered(&self) -> bool {
-        self.view.is_some_and(|v| v.gathered)
+    fn reserved_for_gang(&self) -> bool {
+        self.view.is_some_and(|v| v.reserved_for_gang)
     }
     fn idle(&self) -> Option<Micros> {
         self.view.and_then(|v| v.idle)
@@ -63,25 +63,25 @@
 }
 
 /// All that a plan is made from.
-pub struct Picture<'a> {
+pub struct ClusterSnapshot<'a> {
     /// The time of the plan.
     pub now: Micros,
     /// What waits, with the shard in which it does.
-    pub needs: Vec<(usize, &'a Need)>,
+    pub requests: Vec<(usize, &'a ResourceRequest)>,
     /// All machines that are assigned to a shard.
     pub machines: Vec<Supply<'a>>,
     /// Rentals that are under way.
-    pub rents: Vec<&'a RentRecord>,
+    pub provisionings: Vec<&'a ProvisioningRecord>,
     /// Machine types on offer.
     pub types: &'a [MachineType],
     /// Offers that the cloud has refused: until when, and how often in a row.
-    pub refused: &'a BTreeMap<Offer, (Micros, u32)>,
+    pub unavailable_offers: &'a BTreeMap<Offer, (Micros, u32)>,
     /// Operators' settings.
     pub tuning: &'a Tuning,
     /// How long machines take until they are up.
-    pub boots: &'a Boots,
+    pub boot_times: &'a BootTimes,
     /// Machines that are being cleared for another shard.
-    pub clearing: &'a BTreeMap<MachineId, (usize, Micros)>,
+    pub draining: &'a BTreeMap<MachineId, (usize, Micros)>,
 }
 
 /// What the leader should do now.
@@ -90,11 +90,11 @@
     /// Machines to be moved, with the shard that they go to.
     pub moves: Vec<(MachineId, usize)>,
     /// Machines to be returned.
-    pub returns: Vec<MachineId>,
+    pub terminations: Vec<MachineId>,
     /// To be cleared of lesser work than that of this priority, for this shard.
-    pub clear: Vec<(MachineId, usize, Priority)>,
+    pub drains: Vec<(MachineId, usize, Priority)>,
     /// Rentals to be begun.
-    pub rents: Vec<RentRecord>,
+    pub provisionings: Vec<ProvisioningRecord>,
 }
 
 /// A machine that costs less than this part of the costliest that is offered is cheap: work does not
@@ -104,17 +104,17 @@
 const CHEAP_FACTOR: i64 = 4;
 
 /// Makes a plan; the same picture gives the same plan.
-pub fn plan(picture: &Picture) -> Plan {
-    let mut planner = planner::Planner::new(picture);
-    for (shard, need) in planner::in_order(picture) {
-        planner.serve(shard, need);
+pub fn plan(snapshot: &ClusterSnapshot) -> Plan {
+    let mut planner = planner::Planner::new(snapshot);
+    for (shard, request) in planner::in_order(snapshot) {
+        planner.satisfy(shard, request);
     }
-    planner.return_spare();
+    planner.scale_in_idle();
     planner.into_plan()
 }
 
 /// What an hour of such a machine costs.
-pub fn price_of(types: &[MachineType], kind: &str, spot: bool) -> i64 {
+pub fn hourly_price(types: &[MachineType], kind: &str, spot: bool) -> i64 {
     types
         .iter()
         .find(|t| t.name == kind)
--- a/crates/seamfront-core/src/capacity/renting.rs
+++ b/crates/seamfront-core/src/capacity/provisioning.rs
@@ -1,9 +1,9 @@
 //! What is rented for work that neither idle machines nor those on their way can serve.
 
-use super::planner::{Planner, Target};
-use super::{cheap, Picture, RentRecord};
-use crate::fleet::MachineRecord;
-use crate::port::Need;
+use super::planner::{Demand, Planner};
+use super::{cheap, ClusterSnapshot, ProvisioningRecord};
+use crate::machine::MachineRecord;
+use crate::port::ResourceRequest;
 use crate::types::*;
 use std::collections::BTreeMap;
 
@@ -15,25 +15,25 @@
 /// Shorter estimates are taken for this long.
 const ESTIMATE_MIN: Micros = Micros::from_secs(5);
 /// Machines asked for in one request.
-const RENT_MAX: u32 = 20;
+const MAX_MACHINES_PER_REQUEST: u32 = 20;
 
 /// Machines that a plan can't tell from each other: of one shard, kind, zone and price, with as much taken
 /// by services. A far larger fleet has hardly more of these than a small one.
-struct Stock<'a> {
+struct MachinePool<'a> {
     shard: usize,
     record: &'a MachineRecord,
-    size: Amounts,
+    size: Resources,
     /// Taken by services.
-    pinned: Amounts,
+    pinned: Resources,
     count: i64,
     /// Processors that work uses which ends by itself, in all of them.
     busy: i64,
 }
 
-fn stocks<'a>(p: &Picture<'a>) -> Vec<Stock<'a>> {
-    let mut found: BTreeMap<_, Stock> = BTreeMap::new();
+fn pools<'a>(p: &ClusterSnapshot<'a>) -> Vec<MachinePool<'a>> {
+    let mut found: BTreeMap<_, MachinePool> = BTreeMap::new();
     for m in p.machines.iter().filter(|m| !m.bad()) {
-        let pinned = m.view.map_or(Amounts::default(), |v| v.pinned);
+        let pinned = m.view.map_or(Resources::default(), |v| v.pinned);
         let r = m.record;
         let key = (
             m.shard,
@@ -44,7 +44,7 @@
             pinned.gpus,
             pinned.ram,
         );
-        let stock = found.entry(key).or_insert(Stock {
+        let pool = found.entry(key).or_insert(MachinePool {
             shard: m.shard,
             record: r,
             size: m.size,
@@ -52,15 +52,15 @@
             count: 0,
             busy: 0,
         });
-        stock.count += 1;
-        stock.busy += m.view.map_or(0, |v| v.used.cpus - v.pinned.cpus);
+        pool.count += 1;
+        pool.busy += m.view.map_or(0, |v| v.used.cpus - v.pinned.cpus);
     }
     found.into_values().collect()
 }
 
 /// What is decided once for a whole plan.
-pub(super) struct Overview<'a> {
-    stocks: Vec<Stock<'a>>,
+pub(super) struct PoolSummary<'a> {
+    pools: Vec<MachinePool<'a>>,
     /// Machines in each zone.
     by_zone: BTreeMap<&'a str, i64>,
     /// Waiting work so far, by shard and whether it needs accelerators, in thousandths of a processor
@@ -68,39 +68,44 @@
     work: BTreeMap<(usize, bool), i64>,
 }
 
-impl<'a> Overview<'a> {
-    pub(super) fn of(picture: &Picture<'a>) -> Overview<'a> {
+impl<'a> PoolSummary<'a> {
+    pub(super) fn of(snapshot: &ClusterSnapshot<'a>) -> PoolSummary<'a> {
         let mut by_zone: BTreeMap<&str, i64> = BTreeMap::new();
-        for m in &picture.machines {
+        for m in &snapshot.machines {
             *by_zone.entry(m.record.zone.as_str()).or_default() += 1;
         }
-        Overview {
-            stocks: stocks(picture),
+        PoolSummary {
+            pools: pools(snapshot),
             by_zone,
             work: BTreeMap::new(),
         }
     }
 }
 
-impl Picture<'_> {
+impl ClusterSnapshot<'_> {
     fn refuses(&self, kind: &str, zone: &str, spot: bool) -> bool {
         let offer = (kind.to_owned(), zone.to_owned(), spot);
-        self.refused
+        self.unavailable_offers
             .get(&offer)
             .is_some_and(|(until, _)| *until > self.now)
     }
 
     /// Whether anything that may run the need can be asked for in this zone.
-    pub(super) fn on_offer(&self, need: &Need, zone: &str) -> bool {
+    pub(super) fn on_offer(&self, request: &ResourceRequest, zone: &str) -> bool {
         let named = |t: &MachineType| {
-            need.types
+            request
+                .types
                 .as_ref()
                 .is_none_or(|names| names.contains(&t.name))
         };
         let here = |t: &MachineType| {
-            t.size.fits(need.task) > 0 && named(t) && t.zones.iter().any(|z| z == zone)
+            t.size.fits(request.task) > 0 && named(t) && t.zones.iter().any(|z| z == zone)
+        };
+        let spots: &[bool] = if request.spot {
+            &[true, false]
+        } else {
+            &[false]
         };
-        let spots: &[bool] = if need.spot { &[true, false] } else { &[false] };
         self.types
             .iter()
             .filter(|t| here(t))
@@ -127,20 +132,20 @@
 }
 
 impl<'a> Planner<'_, 'a> {
-    fn slots(&self, target: &Target) -> Slots<'a> {
+    fn slots(&self, demand: &Demand) -> Slots<'a> {
         let mut slots = Slots::default();
         for s in self
-            .overview
-            .stocks
+            .summary
+            .pools
             .iter()
-            .filter(|s| s.shard == target.shard)
+            .filter(|s| s.shard == demand.shard)
         {
             let mut size = s.size;
             size.sub(s.pinned);
-            let (fit, r) = (size.fits(target.need.task), s.record);
+            let (fit, r) = (size.fits(demand.request.task), s.record);
             if fit > 0
-                && target.suits(s.size, self.picture.types)
-                && target.allows(&r.kind, &r.zone, r.spot)
+                && demand.suits(s.size, self.snapshot.types)
+                && demand.allows(&r.kind, &r.zone, r.spot)
             {
                 slots.busy += s.busy;
                 slots.all += fit * s.count;
@@ -152,27 +157,27 @@
 
     /// For how many tasks the shard's machines lack room, as they get through what runs and waits until this must
     /// start.
-    fn short_of(&mut self, target: &Target, slots: &Slots) -> i64 {
-        let need = target.need;
-        let types = self.picture.types;
-        let unit = need.task.cpus.max(1);
-        let estimate = need.estimate.max(ESTIMATE_MIN).0 / 1_000;
+    fn short_of(&mut self, demand: &Demand, slots: &Slots) -> i64 {
+        let request = demand.request;
+        let types = self.snapshot.types;
+        let unit = request.task.cpus.max(1);
+        let estimate = request.estimate.max(ESTIMATE_MIN).0 / 1_000;
         let sum = self
-            .overview
+            .summary
             .work
-            .entry((target.shard, need.task.gpus > 0))
+            .entry((demand.shard, request.task.gpus > 0))
             .or_default();
-        *sum += i64::from(need.count) * estimate * unit / 1_000;
+        *sum += i64::from(request.count) * estimate * unit / 1_000;
         // What runs is half through on average.
         let todo = *sum + slots.busy * estimate / 2_000;
         let suitable = types
             .iter()
-            .filter(|t| t.size.fits(need.task) > 0 && target.suits(t.size, types));
+            .filter(|t| t.size.fits(request.task) > 0 && demand.suits(t.size, types));
         let cheap = suitable
             .map(|t| t.price)
             .min()
             .is_some_and(|price| cheap(types, price));
-        let time = need
+        let time = request
             .left
             .map_or(DRAIN_IDLE, |l| l.clamp(DRAIN_MIN, DRAIN_MAX));
         let time = time.over(if cheap { 2 } else { 1 }).0 / 1_000;
@@ -180,48 +185,48 @@
     }
 
     /// For how many tasks machines should be rented. Services are rented for in full.
-    fn tasks_to_rent_for(&mut self, target: &Target) -> u32 {
-        let need = target.need;
-        if need.service {
-            return target.rest;
+    fn tasks_to_provision_for(&mut self, demand: &Demand) -> u32 {
+        let request = demand.request;
+        if request.service {
+            return demand.rest;
         }
-        let slots = self.slots(target);
-        let short = self.short_of(target, &slots).min(i64::from(target.rest)) as u32;
-        if !need.together {
+        let slots = self.slots(demand);
+        let short = self.short_of(demand, &slots).min(i64::from(demand.rest)) as u32;
+        if !request.together {
             return if slots.all == 0 { short.max(1) } else { short };
         }
         // All of it must find room at once, so what it holds already counts neither way.
-        let most = if need.one_zone {
+        let most = if request.one_zone {
             slots.by_zone.values().max().copied().unwrap_or(0)
         } else {
             slots.all
         };
-        let lacking = (i64::from(need.total) - most).max(0) as u32;
+        let lacking = (i64::from(request.total) - most).max(0) as u32;
         match (lacking, short) {
             (0, 0) => 0,
-            (0, _) => need.count,
+            (0, _) => request.count,
             _ => lacking,
         }
     }
 
     /// The cheapest for its tasks; of those, in the zone with fewer machines, so that a spread job finds both.
-    fn best_candidate(&self, target: &Target, tasks: u32) -> Option<Candidate<'a>> {
-        let p = self.picture;
+    fn best_candidate(&self, demand: &Demand, tasks: u32) -> Option<Candidate<'a>> {
+        let p = self.snapshot;
         let mut best: Option<(i64, Candidate)> = None;
         for t in p.types {
-            let fit = t.size.fits(target.need.task);
-            if fit <= 0 || !target.suits(t.size, p.types) {
+            let fit = t.size.fits(demand.request.task);
+            if fit <= 0 || !demand.suits(t.size, p.types) {
                 continue;
             }
             for zone in &t.zones {
                 for spot in [true, false] {
-                    if !target.allows(&t.name, zone, spot) || p.refuses(&t.name, zone, spot) {
+                    if !demand.allows(&t.name, zone, spot) || p.refuses(&t.name, zone, spot) {
                         continue;
                     }
                     let price = if spot { t.spot_price } else { t.price };
                     let each = price * 1_000 / fit.min(i64::from(tasks)).max(1);
                     let here = self
-                        .overview
+                        .summary
                         .by_zone
                         .get(zone.as_str())
                         .copied()
@@ -244,23 +249,28 @@
         best.map(|b| b.1)
     }
 
-    pub(super) fn rent_for(&mut self, target: &Target) {
-        let mut tasks = self.tasks_to_rent_for(target);
+    pub(super) fn provision_for(&mut self, demand: &Demand) {
+        let mut tasks = self.tasks_to_provision_for(demand);
         while tasks > 0 {
-            let Some(c) = self.best_candidate(target, tasks) else {
+            let Some(c) = self.best_candidate(demand, tasks) else {
                 return;
             };
-            let same =
-                |r: &RentRecord| r.kind == c.kind.name && r.zone == c.zone && r.spot == c.spot;
-            if self.plan.rents.iter().any(same) {
+            let same = |r: &ProvisioningRecord| {
+                r.kind == c.kind.name && r.zone == c.zone && r.spot == c.spot
+            };
+            if self.plan.provisionings.iter().any(same) {
                 // One request per offer and round; the rest follows when the answer is known.
                 return;
             }
-            let most = if target.need.spread { 1 } else { RENT_MAX };
+            let most = if demand.request.spread {
+                1
+            } else {
+                MAX_MACHINES_PER_REQUEST
+            };
             let count = (((i64::from(tasks) + c.fit - 1) / c.fit) as u32).min(most);
             let (kind, zone) = (c.kind.name.clone(), c.zone.to_owned());
-            self.plan.rents.push(RentRecord {
-                shard: target.shard,
+            self.plan.provisionings.push(ProvisioningRecord {
+                shard: demand.shard,
                 kind,
                 zone,
                 spot: c.spot,
--- a/crates/seamfront-core/src/engine/mod.rs
+++ b/crates/seamfront-core/src/engine/mod.rs
@@ -1,17 +1,17 @@
 //! The one owner of all state of a controller. Commands come in batches, effects go out; time is
 //! given, never asked for. Same commands, same times, same effects.
 
-use crate::chains::{Chain, Chains, Question};
-use crate::cleaning::Cleaning;
-use crate::fleet::MachineRecord;
-use crate::formats::Formats;
-use crate::leader::{Leader, LeaderCall};
+use crate::dependencies::{DependencyGraph, JobDependencies, StatusQuery};
+use crate::format_versions::Formats;
+use crate::garbage_collector::GarbageCollector;
+use crate::leader::{Leader, LeaderRequest};
+use crate::machine::MachineRecord;
 use crate::port::*;
 use crate::record::Layout;
 use crate::shard::*;
 use crate::store_session::StoreSession;
 use crate::types::*;
-use crate::users::{EndRecord, Users, Wish};
+use crate::user_api::{EndRecord, LookupPurpose, Users};
 use seamfront_lease::DutyManager;
 use std::collections::BTreeMap;
 use std::rc::Rc;
@@ -30,7 +30,7 @@
     /// The shard of its team.
     pub shard: usize,
     /// Its place in its chain.
-    pub chain: Chain,
+    pub dependencies: JobDependencies,
 }
 
 /// What is known of another controller.
@@ -41,7 +41,7 @@
     /// Since when it has called itself ready.
     pub ready_since: Option<Micros>,
     /// Writes that it had waiting when it was last heard of.
-    pub awaited: usize,
+    pub pending_writes: usize,
 }
 
 /// Waiting jobs that the leader is told of at once: a message between controllers has its bound.
@@ -56,15 +56,15 @@
         slot: usize,
         lease: u64,
     },
-    HandBack {
+    TransferShard {
         slot: usize,
         version: u64,
     },
-    Prove {
+    Verify {
         sent: Micros,
         claims: Vec<(usize, u64)>,
     },
-    ProveView {
+    VerifyView {
         sent: Micros,
         claims: Vec<(usize, u64)>,
         revision: u64,
@@ -80,74 +80,74 @@
     Shard {
         shard: usize,
         version: u64,
-        writes: Vec<ShardWrite>,
+        shard_writes: Vec<ShardWrite>,
     },
     Submit {
-        batch: Vec<(ReplyTo, Rc<JobSpec>)>,
+        batch: Vec<(ClientRequestId, Rc<JobSpec>)>,
     },
     VerifyUnknown {
-        to: ReplyTo,
+        to: ClientRequestId,
         spec: Rc<JobSpec>,
-        why: Impossible,
+        why: SubmissionError,
         end: bool,
     },
-    NeedKnown {
-        to: ReplyTo,
+    DependencyKnown {
+        to: ClientRequestId,
         spec: Rc<JobSpec>,
         left: Vec<JobId>,
         end: bool,
     },
-    NeedsWritten {
-        to: ReplyTo,
+    DependencyPartsWritten {
+        to: ClientRequestId,
         spec: Rc<JobSpec>,
         parts: Vec<Vec<JobId>>,
         next: usize,
     },
     SubmitCancelled {
-        to: ReplyTo,
+        to: ClientRequestId,
         spec: Rc<JobSpec>,
     },
-    NeedsRead {
+    DependencyPartsRead {
         id: JobId,
         version: u64,
         got: Vec<Entry>,
     },
-    NeedEnd {
+    DependencyEnd {
         id: JobId,
     },
-    Orphans {
+    CascadeCancel {
         ids: Vec<JobId>,
     },
     Confirm {
-        polls: Vec<(ReplyTo, JobId)>,
+        polls: Vec<(ClientRequestId, JobId)>,
     },
     Refresh {
-        polls: Vec<Question>,
+        polls: Vec<StatusQuery>,
         revision: u64,
     },
     LookUp {
-        to: ReplyTo,
+        to: ClientRequestId,
         id: JobId,
-        wish: Wish,
+        purpose: LookupPurpose,
     },
     LookUpEnd {
-        to: ReplyTo,
+        to: ClientRequestId,
         id: JobId,
     },
     Cancel {
-        to: ReplyTo,
+        to: ClientRequestId,
         id: JobId,
         end: EndRecord,
     },
     Leader {
         version: u64,
-        call: LeaderCall,
+        call: LeaderRequest,
     },
     Duty {
         call: CallId,
     },
-    Leftovers,
-    LeftoverEnd,
+    OrphanedRecords,
+    OwnerEnd,
     FormatsRead,
     FormatWritten,
     TypesRead,
@@ -156,9 +156,9 @@
 
 /// The scheduler of one controller: commands in, effects out.
 pub struct Engine {
-    pub(crate) cfg: Rc<Settings>,
+    pub(crate) settings: Rc<Settings>,
     pub(crate) now: Micros,
-    pub(crate) wall: Micros,
+    pub(crate) wall_time: Micros,
     pub(crate) effects: Vec<Effect>,
     calls: BTreeMap<CallId, Pending>,
     next_call: CallId,
@@ -171,42 +171,42 @@
     pub(crate) leader: Option<Leader>,
     /// By slot: sending time of the last state request that proved the claim with a view of
     /// cancellations as new.
-    pub(crate) proven: Vec<Option<Micros>>,
+    pub(crate) last_verified: Vec<Option<Micros>>,
     pub(crate) users: Users,
-    pub(crate) chains: Chains,
+    pub(crate) dependencies: DependencyGraph,
     pub(crate) formats: Formats,
     /// Where duties are on.
     pub(crate) duties: Option<DutyManager>,
-    pub(crate) cleaning: Cleaning,
+    pub(crate) garbage_collector: GarbageCollector,
     pub(crate) types: Vec<MachineType>,
     types_busy: bool,
     types_next: Micros,
     pub(crate) peers: Vec<Peer>,
     /// When any worker was last heard of, whoever owns its machine.
-    last_hello: Micros,
-    deaf_since: Option<Micros>,
+    last_worker_heartbeat: Micros,
+    inbound_partition_since: Option<Micros>,
     alive_next: Micros,
-    tell_next: Micros,
+    leader_update_next: Micros,
     progress_next: Micros,
-    told: BTreeMap<JobId, (u32, u32)>,
+    last_progress: BTreeMap<JobId, (u32, u32)>,
     /// Tokens of the bucket that paces the scheduler's own writes, in thousandths.
     pub(crate) write_budget: i64,
     write_first: usize,
     /// What was last told to the others.
-    awaited: usize,
+    pending_writes: usize,
     write_filled: Micros,
     write_rest: Micros,
     write_next: Micros,
-    pub(crate) leader_looked: i64,
+    pub(crate) leader_work_done: i64,
 }
 
 impl Engine {
     /// A controller that has just begun: it knows nothing of what it did before.
-    pub fn new(cfg: Settings) -> Engine {
-        let n = cfg.members.len();
+    pub fn new(settings: Settings) -> Engine {
+        let n = settings.members.len();
         Engine {
             now: Micros::ZERO,
-            wall: Micros::ZERO,
+            wall_time: Micros::ZERO,
             effects: Vec::new(),
             calls: BTreeMap::new(),
             next_call: 1,
@@ -216,37 +216,37 @@
             machine_since: BTreeMap::new(),
             shards: (0..n).map(|_| None).collect(),
             leader: None,
-            proven: vec![None; n + 1],
+            last_verified: vec![None; n + 1],
             users: Users::default(),
-            chains: Chains::default(),
+            dependencies: DependencyGraph::default(),
             formats: Formats::default(),
-            duties: crate::duties::manager(&cfg),
-            cleaning: Cleaning::default(),
+            duties: crate::fleet_duties::manager(&settings),
+            garbage_collector: GarbageCollector::default(),
             types: Vec::new(),
             types_busy: false,
             types_next: Micros::ZERO,
             peers: vec![Peer::default(); n],
-            last_hello: Micros::ZERO,
-            deaf_since: None,
+            last_worker_heartbeat: Micros::ZERO,
+            inbound_partition_since: None,
             alive_next: Micros::ZERO,
-            tell_next: Micros::ZERO,
+            leader_update_next: Micros::ZERO,
             progress_next: Micros::ZERO,
-            told: BTreeMap::new(),
+            last_progress: BTreeMap::new(),
             write_budget: 0,
             write_first: 0,
-            awaited: 0,
+            pending_writes: 0,
             write_filled: Micros::ZERO,
             write_rest: Micros::ZERO,
             write_next: Micros::ZERO,
-            leader_looked: 0,
-            cfg: Rc::new(cfg),
+            leader_work_done: 0,
+            settings: Rc::new(settings),
         }
     }
 
-    /// `now` is a steady clock's, `wall` the time of day; both only ever come from here.
-    pub fn step(&mut self, now: Micros, wall: Micros, commands: Vec<Command>) -> Vec<Effect> {
+    /// `now` is a steady clock's, `wall_time` the time of day; both only ever come from here.
+    pub fn step(&mut self, now: Micros, wall_time: Micros, commands: Vec<Command>) -> Vec<Effect> {
         self.now = now;
-        self.wall = wall;
+        self.wall_time = wall_time;
         for c in commands {
             self.take(c);
         }
@@ -259,8 +259,8 @@
             Command::Submit { to, spec } => self.submit(to, *spec),
             Command::Poll { to, id } => self.poll(to, id),
             Command::Cancel { to, id } => self.cancel(to, id),
-            Command::Report { to, report } => self.report(to, &report),
-            Command::Direct {
+            Command::Heartbeat { to, heartbeat } => self.heartbeat(to, &heartbeat),
+            Command::DirectResult {
                 call,
                 machine,
                 outcome,
@@ -275,9 +275,9 @@
                     });
                 }
             }
-            Command::State { call, reply } => self.state_reply(call, reply),
+            Command::Store { call, reply } => self.state_reply(call, reply),
             Command::Cloud { call, reply } => self.cloud_reply(call, reply),
-            Command::Mesh { from, message } => self.mesh(from, message),
+            Command::Peer { from, message } => self.peer_message(from, message),
             Command::Health { to } => {
                 let yes = self.healthy();
                 self.effects.push(Effect::Healthy { to, yes });
@@ -286,7 +286,7 @@
     }
 
     fn tick(&mut self) {
-        self.listen();
+        self.detect_inbound_partition();
         self.store_session_tick();
         self.types_tick();
         self.formats_tick();
@@ -294,36 +294,36 @@
         for k in 0..self.shards.len() {
             self.with_shard(k, |s, context| {
                 s.tick(context);
-                s.round(context);
+                s.run_scheduling_cycle(context);
             });
         }
         self.fill_write_budget();
         self.leader_tick();
-        self.chains_tick();
+        self.dependencies_tick();
         self.users_flush();
         self.flush_writes();
         for k in 0..self.shards.len() {
             self.with_shard(k, |s, context| s.send_directs(context));
         }
-        self.talk();
+        self.send_periodic_messages();
     }
 
     /// How much was looked at since the start by the shards held now and by the leader. What a step costs
     /// follows from it, and unlike time it is the same on every machine.
-    pub fn looked(&self) -> i64 {
-        self.leader_looked
+    pub fn work_done(&self) -> i64 {
+        self.leader_work_done
             + self
                 .shards
                 .iter()
                 .flatten()
-                .map(|s| s.looked.get())
+                .map(|s| s.work_done.get())
                 .sum::<i64>()
     }
 
     // ---- plumbing ------------------------------------------------------------------------
 
-    pub(crate) fn acting(&self, slot: usize) -> bool {
-        self.proven[slot].is_some_and(|t| self.now - t < self.cfg.acting_time())
+    pub(crate) fn lease_valid(&self, slot: usize) -> bool {
+        self.last_verified[slot].is_some_and(|t| self.now - t < self.settings.verification_ttl())
     }
 
     pub(crate) fn with_shard<R>(
@@ -331,19 +331,19 @@
         k: usize,
         f: impl FnOnce(&mut Shard, &mut Context) -> R,
     ) -> Option<R> {
-        let (acting, layout) = (self.acting(k), self.layout());
-        let cfg = self.cfg.clone();
+        let (lease_valid, layout) = (self.lease_valid(k), self.layout());
+        let settings = self.settings.clone();
         let shard = self.shards.get_mut(k)?.as_mut()?;
         let calls = &mut self.next_call;
         let types = &self.types;
         let mut context = Context {
-            cfg: &cfg,
+            settings: &settings,
             now: self.now,
-            wall: self.wall,
+            wall_time: self.wall_time,
             types,
             effects: &mut self.effects,
             calls,
-            acting,
+            lease_valid,
             layout,
         };
         Some(f(shard, &mut context))
@@ -352,9 +352,9 @@
     /// How work records may be laid out now.
     pub(crate) fn layout(&self) -> Layout {
         if self.all_read_parts() {
-            return Layout::in_parts(self.cfg.value_bytes, self.cfg.txn_ops);
+            return Layout::in_parts(self.settings.value_bytes, self.settings.txn_ops);
         }
-        Layout::single(self.cfg.value_bytes)
+        Layout::single(self.settings.value_bytes)
     }
 
     fn call(&mut self, pending: Pending) -> CallId {
@@ -364,13 +364,18 @@
         id
     }
 
-    pub(crate) fn state(&mut self, request: StateCall, pending: Pending) {
+    pub(crate) fn send_to_store(&mut self, request: StoreRequest, pending: Pending) {
         let call = self.call(pending);
-        self.effects.push(Effect::State { call, request });
+        self.effects.push(Effect::Store { call, request });
     }
 
     /// Asks the cloud; with a time, only until then.
-    pub(crate) fn cloud(&mut self, request: CloudCall, until: Option<Micros>, pending: Pending) {
+    pub(crate) fn send_to_cloud(
+        &mut self,
+        request: CloudRequest,
+        until: Option<Micros>,
+        pending: Pending,
+    ) {
         let call = self.call(pending);
         self.effects.push(Effect::Cloud {
             call,
@@ -379,11 +384,11 @@
         });
     }
 
-    pub(crate) fn answer(&mut self, to: ReplyTo, answer: Answer) {
+    pub(crate) fn answer(&mut self, to: ClientRequestId, answer: Answer) {
         self.effects.push(Effect::Answer { to, answer });
     }
 
-    pub(crate) fn type_size(&self, kind: &str) -> Amounts {
+    pub(crate) fn type_size(&self, kind: &str) -> Resources {
         self.types
             .iter()
             .find(|t| t.name == kind)
@@ -391,73 +396,75 @@
             .unwrap_or_default()
     }
 
-    fn state_reply(&mut self, call: CallId, reply: StateReply) {
+    fn state_reply(&mut self, call: CallId, reply: StoreReply) {
         let Some(pending) = self.calls.remove(&call) else {
             return;
         };
         trace!(call, ?reply, "state answered");
-        if !matches!(reply, StateReply::Refused | StateReply::Unknown) {
-            self.store.last_ok = self.now;
+        if !matches!(reply, StoreReply::Refused | StoreReply::Unknown) {
+            self.store.last_reply = self.now;
         }
         match pending {
             Pending::Grant | Pending::Renew => self.lease_reply(reply),
             Pending::Watch(k) => self.watch_reply(k, reply),
             Pending::Claim { slot, lease } => self.claim_reply(slot, lease, reply),
-            Pending::HandBack { slot, version } => self.hand_back_reply(slot, version, &reply),
-            Pending::Prove { sent, claims } => self.prove_reply(sent, claims, reply),
-            Pending::ProveView {
+            Pending::TransferShard { slot, version } => self.transfer_reply(slot, version, &reply),
+            Pending::Verify { sent, claims } => self.verify_reply(sent, claims, reply),
+            Pending::VerifyView {
                 sent,
                 claims,
                 revision,
-            } => self.prove_view_reply(sent, claims, revision, reply),
+            } => self.verify_view_reply(sent, claims, revision, reply),
             Pending::Fleet { shard, version } => self.fleet_reply(shard, version, reply),
             Pending::Records { shard, version } => self.records_reply(shard, version, reply),
             Pending::Shard {
                 shard,
                 version,
-                writes,
-            } => self.shard_reply(shard, version, &writes, &reply),
+                shard_writes,
+            } => self.shard_reply(shard, version, &shard_writes, &reply),
             Pending::Submit { batch } => self.submit_reply(batch, reply),
             Pending::VerifyUnknown { to, spec, why, end } => {
                 self.verify_unknown_reply(to, spec, why, end, reply)
             }
-            Pending::NeedKnown {
+            Pending::DependencyKnown {
                 to,
                 spec,
                 left,
                 end,
-            } => self.need_known_reply(to, spec, left, end, reply),
-            Pending::NeedsWritten {
+            } => self.dependency_known_reply(to, spec, left, end, reply),
+            Pending::DependencyPartsWritten {
                 to,
                 spec,
                 parts,
                 next,
-            } => self.needs_written(to, spec, parts, next, &reply),
+            } => self.dependency_parts_written(to, spec, parts, next, &reply),
             Pending::SubmitCancelled { to, spec } => self.submit_cancelled_reply(to, &spec, &reply),
-            Pending::NeedsRead { id, version, got } => self.needs_read(id, version, got, reply),
-            Pending::NeedEnd { id } => self.need_end_reply(&id, reply),
-            Pending::Orphans { ids } => self.orphans_reply(&ids, &reply),
+            Pending::DependencyPartsRead { id, version, got } => {
+                self.dependency_parts_read(id, version, got, reply)
+            }
+            Pending::DependencyEnd { id } => self.dependency_end_reply(&id, reply),
+            Pending::CascadeCancel { ids } => self.cascade_reply(&ids, &reply),
             Pending::Refresh { polls, revision } => self.refresh_reply(polls, revision, reply),
             Pending::Confirm { polls } => self.confirm_reply(polls, reply),
-            Pending::LookUp { to, id, wish } => self.look_up_reply(to, id, wish, reply),
+            Pending::LookUp { to, id, purpose } => self.look_up_reply(to, id, purpose, reply),
             Pending::LookUpEnd { to, id } => self.look_up_end_reply(to, id, reply),
             Pending::Cancel { to, id, end } => self.cancel_reply(to, id, end, reply),
             Pending::Leader { version, call } => self.leader_state_reply(version, call, reply),
             Pending::Duty { call } => self.duty_reply(call, reply),
-            Pending::Leftovers => self.leftovers_reply(reply),
-            Pending::LeftoverEnd => self.leftover_end_reply(reply),
+            Pending::OrphanedRecords => self.orphaned_records_reply(reply),
+            Pending::OwnerEnd => self.owner_end_reply(reply),
             Pending::FormatsRead => self.formats_read(reply),
             Pending::FormatWritten => self.format_written(),
             Pending::TypesRead => {
                 self.types_busy = false;
                 match reply {
-                    StateReply::Entry(e) => match serde_json::from_value(e.value) {
+                    StoreReply::Entry(e) => match serde_json::from_value(e.value) {
                         Ok(types) => self.types_known(types),
                         Err(e) => warn!(%e, "unreadable record of machine types"),
                     },
-                    StateReply::Missing => {
+                    StoreReply::Missing => {
                         self.types_busy = true;
-                        self.cloud(CloudCall::Types, None, Pending::TypesAsked);
+                        self.send_to_cloud(CloudRequest::MachineTypes, None, Pending::TypesAsked);
                     }
                     _ => {}
                 }
@@ -473,7 +480,7 @@
             }
             Some(Pending::TypesAsked) => {
                 self.types_busy = false;
-                if let CloudReply::Types(types) = reply {
+                if let CloudReply::MachineTypes(types) = reply {
                     self.types_known(types);
                 }
             }
@@ -491,8 +498,8 @@
         }
         self.types_busy = true;
         self.types_next = self.now + Micros::from_millis(700);
-        self.state(
-            StateCall::Get {
+        self.send_to_store(
+            StoreRequest::Get {
                 key: "types".to_owned(),
             },
             Pending::TypesRead,
@@ -548,58 +555,67 @@
 
     /// Answers a worker's report: with orders if its machine is ours and the claim stands, else by
     /// naming the owner.
-    fn report(&mut self, to: ReplyTo, report: &Report) {
-        self.last_hello = self.now;
-        let owner = self.machines.get(&report.machine).and_then(|m| m.0.shard);
+    fn heartbeat(&mut self, to: ClientRequestId, heartbeat: &Heartbeat) {
+        self.last_worker_heartbeat = self.now;
+        let owner = self
+            .machines
+            .get(&heartbeat.machine)
+            .and_then(|m| m.0.shard);
         let Some(k) = owner else {
-            return self.effects.push(Effect::Elsewhere { to, member: None });
+            return self.effects.push(Effect::Redirect { to, member: None });
         };
-        let acting = self.acting(k);
+        let lease_valid = self.lease_valid(k);
         if self.shards[k].is_none() {
             let member = self.store.claims[k]
                 .as_ref()
                 .map(|c| c.member)
-                .filter(|m| *m != self.cfg.me);
-            return self.effects.push(Effect::Elsewhere { to, member });
+                .filter(|m| *m != self.settings.me);
+            return self.effects.push(Effect::Redirect { to, member });
         }
         let now = self.now;
         let held = self.shards[k].as_ref();
         let known = held.and_then(|s| {
             Some((
-                s.machines.get(&report.machine)?.token(s.version),
+                s.machines.get(&heartbeat.machine)?.fencing_token(s.version),
                 s.claimed_at,
             ))
         });
-        if let Some((_, claimed_at)) = known.filter(|k| k.0 < report.token) {
+        if let Some((_, claimed_at)) = known.filter(|k| k.0 < heartbeat.fencing_token) {
             // Somebody newer commands it, and would wait for its lease to end if we held it here. Where
             // our claim was not proven for as long as it could last alone, that is lost as a whole.
-            let proven = self.proven[k].unwrap_or(claimed_at);
-            if now - proven > self.cfg.tuning.claim_ttl {
-                self.drop_slot(k, "a worker has seen a newer token");
+            let last_verified = self.last_verified[k].unwrap_or(claimed_at);
+            if now - last_verified > self.settings.tuning.claim_ttl {
+                self.drop_claim(k, "a worker has seen a newer token");
             }
-            return self.effects.push(Effect::Elsewhere { to, member: None });
+            return self.effects.push(Effect::Redirect { to, member: None });
         }
         let orders = self.with_shard(k, |s, context| {
-            let m = s.machines.get(&report.machine)?;
-            if !acting || (m.hears_nothing() && report.token != m.token(s.version)) {
+            let m = s.machines.get(&heartbeat.machine)?;
+            if !lease_valid
+                || (m.ignores_replies() && heartbeat.fencing_token != m.fencing_token(s.version))
+            {
                 return None;
             }
             let ready = s.phase == ShardPhase::Ready;
-            if !s.take_report(context, report, true) {
+            if !s.apply_heartbeat(context, heartbeat, true) {
                 return None;
             }
             let orders = if ready {
-                s.orders(context, report)
+                s.orders(context, heartbeat)
             } else {
                 Vec::new()
             };
-            let m = s.machines.get_mut(&report.machine)?;
-            m.answered(now, s.version);
-            Some((m.token(s.version), orders))
+            let m = s.machines.get_mut(&heartbeat.machine)?;
+            m.reply_sent(now, s.version);
+            Some((m.fencing_token(s.version), orders))
         });
         match orders.flatten() {
-            Some((token, orders)) => self.effects.push(Effect::Orders { to, token, orders }),
-            None => self.effects.push(Effect::Elsewhere { to, member: None }),
+            Some((fencing_token, orders)) => self.effects.push(Effect::HeartbeatReply {
+                to,
+                fencing_token,
+                orders,
+            }),
+            None => self.effects.push(Effect::Redirect { to, member: None }),
         }
     }
 }
--- a/crates/seamfront-core/src/engine/writes.rs
+++ b/crates/seamfront-core/src/engine/writes.rs
@@ -2,7 +2,7 @@
 
 use super::*;
 use crate::record::part_key;
-use crate::users::{end_conditions, end_writes};
+use crate::user_api::{end_conditions, end_writes};
 
 /// Bytes of records in one transaction, well below what the state service takes.
 const TRANSACTION_BYTES: usize = 40_000;
@@ -11,13 +11,13 @@
 
 impl Engine {
     /// How many writes wait here: for tasks to start, for jobs to end, for machines to be adopted.
-    pub(super) fn writes_awaited(&self) -> usize {
+    pub(super) fn pending_write_count(&self) -> usize {
         self.shards
             .iter()
             .flatten()
-            .map(Shard::writes_awaited)
+            .map(Shard::pending_write_count)
             .sum::<usize>()
-            + self.leader_writes_awaited()
+            + self.leader_pending_writes()
     }
 
     /// This controller's part of what the store takes, in thousandths of a write a second. Most of
@@ -25,16 +25,16 @@
     /// controllers tell each other, since one shard may need most of it while others need nothing;
     /// who is not heard of keeps the part of the shards that it holds.
     pub(crate) fn write_rate(&self) -> i64 {
-        let n = self.cfg.members.len() as i64;
-        let total = self.cfg.write_rps * 850;
+        let n = self.settings.members.len() as i64;
+        let total = self.settings.write_rps * 850;
         let (mut own, mut all) = (0, 0);
         let mut unheard = 0;
         for (k, p) in self.peers.iter().enumerate() {
-            if k == self.cfg.me {
-                own = self.awaited as i64 + 1;
+            if k == self.settings.me {
+                own = self.pending_writes as i64 + 1;
                 all += own;
             } else if self.now - p.heard < Micros::from_secs(2) && p.heard > Micros::ZERO {
-                all += p.awaited as i64 + 1;
+                all += p.pending_writes as i64 + 1;
             } else {
                 let holds = |c: &&Option<crate::store_session::Claim>| {
                     c.as_ref().is_some_and(|c| c.member == k)
@@ -60,28 +60,29 @@
             return;
         }
         // What gathers within a moment is written together.
-        self.write_next = self.now + self.cfg.ask_every().over(2);
+        self.write_next = self.now + self.settings.ask_every().over(2);
         // Where several shards are held, another is first each time.
         self.write_first += 1;
         let (first, shards) = (self.write_first, self.shards.len());
         for k in (0..shards).map(|k| (k + first) % shards) {
             let budget = (self.write_budget / 1_000).max(0) as usize;
-            let most = (self.cfg.txn_ops / 3).clamp(1, 12);
-            if budget == 0 || !self.acting(k) {
+            let most = (self.settings.txn_ops / 3).clamp(1, 12);
+            if budget == 0 || !self.lease_valid(k) {
                 continue;
             }
             let now = self.now;
             let layout = self.layout();
             let ready = |s: &mut Shard| match s.phase {
-                ShardPhase::Ready => s.writes(now, budget.min(most), &layout),
+                ShardPhase::Ready => s.due_writes(now, budget.min(most), &layout),
                 _ => Vec::new(),
             };
-            let Some((version, writes)) = self.with_shard(k, |s, _| (s.version, ready(s))) else {
+            let Some((version, shard_writes)) = self.with_shard(k, |s, _| (s.version, ready(s)))
+            else {
                 continue;
             };
             let mut records = Vec::new();
             let mut bytes = 0;
-            for w in writes {
+            for w in shard_writes {
                 match &w {
                     // An end may fail for its user's sake; it must not take others with it.
                     ShardWrite::End { .. } => {
@@ -93,9 +94,9 @@
                         let pending = Pending::Shard {
                             shard: k,
                             version,
-                            writes: vec![w],
+                            shard_writes: vec![w],
                         };
-                        self.state(StateCall::Get { key }, pending);
+                        self.send_to_store(StoreRequest::Get { key }, pending);
                     }
                     // One in parts fills a transaction by itself.
                     ShardWrite::Record { changes, .. } if !changes.is_empty() => {
@@ -126,10 +127,15 @@
 
     /// Every write on behalf of a shard carries its claim's version, so that one that is applied
     /// late, after the shard has passed on, fails.
-    pub(super) fn send_shard_writes(&mut self, k: usize, version: u64, writes: Vec<ShardWrite>) {
-        let mut when = vec![(self.slot_key(k), version)];
-        let mut apply = Vec::new();
-        for w in &writes {
+    pub(super) fn send_shard_writes(
+        &mut self,
+        k: usize,
+        version: u64,
+        shard_writes: Vec<ShardWrite>,
+    ) {
+        let mut conditions = vec![(self.claim_key(k), version)];
+        let mut writes = Vec::new();
+        for w in &shard_writes {
             let key = self.write_key(k, w);
             match w {
                 ShardWrite::Record {
@@ -139,15 +145,15 @@
                     changes,
                     ..
                 } => {
-                    when.push((key.clone(), *version));
-                    apply.push(Write::Put {
+                    conditions.push((key.clone(), *version));
+                    writes.push(Write::Put {
                         key,
                         value: record.head.clone(),
                         lease: None,
                     });
                     for (number, part) in changes {
                         let key = part_key(k, job, *number);
-                        apply.push(match part {
+                        writes.push(match part {
                             Some(value) => Write::Put {
                                 key,
                                 value: value.clone(),
@@ -168,12 +174,12 @@
                         cancelled: false,
                         tasks: *tasks,
                     };
-                    when.extend(end_conditions(job, *job_version));
-                    apply.extend(end_writes(job, end));
+                    conditions.extend(end_conditions(job, *job_version));
+                    writes.extend(end_writes(job, end));
                     if *record_version > 0 {
-                        when.push((key.clone(), *record_version));
-                        apply.push(Write::Delete { key });
-                        apply.extend(self.part_deletions(k, job, *parts_end));
+                        conditions.push((key.clone(), *record_version));
+                        writes.push(Write::Delete { key });
+                        writes.extend(self.part_deletions(k, job, *parts_end));
                     }
                 }
                 ShardWrite::DropRecord {
@@ -181,34 +187,34 @@
                     version,
                     parts_end,
                 } => {
-                    when.push((key.clone(), *version));
-                    apply.push(Write::Delete { key });
-                    apply.extend(self.part_deletions(k, job, *parts_end));
+                    conditions.push((key.clone(), *version));
+                    writes.push(Write::Delete { key });
+                    writes.extend(self.part_deletions(k, job, *parts_end));
                 }
                 ShardWrite::Machine {
                     machine,
                     version,
                     record,
                 } => {
-                    when.push((key, *version));
-                    apply.push(machine_write(machine, record));
+                    conditions.push((key, *version));
+                    writes.push(machine_write(machine, record));
                 }
                 ShardWrite::Read { .. } => {}
             }
         }
-        self.state(
-            StateCall::Commit { when, apply },
+        self.send_to_store(
+            StoreRequest::CompareAndSwap { conditions, writes },
             Pending::Shard {
                 shard: k,
                 version,
-                writes,
+                shard_writes,
             },
         );
     }
 
     /// A part without its head means nothing: should there be more than a transaction takes, the rest stays.
     fn part_deletions(&self, k: usize, job: &JobId, parts_end: u32) -> Vec<Write> {
-        let most = self.cfg.txn_ops.saturating_sub(3);
+        let most = self.settings.txn_ops.saturating_sub(3);
         (0..parts_end)
             .rev()
             .take(most)
@@ -220,7 +226,7 @@
 
     pub(super) fn write_key(&self, k: usize, w: &ShardWrite) -> String {
         match w {
-            ShardWrite::Machine { machine, .. } => crate::fleet::machine_key(machine),
+            ShardWrite::Machine { machine, .. } => crate::machine::machine_key(machine),
             ShardWrite::Record { job, .. }
             | ShardWrite::End { job, .. }
             | ShardWrite::DropRecord { job, .. }
@@ -232,30 +238,30 @@
         &mut self,
         k: usize,
         version: u64,
-        writes: &[ShardWrite],
-        reply: &StateReply,
+        shard_writes: &[ShardWrite],
+        reply: &StoreReply,
     ) {
-        if self.slot_version(k) != Some(version) {
+        if self.held_token(k) != Some(version) {
             return;
         }
-        if let StateReply::Conflict { failed } = reply {
-            if failed.contains(&self.slot_key(k)) {
-                return self.drop_slot(k, "claim proven lost");
+        if let StoreReply::Conflict { failed } = reply {
+            if failed.contains(&self.claim_key(k)) {
+                return self.drop_claim(k, "claim proven lost");
             }
         }
-        if matches!(reply, StateReply::Refused) {
+        if matches!(reply, StoreReply::Refused) {
             self.write_rest = self.now + Micros::from_millis(200);
         }
-        for w in writes {
+        for w in shard_writes {
             let key = self.write_key(k, w);
             let outcome = match (w, reply) {
-                (ShardWrite::Read { .. }, StateReply::Entry(e)) => WriteOutcome::Done(e.version),
-                (ShardWrite::Read { .. }, StateReply::Missing) => WriteOutcome::Done(0),
-                (_, StateReply::Committed { revision }) => WriteOutcome::Done(*revision),
-                (_, StateReply::Refused) => WriteOutcome::Refused,
+                (ShardWrite::Read { .. }, StoreReply::Entry(e)) => WriteOutcome::Done(e.version),
+                (ShardWrite::Read { .. }, StoreReply::Missing) => WriteOutcome::Done(0),
+                (_, StoreReply::Committed { revision }) => WriteOutcome::Done(*revision),
+                (_, StoreReply::Refused) => WriteOutcome::Refused,
                 // One failed condition fails all; those that held are simply made again.
-                (ShardWrite::End { .. }, StateReply::Conflict { .. }) => WriteOutcome::Unclear,
-                (_, StateReply::Conflict { failed }) if !failed.contains(&key) => {
+                (ShardWrite::End { .. }, StoreReply::Conflict { .. }) => WriteOutcome::Unclear,
+                (_, StoreReply::Conflict { failed }) if !failed.contains(&key) => {
                     WriteOutcome::Refused
                 }
                 _ => WriteOutcome::Unclear,
@@ -268,7 +274,7 @@
                         tasks: *tasks,
                     },
                 );
-                self.job_over(job);
+                self.remove_live_job(job);
             }
             self.with_shard(k, |s, context| s.written(context, w, outcome));
         }
--- a/crates/seamfront-core/src/duties.rs
+++ b/crates/seamfront-core/src/fleet_duties.rs
@@ -15,7 +15,7 @@
 use tracing::error;
 
 /// The duty of removing records that outlived their jobs.
-pub const CLEANING: &str = "cleaning";
+pub const GARBAGE_COLLECTION: &str = "cleaning";
 /// The leader's claim, which carried all of this before.
 pub const LEADER_CLAIM: &str = "leader";
 /// The longest that the adapters wait for the state service.
@@ -27,23 +27,26 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum FleetDuty {
     /// Renting machines, and taking in those that are listed.
-    Renting,
+    ScaleOut,
     /// Giving machines up and returning them.
-    Returning,
+    ScaleIn,
     /// Moving machines between shards.
-    Moving,
+    Rebalance,
 }
 
 impl FleetDuty {
-    pub(crate) const ALL: [FleetDuty; 3] =
-        [FleetDuty::Renting, FleetDuty::Returning, FleetDuty::Moving];
+    pub(crate) const ALL: [FleetDuty; 3] = [
+        FleetDuty::ScaleOut,
+        FleetDuty::ScaleIn,
+        FleetDuty::Rebalance,
+    ];
 
     /// Its name in the store.
     pub(crate) fn name(self) -> &'static str {
         match self {
-            FleetDuty::Renting => "renting",
-            FleetDuty::Returning => "returning",
-            FleetDuty::Moving => "moving",
+            FleetDuty::ScaleOut => "renting",
+            FleetDuty::ScaleIn => "returning",
+            FleetDuty::Rebalance => "moving",
         }
     }
 }
@@ -52,35 +55,36 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) struct Fence {
     pub(crate) key: String,
-    pub(crate) token: u64,
+    pub(crate) fencing_token: u64,
     /// None: the leader's claim, which sets no time for single effects.
     pub(crate) until: Option<Micros>,
 }
 
 /// The lease settings that follow from a controller's own.
-pub fn lease_settings(cfg: &Settings) -> LeaseSettings {
-    let members: Vec<&str> = cfg.members.iter().map(String::as_str).collect();
+pub fn lease_settings(settings: &Settings) -> LeaseSettings {
+    let members: Vec<&str> = settings.members.iter().map(String::as_str).collect();
     let limits = StoreLimits {
-        value_bytes: cfg.value_bytes,
-        transaction_changes: cfg.txn_ops,
-        changes_per_second: (cfg.write_rps / WRITES_PART).max(1),
+        value_bytes: settings.value_bytes,
+        transaction_changes: settings.txn_ops,
+        changes_per_second: (settings.write_rps / WRITES_PART).max(1),
     };
     let fleet = FleetDuty::ALL.map(FleetDuty::name);
-    let duties: Vec<&str> = [CLEANING].into_iter().chain(fleet).collect();
-    let mut settings = LeaseSettings::new(&cfg.members[cfg.me], &members, &duties, limits);
-    settings.lease = cfg.tuning.claim_ttl;
-    settings.store_answer = STORE_ANSWER;
-    settings.together = fleet.map(str::to_owned).to_vec();
-    settings.former_claim = Some(LEADER_CLAIM.to_owned());
-    settings
+    let duties: Vec<&str> = [GARBAGE_COLLECTION].into_iter().chain(fleet).collect();
+    let mut lease_settings =
+        LeaseSettings::new(&settings.members[settings.me], &members, &duties, limits);
+    lease_settings.lease = settings.tuning.claim_ttl;
+    lease_settings.store_answer = STORE_ANSWER;
+    lease_settings.together = fleet.map(str::to_owned).to_vec();
+    lease_settings.former_claim = Some(LEADER_CLAIM.to_owned());
+    lease_settings
 }
 
 /// None where duties are off.
-pub(crate) fn manager(cfg: &Settings) -> Option<DutyManager> {
-    if !cfg.tuning.duties {
+pub(crate) fn manager(settings: &Settings) -> Option<DutyManager> {
+    if !settings.tuning.duties {
         return None;
     }
-    match DutyManager::new(lease_settings(cfg)) {
+    match DutyManager::new(lease_settings(settings)) {
         Ok(manager) => Some(manager),
         Err(error) => {
             error!(%error, "duties are off: their settings can't be used");
@@ -96,7 +100,7 @@
             return;
         }
         let former = self.leader.as_ref().and_then(|leader| leader.version);
-        let former = former.filter(|_| self.acting(self.leader_slot()));
+        let former = former.filter(|_| self.lease_valid(self.leader_slot()));
         self.duty_step(vec![DutyCommand::FormerClaim(former)]);
         self.former_claim_ends();
         self.sweep_tick();
@@ -112,7 +116,7 @@
             return;
         }
         let slot = self.leader_slot();
-        self.drop_slot(slot, "duties have claims of their own");
+        self.drop_claim(slot, "duties have claims of their own");
         for duty in FleetDuty::ALL {
             if self.duty_token(duty.name()).is_some() {
                 self.duty_begins(duty.name());
@@ -120,7 +124,7 @@
         }
     }
 
-    pub(crate) fn duty_reply(&mut self, call: CallId, reply: StateReply) {
+    pub(crate) fn duty_reply(&mut self, call: CallId, reply: StoreReply) {
         self.duty_step(vec![DutyCommand::Store { call, reply }]);
     }
 
@@ -136,7 +140,9 @@
 
     fn duty_effect(&mut self, effect: DutyEffect) {
         match effect {
-            DutyEffect::Store { call, request } => self.state(request, Pending::Duty { call }),
+            DutyEffect::Store { call, request } => {
+                self.send_to_store(request, Pending::Duty { call })
+            }
             DutyEffect::Active { duty, .. } => self.duty_begins(&duty),
             DutyEffect::Lost { duty, .. } => self.duty_ends(&duty),
             DutyEffect::Committed { request, outcome } => self.removal_done(request, &outcome),
@@ -149,10 +155,10 @@
 
     fn duty_begins(&mut self, duty: &str) {
         let now = self.now;
-        if duty == CLEANING {
-            return self.cleaning.stop(now);
+        if duty == GARBAGE_COLLECTION {
+            return self.garbage_collector.stop(now);
         }
-        let members = self.cfg.members.len();
+        let members = self.settings.members.len();
         let leader = self
             .leader
             .get_or_insert_with(|| Leader::new(None, now, members));
@@ -165,9 +171,9 @@
     }
 
     fn duty_ends(&mut self, duty: &str) {
-        if duty == CLEANING {
+        if duty == GARBAGE_COLLECTION {
             let now = self.now;
-            return self.cleaning.stop(now);
+            return self.garbage_collector.stop(now);
         }
         let any = FleetDuty::ALL
             .iter()
@@ -184,7 +190,7 @@
 
     /// The token of a duty that may be performed here.
     pub(crate) fn duty_token(&self, duty: &str) -> Option<u64> {
-        self.duties.as_ref()?.token(duty)
+        self.duties.as_ref()?.fencing_token(duty)
     }
 
     /// Whether duties have claims of their own by now.
@@ -202,47 +208,47 @@
 
     /// What an effect of a duty is fenced with, if it may begin now. Asks for a proof where there is none.
     pub(crate) fn fence(&mut self, duty: FleetDuty) -> Option<Fence> {
-        if let Some(token) = self.leader.as_ref()?.version {
-            let acting = self.acting(self.leader_slot());
-            return acting.then(|| Fence {
+        if let Some(fencing_token) = self.leader.as_ref()?.version {
+            let lease_valid = self.lease_valid(self.leader_slot());
+            return lease_valid.then(|| Fence {
                 key: LEADER_CLAIM.to_owned(),
-                token,
+                fencing_token,
                 until: None,
             });
         }
-        let token = self.duty_token(duty.name())?;
+        let fencing_token = self.duty_token(duty.name())?;
         let duties = self.duties.as_mut()?;
-        duties.want_proof(duty.name());
+        duties.request_verification(duty.name());
         let permit = duties.permit(duty.name())?;
         Some(Fence {
             key: keys::claim(duty.name()),
-            token,
+            fencing_token,
             until: Some(permit.until),
         })
     }
 
     /// A change on this fence has failed on it: whoever else holds it, we don't.
-    pub(crate) fn fence_refused(&mut self, duty: FleetDuty, token: u64) {
+    pub(crate) fn fence_refused(&mut self, duty: FleetDuty, fencing_token: u64) {
         if self
             .leader
             .as_ref()
-            .is_some_and(|leader| leader.version == Some(token))
+            .is_some_and(|leader| leader.version == Some(fencing_token))
         {
             let slot = self.leader_slot();
-            return self.drop_slot(slot, "claim proven lost");
+            return self.drop_claim(slot, "claim proven lost");
         }
         self.duty_step(vec![DutyCommand::TokenRefused {
             duty: duty.name().to_owned(),
-            token,
+            fencing_token,
         }]);
     }
 
     /// The key that fences a duty under this token.
-    pub(crate) fn fence_key(&self, duty: FleetDuty, token: u64) -> String {
+    pub(crate) fn fence_key(&self, duty: FleetDuty, fencing_token: u64) -> String {
         if self
             .leader
             .as_ref()
-            .is_some_and(|leader| leader.version == Some(token))
+            .is_some_and(|leader| leader.version == Some(fencing_token))
         {
             return LEADER_CLAIM.to_owned();
         }
@@ -262,7 +268,12 @@
                 .filter_map(|duty| duties.holder(duty.name()))
         });
         let mut holders: Vec<usize> = names
-            .filter_map(|name| self.cfg.members.iter().position(|member| member == name))
+            .filter_map(|name| {
+                self.settings
+                    .members
+                    .iter()
+                    .position(|member| member == name)
+            })
             .collect();
         holders.sort_unstable();
         holders.dedup();
--- a/crates/seamfront-core/src/formats.rs
+++ b/crates/seamfront-core/src/format_versions.rs
@@ -38,7 +38,7 @@
 impl Engine {
     /// Whether every member is known to read records in parts.
     pub(crate) fn all_read_parts(&self) -> bool {
-        self.cfg
+        self.settings
             .members
             .iter()
             .all(|m| self.formats.members.contains(m))
@@ -53,8 +53,8 @@
             return;
         }
         self.formats.busy = true;
-        self.state(
-            StateCall::List {
+        self.send_to_store(
+            StoreRequest::List {
                 prefix: PREFIX.to_owned(),
                 after: None,
             },
@@ -62,10 +62,10 @@
         );
     }
 
-    pub(crate) fn formats_read(&mut self, reply: StateReply) {
+    pub(crate) fn formats_read(&mut self, reply: StoreReply) {
         self.formats.busy = false;
         self.formats.ask_at = self.now + ASK_EVERY;
-        let StateReply::Page { entries, .. } = reply else {
+        let StoreReply::Page { entries, .. } = reply else {
             return;
         };
         for e in entries {
@@ -77,20 +77,20 @@
         if self.all_read_parts() {
             info!("all controllers read records in parts");
         }
-        let own = &self.cfg.members[self.cfg.me];
+        let own = &self.settings.members[self.settings.me];
         if !self.formats.members.contains(own) {
             self.formats.busy = true;
             let key = format_key(own);
             let value = serde_json::to_value(FormatRecord { parts: true }).unwrap_or_default();
-            let apply = vec![Write::Put {
+            let writes = vec![Write::Put {
                 key: key.clone(),
                 value,
                 lease: None,
             }];
-            self.state(
-                StateCall::Commit {
-                    when: vec![(key, 0)],
-                    apply,
+            self.send_to_store(
+                StoreRequest::CompareAndSwap {
+                    conditions: vec![(key, 0)],
+                    writes,
                 },
                 Pending::FormatWritten,
             );
--- a/crates/seamfront-core/src/cleaning.rs
+++ b/crates/seamfront-core/src/garbage_collector.rs
@@ -5,11 +5,11 @@
 //! can want the record. The end's version, the absence of the record's head and the duty's token are conditions of the
 //! removal.
 
-use crate::duties::CLEANING;
 use crate::engine::{Engine, Pending};
+use crate::fleet_duties::GARBAGE_COLLECTION;
 use crate::port::*;
 use crate::types::*;
-use crate::users::end_key;
+use crate::user_api::end_key;
 use seamfront_lease::port::{Command as DutyCommand, CommitOutcome, RequestId};
 use std::collections::BTreeMap;
 use tracing::info;
@@ -26,7 +26,7 @@
 
 /// Records of one job that may belong to nothing.
 #[derive(Debug)]
-struct Leftover {
+struct OrphanedRecords {
     job: JobId,
     /// The key without which they mean nothing.
     head: Option<String>,
@@ -42,13 +42,13 @@
         prefix: usize,
         after: Option<String>,
         more: bool,
-        left: Vec<Leftover>,
+        left: Vec<OrphanedRecords>,
     },
 }
 
 /// The duty while it is performed here.
 #[derive(Debug, Default)]
-pub(crate) struct Cleaning {
+pub(crate) struct GarbageCollector {
     sweep: Sweep,
     busy: bool,
     next: Micros,
@@ -57,7 +57,7 @@
     removed: usize,
 }
 
-impl Cleaning {
+impl GarbageCollector {
     fn next_request(&mut self) -> RequestId {
         self.request += 1;
         self.request
@@ -85,16 +85,16 @@
 impl Engine {
     pub(crate) fn sweep_tick(&mut self) {
         let now = self.now;
-        if self.duty_token(CLEANING).is_none() {
+        if self.duty_token(GARBAGE_COLLECTION).is_none() {
             return;
         }
-        let cleaning = &mut self.cleaning;
-        if cleaning.busy || now < cleaning.next {
+        let garbage_collector = &mut self.garbage_collector;
+        if garbage_collector.busy || now < garbage_collector.next {
             return;
         }
-        if let Sweep::Resting = cleaning.sweep {
-            cleaning.removed = 0;
-            cleaning.sweep = Sweep::Reading {
+        if let Sweep::Resting = garbage_collector.sweep {
+            garbage_collector.removed = 0;
+            garbage_collector.sweep = Sweep::Reading {
                 prefix: 0,
                 after: None,
                 more: true,
@@ -106,52 +106,55 @@
             after,
             more,
             left,
-        } = &mut cleaning.sweep
+        } = &mut garbage_collector.sweep
         else {
             return;
         };
-        let (request, pending) = if let Some(leftover) = left.last() {
+        let (request, pending) = if let Some(orphaned) = left.last() {
             (
-                StateCall::Get {
-                    key: end_key(&leftover.job),
+                StoreRequest::Get {
+                    key: end_key(&orphaned.job),
                 },
-                Pending::LeftoverEnd,
+                Pending::OwnerEnd,
             )
         } else if *more {
-            let request = StateCall::List {
+            let request = StoreRequest::List {
                 prefix: PREFIXES[*prefix].to_owned(),
                 after: after.clone(),
             };
-            (request, Pending::Leftovers)
+            (request, Pending::OrphanedRecords)
         } else if *prefix + 1 < PREFIXES.len() {
             *prefix += 1;
             (*after, *more) = (None, true);
             return;
         } else {
-            if cleaning.removed > 0 {
-                info!(removed = cleaning.removed, "records of ended jobs removed");
+            if garbage_collector.removed > 0 {
+                info!(
+                    removed = garbage_collector.removed,
+                    "records of ended jobs removed"
+                );
             }
-            return cleaning.stop(now + SWEEP_EVERY);
+            return garbage_collector.stop(now + SWEEP_EVERY);
         };
-        cleaning.busy = true;
-        self.state(request, pending);
+        garbage_collector.busy = true;
+        self.send_to_store(request, pending);
     }
 
-    pub(crate) fn leftovers_reply(&mut self, reply: StateReply) {
+    pub(crate) fn orphaned_records_reply(&mut self, reply: StoreReply) {
         let now = self.now;
-        let cleaning = &mut self.cleaning;
-        cleaning.busy = false;
-        let StateReply::Page {
+        let garbage_collector = &mut self.garbage_collector;
+        garbage_collector.busy = false;
+        let StoreReply::Page {
             entries,
             more: further,
             ..
         } = reply
         else {
-            return cleaning.stop(now + RETRY);
+            return garbage_collector.stop(now + RETRY);
         };
         let Sweep::Reading {
             after, more, left, ..
-        } = &mut cleaning.sweep
+        } = &mut garbage_collector.sweep
         else {
             return;
         };
@@ -171,56 +174,56 @@
         }
         *left = found
             .into_iter()
-            .map(|((job, head), keys)| Leftover { job, head, keys })
+            .map(|((job, head), keys)| OrphanedRecords { job, head, keys })
             .collect();
     }
 
-    pub(crate) fn leftover_end_reply(&mut self, reply: StateReply) {
+    pub(crate) fn owner_end_reply(&mut self, reply: StoreReply) {
         let now = self.now;
-        let most = self.cfg.txn_ops.saturating_sub(BESIDE).max(1);
-        let cleaning = &mut self.cleaning;
-        cleaning.busy = false;
-        let request = cleaning.request + 1;
-        let Sweep::Reading { left, .. } = &mut cleaning.sweep else {
+        let most = self.settings.txn_ops.saturating_sub(BESIDE).max(1);
+        let garbage_collector = &mut self.garbage_collector;
+        garbage_collector.busy = false;
+        let request = garbage_collector.request + 1;
+        let Sweep::Reading { left, .. } = &mut garbage_collector.sweep else {
             return;
         };
         let command = match reply {
-            StateReply::Entry(end) => left
+            StoreReply::Entry(end) => left
                 .last_mut()
-                .map(|leftover| removal(request, leftover, &end, most)),
+                .map(|orphaned| removal(request, orphaned, &end, most)),
             // Not ended, or not begun.
-            StateReply::Missing => {
+            StoreReply::Missing => {
                 left.pop();
                 None
             }
-            _ => return cleaning.stop(now + RETRY),
+            _ => return garbage_collector.stop(now + RETRY),
         };
         let Some(command) = command else { return };
-        cleaning.busy = true;
-        cleaning.next_request();
+        garbage_collector.busy = true;
+        garbage_collector.next_request();
         self.duty_step(vec![command]);
     }
 
     pub(crate) fn removal_done(&mut self, request: RequestId, outcome: &CommitOutcome) {
         let now = self.now;
-        let cleaning = &mut self.cleaning;
-        if request != cleaning.request {
+        let garbage_collector = &mut self.garbage_collector;
+        if request != garbage_collector.request {
             return;
         }
-        cleaning.busy = false;
-        let most = self.cfg.txn_ops.saturating_sub(BESIDE).max(1);
-        let Sweep::Reading { left, .. } = &mut cleaning.sweep else {
+        garbage_collector.busy = false;
+        let most = self.settings.txn_ops.saturating_sub(BESIDE).max(1);
+        let Sweep::Reading { left, .. } = &mut garbage_collector.sweep else {
             return;
         };
         match outcome {
             CommitOutcome::Committed(_) => {
-                let Some(leftover) = left.last_mut() else {
+                let Some(orphaned) = left.last_mut() else {
                     return;
                 };
-                let taken = leftover.keys.len().min(most);
-                leftover.keys.drain(..taken);
-                cleaning.removed += taken;
-                if leftover.keys.is_empty() {
+                let taken = orphaned.keys.len().min(most);
+                orphaned.keys.drain(..taken);
+                garbage_collector.removed += taken;
+                if orphaned.keys.is_empty() {
                     left.pop();
                 }
             }
@@ -228,17 +231,22 @@
             CommitOutcome::Conflict(_) => {
                 left.pop();
             }
-            _ => cleaning.stop(now + RETRY),
+            _ => garbage_collector.stop(now + RETRY),
         }
     }
 }
 
 /// Removes as many of a job's leftovers as one transaction takes, on condition that the job has ended and their head is
 /// not there.
-fn removal(request: RequestId, leftover: &Leftover, end: &Entry, most: usize) -> DutyCommand {
-    let mut when = vec![(end.key.clone(), end.version)];
-    when.extend(leftover.head.iter().map(|head| (head.clone(), 0)));
-    let apply = leftover
+fn removal(
+    request: RequestId,
+    orphaned: &OrphanedRecords,
+    end: &Entry,
+    most: usize,
+) -> DutyCommand {
+    let mut conditions = vec![(end.key.clone(), end.version)];
+    conditions.extend(orphaned.head.iter().map(|head| (head.clone(), 0)));
+    let writes = orphaned
         .keys
         .iter()
         .take(most)
@@ -246,8 +254,8 @@
         .collect();
     DutyCommand::Commit {
         request,
-        duty: CLEANING.to_owned(),
-        when,
-        apply,
+        duty: GARBAGE_COLLECTION.to_owned(),
+        conditions,
+        writes,
     }
 }
--- a/crates/seamfront-core/src/job.rs
+++ b/crates/seamfront-core/src/job.rs
@@ -11,7 +11,7 @@
 /// From so many errors in a row on, a job is taken for one that fails wherever it goes.
 pub(crate) const ERRORS_OF_JOB: u32 = 3;
 /// So many of such a job's tasks are tried at once.
-const TRIED_AT_ONCE: u32 = 2;
+const MAX_CONCURRENT_ATTEMPTS: u32 = 2;
 
 /// How far a placed task has come.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
@@ -42,7 +42,7 @@
     /// Its gang is drained for another member's sake.
     Peers,
     /// It has no place where it is.
-    Stray,
+    Unexpected,
 }
 
 /// An order to stop a task, repeated until the task has gone.
@@ -67,11 +67,11 @@
     /// How far it has come.
     pub phase: Phase,
     /// The record generation that allows it.
-    pub gen: u64,
+    pub generation: u64,
     /// Since when it has been in its place.
     pub since: Micros,
     /// The worker's session that the order was meant for.
-    pub session: u64,
+    pub incarnation: u64,
     /// Gang members with a cached image start later, so as not to wait out `gang_wait_s`.
     pub not_before: Micros,
     /// When it was first seen to run.
@@ -79,7 +79,7 @@
     /// Set while it is being stopped.
     pub stop: Option<Stop>,
     /// Its job had its turn, see [`turn`].
-    pub by_turn: bool,
+    pub promoted: bool,
 }
 
 /// Where a job's record stands. Only the holder writes it, always on the version that it knows.
@@ -88,7 +88,7 @@
     /// None: unknown since a write went unanswered; it must be read before the next.
     pub version: Option<u64>,
     /// Raised with each change that must be recorded.
-    pub gen: u64,
+    pub generation: u64,
     /// The generation that is stored.
     pub written: u64,
     /// Whether a write is under way.
@@ -108,18 +108,18 @@
 impl RecordState {
     /// Notes that something has changed; returns the generation that will hold it.
     pub fn touch(&mut self) -> u64 {
-        self.gen += 1;
-        self.gen
+        self.generation += 1;
+        self.generation
     }
 
     /// Tasks wait for this record before they can be started.
-    pub fn awaited(&self) -> bool {
+    pub fn blocks_starts(&self) -> bool {
         self.placing > self.written
     }
 
     /// Whether anything is not stored yet.
     pub fn dirty(&self) -> bool {
-        self.gen > self.written
+        self.generation > self.written
     }
 }
 
@@ -145,7 +145,7 @@
     pub ending: Option<Ending>,
     /// Waits for other jobs to be done: nothing of it may be placed, and it holds no part of its team's limit or
     /// guarantee.
-    pub waits: bool,
+    pub blocked: bool,
     /// Where its record stands.
     pub record: RecordState,
     /// Attempt numbers are never used twice within a job; for gangs the epoch serves.
@@ -153,7 +153,7 @@
     /// Tasks that are done.
     pub done: Ranges,
     /// The record generation that holds the latest `done`.
-    pub done_gen: u64,
+    pub done_generation: u64,
     /// Tasks that are, or may be, on a machine.
     pub tasks: BTreeMap<u32, Placement>,
     /// The drain state of a gang.
@@ -163,9 +163,9 @@
     /// Nothing of it is placed before.
     pub paused_until: Micros,
     /// Machines that this job should not use for a while, by when.
-    pub avoid: BTreeMap<MachineId, Micros>,
+    pub avoided_machines: BTreeMap<MachineId, Micros>,
     /// Errors in a row, each on another machine, without a completed task between them.
-    pub errors: u32,
+    pub consecutive_errors: u32,
     /// Run times of its completed tasks: how many, and their sum.
     pub ran: (i64, Micros),
     /// Since when it has waited for a place.
@@ -175,25 +175,25 @@
 impl Job {
     /// A job of which nothing is placed.
     pub fn new(spec: Rc<JobSpec>, version: u64, now: Micros) -> Job {
-        let gang = (spec.kind == Kind::Gang).then(|| Gang::new(spec.tasks));
+        let gang = (spec.kind == JobKind::Gang).then(|| Gang::new(spec.tasks));
         Job {
             spec,
             version,
             ending: None,
-            waits: false,
+            blocked: false,
             record: RecordState {
                 version: Some(0),
                 ..Default::default()
             },
             next_attempt: 1,
             done: Ranges::default(),
-            done_gen: 0,
+            done_generation: 0,
             tasks: BTreeMap::new(),
             gang,
             parks: 0,
             paused_until: Micros::ZERO,
-            avoid: BTreeMap::new(),
-            errors: 0,
+            avoided_machines: BTreeMap::new(),
+            consecutive_errors: 0,
             ran: (0, Micros::ZERO),
             waiting_since: now,
         }
@@ -206,26 +206,26 @@
 
     /// Nothing of it has begun, though it should soon have: see [`turn`]. Half of the time that is left then is for its
     /// image; one that takes longer makes it earlier by as much.
-    pub fn overdue(&self, wall: Micros, types: &[MachineType]) -> bool {
-        let last_third = BEGIN_WITHIN.over(3);
+    pub fn starving(&self, wall_time: Micros, types: &[MachineType]) -> bool {
+        let last_third = START_DEADLINE.over(3);
         let longer =
             (self.spec.fetch_at_best(types) - last_third.over(2)).clamp(Micros::ZERO, last_third);
-        let waited = wall - self.spec.submitted;
+        let waited = wall_time - self.spec.submitted;
         self.tasks.is_empty()
             && self.done.count() == 0
-            && waited > BEGIN_WITHIN - last_third - longer
+            && waited > START_DEADLINE - last_third - longer
     }
 
     /// How important a task of it is to those that might stop it. What began by its turn stands as high
     /// as that put it: if what comes after it in a round could stop it, the next round would begin it
     /// anew, and so on for ever.
-    pub fn standing(&self, p: &Placement) -> Priority {
-        turn(self.spec.priority, p.by_turn).0
+    pub fn effective_priority(&self, p: &Placement) -> Priority {
+        queue_rank(self.spec.priority, p.promoted).0
     }
 
     /// Tasks neither done nor placed.
     pub fn unplaced(&self) -> u32 {
-        if !self.live() || self.waits {
+        if !self.live() || self.blocked {
             return 0;
         }
         self.spec.tasks - self.done.count() - self.tasks.len() as u32
@@ -233,16 +233,16 @@
 
     /// Whether it fails wherever it goes, as far as can be told: submitted with a mistake, most likely.
     pub fn failing(&self) -> bool {
-        self.errors >= ERRORS_OF_JOB
+        self.consecutive_errors >= ERRORS_OF_JOB
     }
 
     /// How many of its tasks may be placed besides those that are. Of a job that fails wherever it goes few are tried;
     /// a gang is one try as a whole.
-    pub fn tried_at_once(&self) -> u32 {
+    pub fn concurrent_attempts(&self) -> u32 {
         match self.spec.kind {
-            Kind::Gang => u32::MAX,
+            JobKind::Gang => u32::MAX,
             _ if !self.failing() => u32::MAX,
-            _ => TRIED_AT_ONCE.saturating_sub(self.tasks.len() as u32),
+            _ => MAX_CONCURRENT_ATTEMPTS.saturating_sub(self.tasks.len() as u32),
         }
     }
 
@@ -254,7 +254,7 @@
                 .filter(|i| !self.tasks.contains_key(i) && !self.done.contains(*i))
         };
         let tried_before = if self.failing() && self.gang.is_none() {
-            self.errors % self.unplaced().max(1)
+            self.consecutive_errors % self.unplaced().max(1)
         } else {
             0
         };
@@ -275,7 +275,7 @@
     /// How many more tasks may be placed before the record could outgrow what the state service takes of it. What is
     /// placed is counted as it is written, a run of tasks on a machine at a time; what is to come as if each task
     /// had a machine of its own.
-    pub fn record_room(&self, layout: &Layout) -> u32 {
+    pub fn record_headroom(&self, layout: &Layout) -> u32 {
         let digits = |n: u64| n.checked_ilog10().unwrap_or(0) as usize + 1;
         let run = 5 + 2 * digits(u64::from(self.spec.tasks)) + digits(self.next_attempt + 1);
         let fixed = 200 + self.spec.team.len();
@@ -299,7 +299,7 @@
         let room = layout
             .value_bytes
             .saturating_sub(fixed)
-            .max(layout.parts_room());
+            .max(layout.parts_capacity());
         (room.saturating_sub(used) / (run + longest + 6 + attempts)) as u32
     }
 
@@ -338,7 +338,7 @@
         let attempts = self.gang.iter().flat_map(|g| g.attempts.iter().enumerate());
         WorkRecord {
             team: self.spec.team.clone(),
-            need: self.spec.need,
+            task_resources: self.spec.task_resources,
             epoch: self.gang.as_ref().map_or(0, |g| g.epoch),
             draining: self.gang.as_ref().is_some_and(|g| g.draining),
             attempts: attempts
@@ -352,7 +352,7 @@
             parks: if self.gang.is_some() {
                 self.parks
             } else {
-                self.errors
+                self.consecutive_errors
             },
         }
     }
@@ -368,7 +368,7 @@
         self.done = record.done;
         match self.gang {
             Some(_) => self.parks = record.parks,
-            None => self.errors = record.parks,
+            None => self.consecutive_errors = record.parks,
         }
         for (machine, runs) in record.placed {
             for (from, to, attempt) in runs {
@@ -379,13 +379,13 @@
                             machine: machine.clone(),
                             attempt,
                             phase: Phase::Ordered,
-                            gen: 0,
+                            generation: 0,
                             since: now,
-                            session: 0,
+                            incarnation: 0,
                             not_before: Micros::ZERO,
                             running_since: None,
                             stop: None,
-                            by_turn: false,
+                            promoted: false,
                         },
                     );
                 }
--- a/crates/seamfront-core/src/leader/mod.rs
+++ b/crates/seamfront-core/src/leader/mod.rs
@@ -1,10 +1,10 @@
 //! The leader: the only one to act on the cloud and to assign machines to shards.
 
-use crate::boots::Boots;
-use crate::capacity::{self, Offer, Picture, RentRecord, Supply};
-use crate::duties::FleetDuty;
+use crate::boot_times::BootTimes;
+use crate::capacity::{self, ClusterSnapshot, Offer, ProvisioningRecord, Supply};
 use crate::engine::{Engine, Pending};
-use crate::fleet::{machine_key, MachineRecord};
+use crate::fleet_duties::FleetDuty;
+use crate::machine::{machine_key, MachineRecord};
 use crate::port::*;
 use crate::types::*;
 use std::cmp::Reverse;
@@ -12,10 +12,10 @@
 use tracing::{debug, info, warn};
 
 mod adoption;
-mod rentals;
+mod provisioning;
 mod replies;
 
-use rentals::{Rent, RentStep};
+use provisioning::{Provisioning, ProvisioningStep};
 
 /// What a shard's owner has told the leader.
 #[derive(Clone, Debug)]
@@ -23,7 +23,7 @@
     /// When it was told.
     pub at: Micros,
     /// What waits there.
-    pub needs: Vec<Need>,
+    pub requests: Vec<ResourceRequest>,
     /// Its machines.
     pub machines: BTreeMap<MachineId, MachineView>,
 }
@@ -37,39 +37,39 @@
     loading: bool,
     /// By shard: what its owner has told.
     pub views: Vec<Option<ShardView>>,
-    rents: BTreeMap<String, Rent>,
+    provisionings: BTreeMap<String, Provisioning>,
     counter: u64,
-    refused: BTreeMap<Offer, (Micros, u32)>,
+    unavailable_offers: BTreeMap<Offer, (Micros, u32)>,
     /// Names that the cloud told us are gone; its list lags.
-    gone: BTreeMap<MachineId, Micros>,
-    listing: Vec<Listed>,
+    terminated: BTreeMap<MachineId, Micros>,
+    listing: Vec<ListedMachine>,
     list_busy: bool,
     list_next: Micros,
     types_busy: bool,
     types_next: Micros,
-    delete_busy: bool,
-    delete_next: Micros,
+    terminate_busy: bool,
+    terminate_next: Micros,
     plan_next: Micros,
     move_next: Micros,
-    writing: BTreeSet<MachineId>,
+    writes_in_flight: BTreeSet<MachineId>,
     /// Listed machines without a record, and the one that each will get: the costliest first.
-    adopting: BTreeMap<(Reverse<i64>, MachineId), MachineRecord>,
+    adoptions: BTreeMap<(Reverse<i64>, MachineId), MachineRecord>,
     /// How long machines take until they are up.
-    pub(crate) boots: Boots,
+    pub(crate) boot_times: BootTimes,
     /// Released machines that the last plan wanted to move or return.
-    moves_waiting: usize,
+    pending_moves: usize,
     /// Machines that are to be returned; those that were let go empty can wait for the others.
-    deletes_waiting: usize,
+    pending_terminations: usize,
     emptied: BTreeSet<MachineId>,
     /// Asked to be cleared for a shard, since when.
-    clearing: BTreeMap<MachineId, (usize, Micros)>,
-    cloud_rest: Micros,
+    draining: BTreeMap<MachineId, (usize, Micros)>,
+    cloud_backoff_until: Micros,
 }
 
 const TICK: Micros = Micros::from_millis(250);
 /// A shard's word counts as long as it is not older than this.
 const VIEW_AGE: Micros = Micros::from_secs(4);
-const DELETE_EVERY: Micros = Micros::from_millis(500);
+const TERMINATE_INTERVAL: Micros = Micros::from_millis(500);
 const REFUSED_FOR: Micros = Micros::from_secs(15);
 /// What a former leader has asked for was asked this long before its successor reads of it, at the most.
 const FORMER_ASKED_WITHIN: Micros = Micros::from_secs(30);
@@ -82,62 +82,62 @@
             loaded: false,
             loading: false,
             views: vec![None; shards],
-            rents: BTreeMap::new(),
+            provisionings: BTreeMap::new(),
             counter: 0,
-            refused: BTreeMap::new(),
-            gone: BTreeMap::new(),
+            unavailable_offers: BTreeMap::new(),
+            terminated: BTreeMap::new(),
             listing: Vec::new(),
             list_busy: false,
             list_next: now,
             types_busy: false,
             types_next: now,
-            delete_busy: false,
-            delete_next: now,
+            terminate_busy: false,
+            terminate_next: now,
             plan_next: now,
             move_next: now,
-            writing: BTreeSet::new(),
-            adopting: BTreeMap::new(),
-            boots: Boots::default(),
-            moves_waiting: 0,
-            deletes_waiting: 0,
+            writes_in_flight: BTreeSet::new(),
+            adoptions: BTreeMap::new(),
+            boot_times: BootTimes::default(),
+            pending_moves: 0,
+            pending_terminations: 0,
             emptied: BTreeSet::new(),
-            clearing: BTreeMap::new(),
-            cloud_rest: now,
+            draining: BTreeMap::new(),
+            cloud_backoff_until: now,
         }
     }
 
     /// A duty begins here under a new token: answers to what was asked under another are not taken any more.
     pub(crate) fn duty_begins(&mut self, duty: FleetDuty) {
-        self.writing.clear();
+        self.writes_in_flight.clear();
         match duty {
-            FleetDuty::Renting => {
+            FleetDuty::ScaleOut => {
                 // Others may have begun and ended some meanwhile.
-                self.rents.clear();
-                self.adopting.clear();
+                self.provisionings.clear();
+                self.adoptions.clear();
                 self.listing.clear();
                 (self.loaded, self.loading) = (false, false);
                 (self.types_busy, self.list_busy) = (false, false);
             }
-            FleetDuty::Returning => self.delete_busy = false,
-            FleetDuty::Moving => self.clearing.clear(),
+            FleetDuty::ScaleIn => self.terminate_busy = false,
+            FleetDuty::Rebalance => self.draining.clear(),
         }
     }
 }
 
 /// What the answer to one of the leader's calls is for.
-pub(crate) enum LeaderCall {
+pub(crate) enum LeaderRequest {
     /// Reading of the rentals that a former leader began.
-    Rents {
+    ListProvisionings {
         /// Records read so far.
         entries: Vec<Entry>,
     },
     /// The record of a rental, before the cloud is asked.
-    RecordRent {
+    RecordProvisioning {
         /// Name of the rental.
         name: String,
     },
     /// The records of rented machines.
-    SettleRent {
+    RecordMachines {
         /// Name of the rental.
         name: String,
         /// Machines whose records are written.
@@ -146,89 +146,94 @@
         last: bool,
     },
     /// Records of machines that are assigned.
-    Machines {
+    AssignMachines {
         /// The duty that assigns them.
         duty: FleetDuty,
         /// Machines whose records are written.
         ids: Vec<MachineId>,
     },
     /// Removal of the records of machines that are gone.
-    Forget,
+    ForgetMachines,
     /// The record of machine types.
     TypesWritten,
     /// The cloud's machine types.
-    Types,
+    MachineTypes,
     /// A page of the cloud's list of machines.
-    List,
+    ListMachines,
     /// A rental.
-    Rent {
+    Provision {
         /// Name of the rental.
         name: String,
     },
     /// A return of machines.
-    Delete {
+    Terminate {
         /// Machines that are returned.
         ids: Vec<MachineId>,
     },
 }
 
-impl LeaderCall {
+impl LeaderRequest {
     /// The duty that it belongs to.
     pub(crate) fn duty(&self) -> FleetDuty {
         match self {
-            LeaderCall::Machines { duty, .. } => *duty,
-            LeaderCall::Forget | LeaderCall::Delete { .. } => FleetDuty::Returning,
-            LeaderCall::Rents { .. }
-            | LeaderCall::RecordRent { .. }
-            | LeaderCall::SettleRent { .. }
-            | LeaderCall::TypesWritten
-            | LeaderCall::Types
-            | LeaderCall::List
-            | LeaderCall::Rent { .. } => FleetDuty::Renting,
+            LeaderRequest::AssignMachines { duty, .. } => *duty,
+            LeaderRequest::ForgetMachines | LeaderRequest::Terminate { .. } => FleetDuty::ScaleIn,
+            LeaderRequest::ListProvisionings { .. }
+            | LeaderRequest::RecordProvisioning { .. }
+            | LeaderRequest::RecordMachines { .. }
+            | LeaderRequest::TypesWritten
+            | LeaderRequest::MachineTypes
+            | LeaderRequest::ListMachines
+            | LeaderRequest::Provision { .. } => FleetDuty::ScaleOut,
         }
     }
 }
 
 /// What may be done now.
 #[derive(Clone, Copy, Debug)]
-struct Rights {
-    rent: bool,
+struct Permissions {
+    provisioning: bool,
     give_back: bool,
     move_machines: bool,
 }
 
-impl Rights {
+impl Permissions {
     fn any(self) -> bool {
-        self.rent || self.give_back || self.move_machines
+        self.provisioning || self.give_back || self.move_machines
     }
 }
 
 impl Engine {
-    fn leader_commit(&mut self, mut when: Vec<(String, u64)>, apply: Vec<Write>, call: LeaderCall) {
+    fn leader_commit(
+        &mut self,
+        mut conditions: Vec<(String, u64)>,
+        writes: Vec<Write>,
+        call: LeaderRequest,
+    ) {
         let duty = call.duty();
-        let Some(token) = self.fleet_token(duty) else {
+        let Some(fencing_token) = self.fleet_token(duty) else {
             return;
         };
-        when.insert(0, (self.fence_key(duty, token), token));
-        self.write_budget -= apply.len() as i64 * 1_000;
-        self.state(
-            StateCall::Commit { when, apply },
+        conditions.insert(0, (self.fence_key(duty, fencing_token), fencing_token));
+        self.write_budget -= writes.len() as i64 * 1_000;
+        self.send_to_store(
+            StoreRequest::CompareAndSwap { conditions, writes },
             Pending::Leader {
-                version: token,
+                version: fencing_token,
                 call,
             },
         );
     }
 
-    fn leader_cloud(&mut self, request: CloudCall, call: LeaderCall) {
+    fn leader_cloud(&mut self, request: CloudRequest, call: LeaderRequest) {
         let Some(fence) = self.fence(call.duty()) else {
             return;
         };
-        self.cloud(
+        self.send_to_cloud(
             request,
             fence.until,
             Pending::Leader {
-                version: fence.token,
+                version: fence.fencing_token,
                 call,
             },
         );
@@ -239,22 +244,22 @@
         if self.leader.is_none() {
             return;
         }
-        let may = Rights {
-            rent: self.fence(FleetDuty::Renting).is_some(),
-            give_back: self.fence(FleetDuty::Returning).is_some(),
-            move_machines: self.fence(FleetDuty::Moving).is_some(),
+        let may = Permissions {
+            provisioning: self.fence(FleetDuty::ScaleOut).is_some(),
+            give_back: self.fence(FleetDuty::ScaleIn).is_some(),
+            move_machines: self.fence(FleetDuty::Rebalance).is_some(),
         };
-        if !may.any() || (may.rent && !self.rents_loaded()) {
+        if !may.any() || (may.provisioning && !self.provisionings_loaded()) {
             return;
         }
-        if may.rent {
+        if may.provisioning {
             self.types_and_list_tick();
-            self.rents_tick();
+            self.provisioning_tick();
         }
         if may.give_back {
-            self.deletes_tick();
+            self.terminate_tick();
         }
-        if may.rent {
+        if may.provisioning {
             self.adopt_tick();
         }
         let Some(l) = self.leader.as_mut() else {
@@ -264,20 +269,21 @@
             l.plan_next = now + TICK;
             // Moved, refused by its owner, or too slow: whoever still needs it asks again.
             let machines = &self.machines;
-            l.clearing.retain(|id, (to, t)| {
+            l.draining.retain(|id, (to, t)| {
                 now - *t < Micros::from_secs(20)
                     && machines.get(id).is_some_and(|m| m.0.shard != Some(*to))
             });
-            l.gone.retain(|_, t| now - *t < Micros::from_secs(180));
-            let gone = &l.gone;
-            l.boots.retain(|id| !gone.contains_key(id));
-            self.carry_out_plan(may);
+            l.terminated
+                .retain(|_, t| now - *t < Micros::from_secs(180));
+            let terminated = &l.terminated;
+            l.boot_times.retain(|id| !terminated.contains_key(id));
+            self.execute_plan(may);
         }
     }
 
     /// Whether the rentals that others have begun are read; begins to read them.
-    fn rents_loaded(&mut self) -> bool {
-        let Some(token) = self.fleet_token(FleetDuty::Renting) else {
+    fn provisionings_loaded(&mut self) -> bool {
+        let Some(fencing_token) = self.fleet_token(FleetDuty::ScaleOut) else {
             return false;
         };
         let Some(l) = self.leader.as_mut() else {
@@ -286,13 +292,13 @@
         if !l.loaded && !l.loading {
             l.loading = true;
             let pending = Pending::Leader {
-                version: token,
-                call: LeaderCall::Rents {
+                version: fencing_token,
+                call: LeaderRequest::ListProvisionings {
                     entries: Vec::new(),
                 },
             };
-            self.state(
-                StateCall::List {
+            self.send_to_store(
+                StoreRequest::List {
                     prefix: "rent/".to_owned(),
                     after: None,
                 },
@@ -308,37 +314,40 @@
         let Some(l) = self.leader.as_mut() else {
             return;
         };
-        if !l.types_busy && now >= l.types_next && now >= l.cloud_rest {
+        if !l.types_busy && now >= l.types_next && now >= l.cloud_backoff_until {
             l.types_busy = true;
-            self.leader_cloud(CloudCall::Types, LeaderCall::Types);
+            self.leader_cloud(CloudRequest::MachineTypes, LeaderRequest::MachineTypes);
         }
         let Some(l) = self.leader.as_mut() else {
             return;
         };
-        if !l.list_busy && now >= l.list_next && now >= l.cloud_rest {
+        if !l.list_busy && now >= l.list_next && now >= l.cloud_backoff_until {
             l.list_busy = true;
             let after = l.listing.last().map(|m| m.id.clone());
-            self.leader_cloud(CloudCall::List { after }, LeaderCall::List);
+            self.leader_cloud(
+                CloudRequest::ListMachines { after },
+                LeaderRequest::ListMachines,
+            );
         }
     }
 
-    fn deletes_tick(&mut self) {
+    fn terminate_tick(&mut self) {
         let now = self.now;
         // Half of what the store takes meanwhile, if need be: what stands on machines that fell by the
         // hundred waits for this, while a busy store leaves the leader nothing otherwise.
-        let meanwhile = (self.write_rate() * DELETE_EVERY.0 / 2_000_000_000) as usize;
+        let meanwhile = (self.write_rate() * TERMINATE_INTERVAL.0 / 2_000_000_000) as usize;
         let most = self
-            .cfg
+            .settings
             .txn_ops
             .min(100)
             .min(self.leader_writes().max(meanwhile).max(4));
         let Some(l) = self.leader.as_mut() else {
             return;
         };
-        if l.delete_busy || now < l.delete_next || now < l.cloud_rest {
+        if l.terminate_busy || now < l.terminate_next || now < l.cloud_backoff_until {
             return;
         }
-        l.delete_next = now + DELETE_EVERY;
+        l.terminate_next = now + TERMINATE_INTERVAL;
         l.emptied
             .retain(|id| self.machines.get(id).is_some_and(|m| m.0.shard.is_none()));
         let given_up = self
@@ -349,38 +358,38 @@
         let (last, mut ids): (Vec<MachineId>, Vec<MachineId>) =
             given_up.cloned().partition(|id| l.emptied.contains(id));
         ids.extend(last);
-        l.deletes_waiting = ids.len();
+        l.pending_terminations = ids.len();
         ids.truncate(most);
         if ids.is_empty() {
             return;
         }
-        l.delete_busy = true;
+        l.terminate_busy = true;
         info!(machines = ?ids.iter().map(|i| i.as_str()).collect::<Vec<_>>(), "returning machines");
         self.leader_cloud(
-            CloudCall::Delete {
+            CloudRequest::Terminate {
                 machines: ids.clone(),
             },
-            LeaderCall::Delete { ids },
+            LeaderRequest::Terminate { ids },
         );
     }
 
-    fn carry_out_plan(&mut self, may: Rights) {
+    fn execute_plan(&mut self, may: Permissions) {
         let now = self.now;
         let Some(l) = self.leader.as_ref() else {
             return;
         };
-        let mut needs = Vec::new();
+        let mut requests = Vec::new();
         let mut heard = true;
         for (k, v) in l.views.iter().enumerate() {
             match v.as_ref().filter(|v| now - v.at < VIEW_AGE) {
-                Some(v) => needs.extend(v.needs.iter().map(|n| (k, n))),
+                Some(v) => requests.extend(v.requests.iter().map(|n| (k, n))),
                 None => heard = false,
             }
         }
         let mut machines = Vec::new();
         for (id, (record, version)) in &self.machines {
             let Some(shard) = record.shard else { continue };
-            if l.writing.contains(id) {
+            if l.writes_in_flight.contains(id) {
                 continue;
             }
             let view = l
@@ -401,52 +410,52 @@
                 age,
             });
         }
-        let picture = Picture {
+        let snapshot = ClusterSnapshot {
             now,
-            needs,
+            requests,
             machines,
-            rents: l.rents.values().map(|r| &r.record).collect(),
+            provisionings: l.provisionings.values().map(|r| &r.record).collect(),
             types: &self.types,
-            refused: &l.refused,
-            tuning: &self.cfg.tuning,
-            boots: &l.boots,
-            clearing: &l.clearing,
+            unavailable_offers: &l.unavailable_offers,
+            tuning: &self.settings.tuning,
+            boot_times: &l.boot_times,
+            draining: &l.draining,
         };
-        let looked = picture.machines.len() * 4 + picture.needs.len();
-        let mut plan = capacity::plan(&picture);
-        let released: BTreeSet<MachineId> = picture
+        let work_done = snapshot.machines.len() * 4 + snapshot.requests.len();
+        let mut plan = capacity::plan(&snapshot);
+        let released: BTreeSet<MachineId> = snapshot
             .machines
             .iter()
             .filter(|m| m.view.is_some_and(|v| v.released))
             .map(|m| m.id.clone())
             .collect();
-        drop(picture);
-        self.leader_looked += looked as i64;
+        drop(snapshot);
+        self.leader_work_done += work_done as i64;
         if !heard {
             // A shard that nobody speaks for may need what looks idle.
-            plan.returns.retain(|id| released.contains(id));
+            plan.terminations.retain(|id| released.contains(id));
         }
-        let asked_before = l.rents.len() >= 6;
-        if may.rent && !asked_before && !self.types.is_empty() {
-            for r in plan.rents {
-                self.start_rent(r);
+        let asked_before = l.provisionings.len() >= 6;
+        if may.provisioning && !asked_before && !self.types.is_empty() {
+            for r in plan.provisionings {
+                self.start_provisioning(r);
             }
         }
         let may_ask = self.leader.as_ref().is_some_and(|l| now >= l.move_next);
         let mut asks: BTreeMap<usize, Vec<MachineId>> = BTreeMap::new();
-        let mut writes: Vec<(MachineId, Option<usize>)> = Vec::new();
+        let mut assignments: Vec<(MachineId, Option<usize>)> = Vec::new();
         if !may.move_machines {
             plan.moves.clear();
-            plan.clear.clear();
+            plan.drains.clear();
         }
         if !may.give_back {
-            plan.returns.clear();
+            plan.terminations.clear();
         }
         let moves = plan.moves.into_iter().map(|(id, to)| (id, Some(to)));
-        let returns = plan.returns.into_iter().map(|id| (id, None));
-        for (id, to) in moves.chain(returns) {
+        let terminations = plan.terminations.into_iter().map(|id| (id, None));
+        for (id, to) in moves.chain(terminations) {
             if released.contains(&id) {
-                writes.push((id, to));
+                assignments.push((id, to));
             } else if let Some(shard) = self
                 .machines
                 .get(&id)
@@ -458,29 +467,29 @@
         }
         if may_ask && !asks.is_empty() {
             if let Some(l) = self.leader.as_mut() {
-                l.move_next = now + self.cfg.tuning.move_every;
+                l.move_next = now + self.settings.tuning.move_every;
             }
         }
         for (shard, machines) in asks {
-            self.tell_holder(
+            self.notify_holder(
                 shard,
-                MeshMessage::Release {
+                PeerMessage::Release {
                     shard,
                     machines,
                     above: None,
                 },
             );
         }
-        for (id, to, above) in plan.clear {
+        for (id, to, above) in plan.drains {
             let Some(shard) = self.machines.get(&id).and_then(|m| m.0.shard) else {
                 continue;
             };
             if let Some(l) = self.leader.as_mut() {
-                l.clearing.insert(id.clone(), (to, now));
+                l.draining.insert(id.clone(), (to, now));
             }
-            self.tell_holder(
+            self.notify_holder(
                 shard,
-                MeshMessage::Release {
+                PeerMessage::Release {
                     shard,
                     machines: vec![id],
                     above: Some(above),
@@ -489,34 +498,34 @@
         }
         // What the store does not take now is planned again.
         let room = self
-            .cfg
+            .settings
             .txn_ops
             .min((self.write_budget / 1_000).max(0) as usize);
         if let Some(l) = self.leader.as_mut() {
-            l.moves_waiting = writes.len();
+            l.pending_moves = assignments.len();
         }
-        writes.truncate(room);
-        self.assign(writes);
+        assignments.truncate(room);
+        self.assign(assignments);
     }
 
     /// Moves released machines and gives others up. Under one claim all of that is one transaction: a gang gets its
     /// machines together. With a claim for each duty there is one for each.
-    fn assign(&mut self, writes: Vec<(MachineId, Option<usize>)>) {
+    fn assign(&mut self, assignments: Vec<(MachineId, Option<usize>)>) {
         if self.leader.as_ref().is_some_and(|l| l.version.is_some()) {
-            return self.assign_under(FleetDuty::Moving, writes);
+            return self.assign_under(FleetDuty::Rebalance, assignments);
         }
-        let (moved, given_up) = writes.into_iter().partition(|write| write.1.is_some());
-        self.assign_under(FleetDuty::Moving, moved);
-        self.assign_under(FleetDuty::Returning, given_up);
+        let (moved, given_up) = assignments.into_iter().partition(|write| write.1.is_some());
+        self.assign_under(FleetDuty::Rebalance, moved);
+        self.assign_under(FleetDuty::ScaleIn, given_up);
     }
 
-    fn assign_under(&mut self, duty: FleetDuty, writes: Vec<(MachineId, Option<usize>)>) {
+    fn assign_under(&mut self, duty: FleetDuty, assignments: Vec<(MachineId, Option<usize>)>) {
         if self.fleet_token(duty).is_none() {
             return;
         }
-        let (mut when, mut apply, mut ids, mut emptied) =
+        let (mut conditions, mut writes, mut ids, mut emptied) =
             (Vec::new(), Vec::new(), Vec::new(), Vec::new());
-        for (id, to) in writes {
+        for (id, to) in assignments {
             let Some((record, version)) = self.machines.get(&id) else {
                 continue;
             };
@@ -525,8 +534,8 @@
                 ..record.clone()
             };
             info!(machine = %id, to = ?to, "machine assigned");
-            when.push((machine_key(&id), *version));
-            apply.push(crate::shard::machine_write(&id, &record));
+            conditions.push((machine_key(&id), *version));
+            writes.push(crate::shard::machine_write(&id, &record));
             if to.is_none() {
                 emptied.push(id.clone());
             }
@@ -536,22 +545,26 @@
             return;
         }
         if let Some(l) = self.leader.as_mut() {
-            l.writing.extend(ids.iter().cloned());
+            l.writes_in_flight.extend(ids.iter().cloned());
             l.emptied.extend(emptied);
         }
-        self.leader_commit(when, apply, LeaderCall::Machines { duty, ids });
+        self.leader_commit(
+            conditions,
+            writes,
+            LeaderRequest::AssignMachines { duty, ids },
+        );
     }
 
-    pub(crate) fn leader_writes_awaited(&self) -> usize {
-        let rented = |l: &Leader| {
-            l.rents
+    pub(crate) fn leader_pending_writes(&self) -> usize {
+        let provisioned = |l: &Leader| {
+            l.provisionings
                 .values()
-                .filter(|r| r.step == RentStep::Settling)
+                .filter(|r| r.step == ProvisioningStep::Settling)
                 .map(|r| r.got.len())
                 .sum::<usize>()
         };
         self.leader.as_ref().map_or(0, |l| {
-            l.adopting.len() + l.moves_waiting + l.deletes_waiting + rented(l)
+            l.adoptions.len() + l.pending_moves + l.pending_terminations + provisioned(l)
         })
     }
 
@@ -561,10 +574,10 @@
         (self.write_budget / 2_000).max(0) as usize
     }
 
-    pub(crate) fn shard_told(
+    pub(crate) fn shard_updated(
         &mut self,
         shard: usize,
-        needs: Vec<Need>,
+        requests: Vec<ResourceRequest>,
         machines: Vec<MachineView>,
     ) {
         let now = self.now;
@@ -574,11 +587,11 @@
         if let Some(v) = l.views.get_mut(shard) {
             let machines: BTreeMap<MachineId, MachineView> =
                 machines.into_iter().map(|m| (m.id.clone(), m)).collect();
-            l.boots
-                .learn(now, |id| machines.get(id).is_some_and(|m| m.up));
+            l.boot_times
+                .record_boots(now, |id| machines.get(id).is_some_and(|m| m.up));
             *v = Some(ShardView {
                 at: now,
-                needs,
+                requests,
                 machines,
             });
         }
--- a/crates/seamfront-core/src/leader/rentals.rs
+++ b/crates/seamfront-core/src/leader/provisioning.rs
@@ -6,7 +6,7 @@
 const LISTED_AGE_SLACK: Micros = Micros::from_secs(1);
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum RentStep {
+pub(super) enum ProvisioningStep {
     /// Its name is being recorded.
     Recording,
     /// Recorded; the cloud may be asked.
@@ -17,21 +17,21 @@
 }
 
 #[derive(Clone, Debug)]
-pub(super) struct Rent {
-    pub(super) record: RentRecord,
-    pub(super) step: RentStep,
+pub(super) struct Provisioning {
+    pub(super) record: ProvisioningRecord,
+    pub(super) step: ProvisioningStep,
     /// When the cloud may have been asked first.
     pub(super) asked_at: Option<Micros>,
     pub(super) retry_at: Micros,
     pub(super) got: Vec<MachineId>,
 }
 
-impl Rent {
+impl Provisioning {
     /// Whether the cloud may have rented this machine for it, and the answer is not known: such a machine is not
     /// adopted, or it would go to another shard than the one that it was rented for.
-    pub(super) fn may_have_rented(&self, m: &Listed, now: Micros) -> bool {
+    pub(super) fn may_have_provisioned(&self, m: &ListedMachine, now: Micros) -> bool {
         let r = &self.record;
-        let unanswered = self.step != RentStep::Settling;
+        let unanswered = self.step != ProvisioningStep::Settling;
         let since = self.asked_at.filter(|_| unanswered);
         let in_time = since.is_some_and(|asked| m.age <= now - asked + LISTED_AGE_SLACK);
         in_time && m.kind == r.kind && m.zone == r.zone && m.spot == r.spot
@@ -39,57 +39,61 @@
 }
 
 impl Engine {
-    pub(super) fn rents_tick(&mut self) {
+    pub(super) fn provisioning_tick(&mut self) {
         let now = self.now;
         let Some(l) = self.leader.as_mut() else {
             return;
         };
-        if now < l.cloud_rest {
+        if now < l.cloud_backoff_until {
             return;
         }
         let due = l
-            .rents
+            .provisionings
             .iter()
-            .find(|(_, r)| r.step == RentStep::Ready && r.retry_at <= now);
+            .find(|(_, r)| r.step == ProvisioningStep::Ready && r.retry_at <= now);
         if let Some(name) = due.map(|d| d.0.clone()) {
-            if let Some(r) = l.rents.get_mut(&name) {
-                r.step = RentStep::Asking;
+            if let Some(r) = l.provisionings.get_mut(&name) {
+                r.step = ProvisioningStep::Asking;
                 r.asked_at = r.asked_at.or(Some(now));
-                l.cloud_rest = now + Micros::from_millis(250);
+                l.cloud_backoff_until = now + Micros::from_millis(250);
                 let (kind, zone) = (r.record.kind.clone(), r.record.zone.clone());
-                let request = CloudCall::Rent {
+                let request = CloudRequest::Provision {
                     name: name.clone(),
                     kind,
                     zone,
                     spot: r.record.spot,
                     count: r.record.count,
                 };
-                self.leader_cloud(request, LeaderCall::Rent { name });
+                self.leader_cloud(request, LeaderRequest::Provision { name });
             }
         }
         let Some(l) = self.leader.as_ref() else {
             return;
         };
         let settle: Vec<String> = l
-            .rents
+            .provisionings
             .iter()
-            .filter(|(_, r)| r.step == RentStep::Settling && r.retry_at <= now)
+            .filter(|(_, r)| r.step == ProvisioningStep::Settling && r.retry_at <= now)
             .map(|r| r.0.clone())
             .collect();
         for name in settle {
             // They boot meanwhile: their records can wait for what the store takes.
             if self.write_budget > 0 {
-                self.settle_rent(&name);
+                self.record_provisioned_machines(&name);
             }
         }
     }
 
     /// Transactions give the machines their records, and the last one forgets the request: what a former leader
     /// rented may be more than one takes.
-    pub(super) fn settle_rent(&mut self, name: &str) {
+    pub(super) fn record_provisioned_machines(&mut self, name: &str) {
         let now = self.now;
         let known = &self.machines;
-        let Some(r) = self.leader.as_mut().and_then(|l| l.rents.get_mut(name)) else {
+        let Some(r) = self
+            .leader
+            .as_mut()
+            .and_then(|l| l.provisionings.get_mut(name))
+        else {
             return;
         };
         r.retry_at = now + Micros::from_secs(3);
@@ -99,7 +103,7 @@
             .filter(|id| !known.contains_key(id))
             .cloned()
             .collect();
-        let most = self.cfg.txn_ops.saturating_sub(1).max(1);
+        let most = self.settings.txn_ops.saturating_sub(1).max(1);
         let last = new.len() <= most;
         new.truncate(most);
         let record = MachineRecord {
@@ -109,8 +113,8 @@
             spot: r.record.spot,
         };
         let value = serde_json::to_value(&record).unwrap_or_default();
-        let when = new.iter().map(|id| (machine_key(id), 0)).collect();
-        let mut apply: Vec<Write> = new
+        let conditions = new.iter().map(|id| (machine_key(id), 0)).collect();
+        let mut writes: Vec<Write> = new
             .iter()
             .map(|id| Write::Put {
                 key: machine_key(id),
@@ -119,14 +123,14 @@
             })
             .collect();
         if last {
-            apply.push(Write::Delete {
+            writes.push(Write::Delete {
                 key: format!("rent/{name}"),
             });
         }
         self.leader_commit(
-            when,
-            apply,
-            LeaderCall::SettleRent {
+            conditions,
+            writes,
+            LeaderRequest::RecordMachines {
                 name: name.to_owned(),
                 ids: new,
                 last,
@@ -134,8 +138,8 @@
         );
     }
 
-    pub(super) fn start_rent(&mut self, record: RentRecord) {
-        let Some(token) = self.fleet_token(FleetDuty::Renting) else {
+    pub(super) fn start_provisioning(&mut self, record: ProvisioningRecord) {
+        let Some(fencing_token) = self.fleet_token(FleetDuty::ScaleOut) else {
             return;
         };
         let Some(l) = self.leader.as_mut() else {
@@ -143,23 +147,27 @@
         };
         l.counter += 1;
         // Unique for ever: no two claims have the same version.
-        let name = format!("r-{token}-{}", l.counter);
+        let name = format!("r-{fencing_token}-{}", l.counter);
         info!(name, kind = %record.kind, zone = %record.zone, spot = record.spot, count = record.count, shard = record.shard, "renting");
         let value = serde_json::to_value(&record).unwrap_or_default();
-        let rent = Rent {
+        let provisioning = Provisioning {
             record,
-            step: RentStep::Recording,
+            step: ProvisioningStep::Recording,
             asked_at: None,
             retry_at: Micros::ZERO,
             got: Vec::new(),
         };
-        l.rents.insert(name.clone(), rent);
+        l.provisionings.insert(name.clone(), provisioning);
         let key = format!("rent/{name}");
-        let apply = vec![Write::Put {
+        let writes = vec![Write::Put {
             key: key.clone(),
             value,
             lease: None,
         }];
-        self.leader_commit(vec![(key, 0)], apply, LeaderCall::RecordRent { name });
+        self.leader_commit(
+            vec![(key, 0)],
+            writes,
+            LeaderRequest::RecordProvisioning { name },
+        );
     }
 }
--- a/crates/seamfront-core/src/leader/replies.rs
+++ b/crates/seamfront-core/src/leader/replies.rs
@@ -3,13 +3,18 @@
 use super::*;
 
 impl Engine {
-    pub(crate) fn leader_state_reply(&mut self, version: u64, call: LeaderCall, reply: StateReply) {
+    pub(crate) fn leader_state_reply(
+        &mut self,
+        version: u64,
+        call: LeaderRequest,
+        reply: StoreReply,
+    ) {
         let now = self.now;
         let duty = call.duty();
         if self.fleet_token(duty) != Some(version) {
             return;
         }
-        if let StateReply::Conflict { failed } = &reply {
+        if let StoreReply::Conflict { failed } = &reply {
             if failed.contains(&self.fence_key(duty, version)) {
                 return self.fence_refused(duty, version);
             }
@@ -18,9 +23,9 @@
             return;
         };
         match call {
-            LeaderCall::Rents { mut entries } => {
+            LeaderRequest::ListProvisionings { mut entries } => {
                 let (done, after) = match reply {
-                    StateReply::Page {
+                    StoreReply::Page {
                         entries: page,
                         more,
                         ..
@@ -33,10 +38,10 @@
                 if !done {
                     let pending = Pending::Leader {
                         version,
-                        call: LeaderCall::Rents { entries },
+                        call: LeaderRequest::ListProvisionings { entries },
                     };
-                    return self.state(
-                        StateCall::List {
+                    return self.send_to_store(
+                        StoreRequest::List {
                             prefix: "rent/".to_owned(),
                             after,
                         },
@@ -49,66 +54,71 @@
                         Ok(record) => {
                             info!(name, "repeating a former leader's request");
                             let asked_at = Some(now - FORMER_ASKED_WITHIN);
-                            let rent = Rent {
+                            let provisioning = Provisioning {
                                 record,
-                                step: RentStep::Ready,
+                                step: ProvisioningStep::Ready,
                                 asked_at,
                                 retry_at: now,
                                 got: Vec::new(),
                             };
-                            l.rents.insert(name, rent);
+                            l.provisionings.insert(name, provisioning);
                         }
                         Err(e) => warn!(name, %e, "unreadable rent record"),
                     }
                 }
                 l.loaded = true;
             }
-            LeaderCall::RecordRent { name } => match reply {
-                StateReply::Committed { .. } => {
-                    if let Some(r) = l.rents.get_mut(&name) {
-                        r.step = RentStep::Ready;
+            LeaderRequest::RecordProvisioning { name } => match reply {
+                StoreReply::Committed { .. } => {
+                    if let Some(r) = l.provisionings.get_mut(&name) {
+                        r.step = ProvisioningStep::Ready;
                     }
                 }
                 // Whether it was recorded is unknown: nothing was asked of the cloud under this
                 // name, and a successor that finds it may ask.
                 _ => {
-                    l.rents.remove(&name);
+                    l.provisionings.remove(&name);
                 }
             },
-            LeaderCall::SettleRent { name, ids, last } => match reply {
-                StateReply::Committed { .. } if !last => {
-                    if let Some(r) = l.rents.get_mut(&name) {
+            LeaderRequest::RecordMachines { name, ids, last } => match reply {
+                StoreReply::Committed { .. } if !last => {
+                    if let Some(r) = l.provisionings.get_mut(&name) {
                         r.got.retain(|id| !ids.contains(id));
                         r.retry_at = now;
                     }
                 }
-                StateReply::Committed { .. } => {
-                    if let Some(r) = l.rents.remove(&name) {
+                StoreReply::Committed { .. } => {
+                    if let Some(r) = l.provisionings.remove(&name) {
                         debug!(name, machines = r.got.len(), "request settled");
                     }
                 }
                 _ => {
-                    if let Some(r) = l.rents.get_mut(&name) {
+                    if let Some(r) = l.provisionings.get_mut(&name) {
                         r.retry_at = now + Micros::from_millis(500);
                     }
                 }
             },
-            LeaderCall::Machines { ids, .. } => {
+            LeaderRequest::AssignMachines { ids, .. } => {
                 for id in ids {
-                    l.writing.remove(&id);
+                    l.writes_in_flight.remove(&id);
                 }
             }
-            LeaderCall::Forget | LeaderCall::TypesWritten => {}
-            LeaderCall::Types
-            | LeaderCall::List
-            | LeaderCall::Rent { .. }
-            | LeaderCall::Delete { .. } => {}
+            LeaderRequest::ForgetMachines | LeaderRequest::TypesWritten => {}
+            LeaderRequest::MachineTypes
+            | LeaderRequest::ListMachines
+            | LeaderRequest::Provision { .. }
+            | LeaderRequest::Terminate { .. } => {}
         }
     }
 
-    pub(crate) fn leader_cloud_reply(&mut self, version: u64, call: LeaderCall, reply: CloudReply) {
+    pub(crate) fn leader_cloud_reply(
+        &mut self,
+        version: u64,
+        call: LeaderRequest,
+        reply: CloudReply,
+    ) {
         let now = self.now;
-        let lag = self.cfg.list_lag;
+        let lag = self.settings.list_lag;
         if self.fleet_token(call.duty()) != Some(version) {
             return;
         }
@@ -116,25 +126,25 @@
             return;
         };
         if matches!(reply, CloudReply::Failed) {
-            l.cloud_rest = now + Micros::from_millis(700);
+            l.cloud_backoff_until = now + Micros::from_millis(700);
         }
         match (call, reply) {
-            (LeaderCall::Types, reply) => {
+            (LeaderRequest::MachineTypes, reply) => {
                 l.types_busy = false;
                 l.types_next = now + Micros::from_secs(2);
-                if let CloudReply::Types(types) = reply {
+                if let CloudReply::MachineTypes(types) = reply {
                     l.types_next = now + Micros::from_secs(30);
                     let value = serde_json::to_value(&types).unwrap_or_default();
                     self.types_known(types);
-                    let apply = vec![Write::Put {
+                    let writes = vec![Write::Put {
                         key: "types".to_owned(),
                         value,
                         lease: None,
                     }];
-                    self.leader_commit(vec![], apply, LeaderCall::TypesWritten);
+                    self.leader_commit(vec![], writes, LeaderRequest::TypesWritten);
                 }
             }
-            (LeaderCall::List, reply) => {
+            (LeaderRequest::ListMachines, reply) => {
                 l.list_busy = false;
                 match reply {
                     CloudReply::Page { machines, more } => {
@@ -151,54 +161,57 @@
                     }
                 }
             }
-            (LeaderCall::Rent { name }, reply) => {
-                let Some(r) = l.rents.get_mut(&name) else {
+            (LeaderRequest::Provision { name }, reply) => {
+                let Some(r) = l.provisionings.get_mut(&name) else {
                     return;
                 };
                 let offer = (r.record.kind.clone(), r.record.zone.clone(), r.record.spot);
                 match reply {
-                    CloudReply::Rented(ids) => {
+                    CloudReply::Provisioned(ids) => {
                         info!(name, machines = ?ids.iter().map(|i| i.as_str()).collect::<Vec<_>>(), "rented");
                         if (ids.len() as u32) < r.record.count {
-                            l.refused.insert(offer, (now + REFUSED_FOR, 1));
+                            l.unavailable_offers.insert(offer, (now + REFUSED_FOR, 1));
                         } else {
-                            l.refused.remove(&offer);
+                            l.unavailable_offers.remove(&offer);
                         }
                         for id in &ids {
-                            l.boots.rented(id.clone(), &r.record.kind, now);
+                            l.boot_times.provisioned(id.clone(), &r.record.kind, now);
                         }
                         r.got = ids;
                     }
                     CloudReply::NoCapacity => {
-                        let times = l.refused.get(&offer).map_or(1, |r| (r.1 + 1).min(4));
+                        let times = l
+                            .unavailable_offers
+                            .get(&offer)
+                            .map_or(1, |r| (r.1 + 1).min(4));
                         info!(name, kind = %offer.0, zone = %offer.1, spot = offer.2, times, "no capacity");
-                        l.refused
+                        l.unavailable_offers
                             .insert(offer, (now + REFUSED_FOR.times(i64::from(times)), times));
                     }
                     _ => {
                         // Unknown: the same name again, which rents nothing twice.
-                        r.step = RentStep::Ready;
+                        r.step = ProvisioningStep::Ready;
                         r.retry_at = now + Micros::from_secs(1);
                         return;
                     }
                 }
-                r.step = RentStep::Settling;
+                r.step = ProvisioningStep::Settling;
                 r.retry_at = now;
             }
-            (LeaderCall::Delete { ids }, reply) => {
-                l.delete_busy = false;
-                if matches!(reply, CloudReply::Deleted) {
+            (LeaderRequest::Terminate { ids }, reply) => {
+                l.terminate_busy = false;
+                if matches!(reply, CloudReply::Terminated) {
                     for id in &ids {
-                        l.gone.insert(id.clone(), now);
+                        l.terminated.insert(id.clone(), now);
                     }
-                    let apply = ids
+                    let writes = ids
                         .iter()
                         .map(|id| Write::Delete {
                             key: machine_key(id),
                         })
                         .collect();
                     // The owners learn of it from the records' removal; ours may know at once.
-                    self.leader_commit(vec![], apply, LeaderCall::Forget);
+                    self.leader_commit(vec![], writes, LeaderRequest::ForgetMachines);
                 }
             }
             _ => {}
--- a/crates/seamfront-core/src/lib.rs
+++ b/crates/seamfront-core/src/lib.rs
@@ -3,26 +3,26 @@
 #![forbid(unsafe_code)]
 #![deny(missing_docs)]
 
-pub mod boots;
+pub mod boot_times;
 pub mod capacity;
-pub mod chains;
-mod cleaning;
-pub mod duties;
+pub mod dependencies;
 pub mod engine;
-pub mod fleet;
-mod formats;
+pub mod fleet_duties;
+mod format_versions;
 pub mod gang;
+mod garbage_collector;
 pub mod job;
 pub mod leader;
+pub mod machine;
 pub mod placement;
 pub mod port;
 pub mod quota;
 pub mod ranges;
 pub mod record;
-mod rounds;
+mod scheduling;
 pub mod shard;
 pub mod store_session;
 pub mod types;
-pub mod users;
+pub mod user_api;
 
 pub use engine::Engine;
--- a/crates/seamfront-core/src/fleet.rs
+++ b/crates/seamfront-core/src/machine.rs
@@ -26,19 +26,19 @@
 
 /// Orders sent straight to a worker. While they are unsettled they may still be carried out.
 #[derive(Clone, Debug)]
-pub struct Direct {
+pub struct DirectCommand {
     /// The call that carries them.
     pub call: CallId,
     /// The token that they carry.
-    pub token: u64,
+    pub fencing_token: u64,
     /// The worker's session that they are meant for.
-    pub session: u64,
+    pub incarnation: u64,
     /// No answer came. Settled only by a higher token seen, a new session, or the machine's end.
     pub unknown: bool,
 }
 
 /// So many answers in a row that a worker shows no sign of are no accident.
-const UNHEEDED_MAX: u32 = 4;
+const MAX_UNACKNOWLEDGED_REPLIES: u32 = 4;
 /// So many different jobs have to fail on a machine for it to be suspected.
 const FAULTS_OF_MACHINE: usize = 2;
 /// Completed tasks on which a machine's pace is judged.
@@ -55,51 +55,51 @@
     /// Version of that record.
     pub version: u64,
     /// What it has in all.
-    pub size: Amounts,
+    pub size: Resources,
     /// What the tasks placed here take.
-    pub used: Amounts,
+    pub used: Resources,
     /// Tasks placed here.
     pub tasks: BTreeSet<TaskKey>,
     /// Not placed by us, yet shown by the worker as not ended: they take room and are stopped.
-    pub strays: BTreeMap<TaskKey, (u64, Amounts)>,
+    pub unexpected_tasks: BTreeMap<TaskKey, (u64, Resources)>,
     /// Where its worker takes direct commands.
     pub addr: Option<String>,
     /// Its worker's session, 0 if never heard.
-    pub session: u64,
+    pub incarnation: u64,
     /// When its present session was first heard of, by whatever message.
-    pub session_seen: Option<Micros>,
+    pub incarnation_seen_at: Option<Micros>,
     /// Sequence number of the newest message seen in that session.
-    pub seq: u64,
+    pub sequence: u64,
     /// The highest token that its worker has shown.
-    pub seen_token: u64,
+    pub highest_seen_token: u64,
     /// Since when this holder has had it.
     pub owned_since: Micros,
     /// Any report newer than those seen before. It may be a copy that the network held back, or come
     /// from a machine that hears no answers.
-    pub last_report: Option<Micros>,
+    pub last_heartbeat: Option<Micros>,
     /// The last report that showed our present token: fresh, and from a worker that hears us.
-    pub heeded: Option<Micros>,
+    pub last_acknowledged: Option<Micros>,
     /// Answers to its reports since then that it showed no sign of: how many, and since when.
-    pub unheeded: Option<(u32, Micros)>,
+    pub unacknowledged: Option<(u32, Micros)>,
     /// Something shows that our answers do not arrive: the token is raised, to see whether the new
     /// one does.
-    pub challenge: bool,
+    pub token_raise_due: bool,
     /// Last 200 to a report of it by this holder: its lease counts from before that.
-    pub last_ok: Option<Micros>,
+    pub last_reply: Option<Micros>,
     /// The direct command that is not settled yet.
-    pub direct: Option<Direct>,
+    pub direct: Option<DirectCommand>,
     /// When the cloud will take it back.
-    pub notice: Option<Micros>,
+    pub preemption_deadline: Option<Micros>,
     /// Since when it has been let go for the leader.
-    pub released: Option<Micros>,
+    pub released_since: Option<Micros>,
     /// Being emptied for another shard's more important work.
-    pub clearing: Option<Micros>,
+    pub draining_since: Option<Micros>,
     /// Since when nothing has been on it.
     pub idle_since: Option<Micros>,
     /// A gang that waits for its places holds room here: see [`crate::port::MachineView`].
-    pub gathered: bool,
+    pub reserved_for_gang: bool,
     /// Since when nothing here uses its accelerators, which are what it is paid for.
-    pub unused_since: Option<Micros>,
+    pub accelerators_unused_since: Option<Micros>,
     /// Images that it has, with their size in MB, the least recently used first.
     pub images: Vec<(String, i64)>,
     /// Images that tasks placed here wait for. Fetches at the same time share the machine's rate.
@@ -107,22 +107,22 @@
     /// What is placed here, or which images are here, has changed since `fetching` was made.
     pub fetches_changed: bool,
     /// Different jobs that failed here since something last went well.
-    pub faults: BTreeSet<JobId>,
+    pub failed_jobs: BTreeSet<JobId>,
     /// Not worth keeping: it is much slower than its kind.
-    pub suspect: bool,
+    pub slow: bool,
     /// Tasks completed here lately, and the sum of their run times in percent of their jobs' means.
     pub pace: (i64, i64),
     /// To be returned whatever is on it.
-    pub hopeless: bool,
+    pub condemned: bool,
     /// Its record is being written.
-    pub writing: bool,
+    pub write_in_flight: bool,
     /// A write that gives it up was made and may still be applied: if it comes back meanwhile, nothing must
     /// be placed here that would be returned with it.
-    pub giving_up: bool,
+    pub decommission_pending: bool,
     /// Refused for lack of room: our count and the worker's differ; wait for that to settle.
     pub full_until: Micros,
     /// Its lease ended and its worker has not been heard since.
-    pub expired: bool,
+    pub lease_expired: bool,
 }
 
 impl Machine {
@@ -131,7 +131,7 @@
         id: MachineId,
         record: MachineRecord,
         version: u64,
-        size: Amounts,
+        size: Resources,
         now: Micros,
     ) -> Self {
         Machine {
@@ -139,48 +139,48 @@
             record,
             version,
             size,
-            used: Amounts::default(),
+            used: Resources::default(),
             tasks: BTreeSet::new(),
-            strays: BTreeMap::new(),
+            unexpected_tasks: BTreeMap::new(),
             addr: None,
-            session: 0,
-            session_seen: None,
-            seq: 0,
-            seen_token: 0,
+            incarnation: 0,
+            incarnation_seen_at: None,
+            sequence: 0,
+            highest_seen_token: 0,
             owned_since: now,
-            last_report: None,
-            heeded: None,
-            unheeded: None,
-            challenge: false,
-            last_ok: None,
+            last_heartbeat: None,
+            last_acknowledged: None,
+            unacknowledged: None,
+            token_raise_due: false,
+            last_reply: None,
             direct: None,
-            notice: None,
-            released: None,
-            clearing: None,
+            preemption_deadline: None,
+            released_since: None,
+            draining_since: None,
             idle_since: None,
-            gathered: false,
-            unused_since: None,
+            reserved_for_gang: false,
+            accelerators_unused_since: None,
             images: Vec::new(),
             fetching: BTreeMap::new(),
             fetches_changed: true,
-            faults: BTreeSet::new(),
-            suspect: false,
+            failed_jobs: BTreeSet::new(),
+            slow: false,
             pace: (0, 0),
-            hopeless: false,
-            writing: false,
-            giving_up: false,
+            condemned: false,
+            write_in_flight: false,
+            decommission_pending: false,
             full_until: Micros::ZERO,
-            expired: false,
+            lease_expired: false,
         }
     }
 
     /// Both are revisions of one counter, so every later owner's token is higher.
-    pub fn token(&self, claim_version: u64) -> u64 {
+    pub fn fencing_token(&self, claim_version: u64) -> u64 {
         claim_version.max(self.version)
     }
 
     /// What is not taken by tasks placed here.
-    pub fn free(&self) -> Amounts {
+    pub fn free(&self) -> Resources {
         let mut f = self.size;
         f.sub(self.used);
         f
@@ -188,79 +188,81 @@
 
     /// Nothing is placed, shown or ordered here.
     pub fn empty(&self) -> bool {
-        self.tasks.is_empty() && self.strays.is_empty() && self.direct.is_none()
+        self.tasks.is_empty() && self.unexpected_tasks.is_empty() && self.direct.is_none()
     }
 
     /// May new tasks be put here? Only where the worker has shown our present token: a report
     /// without it may be late by any time, or come from a machine that hears nothing.
-    pub fn usable(&self, now: Micros, report: Micros, claim_version: u64) -> bool {
+    pub fn usable(&self, now: Micros, heartbeat_interval: Micros, claim_version: u64) -> bool {
         self.record.shard.is_some()
-            && self.seen_token == self.token(claim_version)
+            && self.highest_seen_token == self.fencing_token(claim_version)
             && self
-                .heeded
-                .is_some_and(|t| now - t <= report.times(2) + Micros::from_secs(1))
-            && self.notice.is_none()
-            && self.released.is_none()
-            && self.clearing.is_none()
-            && !self.leaving()
-            && !self.expired
-            && !self.suspected()
+                .last_acknowledged
+                .is_some_and(|t| now - t <= heartbeat_interval.times(2) + Micros::from_secs(1))
+            && self.preemption_deadline.is_none()
+            && self.released_since.is_none()
+            && self.draining_since.is_none()
+            && !self.decommissioning()
+            && !self.lease_expired
+            && !self.quarantined()
             && self.full_until <= now
     }
 
     /// Different jobs have failed here.
     pub fn failing(&self) -> bool {
-        self.faults.len() >= FAULTS_OF_MACHINE
+        self.failed_jobs.len() >= FAULTS_OF_MACHINE
     }
 
     /// Not worth keeping: jobs fail here, or it is much slower than its kind.
-    pub fn suspected(&self) -> bool {
-        self.suspect || self.failing()
+    pub fn quarantined(&self) -> bool {
+        self.slow || self.failing()
     }
 
     /// It was judged hopeless, or a write that gives it up may be applied: whatever were started here now would be
     /// returned with it.
-    pub fn leaving(&self) -> bool {
-        self.hopeless || self.giving_up
+    pub fn decommissioning(&self) -> bool {
+        self.condemned || self.decommission_pending
     }
 
     /// How long it has not been heard.
     pub fn silent_for(&self, now: Micros) -> Micros {
         now - self
-            .last_report
+            .last_heartbeat
             .unwrap_or(self.owned_since)
             .max(self.owned_since)
     }
 
     /// How long it has reported without showing what it was answered.
-    pub fn deaf_for(&self, now: Micros) -> Micros {
-        self.unheeded.map_or(Micros::ZERO, |u| now - u.1)
+    pub fn unacknowledged_for(&self, now: Micros) -> Micros {
+        self.unacknowledged.map_or(Micros::ZERO, |u| now - u.1)
     }
 
     /// Counts an answer to a report that did not show our present token.
-    pub fn answered(&mut self, now: Micros, claim_version: u64) {
-        self.last_ok = Some(now);
-        if self.seen_token < self.token(claim_version) {
-            let (n, since) = self.unheeded.unwrap_or((0, now));
-            self.unheeded = Some((n + 1, since));
+    pub fn reply_sent(&mut self, now: Micros, claim_version: u64) {
+        self.last_reply = Some(now);
+        if self.highest_seen_token < self.fencing_token(claim_version) {
+            let (n, since) = self.unacknowledged.unwrap_or((0, now));
+            self.unacknowledged = Some((n + 1, since));
         }
     }
 
     /// Its reports arrive and our answers do not. While such a machine may hold tasks it is answered
     /// no more, so that its lease, which those answers might renew, is known to end.
-    pub fn hears_nothing(&self) -> bool {
-        self.unheeded.is_some_and(|u| u.0 >= UNHEEDED_MAX) && !self.tasks.is_empty()
+    pub fn ignores_replies(&self) -> bool {
+        self.unacknowledged
+            .is_some_and(|u| u.0 >= MAX_UNACKNOWLEDGED_REPLIES)
+            && !self.tasks.is_empty()
     }
 
     /// When nothing that was ordered before can still be on it: its lease has run out, be it on
     /// this holder's last answer, on the start of its session, or, for what was not heard of yet, on the
-    /// last answer that any former holder may have given (`acting` after the claim).
-    pub fn lease_over_at(&self, claim_version: u64, lease: Micros, acting: Micros) -> Micros {
-        let former = self.owned_since + acting.with_drift();
-        let answered = self.last_ok.max(self.session_seen);
+    /// last answer that any former holder may have given (`lease_valid` after the claim).
+    pub fn lease_expiry(&self, claim_version: u64, lease: Micros, lease_valid: Micros) -> Micros {
+        let former = self.owned_since + lease_valid.with_drift();
+        let answered = self.last_reply.max(self.incarnation_seen_at);
         let last = match answered {
             // Once the worker has shown our token it drops whatever a former holder answers.
-            Some(ok) if self.seen_token >= self.token(claim_version) => ok,
+            Some(ok) if self.highest_seen_token >= self.fencing_token(claim_version) => ok,
             Some(ok) => ok.max(former),
             None => former,
         };
@@ -269,8 +271,11 @@
 
     /// Plain work may fill a machine with accelerators while these are used now and then, but must
     /// not keep it from becoming empty when they are not.
-    pub fn takes_plain(&self, now: Micros, keep: Micros) -> bool {
-        self.size.gpus == 0 || self.unused_since.is_none_or(|t| now - t < keep.over(2))
+    pub fn accepts_cpu_only_work(&self, now: Micros, keep: Micros) -> bool {
+        self.size.gpus == 0
+            || self
+                .accelerators_unused_since
+                .is_none_or(|t| now - t < keep.over(2))
     }
 
     /// Whether an image is here.
@@ -285,7 +290,7 @@
         self.pace = (self.pace.0 + 1, self.pace.1 + percent.min(400));
         if self.pace.0 >= PACE_TASKS {
             if self.pace.1 > PACE_SLOW * self.pace.0 {
-                self.suspect = true;
+                self.slow = true;
             }
             self.pace = (0, 0);
         }
--- a/crates/seamfront-core/src/placement.rs
+++ b/crates/seamfront-core/src/placement.rs
@@ -1,7 +1,7 @@
 //! Which machine for which task. Looks at room, rules and cost; knows nothing of how jobs run.
 
-use crate::fleet::Machine;
 use crate::job::Job;
+use crate::machine::Machine;
 use crate::types::*;
 use std::cell::Cell;
 use std::collections::BTreeMap;
@@ -10,109 +10,109 @@
 pub type Machines = BTreeMap<MachineId, Machine>;
 
 /// Machines of one kind, in one zone, at one price: what a job may use is decided for all at once.
-struct Group {
+struct MachineGroup {
     kind: String,
     zone: String,
     spot: bool,
-    size: Amounts,
+    size: Resources,
 }
 
 /// A machine that may be used, with its room as seen in one round: lowered by what the round places or
 /// holds back.
-pub struct Spot {
+pub struct MachineCapacity {
     /// The machine's name.
     pub id: MachineId,
     group: usize,
     /// Free now.
-    pub free: Amounts,
+    pub free: Resources,
     /// Free once everything that is being stopped has gone.
-    pub soon: Amounts,
+    pub after_preemption: Resources,
 }
 
 /// Which room of a machine is meant.
 #[derive(Clone, Copy, PartialEq)]
-pub enum When {
+pub enum Availability {
     /// Free now.
     Now,
     /// Free once what is being stopped has gone.
-    Soon,
+    AfterPreemption,
 }
 
 /// What a round has to give away, in the order of the machines' names. A place in it is named by its
 /// number. Machines are looked up only where they have room for what is asked: most are full.
 #[derive(Default)]
-pub struct Room {
-    groups: Vec<Group>,
+pub struct FreeCapacity {
+    groups: Vec<MachineGroup>,
     /// The machines that may be used, by kind, zone and price.
-    pub spots: Vec<Spot>,
+    pub machines: Vec<MachineCapacity>,
     /// How much was looked at: machines, and the list's entries by the dozen.
-    pub looked: Cell<i64>,
+    pub work_done: Cell<i64>,
 }
 
 /// Entries of the list that cost as much as one machine looked up.
 const ENTRIES: i64 = 16;
 
-impl Room {
+impl FreeCapacity {
     /// The room of these machines.
-    pub fn of<'m>(machines: impl Iterator<Item = &'m Machine>) -> Room {
-        let mut room = Room::default();
+    pub fn of<'m>(machines: impl Iterator<Item = &'m Machine>) -> FreeCapacity {
+        let mut capacity = FreeCapacity::default();
         for m in machines {
             let r = &m.record;
-            let same = |g: &Group| {
+            let same = |g: &MachineGroup| {
                 g.kind == r.kind && g.zone == r.zone && g.spot == r.spot && g.size == m.size
             };
-            let group = room.groups.iter().position(same).unwrap_or_else(|| {
+            let group = capacity.groups.iter().position(same).unwrap_or_else(|| {
                 let (kind, zone) = (r.kind.clone(), r.zone.clone());
-                room.groups.push(Group {
+                capacity.groups.push(MachineGroup {
                     kind,
                     zone,
                     spot: r.spot,
                     size: m.size,
                 });
-                room.groups.len() - 1
+                capacity.groups.len() - 1
             });
-            room.spots.push(Spot {
+            capacity.machines.push(MachineCapacity {
                 id: m.id.clone(),
                 group,
                 free: m.free(),
-                soon: m.free(),
+                after_preemption: m.free(),
             });
         }
-        room
+        capacity
     }
 
-    /// The place of a machine in `spots`.
+    /// The place of a machine in `machines`.
     pub fn find(&self, id: &MachineId) -> Option<usize> {
-        self.spots.binary_search_by(|s| s.id.cmp(id)).ok()
+        self.machines.binary_search_by(|s| s.id.cmp(id)).ok()
     }
 
     /// Its zone.
     pub fn zone(&self, k: usize) -> &str {
-        &self.groups[self.spots[k].group].zone
+        &self.groups[self.machines[k].group].zone
     }
 
     /// What it has in all.
-    pub fn size(&self, k: usize) -> Amounts {
-        self.groups[self.spots[k].group].size
+    pub fn size(&self, k: usize) -> Resources {
+        self.groups[self.machines[k].group].size
     }
 
     /// What is left of it, less what is held.
-    pub fn left(&self, k: usize, when: When) -> Amounts {
-        match when {
-            When::Now => self.spots[k].free,
-            When::Soon => self.spots[k].soon,
+    pub fn left(&self, k: usize, availability: Availability) -> Resources {
+        match availability {
+            Availability::Now => self.machines[k].free,
+            Availability::AfterPreemption => self.machines[k].after_preemption,
         }
     }
 
     /// Holds room for a task.
-    pub fn hold(&mut self, k: usize, need: Amounts) {
-        self.spots[k].free.sub(need);
-        self.spots[k].soon.sub(need);
+    pub fn hold(&mut self, k: usize, task_resources: Resources) {
+        self.machines[k].free.sub(task_resources);
+        self.machines[k].after_preemption.sub(task_resources);
     }
 
-    fn look(&self, entries: usize, machines: usize) {
-        self.looked
-            .set(self.looked.get() + 1 + entries as i64 / ENTRIES + machines as i64);
+    fn count_work(&self, entries: usize, machines: usize) {
+        self.work_done
+            .set(self.work_done.get() + 1 + entries as i64 / ENTRIES + machines as i64);
     }
 }
 
@@ -120,7 +120,7 @@
 const WRONG_KIND_MS: i64 = 15_000;
 
 /// What a job looks for.
-pub struct Wish<'a> {
+pub struct PlacementRequest<'a> {
     /// The job as things stand.
     pub spec: &'a JobSpec,
     /// Machines that it should not use, by when.
@@ -137,7 +137,7 @@
 }
 
 /// What a job finds in one zone.
-struct InZone<'r> {
+struct ZoneCandidates<'r> {
     name: &'r str,
     /// Tasks that it has there.
     tasks: u32,
@@ -145,12 +145,12 @@
     left: Vec<(usize, u32)>,
 }
 
-impl<'a> Wish<'a> {
+impl<'a> PlacementRequest<'a> {
     /// What this job looks for.
-    pub fn of(job: &'a Job, now: Micros, types: &'a [MachineType]) -> Wish<'a> {
-        Wish {
+    pub fn of(job: &'a Job, now: Micros, types: &'a [MachineType]) -> PlacementRequest<'a> {
+        PlacementRequest {
             spec: &job.spec,
-            avoid: &job.avoid,
+            avoid: &job.avoided_machines,
             now,
             types,
             any_size: None,
@@ -159,20 +159,20 @@
     }
 
     /// For each group: whether this may run there, and if only where plain work is let in.
-    fn groups(&self, room: &Room) -> Vec<Option<bool>> {
-        let ask = |g: &Group| {
+    fn groups(&self, capacity: &FreeCapacity) -> Vec<Option<bool>> {
+        let ask = |g: &MachineGroup| {
             let allowed = self.spec.allows(&g.kind, &g.zone, g.spot);
             let suits = self.spec.suits(g.size, self.types);
             (allowed && (suits || self.any_size.is_some())).then_some(suits)
         };
-        room.groups.iter().map(ask).collect()
+        capacity.groups.iter().map(ask).collect()
     }
 
     fn allowed(&self, m: &Machine, suits: bool) -> bool {
         (suits
             || self
                 .any_size
-                .is_some_and(|keep| m.takes_plain(self.now, keep)))
+                .is_some_and(|keep| m.accepts_cpu_only_work(self.now, keep)))
             && (!self.cached || m.has_image(&self.spec.image))
             && self.avoid.get(&m.id).is_none_or(|until| *until <= self.now)
     }
@@ -181,34 +181,38 @@
     pub fn places<'m>(
         &self,
         machines: &'m Machines,
-        room: &Room,
-        keep: impl Fn(usize, &Spot) -> bool,
+        capacity: &FreeCapacity,
+        keep: impl Fn(usize, &MachineCapacity) -> bool,
     ) -> Vec<(usize, &'m Machine)> {
-        let groups = self.groups(room);
-        let worth = room
-            .spots
+        let groups = self.groups(capacity);
+        let worth = capacity
+            .machines
             .iter()
             .enumerate()
             .filter(|(k, s)| groups[s.group].is_some() && keep(*k, s));
         let found = worth.filter_map(|(k, s)| Some((k, machines.get(&s.id)?, groups[s.group]?)));
-        let mut looked = 0;
+        let mut work_done = 0;
         let found = found
-            .inspect(|_| looked += 1)
+            .inspect(|_| work_done += 1)
             .filter(|(_, m, suits)| self.allowed(m, *suits));
         let found = found.map(|(k, m, _)| (k, m)).collect();
-        room.look(room.spots.len(), looked);
+        capacity.count_work(capacity.machines.len(), work_done);
         found
     }
 
     /// How many tasks the machines of each zone could take if they were empty.
-    pub fn by_zone<'r>(&self, room: &'r Room) -> BTreeMap<&'r str, i64> {
-        let groups = self.groups(room);
+    pub fn by_zone<'r>(&self, capacity: &'r FreeCapacity) -> BTreeMap<&'r str, i64> {
+        let groups = self.groups(capacity);
         let mut all = BTreeMap::new();
-        for s in room.spots.iter().filter(|s| groups[s.group].is_some()) {
-            let g = &room.groups[s.group];
-            *all.entry(g.zone.as_str()).or_insert(0) += g.size.fits(self.spec.need);
+        for s in capacity
+            .machines
+            .iter()
+            .filter(|s| groups[s.group].is_some())
+        {
+            let g = &capacity.groups[s.group];
+            *all.entry(g.zone.as_str()).or_insert(0) += g.size.fits(self.spec.task_resources);
         }
-        room.look(room.spots.len(), 0);
+        capacity.count_work(capacity.machines.len(), 0);
         all
     }
 
@@ -235,20 +239,29 @@
 
     /// Lower is better: a cached image, then the fullest machine, so that others become empty and
     /// can be returned.
-    fn cost(&self, m: &Machine, room: Amounts) -> i64 {
-        let left = 1_000 * room.cpus.max(0) / m.size.cpus.max(1);
+    fn cost(&self, m: &Machine, capacity: Resources) -> i64 {
+        let left = 1_000 * capacity.cpus.max(0) / m.size.cpus.max(1);
         self.kind_ms(m) + self.fetch_ms(m) + left
     }
 
     /// Places that have room for at least one task, best first, with how many fit.
-    fn candidates(&self, machines: &Machines, room: &Room, when: When) -> Vec<(usize, u32)> {
-        let fits = |k: usize| room.left(k, when).fits(self.spec.need);
+    fn candidates(
+        &self,
+        machines: &Machines,
+        capacity: &FreeCapacity,
+        availability: Availability,
+    ) -> Vec<(usize, u32)> {
+        let fits = |k: usize| {
+            capacity
+                .left(k, availability)
+                .fits(self.spec.task_resources)
+        };
         let mut found: Vec<(i64, usize, u32)> = self
-            .places(machines, room, |k, _| fits(k) > 0)
+            .places(machines, capacity, |k, _| fits(k) > 0)
             .into_iter()
             .map(|(k, m)| {
                 (
-                    self.cost(m, room.left(k, when)),
+                    self.cost(m, capacity.left(k, availability)),
                     k,
                     fits(k).min(1 << 20) as u32,
                 )
@@ -263,31 +276,31 @@
     pub fn choose(
         &self,
         machines: &Machines,
-        room: &Room,
-        when: When,
+        capacity: &FreeCapacity,
+        availability: Availability,
         taken: &BTreeMap<String, u32>,
         n: u32,
         partial: bool,
     ) -> Vec<usize> {
-        let found = self.candidates(machines, room, when);
+        let found = self.candidates(machines, capacity, availability);
         if !self.spec.one_zone {
-            return self.fill(room, &found, taken, n, partial);
+            return self.fill(capacity, &found, taken, n, partial);
         }
         let mut zones: Vec<&str> = taken.keys().map(String::as_str).take(1).collect();
         if zones.is_empty() {
             for (k, _) in &found {
-                if !zones.contains(&room.zone(*k)) {
-                    zones.push(room.zone(*k));
+                if !zones.contains(&capacity.zone(*k)) {
+                    zones.push(capacity.zone(*k));
                 }
             }
         }
         for z in zones {
             let here: Vec<(usize, u32)> = found
                 .iter()
-                .filter(|(k, _)| room.zone(*k) == z)
+                .filter(|(k, _)| capacity.zone(*k) == z)
                 .copied()
                 .collect();
-            let got = self.fill(room, &here, taken, n, partial);
+            let got = self.fill(capacity, &here, taken, n, partial);
             if !got.is_empty() {
                 return got;
             }
@@ -298,21 +311,21 @@
     /// Down the list; a job that is spread goes to the zone where it has least each time.
     fn fill(
         &self,
-        room: &Room,
+        capacity: &FreeCapacity,
         found: &[(usize, u32)],
         taken: &BTreeMap<String, u32>,
         n: u32,
         partial: bool,
     ) -> Vec<usize> {
         let cap = self.spec.zone_cap();
-        let mut zones: Vec<InZone> = Vec::new();
+        let mut zones: Vec<ZoneCandidates> = Vec::new();
         for (at, (k, fits)) in found.iter().enumerate().rev() {
-            let name = room.zone(*k);
+            let name = capacity.zone(*k);
             let z = zones
                 .iter()
                 .position(|z| z.name == name)
                 .unwrap_or_else(|| {
-                    zones.push(InZone {
+                    zones.push(ZoneCandidates {
                         name,
                         tasks: taken.get(name).copied().unwrap_or(0),
                         left: Vec::new(),
--- a/crates/seamfront-core/src/port/cloud.rs
+++ b/crates/seamfront-core/src/port/cloud.rs
@@ -4,12 +4,12 @@
 
 /// A request to the cloud.
 #[derive(Clone, Debug, PartialEq)]
-pub enum CloudCall {
+pub enum CloudRequest {
     /// Machine types and prices.
-    Types,
-    /// Rent machines under a name that is never used again.
-    Rent {
-        /// Name of the rental.
+    MachineTypes,
+    /// Scale out: create machines. The request is idempotent under its name, which is never used again.
+    Provision {
+        /// Idempotency key of the request.
         name: String,
         /// Machine type.
         kind: String,
@@ -20,13 +20,13 @@
         /// How many.
         count: u32,
     },
-    /// Return machines.
-    Delete {
+    /// Scale in: terminate machines.
+    Terminate {
         /// Names of the machines.
         machines: Vec<MachineId>,
     },
     /// A page of the list of machines.
-    List {
+    ListMachines {
         /// The last machine of the page before.
         after: Option<MachineId>,
     },
@@ -36,17 +36,17 @@
 #[derive(Clone, Debug)]
 pub enum CloudReply {
     /// Machine types and prices.
-    Types(Vec<MachineType>),
-    /// Machines that were rented.
-    Rented(Vec<MachineId>),
-    /// None is to be had.
+    MachineTypes(Vec<MachineType>),
+    /// Machines that were created.
+    Provisioned(Vec<MachineId>),
+    /// The cloud has no capacity for the offer.
     NoCapacity,
-    /// The machines and all on them are gone.
-    Deleted,
+    /// The machines and all on them no longer exist.
+    Terminated,
     /// A page of the list of machines.
     Page {
         /// The machines, in order.
-        machines: Vec<Listed>,
+        machines: Vec<ListedMachine>,
         /// Whether there are more after the last.
         more: bool,
     },
@@ -67,7 +67,7 @@
 
 /// A machine in the cloud's list.
 #[derive(Clone, Debug)]
-pub struct Listed {
+pub struct ListedMachine {
     /// Name.
     pub id: MachineId,
     /// Type.
--- a/crates/seamfront-core/src/port/mod.rs
+++ b/crates/seamfront-core/src/port/mod.rs
@@ -14,9 +14,9 @@
 pub use workers::*;
 
 /// Names a waiting request of the adapters'; they alone know what stands behind it.
-pub type ReplyTo = u64;
+pub type ClientRequestId = u64;
 
-/// Names a call of the engine's: to the state service, the cloud, or straight to a worker.
+/// Names a call of the engine's: to the key-value store, the cloud, or straight to a worker.
 pub type CallId = u64;
 
 /// What goes into the engine.
@@ -25,33 +25,33 @@
     /// A user submits a job.
     Submit {
         /// The request.
-        to: ReplyTo,
+        to: ClientRequestId,
         /// The job.
         spec: Box<JobSpec>,
     },
     /// A user asks about a job.
     Poll {
         /// The request.
-        to: ReplyTo,
+        to: ClientRequestId,
         /// The job.
         id: JobId,
     },
     /// A user cancels a job.
     Cancel {
         /// The request.
-        to: ReplyTo,
+        to: ClientRequestId,
         /// The job.
         id: JobId,
     },
-    /// A worker reports.
-    Report {
+    /// A worker sends a heartbeat with its status.
+    Heartbeat {
         /// The request.
-        to: ReplyTo,
-        /// The report.
-        report: Box<Report>,
+        to: ClientRequestId,
+        /// The heartbeat.
+        heartbeat: Box<Heartbeat>,
     },
-    /// `call` is that of the effect that it answers.
-    Direct {
+    /// The outcome of [`Effect::SendDirect`].
+    DirectResult {
         /// The call that it answers.
         call: CallId,
         /// The machine that was commanded.
@@ -59,12 +59,12 @@
         /// What became of the command.
         outcome: DirectOutcome,
     },
-    /// The state service has answered.
-    State {
+    /// The key-value store has answered.
+    Store {
         /// The call that it answers.
         call: CallId,
         /// The answer.
-        reply: StateReply,
+        reply: StoreReply,
     },
     /// The cloud has answered.
     Cloud {
@@ -74,16 +74,16 @@
         reply: CloudReply,
     },
     /// Another controller has sent a message.
-    Mesh {
+    Peer {
         /// Index of the sender.
         from: usize,
         /// The message.
-        message: MeshMessage,
+        message: PeerMessage,
     },
     /// The load balancer asks whether this controller can take requests.
     Health {
         /// The request.
-        to: ReplyTo,
+        to: ClientRequestId,
     },
 }
 
@@ -93,69 +93,69 @@
     /// Answer a user.
     Answer {
         /// The request.
-        to: ReplyTo,
+        to: ClientRequestId,
         /// The answer.
         answer: Answer,
     },
-    /// Answer a worker's report with orders.
-    Orders {
+    /// Answer a worker's heartbeat with orders.
+    HeartbeatReply {
         /// The request.
-        to: ReplyTo,
-        /// The token that gives the right to command.
-        token: u64,
+        to: ClientRequestId,
+        /// The fencing token that gives the right to command.
+        fencing_token: u64,
         /// The orders, in the order in which they are to be carried out.
         orders: Vec<Order>,
     },
     /// Not this node's machine; the owner's name where it is known.
-    Elsewhere {
+    Redirect {
         /// The request.
-        to: ReplyTo,
+        to: ClientRequestId,
         /// Index of the owner, where it is known.
         member: Option<usize>,
     },
     /// Answer the load balancer.
     Healthy {
         /// The request.
-        to: ReplyTo,
+        to: ClientRequestId,
         /// Whether this controller can take requests.
         yes: bool,
     },
     /// Send orders straight to a worker.
-    Direct {
+    SendDirect {
         /// The call, for its outcome.
         call: CallId,
         /// The machine.
         machine: MachineId,
         /// Its worker's address.
         addr: String,
-        /// The session that the orders are meant for.
-        session: u64,
-        /// The token that gives the right to command.
-        token: u64,
+        /// The worker incarnation that the orders are meant for.
+        incarnation: u64,
+        /// The fencing token that gives the right to command.
+        fencing_token: u64,
         /// The orders, in the order in which they are to be carried out.
         orders: Vec<Order>,
     },
-    /// Ask the state service.
-    State {
+    /// Send a request to the key-value store.
+    Store {
         /// The call, for its answer.
         call: CallId,
         /// The request.
-        request: StateCall,
+        request: StoreRequest,
     },
     /// Ask the cloud.
     Cloud {
         /// The call, for its answer.
         call: CallId,
         /// The request.
-        request: CloudCall,
+        request: CloudRequest,
         /// It may be sent only before this time, by a clock read just then; else it has failed.
         until: Option<Micros>,
     },
     /// Send a message to another controller.
-    Mesh {
+    SendToPeer {
         /// Index of the receiver.
         to: usize,
         /// The message.
-        message: MeshMessage,
+        message: PeerMessage,
     },
 }
--- a/crates/seamfront-core/src/port/peers.rs
+++ b/crates/seamfront-core/src/port/peers.rs
@@ -5,11 +5,11 @@
 
 /// Tasks of one size that find no room in a shard: a class, not single tasks.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Need {
+pub struct ResourceRequest {
     /// The job that waits.
     pub job: JobId,
     /// What one task takes.
-    pub task: Amounts,
+    pub task: Resources,
     /// How many tasks find no room.
     pub count: u32,
     /// Tasks of the job in all.
@@ -19,7 +19,8 @@
     /// Whether all must be in one zone.
     pub one_zone: bool,
     /// Where places are held for it already, if all must be in one zone.
-    pub gathering: Option<String>,
+    #[serde(rename = "gathering")]
+    pub reserved_zone: Option<String>,
     /// Whether at most half may be in one zone.
     pub spread: bool,
     /// How important it is.
@@ -27,7 +28,8 @@
     /// Whether it lies within its team's guarantee.
     pub guaranteed: bool,
     /// See [`turn`].
-    pub overdue: bool,
+    #[serde(rename = "overdue")]
+    pub starving: bool,
     /// Allowed machine types.
     pub types: Option<Vec<String>>,
     /// The only allowed zone.
@@ -61,17 +63,17 @@
     pub up: bool,
     /// What the tasks placed there take.
     #[serde(rename = "u", default, skip_serializing_if = "usual")]
-    pub used: Amounts,
+    pub used: Resources,
     /// Of that, by services, which do not end by themselves.
     #[serde(rename = "p", default, skip_serializing_if = "usual")]
-    pub pinned: Amounts,
+    pub pinned: Resources,
     /// Empty since this long, with nothing unsettled; only then may it be asked for.
     #[serde(rename = "e", default, skip_serializing_if = "usual")]
     pub idle: Option<Micros>,
     /// A gang holds room here until it has all that it needs, beside lesser work or until such work has been stopped:
     /// not to be returned, though more urgent work elsewhere may have it.
     #[serde(rename = "g", default, skip_serializing_if = "usual")]
-    pub gathered: bool,
+    pub reserved_for_gang: bool,
     /// Whether it was let go for the leader.
     #[serde(rename = "r", default, skip_serializing_if = "usual")]
     pub released: bool,
@@ -83,7 +85,7 @@
     pub leaving: bool,
     /// The most important priority among its tasks, and the work that clearing it would lose.
     #[serde(rename = "l", default, skip_serializing_if = "usual")]
-    pub least: Option<Priority>,
+    pub highest_priority: Option<Priority>,
     /// Work that would be lost.
     #[serde(rename = "w", default, skip_serializing_if = "usual")]
     pub loss: Micros,
@@ -95,7 +97,7 @@
 
 /// Between controllers. Nothing here is needed for safety; it saves time.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub enum MeshMessage {
+pub enum PeerMessage {
     /// Sent regularly: who I am, which claims (name, version) I hold, and how many writes are awaited
     /// here.
     Alive {
@@ -104,8 +106,8 @@
         /// Key and version of each claim that it holds.
         claims: Vec<(String, u64)>,
         /// How many writes wait there.
-        #[serde(default)]
-        awaited: usize,
+        #[serde(default, rename = "awaited")]
+        pending_writes: usize,
     },
     /// A shard's state of affairs, for the leader.
     #[serde(rename = "Share")]
@@ -116,7 +118,8 @@
         /// Version of its holder's claim.
         version: u64,
         /// What finds no room there.
-        needs: Vec<Need>,
+        #[serde(rename = "needs")]
+        requests: Vec<ResourceRequest>,
         /// Its machines.
         machines: Vec<MachineView>,
     },
--- a/crates/seamfront-core/src/port/users.rs
+++ b/crates/seamfront-core/src/port/users.rs
@@ -4,7 +4,7 @@
 
 /// Why a job can never run.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
-pub enum Impossible {
+pub enum SubmissionError {
     /// No such team is in the settings.
     #[error("equipe: unknown team")]
     UnknownTeam,
@@ -16,7 +16,7 @@
     OverLimit,
     /// It names a job that was never accepted.
     #[error("espera: {0} was never accepted")]
-    NeedNeverAccepted(JobId),
+    UnknownDependency(JobId),
 }
 
 /// An answer to a user.
@@ -29,7 +29,7 @@
         /// The job.
         id: JobId,
         /// Its state.
-        state: ShownState,
+        state: JobState,
         /// Tasks that are done.
         done: u32,
         /// Tasks that run.
@@ -38,9 +38,9 @@
     /// There is no such job.
     NotFound,
     /// The job can never run.
-    Impossible(Impossible),
+    Rejected(SubmissionError),
     /// Cannot be known or taken now; come back.
-    Later {
+    RetryLater {
         /// When to come back.
         after: Micros,
     },
@@ -48,7 +48,7 @@
 
 /// State of a job as users are told.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum ShownState {
+pub enum JobState {
     /// No task runs.
     Queued,
     /// A task runs.
--- a/crates/seamfront-core/src/port/workers.rs
+++ b/crates/seamfront-core/src/port/workers.rs
@@ -43,7 +43,7 @@
 
 /// A task in a report.
 #[derive(Clone, Debug)]
-pub struct TaskReport {
+pub struct TaskStatus {
     /// The task.
     pub task: TaskKey,
     /// Its attempt number.
@@ -54,21 +54,21 @@
 
 /// What a worker says of itself.
 #[derive(Clone, Debug)]
-pub struct Report {
+pub struct Heartbeat {
     /// The machine's name.
     pub machine: MachineId,
     /// Where its worker takes direct commands.
     pub addr: String,
     /// The worker's session.
-    pub session: u64,
+    pub incarnation: u64,
     /// Rises with every message in a session.
-    pub seq: u64,
+    pub sequence: u64,
     /// The highest token that the worker has seen.
-    pub token: u64,
+    pub fencing_token: u64,
     /// How long until the cloud takes the machine back.
-    pub notice: Option<Micros>,
+    pub preemption_notice: Option<Micros>,
     /// All tasks on the machine, exited ones included.
-    pub tasks: Vec<TaskReport>,
+    pub tasks: Vec<TaskStatus>,
 }
 
 /// An order to a worker.
@@ -106,7 +106,7 @@
     /// Carried out or refused.
     Settled {
         /// The worker's report after the command.
-        report: Box<Report>,
+        heartbeat: Box<Heartbeat>,
     },
     /// The connection was never made, so nothing can arrive late.
     NotSent,
--- a/crates/seamfront-core/src/quota.rs
+++ b/crates/seamfront-core/src/quota.rs
@@ -7,38 +7,41 @@
 /// What each team's tasks take.
 #[derive(Clone, Debug, Default)]
 pub struct Quota {
-    used: BTreeMap<String, Amounts>,
+    used: BTreeMap<String, Resources>,
 }
 
 impl Quota {
     /// Counts a task that was placed.
-    pub fn take(&mut self, team: &str, need: Amounts) {
-        self.used.entry(team.to_owned()).or_default().add(need);
+    pub fn take(&mut self, team: &str, task_resources: Resources) {
+        self.used
+            .entry(team.to_owned())
+            .or_default()
+            .add(task_resources);
     }
 
     /// Counts a task that has gone.
-    pub fn give(&mut self, team: &str, need: Amounts) {
+    pub fn give(&mut self, team: &str, task_resources: Resources) {
         if let Some(u) = self.used.get_mut(team) {
-            u.sub(need);
+            u.sub(task_resources);
         }
     }
 
     /// What a team's tasks take.
-    pub fn used(&self, team: &str) -> Amounts {
+    pub fn used(&self, team: &str) -> Resources {
         self.used.get(team).copied().unwrap_or_default()
     }
 
     /// How many more tasks of this size the team's limit allows now, besides what is held for others.
-    pub fn room(&self, team: &Team, need: Amounts, held: Amounts) -> i64 {
+    pub fn headroom(&self, team: &Team, task_resources: Resources, held: Resources) -> i64 {
         let mut used = self.used(&team.name);
         used.add(held);
-        limit_left(team.limit, used).fits(need)
+        limit_left(team.limit, used).fits(task_resources)
     }
 }
 
-fn limit_left(limit: Amounts, used: Amounts) -> Amounts {
+fn limit_left(limit: Resources, used: Resources) -> Resources {
     let left = |l: i64, u: i64| if l <= 0 { i64::MAX } else { (l - u).max(0) };
-    Amounts {
+    Resources {
         cpus: left(limit.cpus, used.cpus),
         gpus: left(limit.gpus, used.gpus),
         ram: i64::MAX,
@@ -47,20 +50,20 @@
 
 /// Can this job ever run within its team's limit? One task of an array, all tasks of the others.
 pub fn within_limit(team: &Team, spec: &JobSpec) -> bool {
-    let n = if spec.kind == Kind::Array {
+    let n = if spec.kind == JobKind::Array {
         1
     } else {
         i64::from(spec.tasks)
     };
-    limit_left(team.limit, Amounts::default()).fits(spec.need) >= n
+    limit_left(team.limit, Resources::default()).fits(spec.task_resources) >= n
 }
 
 /// Jobs that lie within their team's guarantee together with the team's earlier unfinished jobs.
 /// A resource that the guarantee does not name is not measured; one that it names must be used.
 pub fn guaranteed<'a>(teams: &[Team], jobs: impl Iterator<Item = &'a Job>) -> BTreeSet<JobId> {
-    let mut by_age: Vec<&Job> = jobs.filter(|j| j.live() && !j.waits).collect();
+    let mut by_age: Vec<&Job> = jobs.filter(|j| j.live() && !j.blocked).collect();
     by_age.sort_by(|a, b| (a.spec.submitted, &a.spec.id).cmp(&(b.spec.submitted, &b.spec.id)));
-    let mut sums: BTreeMap<&str, Amounts> = BTreeMap::new();
+    let mut sums: BTreeMap<&str, Resources> = BTreeMap::new();
     let mut inside = BTreeSet::new();
     for j in by_age {
         let Some(team) = teams.iter().find(|t| t.name == j.spec.team) else {
@@ -68,9 +71,10 @@
         };
         let g = team.guarantee;
         let sum = sums.entry(team.name.as_str()).or_default();
-        sum.add(j.spec.need.times(i64::from(j.spec.tasks)));
+        sum.add(j.spec.task_resources.times(i64::from(j.spec.tasks)));
         let ok = |have: i64, sum: i64| have <= 0 || sum <= have;
-        let named = (g.cpus > 0 && j.spec.need.cpus > 0) || (g.gpus > 0 && j.spec.need.gpus > 0);
+        let named = (g.cpus > 0 && j.spec.task_resources.cpus > 0)
+            || (g.gpus > 0 && j.spec.task_resources.gpus > 0);
         if named && ok(g.cpus, sum.cpus) && ok(g.gpus, sum.gpus) {
             inside.insert(j.spec.id.clone());
         }
--- a/crates/seamfront-core/src/record.rs
+++ b/crates/seamfront-core/src/record.rs
@@ -19,7 +19,8 @@
     /// The team whose limit the tasks count against.
     pub team: String,
     /// What one task takes.
-    pub need: Amounts,
+    #[serde(rename = "need")]
+    pub task_resources: Resources,
     /// The gang's epoch, 0 for other kinds.
     #[serde(rename = "e")]
     pub epoch: u64,
@@ -47,7 +48,8 @@
 #[derive(Clone, Debug, Serialize, Deserialize)]
 struct Head {
     team: String,
-    need: Amounts,
+    #[serde(rename = "need")]
+    task_resources: Resources,
     #[serde(rename = "e")]
     epoch: u64,
     #[serde(rename = "dr")]
@@ -106,7 +108,7 @@
     }
 
     /// Bytes of lists that certainly find room in parts.
-    pub fn parts_room(&self) -> usize {
+    pub fn parts_capacity(&self) -> usize {
         self.parts * (self.value_bytes * FILLED.0 / FILLED.1).saturating_sub(PART_OVERHEAD)
     }
 }
@@ -232,7 +234,7 @@
     }
     let head = Head {
         team: record.team.clone(),
-        need: record.need,
+        task_resources: record.task_resources,
         epoch: record.epoch,
         draining: record.draining,
         next_attempt: record.next_attempt,
@@ -280,7 +282,7 @@
     }
     Ok(WorkRecord {
         team: head.team,
-        need: head.need,
+        task_resources: head.task_resources,
         epoch: head.epoch,
         draining: head.draining,
         attempts,
--- a/crates/seamfront-core/src/rounds/preemption.rs
+++ b/crates/seamfront-core/src/scheduling/preemption.rs
@@ -3,16 +3,20 @@
 use super::*;
 
 impl Shard {
-    /// See [`Lesser`].
-    pub(super) fn lesser_on(&self, inside: &BTreeSet<JobId>, room: &Room) -> Vec<Lesser> {
-        let mut on = vec![Lesser::default(); room.spots.len()];
+    /// See [`PreemptibleWork`].
+    pub(super) fn preemptible_work(
+        &self,
+        guaranteed: &BTreeSet<JobId>,
+        capacity: &FreeCapacity,
+    ) -> Vec<PreemptibleWork> {
+        let mut on = vec![PreemptibleWork::default(); capacity.machines.len()];
         for j in self.jobs.values().filter(|j| j.live()) {
-            let beyond = j.spec.kind != Kind::Service && !inside.contains(&j.spec.id);
+            let beyond = j.spec.kind != JobKind::Service && !guaranteed.contains(&j.spec.id);
             for t in j.tasks.values().filter(|t| t.stop.is_none()) {
-                let p = j.standing(t);
-                if let Some(k) = room.find(&t.machine) {
-                    on[k].least = on[k].least.max(Some(p));
-                    on[k].beyond[p as usize] |= beyond && !t.by_turn;
+                let p = j.effective_priority(t);
+                if let Some(k) = capacity.find(&t.machine) {
+                    on[k].lowest_priority = on[k].lowest_priority.max(Some(p));
+                    on[k].beyond[p as usize] |= beyond && !t.promoted;
                 }
             }
         }
@@ -21,62 +25,68 @@
 
     /// Only work of higher priority stops other work, and of ordinary work only what would be late
     /// otherwise: stopping costs progress.
-    pub(super) fn may_preempt(&self, context: &Context, spec: &JobSpec, inside: bool) -> bool {
+    pub(super) fn may_preempt(&self, context: &Context, spec: &JobSpec, guaranteed: bool) -> bool {
         match spec.priority {
             Priority::Critical | Priority::Urgent => true,
             Priority::Normal => {
-                let soon = context.wall + spec.estimate + Micros::from_secs(30);
-                inside
+                let soon = context.wall_time + spec.estimate + Micros::from_secs(30);
+                guaranteed
                     || context
-                        .cfg
-                        .start_by(spec, context.wall)
+                        .settings
+                        .start_by(spec, context.wall_time)
                         .is_some_and(|t| t < soon)
             }
-            Priority::BestEffort => inside,
+            Priority::BestEffort => guaranteed,
         }
     }
 
     /// Stops lesser work for `n` tasks of a job; returns for how many room will come.
     /// With `at_once` only where its image is, and only what saves by itself, without the time to save.
-    pub(super) fn make_room(
+    pub(super) fn preempt_for(
         &mut self,
         context: &mut Context,
         id: &JobId,
         n: u32,
-        inside: &BTreeSet<JobId>,
-        round: &mut Round,
+        guaranteed: &BTreeSet<JobId>,
+        cycle: &mut SchedulingCycle,
         at_once: bool,
     ) -> u32 {
         let Some(job) = self.jobs.get(id) else {
             return 0;
         };
         let spec = job.spec.clone();
-        let mut wish = Wish::of(job, context.now, context.types);
-        wish.cached = at_once;
+        let mut placement = PlacementRequest::of(job, context.now, context.types);
+        placement.cached = at_once;
         let taken = job.zones(|m| self.machines.get(m).map(|m| m.record.zone.as_str()));
-        if round.lesser.is_none() {
-            round.lesser = Some(self.lesser_on(inside, &round.room));
+        if cycle.preemptible.is_none() {
+            cycle.preemptible = Some(self.preemptible_work(guaranteed, &cycle.capacity));
         }
-        let reclaims = inside.contains(&spec.id);
-        let lesser = round.lesser.as_deref().unwrap_or_default();
+        let reclaims = guaranteed.contains(&spec.id);
+        let preemptible = cycle.preemptible.as_deref().unwrap_or_default();
         let stops = |k: usize| {
-            let on = &lesser[k];
-            on.least.is_some_and(|l| l > spec.priority)
+            let on = &preemptible[k];
+            on.lowest_priority.is_some_and(|l| l > spec.priority)
                 || (reclaims && on.beyond[spec.priority as usize])
         };
-        let room = &round.room;
+        let capacity = &cycle.capacity;
         let mut slots: Vec<(i64, usize, Vec<TaskKey>)> = Vec::new();
-        for (k, m) in wish.places(&self.machines, room, |k, _| {
-            stops(k) && room.size(k).fits(spec.need) > 0
+        for (k, m) in placement.places(&self.machines, capacity, |k, _| {
+            stops(k) && capacity.size(k).fits(spec.task_resources) > 0
         }) {
-            let free = room.left(k, When::Soon);
-            if let Some((cost, victims)) = self.victims(context, m, free, &spec, inside, at_once) {
+            let free = capacity.left(k, Availability::AfterPreemption);
+            if let Some((cost, victims)) =
+                self.victims(context, m, free, &spec, guaranteed, at_once)
+            {
                 // An image that must be fetched costs time as well.
-                slots.push((cost + wish.fetch_ms(m) + wish.kind_ms(m), k, victims));
+                slots.push((
+                    cost + placement.fetch_ms(m) + placement.kind_ms(m),
+                    k,
+                    victims,
+                ));
             }
         }
         slots.sort();
-        let zones: BTreeSet<&str> = slots.iter().map(|s| room.zone(s.1)).collect();
+        let zones: BTreeSet<&str> = slots.iter().map(|s| capacity.zone(s.1)).collect();
         let mut best: Option<(i64, Vec<usize>)> = None;
         let choices: Vec<Option<&str>> = if !spec.one_zone {
             vec![None]
@@ -92,15 +102,15 @@
             for (k, s) in slots
                 .iter()
                 .enumerate()
-                .filter(|(_, s)| zone.is_none_or(|z| z == room.zone(s.1)))
+                .filter(|(_, s)| zone.is_none_or(|z| z == capacity.zone(s.1)))
             {
-                let in_zone = counts.entry(room.zone(s.1)).or_insert(0);
+                let in_zone = counts.entry(capacity.zone(s.1)).or_insert(0);
                 if *in_zone < spec.zone_cap() && (pick.len() as u32) < n {
                     *in_zone += 1;
                     pick.push(k);
                 }
             }
-            let enough = !pick.is_empty() && (spec.kind != Kind::Gang || pick.len() as u32 == n);
+            let enough = !pick.is_empty() && (spec.kind != JobKind::Gang || pick.len() as u32 == n);
             let cost: i64 = pick.iter().map(|k| slots[*k].0).sum();
             if enough
                 && best
@@ -117,16 +127,16 @@
                 let freed = self
                     .jobs
                     .get(&v.job)
-                    .map_or(Amounts::default(), |j| j.spec.need);
+                    .map_or(Resources::default(), |j| j.spec.task_resources);
                 if at_once {
                     self.evict_with(context, v, Cause::Preempted, Micros::ZERO);
                 } else {
                     self.evict(context, v, Cause::Preempted);
                 }
-                round.room.spots[*k].soon.add(freed);
+                cycle.capacity.machines[*k].after_preemption.add(freed);
             }
-            round.room.hold(*k, spec.need);
-            round.wait_for(&spec, *k);
+            cycle.capacity.hold(*k, spec.task_resources);
+            cycle.await_preemption(&spec, *k);
         }
         info!(job = %id, tasks = chosen.len(), "making room");
         chosen.len() as u32
@@ -139,13 +149,13 @@
         &self,
         context: &Context,
         m: &Machine,
-        free: Amounts,
+        free: Resources,
         spec: &JobSpec,
-        inside: &BTreeSet<JobId>,
+        guaranteed: &BTreeSet<JobId>,
         at_once: bool,
     ) -> Option<(i64, Vec<TaskKey>)> {
-        let reclaims = inside.contains(&spec.id);
-        let mut lesser: Vec<(Priority, i64, &TaskKey, Amounts)> = Vec::new();
+        let reclaims = guaranteed.contains(&spec.id);
+        let mut preemptible: Vec<(Priority, i64, &TaskKey, Resources)> = Vec::new();
         for t in &m.tasks {
             let Some(j) = self.jobs.get(&t.job) else {
                 continue;
@@ -154,31 +164,31 @@
                 continue;
             };
             let beyond = reclaims
-                && j.standing(p) == spec.priority
+                && j.effective_priority(p) == spec.priority
                 // It would be the first to be placed again, and be stopped again, in every round.
-                && !p.by_turn
-                && j.spec.kind != Kind::Service
+                && !p.promoted
+                && j.spec.kind != JobKind::Service
                 && j.spec.team != spec.team
-                && !inside.contains(&t.job);
+                && !guaranteed.contains(&t.job);
             if at_once && (j.gang.is_some() || !j.spec.saves()) {
                 continue;
             }
-            if j.live() && p.stop.is_none() && (j.standing(p) > spec.priority || beyond) {
+            if j.live() && p.stop.is_none() && (j.effective_priority(p) > spec.priority || beyond) {
                 let ran = p.running_since.map_or(0, |s| (context.now - s).0 / 1_000);
                 let lost = if j.spec.saves() { 2_000 } else { 1_000 + ran };
-                lesser.push((j.standing(p), lost, t, j.spec.need));
+                preemptible.push((j.effective_priority(p), lost, t, j.spec.task_resources));
             }
         }
-        lesser.sort_by(|a, b| (b.0, a.1, a.2).cmp(&(a.0, b.1, b.2)));
+        preemptible.sort_by(|a, b| (b.0, a.1, a.2).cmp(&(a.0, b.1, b.2)));
         let (mut free, mut cost, mut keys) = (free, 0, Vec::new());
-        for (_, lost, t, need) in lesser {
-            if free.fits(spec.need) > 0 {
+        for (_, lost, t, task_resources) in preemptible {
+            if free.fits(spec.task_resources) > 0 {
                 break;
             }
-            free.add(need);
+            free.add(task_resources);
             cost += lost;
             keys.push(t.clone());
         }
-        (free.fits(spec.need) > 0 && !keys.is_empty()).then_some((cost, keys))
+        (free.fits(spec.task_resources) > 0 && !keys.is_empty()).then_some((cost, keys))
     }
 }
--- a/crates/seamfront-core/src/shard/drain.rs
+++ b/crates/seamfront-core/src/shard/drain.rs
@@ -49,7 +49,9 @@
         let job = self.jobs.get(id)?;
         let silent = |p: &Placement| {
             let m = self.machines.get(&p.machine);
-            m.is_none_or(|m| m.silent_for(context.now) > context.cfg.report.times(3).over(2))
+            m.is_none_or(|m| {
+                m.silent_for(context.now) > context.settings.heartbeat_interval.times(3).over(2)
+            })
         };
         job.tasks.iter().find(|(_, p)| silent(p)).map(|(i, _)| *i)
     }
@@ -71,7 +73,7 @@
                 }
             }
         }
-        let Some(verdict) = g.complete(context.cfg.tuning.retry_limit) else {
+        let Some(verdict) = g.complete(context.settings.tuning.retry_limit) else {
             return;
         };
         info!(gang = %id, epoch = g.epoch, ?verdict, "gang drain completed");
