--- a/crates/seamfront-core/src/shard/reports.rs
+++ b/crates/seamfront-core/src/shard/heartbeats.rs
@@ -8,57 +8,66 @@
     /// Only a report that shows our present token proves anything: others may be copies that come
     /// much later than they were sent, to a holder that has seen nothing newer.
     /// Returns false for a message older than one already seen.
-    pub fn take_report(&mut self, context: &mut Context, report: &Report, hello: bool) -> bool {
-        let id = report.machine.clone();
+    pub fn apply_heartbeat(
+        &mut self,
+        context: &mut Context,
+        heartbeat: &Heartbeat,
+        hello: bool,
+    ) -> bool {
+        let id = heartbeat.machine.clone();
         let Some(m) = self.machines.get_mut(&id) else {
             return false;
         };
-        if (report.session, report.seq) <= (m.session, m.seq) {
+        if (heartbeat.incarnation, heartbeat.sequence) <= (m.incarnation, m.sequence) {
             return false;
         }
-        let new_session = report.session > m.session && m.session > 0;
-        if new_session {
-            info!(machine = %id, session = report.session, "worker began a new session");
+        let new_incarnation = heartbeat.incarnation > m.incarnation && m.incarnation > 0;
+        if new_incarnation {
+            info!(machine = %id, incarnation = heartbeat.incarnation, "worker began a new session");
             // Answered all the time, and yet its lease ran out.
-            m.challenge |= m
-                .last_ok
-                .is_some_and(|t| context.now - t < context.cfg.lease);
+            m.token_raise_due |= m
+                .last_reply
+                .is_some_and(|t| context.now - t < context.settings.lease);
         }
-        if report.session > m.session {
-            m.session_seen = Some(context.now);
+        if heartbeat.incarnation > m.incarnation {
+            m.incarnation_seen_at = Some(context.now);
         }
-        (m.session, m.seq) = (report.session, report.seq);
-        m.seen_token = m.seen_token.max(report.token);
-        let token = m.token(self.version);
-        let fresh = report.token == token;
+        (m.incarnation, m.sequence) = (heartbeat.incarnation, heartbeat.sequence);
+        m.highest_seen_token = m.highest_seen_token.max(heartbeat.fencing_token);
+        let fencing_token = m.fencing_token(self.version);
+        let fresh = heartbeat.fencing_token == fencing_token;
         // An answer to a command renews no lease: a worker that reaches no controller may answer commands
         // until its lease ends, and after that in a new session, and must not be taken for one that reports.
         if hello {
-            m.addr = Some(report.addr.clone());
-            m.last_report = Some(context.now);
+            m.addr = Some(heartbeat.addr.clone());
+            m.last_heartbeat = Some(context.now);
             if fresh {
-                (m.heeded, m.unheeded, m.expired) = (Some(context.now), None, false);
+                (m.last_acknowledged, m.unacknowledged, m.lease_expired) =
+                    (Some(context.now), None, false);
             }
         }
-        let had_notice = m.notice.is_some();
-        m.notice = report.notice.map(|n| context.now + n);
+        let had_notice = m.preemption_deadline.is_some();
+        m.preemption_deadline = heartbeat.preemption_notice.map(|n| context.now + n);
         if let Some(d) = &m.direct {
             // An older session's commands are refused, and so are those below the highest token.
-            if d.unknown && (report.session > d.session || report.token > d.token) {
-                debug!(machine = %id, token = d.token, "unanswered command can't arrive any more");
+            if d.unknown
+                && (heartbeat.incarnation > d.incarnation
+                    || heartbeat.fencing_token > d.fencing_token)
+            {
+                debug!(machine = %id, fencing_token = d.fencing_token, "unanswered command can't arrive any more");
                 m.direct = None;
             }
         }
         let settled = m.direct.is_none();
-        let evidence = hello && settled;
-        let first_notice = !had_notice && m.notice.is_some();
+        let task_removal = hello && settled;
+        let first_notice = !had_notice && m.preemption_deadline.is_some();
 
         let placed: Vec<TaskKey> = m.tasks.iter().cloned().collect();
-        self.looked
-            .set(self.looked.get() + (placed.len() + report.tasks.len()) as i64);
-        m.strays.clear();
-        let mut shown: BTreeMap<&TaskKey, &TaskReport> = BTreeMap::new();
-        for t in &report.tasks {
+        self.work_done
+            .set(self.work_done.get() + (placed.len() + heartbeat.tasks.len()) as i64);
+        m.unexpected_tasks.clear();
+        let mut shown: BTreeMap<&TaskKey, &TaskStatus> = BTreeMap::new();
+        for t in &heartbeat.tasks {
             shown.insert(&t.task, t);
         }
         for key in placed.iter().filter(|_| fresh) {
@@ -70,8 +79,8 @@
                 continue;
             };
             if p.phase > Phase::Recording
-                && p.session > 0
-                && p.session < report.session
+                && p.incarnation > 0
+                && p.incarnation < heartbeat.incarnation
                 && !shown.contains_key(key)
             {
                 // Sent for an earlier session: that one ended with all that was in it.
@@ -80,11 +89,11 @@
             }
             match shown.get(key) {
                 Some(t) if t.attempt == p.attempt => self.task_shown(context, &id, key, t.state),
-                _ if p.phase <= Phase::Recording || !evidence => {}
+                _ if p.phase <= Phase::Recording || !task_removal => {}
                 _ => self.task_omitted(context, &id, key),
             }
         }
-        for t in &report.tasks {
+        for t in &heartbeat.tasks {
             self.unplaced_shown(&id, t, fresh);
         }
         if first_notice {
@@ -119,7 +128,7 @@
         };
         let m = self.machines.get_mut(machine);
         if let Some(m) = m {
-            p.session = m.session;
+            p.incarnation = m.incarnation;
             if phase > Phase::Fetching && p.phase <= Phase::Fetching {
                 m.fetches_changed = true;
                 let cache = context
@@ -156,12 +165,12 @@
         // What a former holder recorded may have ended long before it fell: it writes down what has gone with the
         // next change, and may have given the place, and the team's limit, to another job by then. So what
         // is adopted and not there is gone, and is decided anew like all that waits.
-        let (adopted, sent) = (p.gen == 0, p.session > 0);
+        let (adopted, sent) = (p.generation == 0, p.incarnation > 0);
         if p.phase == Phase::Ordered && p.stop.is_none() && job.live() && !adopted {
             // The order got lost on its way, or was never sent: it goes with the next reply.
             if sent {
                 if let Some(m) = self.machines.get_mut(machine) {
-                    m.challenge = true;
+                    m.token_raise_due = true;
                 }
             }
             return;
@@ -171,7 +180,7 @@
     }
 
     /// Shown by the worker, but not (or not any more) placed there by us.
-    pub(super) fn unplaced_shown(&mut self, machine: &MachineId, t: &TaskReport, fresh: bool) {
+    pub(super) fn unplaced_shown(&mut self, machine: &MachineId, t: &TaskStatus, fresh: bool) {
         let placement = self
             .jobs
             .get(&t.task.job)
@@ -184,7 +193,7 @@
             let counts = job.is_some_and(|j| {
                 fresh
                     && j.live()
-                    && j.spec.kind == Kind::Array
+                    && j.spec.kind == JobKind::Array
                     && t.task.index < j.spec.tasks
                     && !j.done.contains(t.task.index)
                     && !j.tasks.contains_key(&t.task.index)
@@ -194,10 +203,11 @@
             }
             return;
         }
-        let need = job.map_or(Amounts::default(), |j| j.spec.need);
+        let task_resources = job.map_or(Resources::default(), |j| j.spec.task_resources);
         warn!(task = %t.task, machine = %machine, attempt = t.attempt, "task was not placed here; stopping it");
         if let Some(m) = self.machines.get_mut(machine) {
-            m.strays.insert(t.task.clone(), (t.attempt, need));
+            m.unexpected_tasks
+                .insert(t.task.clone(), (t.attempt, task_resources));
         }
     }
 
@@ -212,7 +222,7 @@
             let Some(job) = self.jobs.get(&t.job) else {
                 continue;
             };
-            let moves = job.spec.saves() || job.spec.kind != Kind::Array;
+            let moves = job.spec.saves() || job.spec.kind != JobKind::Array;
             if moves {
                 self.evict(context, &t, Cause::Moving);
             }
@@ -220,16 +230,16 @@
     }
 
     /// The orders for a reply to the worker's report, in the order it must carry them out.
-    pub fn orders(&mut self, context: &mut Context, report: &Report) -> Vec<Order> {
-        let id = &report.machine;
+    pub fn orders(&mut self, context: &mut Context, heartbeat: &Heartbeat) -> Vec<Order> {
+        let id = &heartbeat.machine;
         let Some(m) = self.machines.get(id) else {
             return Vec::new();
         };
         let mut orders = Vec::new();
         let unsettled = m.direct.is_some();
         // What a late copy shows may be long over: it stops what has no place here, nothing else.
-        let fresh = report.token == m.token(self.version);
-        for t in &report.tasks {
+        let fresh = heartbeat.fencing_token == m.fencing_token(self.version);
+        for t in &heartbeat.tasks {
             let key = &t.task;
             let job = self.jobs.get(&key.job);
             match t.state {
@@ -239,7 +249,7 @@
                     let recorded = job.is_none_or(|j| {
                         matches!(j.ending, Some(Ending::Done | Ending::Cancelled))
                             || exit != Exit::Done
-                            || (j.live() && j.record.written >= j.done_gen)
+                            || (j.live() && j.record.written >= j.done_generation)
                     });
                     if fresh && recorded && !unsettled {
                         orders.push(Order::Forget {
@@ -248,7 +258,7 @@
                         });
                     }
                 }
-                _ if m.strays.contains_key(key) => {
+                _ if m.unexpected_tasks.contains_key(key) => {
                     orders.push(Order::Stop {
                         task: key.clone(),
                         attempt: t.attempt,
@@ -259,8 +269,8 @@
             }
         }
         let tasks: Vec<TaskKey> = m.tasks.iter().cloned().collect();
-        let session = m.session;
-        let usable = m.record.shard.is_some() && !m.leaving();
+        let incarnation = m.incarnation;
+        let usable = m.record.shard.is_some() && !m.decommissioning();
         for key in tasks {
             let Some(job) = self.jobs.get_mut(&key.job) else {
                 continue;
@@ -274,8 +284,13 @@
             }
             if let Some(stop) = p.stop {
                 let waited = context.now - stop.since;
-                let overdue = waited > stop.grace + context.cfg.gang_peer + Micros::from_secs(2);
-                let grace = if overdue { Micros::ZERO } else { stop.grace };
+                let grace_exceeded =
+                    waited > stop.grace + context.settings.gang_peer + Micros::from_secs(2);
+                let grace = if grace_exceeded {
+                    Micros::ZERO
+                } else {
+                    stop.grace
+                };
                 orders.push(Order::Stop {
                     task: key.clone(),
                     attempt: p.attempt,
@@ -287,7 +302,7 @@
                 && fresh
                 && p.not_before <= context.now
             {
-                p.session = session;
+                p.incarnation = incarnation;
                 orders.push(Order::Start {
                     task: key.clone(),
                     attempt: p.attempt,
@@ -300,18 +315,24 @@
     /// Starts that should not wait for the next report go straight to the worker, at most one
     /// message at a time, and only to one that has shown our token and reports.
     pub fn send_directs(&mut self, context: &mut Context) {
-        if !context.acting || self.phase != ShardPhase::Ready {
+        if !context.lease_valid || self.phase != ShardPhase::Ready {
             return;
         }
-        self.look(self.unsent.len());
+        self.count_work(self.unsent.len());
         self.unsent.retain(|id| {
             let Some(m) = self.machines.get_mut(id).filter(|m| !m.tasks.is_empty()) else {
                 return false;
             };
-            if m.direct.is_some() || !m.usable(context.now, context.cfg.report, self.version) {
+            if m.direct.is_some()
+                || !m.usable(
+                    context.now,
+                    context.settings.heartbeat_interval,
+                    self.version,
+                )
+            {
                 return true;
             }
-            let token = m.token(self.version);
+            let fencing_token = m.fencing_token(self.version);
             let Some(addr) = m.addr.clone() else {
                 return true;
             };
@@ -324,10 +345,10 @@
                 let Some(p) = job.tasks.get_mut(&key.index) else {
                     continue;
                 };
-                let fresh = p.phase == Phase::Ordered && p.session == 0 && p.stop.is_none();
+                let fresh = p.phase == Phase::Ordered && p.incarnation == 0 && p.stop.is_none();
                 later |= fresh && p.not_before > context.now;
                 if fresh && p.not_before <= context.now {
-                    p.session = m.session;
+                    p.incarnation = m.incarnation;
                     orders.push(Order::Start {
                         task: key.clone(),
                         attempt: p.attempt,
@@ -337,21 +358,21 @@
             if orders.is_empty() {
                 return later;
             }
-            debug!(machine = %id, token, orders = orders.len(), "starting tasks directly");
+            debug!(machine = %id, fencing_token, orders = orders.len(), "starting tasks directly");
             let call = *context.calls;
             *context.calls += 1;
-            m.direct = Some(Direct {
+            m.direct = Some(DirectCommand {
                 call,
-                token,
-                session: m.session,
+                fencing_token,
+                incarnation: m.incarnation,
                 unknown: false,
             });
-            context.effects.push(Effect::Direct {
+            context.effects.push(Effect::SendDirect {
                 call,
                 machine: id.clone(),
                 addr,
-                session: m.session,
-                token,
+                incarnation: m.incarnation,
+                fencing_token,
                 orders,
             });
             later
@@ -372,14 +393,14 @@
             return;
         };
         match outcome {
-            DirectOutcome::Settled { report } => {
+            DirectOutcome::Settled { heartbeat } => {
                 m.direct = None;
-                self.take_report(context, &report, false);
+                self.apply_heartbeat(context, &heartbeat, false);
             }
             DirectOutcome::NotSent => m.direct = None,
             DirectOutcome::Unknown => {
                 if let Some(d) = &mut m.direct {
-                    warn!(machine = %id, token = d.token, "command unanswered; raising the token");
+                    warn!(machine = %id, fencing_token = d.fencing_token, "command unanswered; raising the token");
                     d.unknown = true;
                 }
             }
--- a/crates/seamfront-core/src/shard/mod.rs
+++ b/crates/seamfront-core/src/shard/mod.rs
@@ -2,9 +2,9 @@
 //!
 //! Order of things, always: decide → record → order → evidence → record → forget.
 
-use crate::fleet::{machine_key, Direct, Machine, MachineRecord};
 use crate::gang::{Member, Verdict};
 use crate::job::*;
+use crate::machine::{machine_key, DirectCommand, Machine, MachineRecord};
 use crate::port::*;
 use crate::quota::Quota;
 use crate::record::{Layout, WorkRecord};
@@ -15,18 +15,18 @@
 use tracing::{debug, info, warn};
 
 mod drain;
-mod evidence;
+mod heartbeats;
 mod records;
-mod reports;
+mod task_removal;
 
-use records::{leftover_spec, stop_rest};
 pub use records::{machine_write, ShardWrite, WriteOutcome};
+use records::{spec_of_ended_job, stop_rest};
 
 /// How far a shard that was claimed has come.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ShardPhase {
     /// Claimed, but the view of cancellations is not known to be as new as the claim.
-    Proving,
+    Verifying,
     /// Reading the former holder's records.
     Loading,
     /// Its jobs are placed.
@@ -36,11 +36,11 @@
 /// What a shard needs of the engine in a step.
 pub struct Context<'a> {
     /// Settings.
-    pub cfg: &'a Settings,
+    pub settings: &'a Settings,
     /// Now, by the steady clock.
     pub now: Micros,
     /// Time of day, only for order and deadlines of jobs.
-    pub wall: Micros,
+    pub wall_time: Micros,
     /// Machine types on offer.
     pub types: &'a [MachineType],
     /// Effects of this step.
@@ -48,7 +48,7 @@
     /// The name of the next call.
     pub calls: &'a mut CallId,
     /// The claim was proven recently enough to answer reports and to send commands.
-    pub acting: bool,
+    pub lease_valid: bool,
     /// How records may be laid out now.
     pub layout: Layout,
 }
@@ -89,18 +89,18 @@
     /// What its teams' tasks take.
     pub quota: Quota,
     /// What found no room in the last round.
-    pub needs: Vec<Need>,
+    pub requests: Vec<ResourceRequest>,
     /// Whether anything has changed since the last round.
     pub dirty: bool,
     /// When the last round was.
-    pub last_round: Micros,
+    pub last_cycle: Micros,
     /// What the last round looked at: the next one rests in proportion.
-    pub round_cost: i64,
+    pub last_cycle_cost: i64,
     /// What was looked at in all: machines, tasks and entries of lists, for the tests that bound it.
-    pub looked: Cell<i64>,
+    pub work_done: Cell<i64>,
     /// Machines that the last round held for gangs.
-    pub(crate) gathered: BTreeSet<MachineId>,
-    look_next: Micros,
+    pub(crate) gang_reservations: BTreeSet<MachineId>,
+    inspection_next: Micros,
     /// Machines where tasks may wait for a direct start.
     unsent: BTreeSet<MachineId>,
     /// When machines are looked through again for what must be written of them.
@@ -111,7 +111,7 @@
 const RELEASE_KEPT: Micros = Micros::from_secs(5);
 
 /// How often machines are looked through for what time alone has changed.
-const LOOK_EVERY: Micros = Micros::from_millis(100);
+const INSPECTION_INTERVAL: Micros = Micros::from_millis(100);
 
 /// How often a job's record is written for the sake of results alone.
 const RESULTS_EVERY: Micros = Micros::from_secs(1);
@@ -136,17 +136,17 @@
             index,
             version,
             claimed_at: now,
-            phase: ShardPhase::Proving,
+            phase: ShardPhase::Verifying,
             jobs: BTreeMap::new(),
             machines: BTreeMap::new(),
             quota: Quota::default(),
-            needs: Vec::new(),
+            requests: Vec::new(),
             dirty: true,
-            last_round: Micros::ZERO,
-            round_cost: 0,
-            looked: Cell::new(0),
-            gathered: BTreeSet::new(),
-            look_next: Micros::ZERO,
+            last_cycle: Micros::ZERO,
+            last_cycle_cost: 0,
+            work_done: Cell::new(0),
+            gang_reservations: BTreeSet::new(),
+            inspection_next: Micros::ZERO,
             unsent: BTreeSet::new(),
             machine_writes_next: Micros::ZERO,
         }
@@ -165,14 +165,20 @@
 
     /// Whether a job waits for others to be done, and what it asks for as things stand: how important it is and
     /// until when it must be done also follow from the jobs that need it.
-    pub fn chained(&mut self, id: &JobId, spec: Rc<JobSpec>, waits: bool, now: Micros) {
+    pub fn update_dependencies(
+        &mut self,
+        id: &JobId,
+        spec: Rc<JobSpec>,
+        blocked: bool,
+        now: Micros,
+    ) {
         let Some(job) = self.jobs.get_mut(id) else {
             return;
         };
-        if job.waits && !waits {
+        if job.blocked && !blocked {
             job.waiting_since = now;
         }
-        (job.spec, job.waits) = (spec, waits);
+        (job.spec, job.blocked) = (spec, blocked);
         self.dirty = true;
     }
 
@@ -191,11 +197,12 @@
             version,
             parts_end,
         } = stored;
-        let (spec, job_version) = live.unwrap_or_else(|| (Rc::new(leftover_spec(&id, &record)), 0));
+        let (spec, job_version) =
+            live.unwrap_or_else(|| (Rc::new(spec_of_ended_job(&id, &record)), 0));
         let mut job = Job::new(spec, job_version, now);
         job.adopt(record, version, parts_end, now);
         if job.failing() {
-            job.paused_until = now + evidence::pause_after(job.errors);
+            job.paused_until = now + task_removal::pause_after(job.consecutive_errors);
         }
         if ended {
             job.ending = Some(Ending::Cancelled);
@@ -203,7 +210,7 @@
             job.ending = Some(Ending::Completing);
         }
         for (i, p) in &mut job.tasks {
-            self.quota.take(&job.spec.team, job.spec.need);
+            self.quota.take(&job.spec.team, job.spec.task_resources);
             if ended {
                 p.stop = Some(Stop {
                     cause: Cause::Cancelled,
@@ -212,7 +219,7 @@
                 });
             }
             if let Some(m) = self.machines.get_mut(&p.machine) {
-                m.used.add(job.spec.need);
+                m.used.add(job.spec.task_resources);
                 m.fetches_changed = true;
                 m.tasks.insert(TaskKey {
                     job: id.clone(),
@@ -333,7 +340,7 @@
         id: MachineId,
         record: MachineRecord,
         version: u64,
-        size: Amounts,
+        size: Resources,
         now: Micros,
     ) {
         match self.machines.get_mut(&id) {
@@ -341,8 +348,8 @@
                 if version > m.version {
                     m.version = version;
                     // Kept or given back by the leader, or fenced anew by ourselves.
-                    m.released = None;
-                    m.clearing = None;
+                    m.released_since = None;
+                    m.draining_since = None;
                 }
                 // The engine's view may be behind what we wrote ourselves: one that we gave up a moment ago
                 // would be used again.
@@ -355,7 +362,7 @@
                 let mut m = Machine::new(id.clone(), record, version, size, now);
                 for (job, j) in &self.jobs {
                     for (i, _) in j.tasks.iter().filter(|(_, p)| p.machine == id) {
-                        m.used.add(j.spec.need);
+                        m.used.add(j.spec.task_resources);
                         m.tasks.insert(TaskKey {
                             job: job.clone(),
                             index: *i,
@@ -399,36 +406,36 @@
         self.dirty = true;
     }
 
-    pub(crate) fn look(&self, items: usize) {
-        self.looked.set(self.looked.get() + items as i64);
+    pub(crate) fn count_work(&self, items: usize) {
+        self.work_done.set(self.work_done.get() + items as i64);
     }
 
     // ---- time ----------------------------------------------------------------------------
 
     /// What follows from time alone.
     pub fn tick(&mut self, context: &mut Context) {
-        if self.phase != ShardPhase::Ready || context.now < self.look_next {
+        if self.phase != ShardPhase::Ready || context.now < self.inspection_next {
             return;
         }
-        self.look_next = context.now + LOOK_EVERY;
-        self.look(4 * self.machines.len());
-        let acting = context.cfg.acting_time();
+        self.inspection_next = context.now + INSPECTION_INTERVAL;
+        self.count_work(4 * self.machines.len());
+        let lease_valid = context.settings.verification_ttl();
         let version = self.version;
         let over: Vec<MachineId> = self
             .machines
             .values()
             // One placed just before the end is looked at again.
-            .filter(|m| !m.expired || !m.tasks.is_empty())
-            .filter(|m| m.lease_over_at(version, context.cfg.lease, acting) < context.now)
+            .filter(|m| !m.lease_expired || !m.tasks.is_empty())
+            .filter(|m| m.lease_expiry(version, context.settings.lease, lease_valid) < context.now)
             .map(|m| m.id.clone())
             .collect();
         for id in over {
             let Some(m) = self.machines.get_mut(&id) else {
                 continue;
             };
-            m.expired = true;
+            m.lease_expired = true;
             m.direct = None;
-            m.strays.clear();
+            m.unexpected_tasks.clear();
             let tasks: Vec<TaskKey> = m.tasks.iter().cloned().collect();
             if !tasks.is_empty() {
                 warn!(machine = %id, tasks = tasks.len(), "lease is over: its tasks are gone");
@@ -438,29 +445,32 @@
                 self.remove_task(context, &t, Removal::Lost);
             }
         }
-        self.judge_machines(context);
+        self.detect_failures(context);
         for m in self.machines.values_mut() {
             let idle = m.empty() && m.record.shard.is_some();
             // Time to boot is not idle time, or a machine would be returned as soon as it is up.
-            let up = m.last_report.is_some();
-            if let Some(since) = m.clearing {
-                if idle && m.released.is_none() {
-                    m.released = Some(context.now);
+            let up = m.last_heartbeat.is_some();
+            if let Some(since) = m.draining_since {
+                if idle && m.released_since.is_none() {
+                    m.released_since = Some(context.now);
                 } else if !idle && context.now - since > CLEARING_KEPT {
-                    m.clearing = None;
+                    m.draining_since = None;
                 }
             }
             let jobs = &self.jobs;
-            let uses = |t: &TaskKey| jobs.get(&t.job).is_some_and(|j| j.spec.need.gpus > 0);
+            let uses = |t: &TaskKey| {
+                jobs.get(&t.job)
+                    .is_some_and(|j| j.spec.task_resources.gpus > 0)
+            };
             if m.size.gpus == 0 || !up || m.tasks.iter().any(uses) {
-                m.unused_since = None;
-            } else if m.unused_since.is_none() {
-                m.unused_since = Some(context.now);
+                m.accelerators_unused_since = None;
+            } else if m.accelerators_unused_since.is_none() {
+                m.accelerators_unused_since = Some(context.now);
             }
             if !idle || !up {
                 m.idle_since = None;
             } else if m.idle_since.is_none() {
-                m.idle_since = Some(m.unused_since.unwrap_or(context.now));
+                m.idle_since = Some(m.accelerators_unused_since.unwrap_or(context.now));
             }
         }
     }
--- a/crates/seamfront-core/src/shard/records.rs
+++ b/crates/seamfront-core/src/shard/records.rs
@@ -12,7 +12,7 @@
         /// The job.
         job: JobId,
         /// The generation that it holds.
-        gen: u64,
+        generation: u64,
         /// The version that it is written on.
         version: u64,
         /// The record as it is to be stored.
@@ -73,17 +73,17 @@
 
 impl Shard {
     /// How many jobs wait for a write: the demand by which controllers divide what the store takes.
-    pub fn writes_awaited(&self) -> usize {
+    pub fn pending_write_count(&self) -> usize {
         self.jobs
             .values()
-            .filter(|j| j.record.awaited() || j.ending == Some(Ending::Completing))
+            .filter(|j| j.record.blocks_starts() || j.ending == Some(Ending::Completing))
             .count()
     }
 
     /// Up to `budget` writes that are due now: what somebody waits for comes first, and of that what
     /// waits for longest. The engine makes them under this shard's claim and reports back through
     /// [`Shard::written`].
-    pub fn writes(&mut self, now: Micros, budget: usize, layout: &Layout) -> Vec<ShardWrite> {
+    pub fn due_writes(&mut self, now: Micros, budget: usize, layout: &Layout) -> Vec<ShardWrite> {
         let mut out = Vec::new();
         self.machine_writes(now, budget.div_ceil(2), &mut out);
         for id in self.due_records(now) {
@@ -108,29 +108,29 @@
     /// Tokens to be raised and machines to be given up: not so many that they keep tasks from being started.
     fn machine_writes(&mut self, now: Micros, most: usize, out: &mut Vec<ShardWrite>) {
         let look = now >= self.machine_writes_next;
-        self.look(if look { self.machines.len() } else { 0 } + self.jobs.len());
+        self.count_work(if look { self.machines.len() } else { 0 } + self.jobs.len());
         for (id, m) in self.machines.iter_mut().filter(|_| look) {
             if out.len() >= most {
                 break;
             }
-            if m.writing || m.record.shard.is_none() {
+            if m.write_in_flight || m.record.shard.is_none() {
                 continue;
             }
             let mut record = m.record.clone();
             let unsettled = m
                 .direct
                 .as_ref()
-                .is_some_and(|d| d.unknown && d.token == m.version.max(self.version));
-            let unsettled = unsettled || m.challenge;
+                .is_some_and(|d| d.unknown && d.fencing_token == m.version.max(self.version));
+            let unsettled = unsettled || m.token_raise_due;
             // Released and not used by the leader: rewriting the record makes a late move of its fail.
-            let kept = m.released.is_some_and(|t| now - t > RELEASE_KEPT);
-            if m.hopeless {
+            let kept = m.released_since.is_some_and(|t| now - t > RELEASE_KEPT);
+            if m.condemned {
                 record.shard = None;
             } else if !unsettled && !kept {
                 continue;
             }
-            m.writing = true;
-            m.giving_up |= record.shard.is_none();
+            m.write_in_flight = true;
+            m.decommission_pending |= record.shard.is_none();
             out.push(ShardWrite::Machine {
                 machine: id.clone(),
                 version: m.version,
@@ -138,7 +138,7 @@
             });
         }
         if look && out.is_empty() {
-            self.machine_writes_next = now + LOOK_EVERY;
+            self.machine_writes_next = now + INSPECTION_INTERVAL;
         }
     }
 
@@ -153,11 +153,17 @@
             .filter(|(_, j)| match j.ending {
                 Some(Ending::Completing) => true,
                 Some(_) => j.tasks.is_empty() && j.record.version != Some(0),
-                None => j.record.dirty() && (j.record.awaited() || rested(j)),
+                None => j.record.dirty() && (j.record.blocks_starts() || rested(j)),
             })
             .map(|(id, j)| {
-                let awaited = j.record.awaited() || j.ending == Some(Ending::Completing);
-                (!awaited, j.spec.priority, j.record.asked_at, id.clone())
+                let blocks_starts =
+                    j.record.blocks_starts() || j.ending == Some(Ending::Completing);
+                (
+                    !blocks_starts,
+                    j.spec.priority,
+                    j.record.asked_at,
+                    id.clone(),
+                )
             })
             .collect();
         due.sort();
@@ -173,27 +179,29 @@
         let Some(m) = self.machines.get_mut(machine) else {
             return;
         };
-        m.writing = false;
+        m.write_in_flight = false;
         // Giving it up may be applied late, when it has long come back: rewriting the record makes that fail.
-        m.challenge |= record.shard.is_none() && outcome == WriteOutcome::Unclear;
-        m.giving_up &= outcome != WriteOutcome::Refused || m.challenge;
+        m.token_raise_due |= record.shard.is_none() && outcome == WriteOutcome::Unclear;
+        m.decommission_pending &= outcome != WriteOutcome::Refused || m.token_raise_due;
         if let WriteOutcome::Done(v) = outcome {
             m.version = m.version.max(v);
-            m.challenge = false;
-            m.giving_up = false;
-            m.released = None;
-            m.clearing = None;
+            m.token_raise_due = false;
+            m.decommission_pending = false;
+            m.released_since = None;
+            m.draining_since = None;
             m.record = record.clone();
         }
     }
 
     /// The outcome of a record's write: the new version, or None if that must be read first.
     pub fn written(&mut self, context: &mut Context, write: &ShardWrite, outcome: WriteOutcome) {
-        let (job_id, gen) = match write {
+        let (job_id, generation) = match write {
             ShardWrite::Machine {
                 machine, record, ..
             } => return self.machine_written(machine, record, outcome),
-            ShardWrite::Record { job, gen, .. } => (job, *gen),
+            ShardWrite::Record {
+                job, generation, ..
+            } => (job, *generation),
             ShardWrite::End { job, .. }
             | ShardWrite::DropRecord { job, .. }
             | ShardWrite::Read { job } => (job, 0),
@@ -220,11 +228,11 @@
                     job.record.parts = Some(record.parts.clone());
                     job.record.parts_end = *parts_end;
                     job.record.boundaries.clone_from(&record.boundaries);
-                    job.record.written = job.record.written.max(gen);
+                    job.record.written = job.record.written.max(generation);
                     let placed: Vec<u32> = job
                         .tasks
                         .iter_mut()
-                        .filter(|(_, p)| p.phase == Phase::Recording && p.gen <= gen)
+                        .filter(|(_, p)| p.phase == Phase::Recording && p.generation <= generation)
                         .map(|(i, p)| {
                             p.phase = Phase::Ordered;
                             p.since = context.now;
@@ -297,10 +305,10 @@
         .copied()
         .unwrap_or(job.record.parts_end.max(record.parts.len() as u32));
     changes.extend(removed.into_iter().map(|number| (number, None)));
-    let (job, gen) = (job.spec.id.clone(), job.record.gen);
+    let (job, generation) = (job.spec.id.clone(), job.record.generation);
     Some(ShardWrite::Record {
         job,
-        gen,
+        generation,
         version,
         record: Box::new(record),
         changes,
@@ -320,7 +328,7 @@
 }
 
 /// What is known of an ended job from its work record alone, enough to clear it away.
-pub(super) fn leftover_spec(id: &JobId, r: &WorkRecord) -> JobSpec {
+pub(super) fn spec_of_ended_job(id: &JobId, r: &WorkRecord) -> JobSpec {
     let placed = r
         .placed
         .values()
@@ -332,10 +340,10 @@
         id: id.clone(),
         class: String::new(),
         team: r.team.clone(),
-        kind: Kind::Array,
+        kind: JobKind::Array,
         priority: Priority::BestEffort,
         tasks: placed,
-        need: r.need,
+        task_resources: r.task_resources,
         types: None,
         zone: None,
         one_zone: false,
@@ -348,8 +356,8 @@
         save: Micros::ZERO,
         deadline: None,
         submitted: Micros::ZERO,
-        needs: Vec::new(),
-        needs_parts: 0,
+        dependencies: Vec::new(),
+        dependency_parts: 0,
     }
 }
 
--- a/crates/seamfront-core/src/shard/evidence.rs
+++ b/crates/seamfront-core/src/shard/task_removal.rs
@@ -30,14 +30,14 @@
         let Some(p) = job.tasks.remove(&task.index) else {
             return;
         };
-        self.quota.give(&job.spec.team, job.spec.need);
+        self.quota.give(&job.spec.team, job.spec.task_resources);
         let machine = self.machines.get_mut(&p.machine);
-        let silent = machine
-            .as_ref()
-            .is_none_or(|m| m.silent_for(context.now) > context.cfg.report.times(2));
+        let silent = machine.as_ref().is_none_or(|m| {
+            m.silent_for(context.now) > context.settings.heartbeat_interval.times(2)
+        });
         if let Some(m) = machine {
             if m.tasks.remove(task) {
-                m.used.sub(job.spec.need);
+                m.used.sub(job.spec.task_resources);
             }
             m.fetches_changed = true;
         }
@@ -48,7 +48,7 @@
             job.waiting_since = context.now;
         }
         match why {
-            Removal::Exited(Exit::Error) => self.blame_failure(context, task, &p.machine),
+            Removal::Exited(Exit::Error) => self.record_task_failure(context, task, &p.machine),
             Removal::Exited(Exit::Done) => return self.take_completion(context, task, &p),
             Removal::Exited(Exit::NoRoom) => {
                 if let Some(m) = self.machines.get_mut(&p.machine) {
@@ -56,7 +56,7 @@
                 }
             }
             Removal::Exited(Exit::Busy | Exit::Unknown) => {
-                job.avoid
+                job.avoided_machines
                     .insert(p.machine.clone(), context.now + AVOID_AFTER_REFUSAL);
                 job.paused_until = job.paused_until.max(context.now + PAUSE_AFTER_REFUSAL);
             }
@@ -67,28 +67,30 @@
 
     /// A task failed: its job avoids the machine, and where different jobs fail the machine is suspected. A job that
     /// fails wherever it goes is tried on by few tasks after growing pauses, and no machine is blamed for it.
-    fn blame_failure(&mut self, context: &Context, task: &TaskKey, machine: &MachineId) {
+    fn record_task_failure(&mut self, context: &Context, task: &TaskKey, machine: &MachineId) {
         let Some(job) = self.jobs.get_mut(&task.job) else {
             return;
         };
         // Several tasks that fail on one machine tell of the machine, and what a first try began before it was known to
         // fail tells nothing more.
         let elsewhere = job
-            .avoid
+            .avoided_machines
             .insert(machine.clone(), context.now + AVOID_AFTER_ERROR)
             .is_none();
         if elsewhere && job.paused_until <= context.now {
-            job.errors += 1;
+            job.consecutive_errors += 1;
         }
-        warn!(job = %task.job, machine = %machine, errors = job.errors, "task failed");
+        warn!(job = %task.job, machine = %machine, errors = job.consecutive_errors, "task failed");
         if job.failing() {
-            job.paused_until = job.paused_until.max(context.now + pause_after(job.errors));
-            return self.clear_blame(&task.job);
+            job.paused_until = job
+                .paused_until
+                .max(context.now + pause_after(job.consecutive_errors));
+            return self.clear_failure_records(&task.job);
         }
         let Some(m) = self.machines.get_mut(machine) else {
             return;
         };
-        m.faults.insert(task.job.clone());
+        m.failed_jobs.insert(task.job.clone());
         if m.failing() {
             warn!(machine = %machine, "different jobs fail here: machine suspected");
         }
@@ -96,13 +98,13 @@
 
     /// The job was submitted with a mistake, as far as can be told: the machines where it failed are as good as others,
     /// for it and for all.
-    fn clear_blame(&mut self, id: &JobId) {
+    fn clear_failure_records(&mut self, id: &JobId) {
         let Some(job) = self.jobs.get_mut(id) else {
             return;
         };
-        for machine in std::mem::take(&mut job.avoid).into_keys() {
+        for machine in std::mem::take(&mut job.avoided_machines).into_keys() {
             if let Some(m) = self.machines.get_mut(&machine) {
-                m.faults.remove(id);
+                m.failed_jobs.remove(id);
             }
         }
     }
@@ -113,23 +115,23 @@
             return;
         };
         if job.failing() {
-            info!(job = %task.job, errors = job.errors, "a task completed: tried in full again");
+            info!(job = %task.job, errors = job.consecutive_errors, "a task completed: tried in full again");
             job.paused_until = context.now;
         }
-        job.errors = 0;
+        job.consecutive_errors = 0;
         let ran = p
             .running_since
             .map(|t| context.now - t)
-            .filter(|_| job.spec.kind == Kind::Array);
+            .filter(|_| job.spec.kind == JobKind::Array);
         if let Some(m) = self.machines.get_mut(&p.machine) {
             // What some tasks survive may still be faulty.
             if !m.failing() {
-                m.faults.clear();
+                m.failed_jobs.clear();
             }
             if let Some(ran) = ran.filter(|_| job.ran.0 >= RUNS_FOR_A_MEAN) {
-                let before = m.suspect;
+                let before = m.slow;
                 m.completed(ran, job.ran.1.over(job.ran.0));
-                if m.suspect && !before {
+                if m.slow && !before {
                     warn!(machine = %p.machine, "much slower than its kind: machine suspected");
                 }
             }
@@ -137,7 +139,7 @@
         if let Some(ran) = ran {
             job.ran = (job.ran.0 + 1, job.ran.1 + ran);
         }
-        if job.spec.kind != Kind::Service {
+        if job.spec.kind != JobKind::Service {
             self.task_done(task);
         }
     }
@@ -183,7 +185,7 @@
         } else if task.index < job.spec.tasks {
             job.done.insert(task.index);
         }
-        job.done_gen = job.record.touch();
+        job.done_generation = job.record.touch();
         if job.done.count() == job.spec.tasks {
             info!(job = %task.job, "all tasks done");
             job.ending = Some(Ending::Completing);
--- a/crates/seamfront-core/src/store_session/claims.rs
+++ b/crates/seamfront-core/src/store_session/claims.rs
@@ -12,12 +12,12 @@
         }
         let mine = claim
             .as_ref()
-            .is_some_and(|c| c.member == self.cfg.me && Some(c.lease) == self.store.lease);
+            .is_some_and(|c| c.member == self.settings.me && Some(c.lease) == self.store.lease);
         if self
-            .slot_version(slot)
+            .held_token(slot)
             .is_some_and(|v| v < version || (v == version && !mine))
         {
-            self.drop_slot(slot, "claim is another's");
+            self.drop_claim(slot, "claim is another's");
         }
         if claim.is_none() {
             self.store.free_since[slot] = Some(self.now);
@@ -25,7 +25,7 @@
         self.store.claims[slot] = claim;
     }
 
-    pub(crate) fn slot_version(&self, slot: usize) -> Option<u64> {
+    pub(crate) fn held_token(&self, slot: usize) -> Option<u64> {
         if slot == self.leader_slot() {
             self.leader.as_ref().and_then(|l| l.version)
         } else {
@@ -34,10 +34,10 @@
     }
 
     /// Ends acting for a claim at once.
-    pub(crate) fn drop_slot(&mut self, slot: usize, why: &str) {
-        if let Some(version) = self.slot_version(slot) {
-            warn!(slot = %self.slot_key(slot), token = version, why, "claim dropped");
-            self.store.spent[slot] = version;
+    pub(crate) fn drop_claim(&mut self, slot: usize, why: &str) {
+        if let Some(version) = self.held_token(slot) {
+            warn!(slot = %self.claim_key(slot), fencing_token = version, why, "claim dropped");
+            self.store.last_released_token[slot] = version;
         }
         if slot == self.leader_slot() {
             // Without a version it rests on duties, not on this claim.
@@ -45,7 +45,7 @@
         } else {
             self.shards[slot] = None;
         }
-        self.proven[slot] = None;
+        self.last_verified[slot] = None;
     }
 
     pub(super) fn claims_tick(&mut self) {
@@ -55,9 +55,9 @@
         if !self.store.loaded() || self.now < self.store.claim_next {
             return;
         }
-        let n = self.cfg.members.len();
+        let n = self.settings.members.len();
         for slot in 0..=n {
-            if self.store.claiming[slot] || self.slot_version(slot).is_some() {
+            if self.store.claiming[slot] || self.held_token(slot).is_some() {
                 continue;
             }
             // The leader's claim has ended for good.
@@ -66,77 +66,79 @@
             }
             let expected = match &self.store.claims[slot] {
                 Some(c)
-                    if c.member == self.cfg.me
+                    if c.member == self.settings.me
                         && c.lease == lease
-                        && c.version > self.store.spent[slot] =>
+                        && c.version > self.store.last_released_token[slot] =>
                 {
                     // Ours, though the answer to the claim was lost.
                     let version = c.version;
-                    self.take_slot(slot, version);
+                    self.claim_acquired(slot, version);
                     continue;
                 }
                 // A former incarnation's, which can't come back, so there is nothing to wait for; or one that
                 // we gave up ourselves, though it could not be removed. Answers, reports and requests for
                 // rentals of that time may still come, and would be taken for those of the new one if both
                 // had the same version.
-                Some(c) if c.member == self.cfg.me => c.version,
+                Some(c) if c.member == self.settings.me => c.version,
                 Some(_) => {
                     self.store.free_since[slot] = None;
                     continue;
                 }
                 None => {
                     // The home member first, then the next in turn.
-                    let rank = (self.cfg.me + n - slot % n) % n;
+                    let rank = (self.settings.me + n - slot % n) % n;
                     let since = *self.store.free_since[slot].get_or_insert(self.now);
                     // One that no worker reaches comes last, but it comes: perhaps there is nobody else.
-                    let deaf = if self.deaf() {
+                    let inbound_partitioned = if self.inbound_partitioned() {
                         Micros::from_secs(5)
                     } else {
                         Micros::ZERO
                     };
-                    if self.now - since < Micros::from_millis(400).times(rank as i64) + deaf {
+                    if self.now - since
+                        < Micros::from_millis(400).times(rank as i64) + inbound_partitioned
+                    {
                         continue;
                     }
                     0
                 }
             };
             self.store.claiming[slot] = true;
-            let key = self.slot_key(slot);
+            let key = self.claim_key(slot);
             let value = ClaimValue {
-                member: self.cfg.members[self.cfg.me].clone(),
+                member: self.settings.members[self.settings.me].clone(),
                 lease,
             };
             let value = serde_json::to_value(value).unwrap_or_default();
-            let request = StateCall::Commit {
-                when: vec![(key.clone(), expected)],
-                apply: vec![Write::Put {
+            let request = StoreRequest::CompareAndSwap {
+                conditions: vec![(key.clone(), expected)],
+                writes: vec![Write::Put {
                     key,
                     value,
                     lease: Some(lease),
                 }],
             };
-            self.state(request, Pending::Claim { slot, lease });
+            self.send_to_store(request, Pending::Claim { slot, lease });
         }
-        self.hand_back();
+        self.transfer_shards();
     }
 
-    pub(crate) fn claim_reply(&mut self, slot: usize, lease: u64, reply: StateReply) {
+    pub(crate) fn claim_reply(&mut self, slot: usize, lease: u64, reply: StoreReply) {
         self.store.claiming[slot] = false;
         match reply {
-            StateReply::Committed { revision } if self.store.lease == Some(lease) => {
+            StoreReply::Committed { revision } if self.store.lease == Some(lease) => {
                 let newer = self.store.claims[slot]
                     .as_ref()
                     .is_some_and(|c| c.version > revision);
-                if !newer && self.slot_version(slot).is_none() {
+                if !newer && self.held_token(slot).is_none() {
                     self.store.claims[slot] = Some(Claim {
                         version: revision,
-                        member: self.cfg.me,
+                        member: self.settings.me,
                         lease,
                     });
-                    self.take_slot(slot, revision);
+                    self.claim_acquired(slot, revision);
                 }
             }
-            StateReply::NoSuchLease => self.lease_reply(StateReply::NoSuchLease),
+            StoreReply::NoSuchLease => self.lease_reply(StoreReply::NoSuchLease),
             _ => {
                 // Lost the race, or unknown: the view will tell.
                 self.store.free_since[slot] = Some(self.now);
@@ -145,12 +147,16 @@
         }
     }
 
-    pub(super) fn take_slot(&mut self, slot: usize, version: u64) {
-        info!(slot = %self.slot_key(slot), token = version, "claim taken");
-        self.proven[slot] = None;
-        self.store.prove_next = self.now;
+    pub(super) fn claim_acquired(&mut self, slot: usize, version: u64) {
+        info!(slot = %self.claim_key(slot), fencing_token = version, "claim taken");
+        self.last_verified[slot] = None;
+        self.store.verify_next = self.now;
         if slot == self.leader_slot() {
-            self.leader = Some(Leader::new(Some(version), self.now, self.cfg.members.len()));
+            self.leader = Some(Leader::new(
+                Some(version),
+                self.now,
+                self.settings.members.len(),
+            ));
             return;
         }
         let mut shard = Shard::new(slot, version, self.now);
@@ -166,10 +172,10 @@
     /// A shard goes back to its home member once that is healthy again, and any shard is given away
     /// by one that no worker reaches while a peer hears them. Tasks notice nothing: the new holder
     /// finds all of it recorded.
-    pub(super) fn hand_back(&mut self) {
-        let leave = self.deaf() && self.peer_ready();
-        for slot in 0..self.cfg.members.len() {
-            if self.store.claiming[slot] || (slot == self.cfg.me && !leave) {
+    pub(super) fn transfer_shards(&mut self) {
+        let leave = self.inbound_partitioned() && self.peer_ready();
+        for slot in 0..self.settings.members.len() {
+            if self.store.claiming[slot] || (slot == self.settings.me && !leave) {
                 continue;
             }
             let Some(shard) = self.shards[slot]
@@ -188,126 +194,126 @@
                 continue;
             }
             let version = shard.version;
-            info!(shard = slot, to = %self.cfg.members[slot], leave, "handing shard back");
-            self.drop_slot(slot, "handed back");
+            info!(shard = slot, to = %self.settings.members[slot], leave, "handing shard back");
+            self.drop_claim(slot, "handed back");
             self.store.claiming[slot] = true;
-            let key = self.slot_key(slot);
-            let request = StateCall::Commit {
-                when: vec![(key.clone(), version)],
-                apply: vec![Write::Delete { key }],
+            let key = self.claim_key(slot);
+            let request = StoreRequest::CompareAndSwap {
+                conditions: vec![(key.clone(), version)],
+                writes: vec![Write::Delete { key }],
             };
-            self.state(request, Pending::HandBack { slot, version });
+            self.send_to_store(request, Pending::TransferShard { slot, version });
         }
     }
 
-    pub(crate) fn hand_back_reply(&mut self, slot: usize, version: u64, reply: &StateReply) {
+    pub(crate) fn transfer_reply(&mut self, slot: usize, version: u64, reply: &StoreReply) {
         self.store.claiming[slot] = false;
         let still = self.store.claims[slot]
             .as_ref()
             .is_some_and(|c| c.version == version);
-        if still && matches!(reply, StateReply::Committed { .. }) {
+        if still && matches!(reply, StoreReply::Committed { .. }) {
             // Before the view shows it, or it would be taken for a claim whose answer was lost.
             self.store.claims[slot] = None;
             self.store.free_since[slot] = Some(self.now);
         }
     }
 
-    pub(super) fn prove_tick(&mut self) {
-        if self.store.prove_busy || self.now < self.store.prove_next {
+    pub(super) fn verify_tick(&mut self) {
+        if self.store.verify_busy || self.now < self.store.verify_next {
             return;
         }
         let claims: Vec<(usize, u64)> = (0..=self.leader_slot())
-            .filter_map(|s| self.slot_version(s).map(|v| (s, v)))
+            .filter_map(|s| self.held_token(s).map(|v| (s, v)))
             .collect();
         if claims.is_empty() {
             return;
         }
-        self.store.prove_busy = true;
-        self.store.prove_next = self.now + PROVE_EVERY;
-        let when = claims
+        self.store.verify_busy = true;
+        self.store.verify_next = self.now + VERIFY_INTERVAL;
+        let conditions = claims
             .iter()
-            .map(|(s, v)| (self.slot_key(*s), *v))
+            .map(|(s, v)| (self.claim_key(*s), *v))
             .collect();
         let sent = self.now;
-        self.state(
-            StateCall::Commit {
-                when,
-                apply: vec![],
+        self.send_to_store(
+            StoreRequest::CompareAndSwap {
+                conditions,
+                writes: vec![],
             },
-            Pending::Prove { sent, claims },
+            Pending::Verify { sent, claims },
         );
     }
 
-    pub(crate) fn prove_reply(
+    pub(crate) fn verify_reply(
         &mut self,
         sent: Micros,
         claims: Vec<(usize, u64)>,
-        reply: StateReply,
+        reply: StoreReply,
     ) {
         match reply {
-            StateReply::Committed { revision } => {
+            StoreReply::Committed { revision } => {
                 if self.store.watches[0].loaded() && self.store.watches[0].seen() >= revision {
-                    return self.proof_done(sent, &claims);
+                    return self.verified(sent, &claims);
                 }
                 let after = self.store.watches[0].seen();
-                let request = StateCall::Changes {
+                let request = StoreRequest::Watch {
                     prefix: Topic::Jobs.prefix().to_owned(),
                     after,
-                    hold: Micros::ZERO,
+                    wait: Micros::ZERO,
                 };
-                self.state(
+                self.send_to_store(
                     request,
-                    Pending::ProveView {
+                    Pending::VerifyView {
                         sent,
                         claims,
                         revision,
                     },
                 );
             }
-            StateReply::Conflict { failed } => {
-                self.store.prove_busy = false;
+            StoreReply::Conflict { failed } => {
+                self.store.verify_busy = false;
                 for (slot, version) in claims {
-                    if failed.contains(&self.slot_key(slot))
-                        && self.slot_version(slot) == Some(version)
+                    if failed.contains(&self.claim_key(slot))
+                        && self.held_token(slot) == Some(version)
                     {
-                        self.drop_slot(slot, "claim proven lost");
+                        self.drop_claim(slot, "claim proven lost");
                     }
                 }
             }
             _ => {
-                self.store.prove_busy = false;
-                self.store.prove_next = self.now + RETRY;
+                self.store.verify_busy = false;
+                self.store.verify_next = self.now + RETRY;
             }
         }
     }
 
-    pub(crate) fn prove_view_reply(
+    pub(crate) fn verify_view_reply(
         &mut self,
         sent: Micros,
         claims: Vec<(usize, u64)>,
         revision: u64,
-        reply: StateReply,
+        reply: StoreReply,
     ) {
         if self.apply_changes(0, reply)
             && self.store.watches[0].loaded()
             && self.store.watches[0].seen() >= revision
         {
-            self.proof_done(sent, &claims);
+            self.verified(sent, &claims);
         } else {
-            self.store.prove_busy = false;
-            self.store.prove_next = self.now + RETRY;
+            self.store.verify_busy = false;
+            self.store.verify_next = self.now + RETRY;
         }
     }
 
-    pub(super) fn proof_done(&mut self, sent: Micros, claims: &[(usize, u64)]) {
-        self.store.prove_busy = false;
+    pub(super) fn verified(&mut self, sent: Micros, claims: &[(usize, u64)]) {
+        self.store.verify_busy = false;
         for (slot, version) in claims {
-            if self.slot_version(*slot) != Some(*version) {
+            if self.held_token(*slot) != Some(*version) {
                 continue;
             }
-            self.proven[*slot] = self.proven[*slot].max(Some(sent));
+            self.last_verified[*slot] = self.last_verified[*slot].max(Some(sent));
             let shard = self.shards.get_mut(*slot).and_then(|s| s.as_mut());
-            if let Some(s) = shard.filter(|s| s.phase == ShardPhase::Proving) {
+            if let Some(s) = shard.filter(|s| s.phase == ShardPhase::Verifying) {
                 s.phase = ShardPhase::Loading;
                 let load = Load {
                     version: *version,
--- a/crates/seamfront-core/src/store_session/takeover.rs
+++ b/crates/seamfront-core/src/store_session/failover.rs
@@ -26,7 +26,7 @@
             let after = last.map(|e| e.key.clone());
             let reads_parts = load.parts.is_some();
             load.busy = true;
-            if self.slot_version(slot) != Some(version) {
+            if self.held_token(slot) != Some(version) {
                 self.store.loads.remove(&slot);
                 continue;
             }
@@ -37,8 +37,8 @@
                 } else {
                     work_prefix(slot)
                 };
-                let request = StateCall::List { prefix, after };
-                self.state(
+                let request = StoreRequest::List { prefix, after };
+                self.send_to_store(
                     request,
                     Pending::Records {
                         shard: slot,
@@ -47,12 +47,12 @@
                 );
             } else {
                 let (prefix, after) = (Topic::Machines.prefix().to_owned(), fleet.seen());
-                let request = StateCall::Changes {
+                let request = StoreRequest::Watch {
                     prefix,
                     after,
-                    hold: Micros::ZERO,
+                    wait: Micros::ZERO,
                 };
-                self.state(
+                self.send_to_store(
                     request,
                     Pending::Fleet {
                         shard: slot,
@@ -71,7 +71,7 @@
             .filter(|l| l.version == version)
     }
 
-    pub(crate) fn fleet_reply(&mut self, slot: usize, version: u64, reply: StateReply) {
+    pub(crate) fn fleet_reply(&mut self, slot: usize, version: u64, reply: StoreReply) {
         let new = self.store.watches[MACHINES].loaded() && self.apply_changes(MACHINES, reply);
         let again = self.now + RETRY;
         let Some(load) = self.load(slot, version) else {
@@ -83,14 +83,14 @@
         }
     }
 
-    pub(crate) fn records_reply(&mut self, slot: usize, version: u64, reply: StateReply) {
+    pub(crate) fn records_reply(&mut self, slot: usize, version: u64, reply: StoreReply) {
         let again = self.now + RETRY;
         let Some(load) = self.load(slot, version) else {
             return;
         };
         load.busy = false;
         match reply {
-            StateReply::Page { entries, more, .. } => {
+            StoreReply::Page { entries, more, .. } => {
                 let first_part = load.parts.is_none() && !more;
                 load.parts
                     .as_mut()
@@ -112,7 +112,7 @@
         let Some(load) = self.store.loads.remove(&slot) else {
             return;
         };
-        if self.slot_version(slot) == Some(version) {
+        if self.held_token(slot) == Some(version) {
             self.take_over(slot, load.entries, load.parts.unwrap_or_default());
         }
     }
@@ -152,11 +152,11 @@
         }
         for (id, j) in self.jobs.iter().filter(|j| j.1.shard == slot) {
             shard.add_job(j.spec.clone(), j.version, now);
-            shard.chained(id, j.spec_now(), j.chain.waits(), now);
+            shard.update_dependencies(id, j.effective_spec(), j.dependencies.blocked(), now);
         }
         let over = now
-            + self.cfg.acting_time().with_drift()
-            + self.cfg.lease.with_drift()
+            + self.settings.verification_ttl().with_drift()
+            + self.settings.lease.with_drift()
             + Micros::from_secs(1);
         for id in unreadable {
             shard.hold_unreadable(&id, over);
--- a/crates/seamfront-core/src/store_session/mod.rs
+++ b/crates/seamfront-core/src/store_session/mod.rs
@@ -2,8 +2,8 @@
 //! claims on shards and on leadership, and the proof that these still hold.
 
 use crate::engine::{Engine, Pending};
-use crate::fleet::MachineRecord;
 use crate::leader::Leader;
+use crate::machine::MachineRecord;
 use crate::port::*;
 use crate::shard::{work_prefix, Shard, ShardPhase};
 use crate::types::*;
@@ -14,7 +14,7 @@
 use tracing::{debug, info, warn};
 
 mod claims;
-mod takeover;
+mod failover;
 
 /// Value of a claim's key. The lease tells one incarnation of a member from the next.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -98,14 +98,14 @@
     free_since: Vec<Option<Micros>>,
     claiming: Vec<bool>,
     /// By slot: the version of the last claim that was given up here. It is never acted on again.
-    spent: Vec<u64>,
+    last_released_token: Vec<u64>,
     claim_next: Micros,
-    prove_busy: bool,
-    prove_next: Micros,
+    verify_busy: bool,
+    verify_next: Micros,
     /// Shares whose former holder's records are being read, by slot.
     loads: BTreeMap<usize, Load>,
     /// When the state service last answered a request.
-    pub last_ok: Micros,
+    pub last_reply: Micros,
 }
 
 /// What is read before a shard can go on where its former holder stopped. All that that one recorded
@@ -133,12 +133,12 @@
             claims: vec![None; shards + 1],
             free_since: vec![None; shards + 1],
             claiming: vec![false; shards + 1],
-            spent: vec![0; shards + 1],
+            last_released_token: vec![0; shards + 1],
             claim_next: Micros::ZERO,
-            prove_busy: false,
-            prove_next: Micros::ZERO,
+            verify_busy: false,
+            verify_next: Micros::ZERO,
             loads: BTreeMap::new(),
-            last_ok: Micros::ZERO,
+            last_reply: Micros::ZERO,
         }
     }
 
@@ -148,12 +148,12 @@
     }
 }
 
-const PROVE_EVERY: Micros = Micros::from_millis(1_000);
+const VERIFY_INTERVAL: Micros = Micros::from_millis(1_000);
 const RETRY: Micros = Micros::from_millis(250);
 const HOLD: Micros = Micros::from_secs(20);
 
 impl Engine {
-    pub(crate) fn slot_key(&self, slot: usize) -> String {
+    pub(crate) fn claim_key(&self, slot: usize) -> String {
         if slot == self.leader_slot() {
             "leader".to_owned()
         } else {
@@ -162,7 +162,7 @@
     }
 
     pub(crate) fn leader_slot(&self) -> usize {
-        self.cfg.members.len()
+        self.settings.members.len()
     }
 
     pub(crate) fn store_session_tick(&mut self) {
@@ -171,7 +171,7 @@
             self.watch_tick(k);
         }
         self.claims_tick();
-        self.prove_tick();
+        self.verify_tick();
         self.loads_tick();
     }
 
@@ -182,29 +182,29 @@
             return;
         }
         self.store.lease_busy = true;
-        let ttl = self.cfg.tuning.claim_ttl;
+        let ttl = self.settings.tuning.claim_ttl;
         match self.store.lease {
-            None => self.state(StateCall::Grant { ttl }, Pending::Grant),
-            Some(lease) => self.state(StateCall::Renew { lease }, Pending::Renew),
+            None => self.send_to_store(StoreRequest::GrantLease { ttl }, Pending::Grant),
+            Some(lease) => self.send_to_store(StoreRequest::RenewLease { lease }, Pending::Renew),
         }
     }
 
-    pub(crate) fn lease_reply(&mut self, reply: StateReply) {
+    pub(crate) fn lease_reply(&mut self, reply: StoreReply) {
         self.store.lease_busy = false;
-        let every = self.cfg.tuning.claim_ttl.over(4);
+        let every = self.settings.tuning.claim_ttl.over(4);
         self.store.lease_next = self.now + every;
         match reply {
-            StateReply::Lease { id } => {
+            StoreReply::Lease { id } => {
                 info!(lease = id, "lease granted");
                 self.store.lease = Some(id);
             }
-            StateReply::Renewed => {}
-            StateReply::NoSuchLease => {
+            StoreReply::Renewed => {}
+            StoreReply::NoSuchLease => {
                 warn!("lease ended; all claims are lost");
                 self.store.lease = None;
                 self.store.lease_next = self.now;
                 for slot in 0..=self.leader_slot() {
-                    self.drop_slot(slot, "lease ended");
+                    self.drop_claim(slot, "lease ended");
                 }
             }
             _ => self.store.lease_next = self.now + RETRY,
@@ -220,12 +220,12 @@
         }
         w.busy = true;
         let request = w.view.request(TOPICS[k].prefix(), HOLD);
-        self.state(request, Pending::Watch(k));
+        self.send_to_store(request, Pending::Watch(k));
     }
 
-    pub(crate) fn watch_reply(&mut self, k: usize, reply: StateReply) {
+    pub(crate) fn watch_reply(&mut self, k: usize, reply: StoreReply) {
         let now = self.now;
-        let pause = self.cfg.ask_every();
+        let pause = self.settings.ask_every();
         let w = &mut self.store.watches[k];
         w.busy = false;
         let update = w.view.take(reply);
@@ -239,7 +239,7 @@
     }
 
     /// True if the view is now as new as the answer.
-    pub(crate) fn apply_changes(&mut self, k: usize, reply: StateReply) -> bool {
+    pub(crate) fn apply_changes(&mut self, k: usize, reply: StoreReply) -> bool {
         let update = self.store.watches[k].view.take(reply);
         let new = matches!(update, ViewUpdate::Changed { .. } | ViewUpdate::TooOld);
         self.view_updated(k, update);
@@ -279,9 +279,9 @@
             Topic::Machines => self
                 .machines
                 .keys()
-                .map(crate::fleet::machine_key)
+                .map(crate::machine::machine_key)
                 .collect(),
-            Topic::Shards => (0..self.leader_slot()).map(|s| self.slot_key(s)).collect(),
+            Topic::Shards => (0..self.leader_slot()).map(|s| self.claim_key(s)).collect(),
             Topic::Leader => vec!["leader".to_owned()],
         }
     }
@@ -317,7 +317,7 @@
                 let claim = value
                     .and_then(|v| serde_json::from_value::<ClaimValue>(v).ok())
                     .and_then(|c| {
-                        let member = self.cfg.members.iter().position(|m| *m == c.member)?;
+                        let member = self.settings.members.iter().position(|m| *m == c.member)?;
                         Some(Claim {
                             version,
                             member,
--- a/crates/seamfront-core/src/types.rs
+++ b/crates/seamfront-core/src/types.rs
@@ -106,7 +106,7 @@
 
 /// What a task takes or a machine has, in thousandths so that sums are exact.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub struct Amounts {
+pub struct Resources {
     /// Thousandths of a CPU.
     #[serde(rename = "c")]
     pub cpus: i64,
@@ -118,11 +118,11 @@
     pub ram: i64,
 }
 
-impl Amounts {
+impl Resources {
     /// Rounds up: a task must never be counted smaller than it is.
-    pub fn needed(cpus: f64, gpus: f64, ram: f64) -> Amounts {
+    pub fn needed(cpus: f64, gpus: f64, ram: f64) -> Resources {
         let up = |x: f64| (x * 1e3 - 1e-6).ceil() as i64;
-        Amounts {
+        Resources {
             cpus: up(cpus),
             gpus: up(gpus),
             ram: up(ram),
@@ -130,9 +130,9 @@
     }
 
     /// Rounds down: a machine or a limit must never be counted larger than it is.
-    pub fn offered(cpus: f64, gpus: f64, ram: f64) -> Amounts {
+    pub fn offered(cpus: f64, gpus: f64, ram: f64) -> Resources {
         let down = |x: f64| (x * 1e3 + 1e-6).floor() as i64;
-        Amounts {
+        Resources {
             cpus: down(cpus),
             gpus: down(gpus),
             ram: down(ram),
@@ -140,22 +140,22 @@
     }
 
     /// Adds.
-    pub fn add(&mut self, o: Amounts) {
+    pub fn add(&mut self, o: Resources) {
         self.cpus += o.cpus;
         self.gpus += o.gpus;
         self.ram += o.ram;
     }
 
     /// Subtracts; may go below zero.
-    pub fn sub(&mut self, o: Amounts) {
+    pub fn sub(&mut self, o: Resources) {
         self.cpus -= o.cpus;
         self.gpus -= o.gpus;
         self.ram -= o.ram;
     }
 
     /// So many times as much.
-    pub fn times(self, n: i64) -> Amounts {
-        Amounts {
+    pub fn times(self, n: i64) -> Resources {
+        Resources {
             cpus: self.cpus * n,
             gpus: self.gpus * n,
             ram: self.ram * n,
@@ -163,7 +163,7 @@
     }
 
     /// How many tasks of size `task` fit into this room.
-    pub fn fits(self, task: Amounts) -> i64 {
+    pub fn fits(self, task: Resources) -> i64 {
         let part = |have: i64, want: i64| {
             if want <= 0 {
                 i64::MAX
@@ -179,7 +179,7 @@
 
 /// Shape of a job.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Kind {
+pub enum JobKind {
     /// Independent tasks, each runs to completion.
     Array,
     /// All tasks run at the same time or none does.
@@ -202,20 +202,20 @@
 }
 
 /// Every job, the largest too, should have begun this long after its submission.
-pub const BEGIN_WITHIN: Micros = Micros::from_secs(240);
+pub const START_DEADLINE: Micros = Micros::from_secs(240);
 
 /// The order of turns. What has not begun at all when two thirds of the time that it may take are over
 /// goes with the work that is one step more important, and before it: so nothing waits for ever
 /// behind an endless stream of better work. Of an array one task does: raised as a whole, the arrays of
 /// a long burst took the room of all ordinary work. This decides who is placed next and for whom machines
 /// are collected, never what may be stopped: for that the priority itself counts.
-pub fn turn(priority: Priority, overdue: bool) -> (Priority, bool) {
+pub fn queue_rank(priority: Priority, starving: bool) -> (Priority, bool) {
     let raised = match priority {
         Priority::BestEffort => Priority::Normal,
         Priority::Normal | Priority::Urgent => Priority::Urgent,
         Priority::Critical => Priority::Critical,
     };
-    (if overdue { raised } else { priority }, !overdue)
+    (if starving { raised } else { priority }, !starving)
 }
 
 /// A job as accepted; stored whole in its `job/` record.
@@ -228,13 +228,14 @@
     /// The team whose limit and guarantee apply.
     pub team: String,
     /// Its shape.
-    pub kind: Kind,
+    pub kind: JobKind,
     /// How important it is.
     pub priority: Priority,
     /// Number of tasks.
     pub tasks: u32,
     /// What one task takes.
-    pub need: Amounts,
+    #[serde(rename = "need")]
+    pub task_resources: Resources,
     /// Allowed machine types, or any.
     pub types: Option<Vec<String>>,
     /// The only allowed zone, or any.
@@ -260,11 +261,11 @@
     /// Time of day of the first acceptance, so that order and deadlines outlive a controller.
     pub submitted: Micros,
     /// Jobs that must be done before any task of it starts.
-    #[serde(default, skip_serializing_if = "Vec::is_empty")]
-    pub needs: Vec<JobId>,
-    /// How many more parts of that list stand under keys of their own: see [`crate::chains`].
-    #[serde(default, skip_serializing_if = "is_zero")]
-    pub needs_parts: u32,
+    #[serde(rename = "needs", default, skip_serializing_if = "Vec::is_empty")]
+    pub dependencies: Vec<JobId>,
+    /// How many more parts of that list stand under keys of their own: see [`crate::dependencies`].
+    #[serde(rename = "needs_parts", default, skip_serializing_if = "is_zero")]
+    pub dependency_parts: u32,
 }
 
 fn is_zero(n: &u32) -> bool {
@@ -283,13 +284,14 @@
 
     /// Machines with accelerators cost many times as much and are few. What needs none stays off
     /// them, unless no other type would do.
-    pub fn suits(&self, size: Amounts, types: &[MachineType]) -> bool {
-        suits(self.need, self.types.as_deref(), size, types)
+    pub fn suits(&self, size: Resources, types: &[MachineType]) -> bool {
+        suits(self.task_resources, self.types.as_deref(), size, types)
     }
 
     /// The shortest fetch of the image on any machine that may run this.
     pub fn fetch_at_best(&self, types: &[MachineType]) -> Micros {
-        let fits = |t: &&MachineType| t.size.fits(self.need) > 0 && self.suits(t.size, types);
+        let fits =
+            |t: &&MachineType| t.size.fits(self.task_resources) > 0 && self.suits(t.size, types);
         let rate = types.iter().filter(fits).map(|t| t.fetch_mb_s).max();
         rate.map_or(Micros::ZERO, |rate| {
             Micros::from_millis(self.image_mb * 1_000 / rate.max(1))
@@ -318,7 +320,7 @@
     /// Name.
     pub name: String,
     /// What such a machine has.
-    pub size: Amounts,
+    pub size: Resources,
     /// Room for images, in MB.
     pub cache_mb: i64,
     /// Rate of fetching images, in MB a second.
@@ -335,15 +337,17 @@
 
 /// See [`JobSpec::suits`].
 pub fn suits(
-    need: Amounts,
+    task_resources: Resources,
     allowed: Option<&[String]>,
-    size: Amounts,
+    size: Resources,
     types: &[MachineType],
 ) -> bool {
     let plain = |t: &MachineType| {
-        t.size.gpus == 0 && t.size.fits(need) > 0 && allowed.is_none_or(|a| a.contains(&t.name))
+        t.size.gpus == 0
+            && t.size.fits(task_resources) > 0
+            && allowed.is_none_or(|a| a.contains(&t.name))
     };
-    need.gpus > 0 || size.gpus == 0 || !types.iter().any(plain)
+    task_resources.gpus > 0 || size.gpus == 0 || !types.iter().any(plain)
 }
 
 /// A team with what it is granted.
@@ -352,9 +356,9 @@
     /// Name.
     pub name: String,
     /// What its unfinished jobs need not wait for.
-    pub guarantee: Amounts,
+    pub guarantee: Resources,
     /// Zero in a field means no limit there.
-    pub limit: Amounts,
+    pub limit: Resources,
 }
 
 /// What operators state of a class of jobs: tasks started, or jobs finished, within a time.
@@ -380,7 +384,7 @@
     /// What is aimed at for classes of jobs.
     pub objectives: Vec<Objective>,
     /// Time between a worker's reports.
-    pub report: Micros,
+    pub heartbeat_interval: Micros,
     /// A worker's lease.
     pub lease: Micros,
     /// How long a gang's member waits for the others.
@@ -435,14 +439,14 @@
 impl Settings {
     /// How long a holder may act on one proof of its claim (T in docs/design.md): a cancellation
     /// that it did not hear of must still be carried out by the workers' leases in time.
-    pub fn acting_time(&self) -> Micros {
+    pub fn verification_ttl(&self) -> Micros {
         let margin = Micros::from_millis(3_500);
         let t = self.cancel - self.lease.with_drift() - margin;
         t.max(Micros::from_secs(2))
     }
 
-    /// False where the settings leave no room for [`Settings::acting_time`].
-    pub fn acting_time_fits(&self) -> bool {
+    /// False where the settings leave no room for [`Settings::verification_ttl`].
+    pub fn verification_ttl_fits(&self) -> bool {
         self.cancel - self.lease.with_drift() >= Micros::from_millis(5_500)
     }
 
@@ -453,16 +457,16 @@
         every.min(Micros::from_millis(200))
     }
 
-    /// Until when a job that was submitted at `submitted` should start, as of `wall`: the earliest
+    /// Until when a job that was submitted at `submitted` should start, as of `wall_time`: the earliest
     /// of its deadline and of its class's objectives that can still be met. A job that can meet
     /// none any more gets none.
-    pub fn start_by(&self, spec: &JobSpec, wall: Micros) -> Option<Micros> {
-        self.times_to_start(spec).filter(|t| *t > wall).min()
+    pub fn start_by(&self, spec: &JobSpec, wall_time: Micros) -> Option<Micros> {
+        self.times_to_start(spec).filter(|t| *t > wall_time).min()
     }
 
     /// Whether a time that the job should have kept has passed already.
-    pub fn late(&self, spec: &JobSpec, wall: Micros) -> bool {
-        self.times_to_start(spec).any(|t| t <= wall)
+    pub fn late(&self, spec: &JobSpec, wall_time: Micros) -> bool {
+        self.times_to_start(spec).any(|t| t <= wall_time)
     }
 
     fn times_to_start<'a>(&'a self, spec: &'a JobSpec) -> impl Iterator<Item = Micros> + 'a {
--- a/crates/seamfront-core/src/users.rs
+++ b/crates/seamfront-core/src/user_api.rs
@@ -1,7 +1,7 @@
 //! What users ask, at any node. Nothing older than what any node has told: final states never
 //! change and are kept; everything else is confirmed by the store at the time of the answer.
 
-use crate::chains::Question;
+use crate::dependencies::StatusQuery;
 use crate::engine::{Engine, LiveJob, Pending};
 use crate::port::*;
 use crate::quota::within_limit;
@@ -21,7 +21,7 @@
 }
 
 /// Whether a job's record names jobs that it needs.
-fn has_needs(record: &serde_json::Value) -> bool {
+fn has_dependencies(record: &serde_json::Value) -> bool {
     record.get("needs").is_some()
 }
 
@@ -55,19 +55,19 @@
 
 /// Remembers ended jobs; the oldest are forgotten here and then asked of the store again.
 #[derive(Default)]
-pub struct Ended {
+pub struct EndedJobs {
     known: BTreeMap<JobId, EndRecord>,
     age: VecDeque<JobId>,
 }
 
-const ENDED_KEPT: usize = 50_000;
+const MAX_REMEMBERED_ENDS: usize = 50_000;
 /// More users waiting than this are told to come back.
-const WAITING_MAX: usize = 2_000;
+const MAX_WAITING_REQUESTS: usize = 2_000;
 /// Questions leave so many of these places to submissions and cancellations: users ask again in any case.
-const KEPT_FROM_QUESTIONS: usize = 500;
-const SUBMIT_BATCH: usize = 16;
+const RESERVED_FOR_UPDATES: usize = 500;
+const MAX_SUBMISSIONS_PER_BATCH: usize = 16;
 
-impl Ended {
+impl EndedJobs {
     /// How a job ended, if that is remembered.
     pub fn get(&self, id: &JobId) -> Option<EndRecord> {
         self.known.get(id).copied()
@@ -77,7 +77,7 @@
     pub fn insert(&mut self, id: &JobId, end: EndRecord) {
         if self.known.insert(id.clone(), end).is_none() {
             self.age.push_back(id.clone());
-            if self.age.len() > ENDED_KEPT {
+            if self.age.len() > MAX_REMEMBERED_ENDS {
                 if let Some(old) = self.age.pop_front() {
                     self.known.remove(&old);
                 }
@@ -88,7 +88,7 @@
 
 /// What a user wishes of a job.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Wish {
+pub enum LookupPurpose {
     /// To be told its state.
     Poll,
     /// To have it cancelled.
@@ -98,28 +98,28 @@
 /// Requests of users, and what answers them without the state service.
 #[derive(Default)]
 pub struct Users {
-    submits: VecDeque<(ReplyTo, Rc<JobSpec>)>,
-    polls: VecDeque<(ReplyTo, JobId)>,
+    submits: VecDeque<(ClientRequestId, Rc<JobSpec>)>,
+    polls: VecDeque<(ClientRequestId, JobId)>,
     /// Ends that are remembered.
-    pub ended: Ended,
+    pub ended: EndedJobs,
     /// Display counts as the jobs' holders told them.
     pub progress: BTreeMap<JobId, (u32, u32)>,
     pub(crate) in_flight: usize,
     confirm_next: Micros,
 }
 
-const COME_BACK: Micros = Micros::from_secs(1);
+const RETRY_AFTER: Micros = Micros::from_secs(1);
 
 impl Engine {
-    pub(crate) fn later(&mut self, to: ReplyTo) {
-        self.answer(to, Answer::Later { after: COME_BACK });
+    pub(crate) fn reject_with_retry_after(&mut self, to: ClientRequestId) {
+        self.answer(to, Answer::RetryLater { after: RETRY_AFTER });
     }
 
-    pub(crate) fn answer_end(&mut self, to: ReplyTo, id: &JobId, end: EndRecord) {
+    pub(crate) fn answer_end(&mut self, to: ClientRequestId, id: &JobId, end: EndRecord) {
         let (state, done) = if end.cancelled {
-            (ShownState::Cancelled, 0)
+            (JobState::Cancelled, 0)
         } else {
-            (ShownState::Done, end.tasks)
+            (JobState::Done, end.tasks)
         };
         self.answer(
             to,
@@ -133,7 +133,7 @@
         );
     }
 
-    pub(crate) fn answer_live(&mut self, to: ReplyTo, id: &JobId, created: bool) {
+    pub(crate) fn answer_live(&mut self, to: ClientRequestId, id: &JobId, created: bool) {
         // It may have ended here while the store was asked.
         if let Some(end) = self.users.ended.get(id) {
             return self.answer_end(to, id, end);
@@ -148,9 +148,9 @@
             None => self.users.progress.get(id).copied().unwrap_or_default(),
         };
         let state = if running > 0 {
-            ShownState::Running
+            JobState::Running
         } else {
-            ShownState::Queued
+            JobState::Queued
         };
         self.answer(
             to,
@@ -166,8 +166,8 @@
 
     /// The store has not answered lately: nothing can be taken or confirmed, and waiting for it
     /// would only hold the user back.
-    fn store_away(&self) -> bool {
-        !self.store.loaded() || self.now - self.store.last_ok > Micros::from_millis(2_500)
+    fn store_unavailable(&self) -> bool {
+        !self.store.loaded() || self.now - self.store.last_reply > Micros::from_millis(2_500)
     }
 
     /// Requests of users that wait for the store.
@@ -175,100 +175,106 @@
         self.users.submits.len() + self.users.polls.len() + self.users.in_flight
     }
 
-    fn crowded(&self) -> bool {
-        self.users_waiting() > WAITING_MAX
+    fn overloaded(&self) -> bool {
+        self.users_waiting() > MAX_WAITING_REQUESTS
     }
 
-    pub(crate) fn submit(&mut self, to: ReplyTo, mut spec: JobSpec) {
+    pub(crate) fn submit(&mut self, to: ClientRequestId, mut spec: JobSpec) {
         if let Some(end) = self.users.ended.get(&spec.id) {
             return self.answer_end(to, &spec.id.clone(), end);
         }
-        if self.store_away() || self.crowded() {
-            return self.later(to);
+        if self.store_unavailable() || self.overloaded() {
+            return self.reject_with_retry_after(to);
         }
         // Known jobs are known whatever the repeated body says.
         if self.jobs.contains_key(&spec.id) {
             return self.poll(to, spec.id);
         }
         if self.types.is_empty() {
-            return self.later(to);
+            return self.reject_with_retry_after(to);
         }
-        spec.submitted = self.wall;
+        spec.submitted = self.wall_time;
         match self.check_possible(&spec) {
-            Ok(()) => self.check_needs(to, Rc::new(spec)),
+            Ok(()) => self.check_dependencies(to, Rc::new(spec)),
             Err(why) => self.verify_unknown(to, Rc::new(spec), why),
         }
     }
 
     /// What it needs is known: it can be created.
-    pub(crate) fn submit_checked(&mut self, to: ReplyTo, spec: Rc<JobSpec>) {
+    pub(crate) fn submit_checked(&mut self, to: ClientRequestId, spec: Rc<JobSpec>) {
         self.users.submits.push_back((to, spec));
     }
 
     /// Whether a job can ever run here.
-    fn check_possible(&self, spec: &JobSpec) -> Result<(), Impossible> {
-        let team = self.cfg.team(&spec.team).ok_or(Impossible::UnknownTeam)?;
+    fn check_possible(&self, spec: &JobSpec) -> Result<(), SubmissionError> {
+        let team = self
+            .settings
+            .team(&spec.team)
+            .ok_or(SubmissionError::UnknownTeam)?;
         let fits = |t: &MachineType| {
-            t.size.fits(spec.need) > 0 && t.zones.iter().any(|z| spec.allows(&t.name, z, false))
+            t.size.fits(spec.task_resources) > 0
+                && t.zones.iter().any(|z| spec.allows(&t.name, z, false))
         };
         if !self.types.iter().any(fits) {
-            return Err(Impossible::NoMachineFits);
+            return Err(SubmissionError::NoMachineFits);
         }
         if !within_limit(team, spec) {
-            return Err(Impossible::OverLimit);
+            return Err(SubmissionError::OverLimit);
         }
         Ok(())
     }
 
-    pub(crate) fn poll(&mut self, to: ReplyTo, id: JobId) {
+    pub(crate) fn poll(&mut self, to: ClientRequestId, id: JobId) {
         if let Some(end) = self.users.ended.get(&id) {
             return self.answer_end(to, &id, end);
         }
-        if self.store_away() || self.users_waiting() > WAITING_MAX - KEPT_FROM_QUESTIONS {
-            return self.later(to);
+        if self.store_unavailable()
+            || self.users_waiting() > MAX_WAITING_REQUESTS - RESERVED_FOR_UPDATES
+        {
+            return self.reject_with_retry_after(to);
         }
         self.users.polls.push_back((to, id));
     }
 
-    pub(crate) fn cancel(&mut self, to: ReplyTo, id: JobId) {
+    pub(crate) fn cancel(&mut self, to: ClientRequestId, id: JobId) {
         if let Some(end) = self.users.ended.get(&id) {
             return self.answer_end(to, &id, end);
         }
-        if self.store_away() || self.crowded() {
-            return self.later(to);
+        if self.store_unavailable() || self.overloaded() {
+            return self.reject_with_retry_after(to);
         }
         match self.jobs.get(&id) {
             Some(j) => {
                 let (version, tasks) = (j.version, j.spec.tasks);
                 self.cancel_known(to, id, version, tasks);
             }
-            None => self.look_up(to, id, Wish::Cancel),
+            None => self.look_up(to, id, LookupPurpose::Cancel),
         }
     }
 
-    fn cancel_known(&mut self, to: ReplyTo, id: JobId, version: u64, tasks: u32) {
+    fn cancel_known(&mut self, to: ClientRequestId, id: JobId, version: u64, tasks: u32) {
         let end = EndRecord {
             cancelled: true,
             tasks,
         };
-        let request = StateCall::Commit {
-            when: end_conditions(&id, version).into(),
-            apply: end_writes(&id, end).into(),
+        let request = StoreRequest::CompareAndSwap {
+            conditions: end_conditions(&id, version).into(),
+            writes: end_writes(&id, end).into(),
         };
         self.users.in_flight += 1;
-        self.state(request, Pending::Cancel { to, id, end });
+        self.send_to_store(request, Pending::Cancel { to, id, end });
     }
 
     pub(crate) fn cancel_reply(
         &mut self,
-        to: ReplyTo,
+        to: ClientRequestId,
         id: JobId,
         end: EndRecord,
-        reply: StateReply,
+        reply: StoreReply,
     ) {
         self.users.in_flight -= 1;
         match reply {
-            StateReply::Committed { .. } => {
+            StoreReply::Committed { .. } => {
                 info!(job = %id, "cancelled by its user");
                 let shard = self
                     .jobs
@@ -276,95 +282,103 @@
                     .map(|j| j.shard)
                     .filter(|k| self.shards[*k].is_none());
                 if let Some(shard) = shard {
-                    self.tell_holder(
+                    self.notify_holder(
                         shard,
-                        MeshMessage::Cancelled {
+                        PeerMessage::Cancelled {
                             job: id.clone(),
                             tasks: end.tasks,
                         },
                     );
                 }
-                self.end_learned(&id, end);
+                self.end_confirmed(&id, end);
                 self.answer_end(to, &id, end);
             }
-            StateReply::Conflict { .. } => self.look_up(to, id, Wish::Poll),
-            _ => self.later(to),
+            StoreReply::Conflict { .. } => self.look_up(to, id, LookupPurpose::Poll),
+            _ => self.reject_with_retry_after(to),
         }
     }
 
     /// Asks the store. The job first, then its end: whoever ends a job removes the one and writes
     /// the other in one transaction, so this order can't miss both.
-    pub(crate) fn look_up(&mut self, to: ReplyTo, id: JobId, wish: Wish) {
+    pub(crate) fn look_up(&mut self, to: ClientRequestId, id: JobId, purpose: LookupPurpose) {
         self.users.in_flight += 1;
-        self.state(
-            StateCall::Get { key: job_key(&id) },
-            Pending::LookUp { to, id, wish },
+        self.send_to_store(
+            StoreRequest::Get { key: job_key(&id) },
+            Pending::LookUp { to, id, purpose },
         );
     }
 
-    pub(crate) fn look_up_reply(&mut self, to: ReplyTo, id: JobId, wish: Wish, reply: StateReply) {
+    pub(crate) fn look_up_reply(
+        &mut self,
+        to: ClientRequestId,
+        id: JobId,
+        purpose: LookupPurpose,
+        reply: StoreReply,
+    ) {
         self.users.in_flight -= 1;
         match reply {
-            StateReply::Entry(e) => match wish {
+            StoreReply::Entry(e) => match purpose {
                 // What became of the jobs that it needs is known once the view shows it.
-                Wish::Poll if has_needs(&e.value) => match self.jobs.contains_key(&id) {
-                    true => self.answer_waiting(
-                        vec![Question {
-                            to,
-                            id,
-                            created: false,
-                        }],
-                        e.version,
-                    ),
-                    false => self.later(to),
-                },
-                Wish::Poll => self.answer_live(to, &id, false),
-                Wish::Cancel => {
+                LookupPurpose::Poll if has_dependencies(&e.value) => {
+                    match self.jobs.contains_key(&id) {
+                        true => self.answer_blocked(
+                            vec![StatusQuery {
+                                to,
+                                id,
+                                created: false,
+                            }],
+                            e.version,
+                        ),
+                        false => self.reject_with_retry_after(to),
+                    }
+                }
+                LookupPurpose::Poll => self.answer_live(to, &id, false),
+                LookupPurpose::Cancel => {
                     let tasks = serde_json::from_value::<JobSpec>(e.value).map_or(0, |s| s.tasks);
                     self.cancel_known(to, id, e.version, tasks);
                 }
             },
-            StateReply::Missing => {
+            StoreReply::Missing => {
                 self.users.in_flight += 1;
-                self.state(
-                    StateCall::Get { key: end_key(&id) },
+                self.send_to_store(
+                    StoreRequest::Get { key: end_key(&id) },
                     Pending::LookUpEnd { to, id },
                 );
             }
-            _ => self.later(to),
+            _ => self.reject_with_retry_after(to),
         }
     }
 
-    pub(crate) fn look_up_end_reply(&mut self, to: ReplyTo, id: JobId, reply: StateReply) {
+    pub(crate) fn look_up_end_reply(&mut self, to: ClientRequestId, id: JobId, reply: StoreReply) {
         self.users.in_flight -= 1;
         match reply {
-            StateReply::Entry(e) => match serde_json::from_value::<EndRecord>(e.value) {
+            StoreReply::Entry(e) => match serde_json::from_value::<EndRecord>(e.value) {
                 Ok(end) => {
-                    self.end_learned(&id, end);
+                    self.end_confirmed(&id, end);
                     self.answer_end(to, &id, end);
                 }
-                Err(_) => self.later(to),
+                Err(_) => self.reject_with_retry_after(to),
             },
-            StateReply::Missing => self.answer(to, Answer::NotFound),
-            _ => self.later(to),
+            StoreReply::Missing => self.answer(to, Answer::NotFound),
+            _ => self.reject_with_retry_after(to),
         }
     }
 
     /// Sends what has gathered: submissions that create, and one comparison that confirms many polls.
     pub(crate) fn users_flush(&mut self) {
         while !self.users.submits.is_empty() {
-            let room = SUBMIT_BATCH.min(self.cfg.txn_ops);
-            let mut batch: Vec<(ReplyTo, Rc<JobSpec>)> = Vec::new();
+            let room = MAX_SUBMISSIONS_PER_BATCH.min(self.settings.txn_ops);
+            let mut batch: Vec<(ClientRequestId, Rc<JobSpec>)> = Vec::new();
             let mut bytes = 0;
             while let Some((to, spec)) = self.users.submits.pop_front() {
                 if batch.iter().any(|b| b.1.id == spec.id) {
                     // The same id twice at once: the second waits for the first to be known.
-                    self.later(to);
+                    self.reject_with_retry_after(to);
                     continue;
                 }
                 bytes += 600
                     + spec
-                        .needs
+                        .dependencies
                         .iter()
                         .map(|n| n.as_str().len() + 3)
                         .sum::<usize>()
@@ -386,43 +400,44 @@
         if self.now < self.users.confirm_next || self.users.polls.is_empty() {
             return;
         }
-        self.users.confirm_next = self.now + self.cfg.ask_every();
+        self.users.confirm_next = self.now + self.settings.ask_every();
         while !self.users.polls.is_empty() {
             let mut known = Vec::new();
             while let Some((to, id)) = self.users.polls.pop_front() {
                 match self.jobs.get(&id) {
                     Some(j) => known.push((to, id, j.version)),
-                    None => self.look_up(to, id, Wish::Poll),
+                    None => self.look_up(to, id, LookupPurpose::Poll),
                 }
-                if known.len() >= self.cfg.txn_ops * 2 {
+                if known.len() >= self.settings.txn_ops * 2 {
                     break;
                 }
             }
             if known.is_empty() {
                 continue;
             }
-            let mut when: Vec<(String, u64)> = known.iter().map(|k| (job_key(&k.1), k.2)).collect();
-            when.sort();
-            when.dedup();
+            let mut conditions: Vec<(String, u64)> =
+                known.iter().map(|k| (job_key(&k.1), k.2)).collect();
+            conditions.sort();
+            conditions.dedup();
             self.users.in_flight += known.len();
             let polls = known.into_iter().map(|k| (k.0, k.1)).collect();
-            self.state(
-                StateCall::Commit {
-                    when,
-                    apply: vec![],
+            self.send_to_store(
+                StoreRequest::CompareAndSwap {
+                    conditions,
+                    writes: vec![],
                 },
                 Pending::Confirm { polls },
             );
         }
     }
 
-    fn send_submits(&mut self, batch: Vec<(ReplyTo, Rc<JobSpec>)>) {
-        let (mut when, mut apply, mut sent) = (Vec::new(), Vec::new(), Vec::new());
+    fn send_submits(&mut self, batch: Vec<(ClientRequestId, Rc<JobSpec>)>) {
+        let (mut conditions, mut writes, mut sent) = (Vec::new(), Vec::new(), Vec::new());
         for (to, spec) in batch {
-            when.push((job_key(&spec.id), 0));
-            when.push((end_key(&spec.id), 0));
+            conditions.push((job_key(&spec.id), 0));
+            conditions.push((end_key(&spec.id), 0));
             let value = serde_json::to_value(&*spec).unwrap_or_default();
-            apply.push(Write::Put {
+            writes.push(Write::Put {
                 key: job_key(&spec.id),
                 value,
                 lease: None,
@@ -431,19 +446,24 @@
         }
         if !sent.is_empty() {
             self.users.in_flight += sent.len();
-            self.state(
-                StateCall::Commit { when, apply },
+            self.send_to_store(
+                StoreRequest::CompareAndSwap { conditions, writes },
                 Pending::Submit { batch: sent },
             );
         }
     }
 
     /// An accepted job's repetition never gets 422: the store says whether it is known.
-    pub(crate) fn verify_unknown(&mut self, to: ReplyTo, spec: Rc<JobSpec>, why: Impossible) {
+    pub(crate) fn verify_unknown(
+        &mut self,
+        to: ClientRequestId,
+        spec: Rc<JobSpec>,
+        why: SubmissionError,
+    ) {
         self.users.in_flight += 1;
         let key = job_key(&spec.id);
-        self.state(
-            StateCall::Get { key },
+        self.send_to_store(
+            StoreRequest::Get { key },
             Pending::VerifyUnknown {
                 to,
                 spec,
@@ -456,27 +476,27 @@
     /// A job that can never run, unless it is known already (settings may have changed since).
     pub(crate) fn verify_unknown_reply(
         &mut self,
-        to: ReplyTo,
+        to: ClientRequestId,
         spec: Rc<JobSpec>,
-        why: Impossible,
+        why: SubmissionError,
         end: bool,
-        reply: StateReply,
+        reply: StoreReply,
     ) {
         self.users.in_flight -= 1;
         match reply {
-            StateReply::Entry(_) if !end => self.look_up(to, spec.id.clone(), Wish::Poll),
-            StateReply::Entry(e) => match serde_json::from_value::<EndRecord>(e.value) {
+            StoreReply::Entry(_) if !end => self.look_up(to, spec.id.clone(), LookupPurpose::Poll),
+            StoreReply::Entry(e) => match serde_json::from_value::<EndRecord>(e.value) {
                 Ok(record) => {
-                    self.end_learned(&spec.id, record);
+                    self.end_confirmed(&spec.id, record);
                     self.answer_end(to, &spec.id, record);
                 }
-                Err(_) => self.later(to),
+                Err(_) => self.reject_with_retry_after(to),
             },
-            StateReply::Missing if !end => {
+            StoreReply::Missing if !end => {
                 self.users.in_flight += 1;
                 let key = end_key(&spec.id);
-                self.state(
-                    StateCall::Get { key },
+                self.send_to_store(
+                    StoreRequest::Get { key },
                     Pending::VerifyUnknown {
                         to,
                         spec,
@@ -485,15 +505,19 @@
                     },
                 );
             }
-            StateReply::Missing => self.answer(to, Answer::Impossible(why)),
-            _ => self.later(to),
+            StoreReply::Missing => self.answer(to, Answer::Rejected(why)),
+            _ => self.reject_with_retry_after(to),
         }
     }
 
-    pub(crate) fn submit_reply(&mut self, batch: Vec<(ReplyTo, Rc<JobSpec>)>, reply: StateReply) {
+    pub(crate) fn submit_reply(
+        &mut self,
+        batch: Vec<(ClientRequestId, Rc<JobSpec>)>,
+        reply: StoreReply,
+    ) {
         self.users.in_flight -= batch.len();
         match reply {
-            StateReply::Committed { revision } => {
+            StoreReply::Committed { revision } => {
                 let mut created = Vec::new();
                 for (to, spec) in batch {
                     info!(job = %spec.id, class = %spec.class, tasks = spec.tasks, "accepted");
@@ -502,7 +526,7 @@
                     if self.store.watches[0].seen() < revision {
                         self.job_appeared(spec, revision);
                     }
-                    created.push(Question {
+                    created.push(StatusQuery {
                         to,
                         id,
                         created: true,
@@ -510,10 +534,10 @@
                 }
                 self.answer_confirmed(created, revision);
             }
-            StateReply::Conflict { failed } => {
+            StoreReply::Conflict { failed } => {
                 for (to, spec) in batch {
                     if failed.contains(&job_key(&spec.id)) || failed.contains(&end_key(&spec.id)) {
-                        self.look_up(to, spec.id.clone(), Wish::Poll);
+                        self.look_up(to, spec.id.clone(), LookupPurpose::Poll);
                     } else {
                         self.users.submits.push_back((to, spec));
                     }
@@ -521,28 +545,32 @@
             }
             _ => {
                 for (to, _) in batch {
-                    self.later(to);
+                    self.reject_with_retry_after(to);
                 }
             }
         }
     }
 
-    pub(crate) fn confirm_reply(&mut self, polls: Vec<(ReplyTo, JobId)>, reply: StateReply) {
+    pub(crate) fn confirm_reply(
+        &mut self,
+        polls: Vec<(ClientRequestId, JobId)>,
+        reply: StoreReply,
+    ) {
         self.users.in_flight -= polls.len();
         match reply {
-            StateReply::Committed { revision } => {
-                let polls = polls.into_iter().map(|(to, id)| Question {
+            StoreReply::Committed { revision } => {
+                let polls = polls.into_iter().map(|(to, id)| StatusQuery {
                     to,
                     id,
                     created: false,
                 });
                 self.answer_confirmed(polls.collect(), revision);
             }
-            StateReply::Conflict { failed } => {
+            StoreReply::Conflict { failed } => {
                 for (to, id) in polls {
                     if failed.contains(&job_key(&id)) {
                         debug!(job = %id, "ended since; asking how");
-                        self.look_up(to, id, Wish::Poll);
+                        self.look_up(to, id, LookupPurpose::Poll);
                     } else {
                         // Only a success vouches for all at once.
                         self.users.polls.push_back((to, id));
@@ -551,7 +579,7 @@
             }
             _ => {
                 for (to, _) in polls {
-                    self.later(to);
+                    self.reject_with_retry_after(to);
                 }
             }
         }
@@ -560,22 +588,22 @@
     /// Answers about jobs that the store has confirmed to be live at this revision. What has left the view since
     /// has ended, perhaps with a job that it needs, whose user was told of the cancellation long ago: it must not be
     /// called queued, and the store is asked how it ended.
-    fn answer_confirmed(&mut self, questions: Vec<Question>, revision: u64) {
+    fn answer_confirmed(&mut self, questions: Vec<StatusQuery>, revision: u64) {
         let mut waiting = Vec::new();
         for q in questions {
             match self.jobs.get(&q.id) {
-                Some(j) if j.chain.waits() => waiting.push(q),
+                Some(j) if j.dependencies.blocked() => waiting.push(q),
                 None if self.users.ended.get(&q.id).is_none() => {
-                    self.look_up(q.to, q.id, Wish::Poll)
+                    self.look_up(q.to, q.id, LookupPurpose::Poll)
                 }
                 _ => self.answer_live(q.to, &q.id, q.created),
             }
         }
-        self.answer_waiting(waiting, revision);
+        self.answer_blocked(waiting, revision);
     }
 
     pub(crate) fn job_appeared(&mut self, spec: Rc<JobSpec>, version: u64) {
-        let Some(shard) = self.cfg.shard_of(&spec.team) else {
+        let Some(shard) = self.settings.shard_of(&spec.team) else {
             return;
         };
         let id = spec.id.clone();
@@ -591,38 +619,40 @@
                 spec: spec.clone(),
                 version,
                 shard,
-                chain: Default::default(),
+                dependencies: Default::default(),
             },
         );
-        let waits = self.chain_appeared(&id);
+        let blocked = self.register_dependencies(&id);
         if let Some(s) = self.shards[shard].as_mut() {
             if s.phase == crate::shard::ShardPhase::Ready {
                 s.add_job(spec, version, self.now);
-                if waits {
-                    self.tell_shard(&id);
+                if blocked {
+                    self.notify_shard(&id);
                 }
             }
         }
-        self.urge(&id);
+        self.propagate_urgency(&id);
     }
 
     /// It has ended and is live no more. Its shard, where it is ours, knows by itself.
-    pub(crate) fn job_over(&mut self, id: &JobId) -> Option<LiveJob> {
+    pub(crate) fn remove_live_job(&mut self, id: &JobId) -> Option<LiveJob> {
         let j = self.jobs.remove(id)?;
         self.users.progress.remove(id);
-        self.chain_over(id, &j);
+        self.remove_from_graph(id, &j);
         Some(j)
     }
 
     /// The store holds this end. Whatever the view still shows, nothing of the job is started from now on: whoever
     /// is told of the end may rely on it.
-    pub(crate) fn end_learned(&mut self, id: &JobId, end: EndRecord) {
+    pub(crate) fn end_confirmed(&mut self, id: &JobId, end: EndRecord) {
         self.users.ended.insert(id, end);
         self.job_vanished(id);
     }
 
     pub(crate) fn job_vanished(&mut self, id: &JobId) {
-        let Some(j) = self.job_over(id) else { return };
+        let Some(j) = self.remove_live_job(id) else {
+            return;
+        };
         self.with_shard(j.shard, |s, context| s.job_ended(context, id));
     }
 }
--- a/crates/seamfront-core/tests/capacity.rs
+++ b/crates/seamfront-core/tests/capacity.rs
@@ -1,9 +1,9 @@
 //! The leader's plan: whose machines may be cleared of lesser work, and for whom.
 
-use seamfront_core::boots::Boots;
-use seamfront_core::capacity::{plan, Picture, Plan, Supply};
-use seamfront_core::fleet::MachineRecord;
-use seamfront_core::port::{MachineView, Need};
+use seamfront_core::boot_times::BootTimes;
+use seamfront_core::capacity::{plan, ClusterSnapshot, Plan, Supply};
+use seamfront_core::machine::MachineRecord;
+use seamfront_core::port::{MachineView, ResourceRequest};
 use seamfront_core::types::*;
 use std::collections::BTreeMap;
 
@@ -11,24 +11,24 @@
     Micros::from_secs(n)
 }
 
-fn size() -> Amounts {
-    Amounts::offered(64.0, 8.0, 256.0)
+fn size() -> Resources {
+    Resources::offered(64.0, 8.0, 256.0)
 }
 
 /// A gang that still looks for `count` of its `total` machines of eight accelerators.
-fn gang(job: &str, count: u32, total: u32, left: i64) -> Need {
-    Need {
+fn gang(job: &str, count: u32, total: u32, left: i64) -> ResourceRequest {
+    ResourceRequest {
         job: job.into(),
-        task: Amounts::needed(57.0, 8.0, 200.0),
+        task: Resources::needed(57.0, 8.0, 200.0),
         count,
         total,
         together: true,
         one_zone: true,
-        gathering: None,
+        reserved_zone: None,
         spread: false,
         priority: Priority::Urgent,
         guaranteed: false,
-        overdue: false,
+        starving: false,
         types: None,
         zone: None,
         spot: false,
@@ -46,20 +46,20 @@
         id: id.into(),
         version: 7,
         up: true,
-        used: Amounts::needed(7.0, 0.0, 14.0),
-        pinned: Amounts::default(),
+        used: Resources::needed(7.0, 0.0, 14.0),
+        pinned: Resources::default(),
         idle: None,
-        gathered: true,
+        reserved_for_gang: true,
         released: false,
         bad: false,
         leaving: false,
-        least: Some(Priority::Normal),
+        highest_priority: Some(Priority::Normal),
         loss: s(9),
     }
 }
 
 /// One machine in shard 1, held for a gang there; nothing can be rented.
-fn plan_for(needs: &[(usize, Need)]) -> Plan {
+fn plan_for(requests: &[(usize, ResourceRequest)]) -> Plan {
     let types = [MachineType {
         name: "big".into(),
         size: size(),
@@ -86,16 +86,19 @@
         view: Some(&view),
         age: s(90),
     };
-    plan(&Picture {
+    plan(&ClusterSnapshot {
         now: s(500),
-        needs: needs.iter().map(|(shard, need)| (*shard, need)).collect(),
+        requests: requests
+            .iter()
+            .map(|(shard, request)| (*shard, request))
+            .collect(),
         machines: vec![machine],
-        rents: vec![],
+        provisionings: vec![],
         types: &types,
-        refused: &refused,
+        unavailable_offers: &refused,
         tuning: &Tuning::default(),
-        boots: &Boots::default(),
-        clearing: &BTreeMap::new(),
+        boot_times: &BootTimes::default(),
+        draining: &BTreeMap::new(),
     })
 }
 
@@ -114,12 +117,12 @@
         );
         let plan = plan_for(&[(1, holder), (2, other)]);
         assert_eq!(
-            plan.clear.len(),
+            plan.drains.len(),
             cleared,
             "holder's time left {holder_left}: {:?}",
-            plan.clear
+            plan.drains
         );
-        assert!(plan.returns.is_empty());
+        assert!(plan.terminations.is_empty());
     }
 }
 
@@ -127,31 +130,39 @@
 /// more, and keeps what it holds.
 #[test]
 fn what_is_being_freed_for_a_gang_is_not_cleared_for_another() {
-    assert!(plan_for(&[(2, gang("j-2", 1, 1, 10))]).clear.is_empty());
+    assert!(plan_for(&[(2, gang("j-2", 1, 1, 10))]).drains.is_empty());
 }
 
 /// Boots of machines that were rented `started` seconds ago, of which `up` have come up after so many seconds.
-fn boots(started: &[(&str, i64)], up: &[(&str, i64)]) -> Boots {
-    let mut boots = Boots::default();
+fn boot_times(started: &[(&str, i64)], up: &[(&str, i64)]) -> BootTimes {
+    let mut boot_times = BootTimes::default();
     for (id, at) in started {
-        boots.rented((*id).into(), "big", s(*at));
+        boot_times.provisioned((*id).into(), "big", s(*at));
     }
     for (id, at) in up {
-        boots.learn(s(*at), |other| other.as_str() == *id);
+        boot_times.record_boots(s(*at), |other| other.as_str() == *id);
     }
-    boots
+    boot_times
 }
 
 /// While nothing boots, or before anything is known, giving machines up would only mean to begin again.
 #[test]
 fn a_machine_that_never_comes_up_is_given_up_once_a_later_one_is_up() {
     let late: MachineId = "i-0".into();
-    let only_earlier = boots(&[("i-1", 0), ("i-0", 5)], &[("i-1", 50)]);
-    let later_too = boots(&[("i-0", 5), ("i-1", 6)], &[("i-1", 56)]);
-    let nothing = boots(&[("i-0", 5), ("i-1", 6)], &[]);
-    for (boots, given_up) in [(only_earlier, false), (later_too, true), (nothing, false)] {
-        assert!(!boots.given_up(&late, s(50), s(100)), "too soon");
-        assert_eq!(boots.given_up(&late, s(50), s(120)), given_up);
+    let only_earlier = boot_times(&[("i-1", 0), ("i-0", 5)], &[("i-1", 50)]);
+    let later_too = boot_times(&[("i-0", 5), ("i-1", 6)], &[("i-1", 56)]);
+    let nothing = boot_times(&[("i-0", 5), ("i-1", 6)], &[]);
+    for (boot_times, presumed_failed) in
+        [(only_earlier, false), (later_too, true), (nothing, false)]
+    {
+        assert!(
+            !boot_times.presumed_failed(&late, s(50), s(100)),
+            "too soon"
+        );
+        assert_eq!(
+            boot_times.presumed_failed(&late, s(50), s(120)),
+            presumed_failed
+        );
     }
 }
 
@@ -159,10 +170,10 @@
 /// what is slow like all others is not rented twice.
 #[test]
 fn how_long_work_counts_on_a_rented_machine_follows_the_boots_seen() {
-    let unknown = Boots::default().late_after("big", s(50));
-    let slow =
-        boots(&[("i-1", 0), ("i-2", 0)], &[("i-1", 190), ("i-2", 200)]).late_after("big", s(50));
-    let fast = boots(&[("i-1", 0)], &[("i-1", 2)]).late_after("big", s(50));
+    let unknown = BootTimes::default().late_after("big", s(50));
+    let slow = boot_times(&[("i-1", 0), ("i-2", 0)], &[("i-1", 190), ("i-2", 200)])
+        .late_after("big", s(50));
+    let fast = boot_times(&[("i-1", 0)], &[("i-1", 2)]).late_after("big", s(50));
     assert!(slow > s(250), "all are slow now: {slow:?}");
     assert!(
         fast >= s(75) && fast < unknown,
--- a/crates/seamfront-core/tests/chains.rs
+++ b/crates/seamfront-core/tests/chains.rs
@@ -197,20 +197,21 @@
         for n in 0..400 {
             let mut spec = w.job(1_000 + n);
             (spec.kind, spec.class, spec.team, spec.tasks) =
-                (Kind::Array, "small".into(), "d".into(), 1);
-            (spec.need, spec.zone, spec.spot) = (Amounts::needed(1.0, 0.0, 1.0), None, true);
+                (JobKind::Array, "small".into(), "d".into(), 1);
+            (spec.task_resources, spec.zone, spec.spot) =
+                (Resources::needed(1.0, 0.0, 1.0), None, true);
             small.push(spec.id.clone());
             w.submit(ms(500 + 100 * i64::from(n)), spec);
         }
         let mut last = w.job(1);
         (last.kind, last.class, last.team, last.tasks) =
-            (Kind::Array, "last".into(), "d".into(), 2);
-        (last.zone, last.spread, last.one_zone, last.needs) = (None, false, false, small);
+            (JobKind::Array, "last".into(), "d".into(), 2);
+        (last.zone, last.spread, last.one_zone, last.dependencies) = (None, false, false, small);
         w.submit(ms(45_000), last);
         let mut large = w.job(2);
         (large.kind, large.class, large.team, large.tasks) =
-            (Kind::Array, "large".into(), "d".into(), 400);
-        (large.need, large.zone) = (Amounts::needed(1.0, 0.0, 1.0), None);
+            (JobKind::Array, "large".into(), "d".into(), 400);
+        (large.task_resources, large.zone) = (Resources::needed(1.0, 0.0, 1.0), None);
         w.submit(ms(2_000), large);
         for k in 0..4 {
             w.fault(
--- a/crates/seamfront-core/tests/cleaning.rs
+++ b/crates/seamfront-core/tests/cleaning.rs
@@ -50,11 +50,11 @@
         w.leave_key("work/1/j-000001");
         sweep(&mut w);
         for n in 0..45 {
-            let [needs, part] = leftovers(n);
+            let [dependencies, part] = leftovers(n);
             assert_eq!(
-                w.stored_keys(&needs).is_empty(),
+                w.stored_keys(&dependencies).is_empty(),
                 ended(&w, n),
-                "seed {seed}: {needs}"
+                "seed {seed}: {dependencies}"
             );
             assert!(
                 n == 1 || w.stored_keys(&part).is_empty(),
--- a/crates/seamfront-core/tests/duties.rs
+++ b/crates/seamfront-core/tests/duties.rs
@@ -77,8 +77,8 @@
         );
         assert_eq!(w.holder("leader"), None, "the former claim names a member");
         // What is under way was begun under the present token: everything of former holders is settled.
-        let token = w.claim_version(CLAIMS[0]).expect("a claim");
-        let foreign = |key: &String| !key.starts_with(&format!("rent/r-{token}-"));
+        let fencing_token = w.claim_version(CLAIMS[0]).expect("a claim");
+        let foreign = |key: &String| !key.starts_with(&format!("rent/r-{fencing_token}-"));
         assert!(
             !w.stored_keys("rent/").iter().any(foreign),
             "{:?}",
@@ -101,7 +101,7 @@
             let (at, id, service) = (
                 w.draw(500..110_000),
                 spec.id.clone(),
-                spec.kind == Kind::Service,
+                spec.kind == JobKind::Service,
             );
             w.submit(ms(at), spec);
             if service || w.draw(0..4) == 0 {
--- a/crates/seamfront-core/tests/evidence.rs
+++ b/crates/seamfront-core/tests/evidence.rs
@@ -7,9 +7,9 @@
 #[path = "../../seamfront-lease/tests/stand_ins/store.rs"]
 mod store;
 
-use held::{job, report, s, settings, Held, CLAIM};
-use seamfront_core::fleet::{machine_key, Direct, MachineRecord};
+use held::{heartbeat, job, s, settings, Held, CLAIM};
 use seamfront_core::job::Job;
+use seamfront_core::machine::{machine_key, DirectCommand, MachineRecord};
 use seamfront_core::port::*;
 use seamfront_core::record::{Layout, WorkRecord};
 use seamfront_core::shard::{ShardPhase, ShardWrite, StoredRecord};
@@ -26,9 +26,9 @@
         vec![("j-0", 3, TaskState::Exited(Exit::Done))],
         vec![],
     ] {
-        for session in [1, 9] {
+        for incarnation in [1, 9] {
             let mut h = Held::new(1, 1);
-            let orders = h.hello(s(101), &report("i-0", session, 88, 12, &shown));
+            let orders = h.hello(s(101), &heartbeat("i-0", incarnation, 88, 12, &shown));
             assert!(h.placed("j-0"), "{shown:?} counted as evidence");
             assert!(
                 orders.is_empty(),
@@ -39,10 +39,10 @@
     }
     // The same from a worker that has heard us counts.
     let mut h = Held::new(1, 1);
-    h.hello(s(101), &report("i-0", 1, 88, 12, &[]));
+    h.hello(s(101), &heartbeat("i-0", 1, 88, 12, &[]));
     h.hello(
         s(102),
-        &report(
+        &heartbeat(
             "i-0",
             1,
             89,
@@ -57,9 +57,9 @@
 fn a_machine_is_used_only_once_it_has_shown_our_token() {
     let mut h = Held::new(1, 0);
     let usable = |h: &Held, now| h.shard.machines[&MachineId::from("i-0")].usable(now, s(2), CLAIM);
-    h.hello(s(101), &report("i-0", 1, 88, 12, &[]));
+    h.hello(s(101), &heartbeat("i-0", 1, 88, 12, &[]));
     assert!(!usable(&h, s(101)));
-    h.hello(s(102), &report("i-0", 1, 89, CLAIM, &[]));
+    h.hello(s(102), &heartbeat("i-0", 1, 89, CLAIM, &[]));
     assert!(usable(&h, s(102)));
 }
 
@@ -73,7 +73,7 @@
             let own = format!("j-{k}");
             h.hello(
                 s(t),
-                &report(
+                &heartbeat(
                     &format!("i-{k}"),
                     1,
                     90 + n as u64,
@@ -84,7 +84,7 @@
         }
         h.hello(
             s(t),
-            &report(
+            &heartbeat(
                 "i-0",
                 1,
                 90 + n as u64,
@@ -93,7 +93,7 @@
             ),
         );
     }
-    assert!(h.shard.machines[&MachineId::from("i-0")].hears_nothing());
+    assert!(h.shard.machines[&MachineId::from("i-0")].ignores_replies());
     h.with(s(150), |s, context| s.tick(context));
     assert_eq!(h.machine_writes(s(150), 60), [("i-0".to_owned(), false)]);
 }
@@ -104,10 +104,10 @@
     let mut h = Held::new(8, 0);
     for (n, t) in (101..160).step_by(2).enumerate() {
         for k in 0..8 {
-            let token = if k < 4 { 12 } else { CLAIM };
+            let fencing_token = if k < 4 { 12 } else { CLAIM };
             h.hello(
                 s(t),
-                &report(&format!("i-{k}"), 1, 90 + n as u64, token, &[]),
+                &heartbeat(&format!("i-{k}"), 1, 90 + n as u64, fencing_token, &[]),
             );
         }
     }
@@ -124,7 +124,7 @@
         for t in (101..=at).step_by(2) {
             for k in 0..10 {
                 if t == 101 || k >= silent {
-                    h.hello(s(t), &report(&format!("i-{k}"), 1, t as u64, CLAIM, &[]));
+                    h.hello(s(t), &heartbeat(&format!("i-{k}"), 1, t as u64, CLAIM, &[]));
                 }
             }
         }
@@ -156,30 +156,30 @@
         for t in (101..140).step_by(2) {
             for k in 0..8 {
                 if t == 101 || k > 0 {
-                    h.hello(s(t), &report(&format!("i-{k}"), 1, t as u64, CLAIM, &[]));
+                    h.hello(s(t), &heartbeat(&format!("i-{k}"), 1, t as u64, CLAIM, &[]));
                 }
             }
         }
         h.with(s(140), |s, context| s.tick(context));
-        let mut token = CLAIM;
-        let mut writes = h.shard.writes(s(140), 100, &Layout::single(32 * 1024));
-        h.hello(s(141), &report("i-0", 1, 141, CLAIM, &[]));
+        let mut fencing_token = CLAIM;
+        let mut writes = h.shard.due_writes(s(140), 100, &Layout::single(32 * 1024));
+        h.hello(s(141), &heartbeat("i-0", 1, 141, CLAIM, &[]));
         h.with(s(141), |s, context| s.tick(context));
         for outcome in outcomes {
             for w in &writes {
                 h.with(s(142), |s, context| s.written(context, w, outcome));
             }
             if let Done(version) = outcome {
-                token = version;
+                fencing_token = version;
             }
-            writes = h.shard.writes(s(143), 100, &Layout::single(32 * 1024));
+            writes = h.shard.due_writes(s(143), 100, &Layout::single(32 * 1024));
         }
-        h.hello(s(144), &report("i-0", 1, 144, token, &[]));
+        h.hello(s(144), &heartbeat("i-0", 1, 144, fencing_token, &[]));
         h.shard.add_machine(
             "i-0".into(),
             machine_of(Some(0)),
             7,
-            Amounts::offered(8.0, 0.0, 32.0),
+            Resources::offered(8.0, 0.0, 32.0),
             s(144),
         );
         let m = &h.shard.machines[&MachineId::from("i-0")];
@@ -205,24 +205,24 @@
         .tasks
         .get_mut(&0)
         .unwrap();
-    (placed.gen, placed.not_before) = (1, s(110));
+    (placed.generation, placed.not_before) = (1, s(110));
     for t in (101..140).step_by(2) {
         for k in 0..8 {
             if t == 101 || k > 0 {
-                h.hello(s(t), &report(&format!("i-{k}"), 1, t as u64, CLAIM, &[]));
+                h.hello(s(t), &heartbeat(&format!("i-{k}"), 1, t as u64, CLAIM, &[]));
             }
         }
     }
     // Silent for longer than is forgiven, its lease not over yet.
     let silent = Micros::from_millis(113_100);
     h.with(silent, |s, context| s.tick(context));
-    let writes = h.shard.writes(silent, 100, &Layout::single(32 * 1024));
+    let writes = h.shard.due_writes(silent, 100, &Layout::single(32 * 1024));
     assert!(writes
         .iter()
         .any(|w| matches!(w, ShardWrite::Machine { record, .. } if record.shard.is_none())));
     let start = Order::Start { task, attempt: 3 };
     assert!(!h
-        .hello(silent, &report("i-0", 1, 141, CLAIM, &[]))
+        .hello(silent, &heartbeat("i-0", 1, 141, CLAIM, &[]))
         .contains(&start));
     // The store refused: it is ours as before.
     for w in &writes {
@@ -234,7 +234,7 @@
     let heard = silent + Micros::from_millis(150);
     h.with(heard, |s, context| s.tick(context));
     assert!(h
-        .hello(heard, &report("i-0", 1, 142, CLAIM, &[]))
+        .hello(heard, &heartbeat("i-0", 1, 142, CLAIM, &[]))
         .contains(&start));
 }
 
@@ -243,14 +243,14 @@
 #[test]
 fn a_lease_that_ends_in_spite_of_answers_raises_the_token() {
     let mut h = Held::new(1, 0);
-    h.hello(s(101), &report("i-0", 1, 88, CLAIM, &[]));
-    h.hello(s(103), &report("i-0", 1, 89, CLAIM, &[]));
+    h.hello(s(101), &heartbeat("i-0", 1, 88, CLAIM, &[]));
+    h.hello(s(103), &heartbeat("i-0", 1, 89, CLAIM, &[]));
     assert_eq!(h.machine_writes(s(103), 60), []);
-    h.hello(s(112), &report("i-0", 2, 95, CLAIM, &[]));
+    h.hello(s(112), &heartbeat("i-0", 2, 95, CLAIM, &[]));
     assert_eq!(h.machine_writes(s(112), 60), [("i-0".to_owned(), true)]);
     let m = &h.shard.machines[&MachineId::from("i-0")];
     assert!(!m.usable(s(112), s(2), CLAIM), "60 is not shown yet");
-    h.hello(s(114), &report("i-0", 2, 96, 60, &[]));
+    h.hello(s(114), &heartbeat("i-0", 2, 96, 60, &[]));
     assert!(h.shard.machines[&MachineId::from("i-0")].usable(s(114), s(2), CLAIM));
 }
 
@@ -260,16 +260,26 @@
     let mut h = Held::new(1, 1);
     h.hello(
         s(101),
-        &report("i-0", 2, 88, CLAIM, &[("j-0", 3, TaskState::Running)]),
+        &heartbeat("i-0", 2, 88, CLAIM, &[("j-0", 3, TaskState::Running)]),
     );
     let newest = |h: &Held| {
         let m = &h.shard.machines[&MachineId::from("i-0")];
-        (m.session, m.seq, m.seen_token, m.last_report, m.notice)
+        (
+            m.incarnation,
+            m.sequence,
+            m.highest_seen_token,
+            m.last_heartbeat,
+            m.preemption_deadline,
+        )
     };
     let before = newest(&h);
-    for (session, seq) in [(1, 500), (2, 88), (2, 3)] {
+    for (incarnation, sequence) in [(1, 500), (2, 88), (2, 3)] {
         h.with(s(120), |s, context| {
-            assert!(!s.take_report(context, &report("i-0", session, seq, CLAIM, &[]), true))
+            assert!(!s.apply_heartbeat(
+                context,
+                &heartbeat("i-0", incarnation, sequence, CLAIM, &[]),
+                true
+            ))
         });
         assert_eq!(newest(&h), before);
         assert!(h.placed("j-0"));
@@ -283,7 +293,7 @@
     /// Whether the store can be reached.
     reached: bool,
     /// Watches that wait for a change; those of machines lag behind the others.
-    watches: Vec<(CallId, StateCall)>,
+    watches: Vec<(CallId, StoreRequest)>,
 }
 
 fn put(key: &str, value: impl serde::Serialize) -> Write {
@@ -323,7 +333,7 @@
         let mut store = Store::with_page(100);
         let kind = MachineType {
             name: "m".into(),
-            size: Amounts::offered(8.0, 0.0, 32.0),
+            size: Resources::offered(8.0, 0.0, 32.0),
             cache_mb: 1_000,
             fetch_mb_s: 100,
             price: 1_000,
@@ -331,17 +341,17 @@
             boot: s(20),
             zones: vec!["z".into()],
         };
-        let mut apply = vec![
+        let mut writes = vec![
             put(&machine_key(&"i-0".into()), machine_of(Some(0))),
             put(&machine_key(&"i-1".into()), machine_of(Some(0))),
             put("types", vec![kind]),
         ];
-        apply.extend(more);
+        writes.extend(more);
         store.execute(
             Micros::ZERO,
-            &StateCall::Commit {
-                when: vec![],
-                apply,
+            &StoreRequest::CompareAndSwap {
+                conditions: vec![],
+                writes,
             },
         );
         Alone {
@@ -358,32 +368,38 @@
         }
     }
 
-    fn write(&mut self, apply: Vec<Write>) {
+    fn write(&mut self, writes: Vec<Write>) {
         self.store.execute(
             Micros::ZERO,
-            &StateCall::Commit {
-                when: vec![],
-                apply,
+            &StoreRequest::CompareAndSwap {
+                conditions: vec![],
+                writes,
             },
         );
     }
 
     /// Reports of i-0 that show every token until `to`; returns whether anything was started on it.
     fn starts_on_first(&mut self, from: i64, to: i64) -> bool {
-        let mut token = 0;
+        let mut fencing_token = 0;
         (from..to).any(|t| {
-            let r = Box::new(report("i-0", 1, t as u64, token, &[]));
-            let effects = self.step(s(t), vec![Command::Report { to: 7, report: r }]);
+            let r = Box::new(heartbeat("i-0", 1, t as u64, fencing_token, &[]));
+            let effects = self.step(
+                s(t),
+                vec![Command::Heartbeat {
+                    to: 7,
+                    heartbeat: r,
+                }],
+            );
             effects.iter().any(|e| match e {
-                Effect::Orders {
-                    token: shown,
+                Effect::HeartbeatReply {
+                    fencing_token: shown,
                     orders,
                     ..
                 } => {
-                    token = *shown;
+                    fencing_token = *shown;
                     orders.iter().any(|o| matches!(o, Order::Start { .. }))
                 }
-                Effect::Direct { .. } => true,
+                Effect::SendDirect { .. } => true,
                 _ => false,
             })
         })
@@ -394,7 +410,8 @@
         let mut rest = Vec::new();
         let store = &mut self.store;
         self.watches.retain(|(call, request)| {
-            let lags = matches!(request, StateCall::Changes { prefix, .. } if prefix == "machine/");
+            let lags =
+                matches!(request, StoreRequest::Watch { prefix, .. } if prefix == "machine/");
             let reply = if lags {
                 None
             } else {
@@ -403,7 +420,7 @@
             commands.extend(
                 reply
                     .clone()
-                    .map(|reply| Command::State { call: *call, reply }),
+                    .map(|reply| Command::Store { call: *call, reply }),
             );
             reply.is_none()
         });
@@ -411,15 +428,15 @@
             let effects = self.engine.step(now, now, std::mem::take(&mut commands));
             for e in effects {
                 match e {
-                    Effect::State { call, request } if self.reached => {
+                    Effect::Store { call, request } if self.reached => {
                         match self.store.execute(now, &request) {
-                            Some(reply) => commands.push(Command::State { call, reply }),
+                            Some(reply) => commands.push(Command::Store { call, reply }),
                             None => self.watches.push((call, request)),
                         }
                     }
-                    Effect::State { call, .. } => commands.push(Command::State {
+                    Effect::Store { call, .. } => commands.push(Command::Store {
                         call,
-                        reply: StateReply::Unknown,
+                        reply: StoreReply::Unknown,
                     }),
                     e => rest.push(e),
                 }
@@ -436,17 +453,21 @@
     }
 
     /// The token that the report was answered with, or None for a 421.
-    fn hello(&mut self, now: Micros, report: Report) -> Option<u64> {
+    fn hello(&mut self, now: Micros, heartbeat: Heartbeat) -> Option<u64> {
         let effects = self.step(
             now,
-            vec![Command::Report {
+            vec![Command::Heartbeat {
                 to: 7,
-                report: Box::new(report),
+                heartbeat: Box::new(heartbeat),
             }],
         );
         let answer = effects.into_iter().find_map(|e| match e {
-            Effect::Orders { to: 7, token, .. } => Some(Some(token)),
-            Effect::Elsewhere { to: 7, member } => {
+            Effect::HeartbeatReply {
+                to: 7,
+                fencing_token,
+                ..
+            } => Some(Some(fencing_token)),
+            Effect::Redirect { to: 7, member } => {
                 assert_eq!(
                     member, None,
                     "no name: the worker must look for the newer holder itself"
@@ -464,12 +485,15 @@
 #[test]
 fn a_worker_that_has_seen_a_newer_token_is_sent_away() {
     let mut a = Alone::new();
-    let token = a
-        .hello(s(3), report("i-0", 1, 1, 0, &[]))
+    let fencing_token = a
+        .hello(s(3), heartbeat("i-0", 1, 1, 0, &[]))
         .expect("it is ours");
-    assert_eq!(a.hello(s(4), report("i-0", 1, 2, token + 5, &[])), None);
+    assert_eq!(
+        a.hello(s(4), heartbeat("i-0", 1, 2, fencing_token + 5, &[])),
+        None
+    );
     assert!(
-        a.hello(s(4), report("i-1", 1, 2, 0, &[])).is_some(),
+        a.hello(s(4), heartbeat("i-1", 1, 2, 0, &[])).is_some(),
         "the share is still ours"
     );
 }
@@ -481,20 +505,27 @@
 fn a_holder_cut_off_gives_up_at_once_when_a_worker_shows_a_newer_token() {
     for newer in [false, true] {
         let mut a = Alone::new();
-        let token = a
-            .hello(s(3), report("i-0", 1, 1, 0, &[]))
+        let fencing_token = a
+            .hello(s(3), heartbeat("i-0", 1, 1, 0, &[]))
             .expect("it is ours");
         a.reached = false;
         assert!(
-            a.hello(s(9), report("i-1", 1, 2, 0, &[])).is_some(),
+            a.hello(s(9), heartbeat("i-1", 1, 2, 0, &[])).is_some(),
             "it may act for a while"
         );
-        let shown = if newer { token + 5 } else { token };
+        let shown = if newer {
+            fencing_token + 5
+        } else {
+            fencing_token
+        };
+        assert_eq!(
+            a.hello(s(10), heartbeat("i-0", 1, 2, shown, &[])).is_none(),
+            newer
+        );
         assert_eq!(
-            a.hello(s(10), report("i-0", 1, 2, shown, &[])).is_none(),
+            a.hello(s(10), heartbeat("i-1", 1, 3, 0, &[])).is_none(),
             newer
         );
-        assert_eq!(a.hello(s(10), report("i-1", 1, 3, 0, &[])).is_none(), newer);
     }
 }
 
@@ -564,7 +595,7 @@
     h.with(s(101), |s, context| {
         s.release(context, &["i-0".into()], None)
     });
-    assert!(h.shard.machines[&id].released.is_none());
+    assert!(h.shard.machines[&id].released_since.is_none());
     // Nor is one that has tasks shown as released, whatever came before.
     h.shard.phase = ShardPhase::Ready;
     let task = TaskKey {
@@ -573,7 +604,7 @@
     };
     let m = h.shard.machines.get_mut(&id).unwrap();
     m.tasks.insert(task);
-    m.released = Some(s(101));
+    m.released_since = Some(s(101));
     assert!(h
         .with(s(102), |s, context| s.views(context))
         .iter()
@@ -586,9 +617,9 @@
 #[test]
 fn what_was_adopted_and_is_not_there_is_decided_anew() {
     let mut h = Held::new(1, 1);
-    h.hello(s(101), &report("i-0", 1, 88, 12, &[]));
+    h.hello(s(101), &heartbeat("i-0", 1, 88, 12, &[]));
     assert!(h.placed("j-0"), "what may be a late copy proves nothing");
-    let orders = h.hello(s(102), &report("i-0", 1, 89, CLAIM, &[]));
+    let orders = h.hello(s(102), &heartbeat("i-0", 1, 89, CLAIM, &[]));
     assert!(!h.placed("j-0") && orders.is_empty(), "{orders:?}");
 }
 
@@ -598,17 +629,17 @@
 fn answers_to_commands_do_not_make_a_machine_usable() {
     let mut h = Held::new(1, 0);
     let id = MachineId::from("i-0");
-    h.hello(s(101), &report("i-0", 1, 88, CLAIM, &[]));
-    let direct = |h: &mut Held, now, session, seq| {
+    h.hello(s(101), &heartbeat("i-0", 1, 88, CLAIM, &[]));
+    let direct = |h: &mut Held, now, incarnation, sequence| {
         let m = h.shard.machines.get_mut(&id).unwrap();
-        m.direct = Some(Direct {
+        m.direct = Some(DirectCommand {
             call: 7,
-            token: CLAIM,
-            session,
+            fencing_token: CLAIM,
+            incarnation,
             unknown: false,
         });
         let outcome = DirectOutcome::Settled {
-            report: Box::new(report("i-0", session, seq, CLAIM, &[])),
+            heartbeat: Box::new(heartbeat("i-0", incarnation, sequence, CLAIM, &[])),
         };
         h.with(now, |s, context| s.direct_result(context, 7, &id, outcome));
     };
@@ -624,7 +655,7 @@
     // A session that only an answer showed may have begun at that moment, and lasts as long as any.
     direct(&mut h, s(113), 2, 1);
     let m = &h.shard.machines[&id];
-    assert!(m.lease_over_at(CLAIM, s(12), s(5)) >= s(125));
+    assert!(m.lease_expiry(CLAIM, s(12), s(5)) >= s(125));
 }
 
 /// An outcome that comes after the shard, or the machine, has gone and come back settles nothing of now.
@@ -632,10 +663,10 @@
 fn an_outcome_settles_only_its_own_command() {
     let mut h = Held::new(1, 0);
     let id = MachineId::from("i-0");
-    h.shard.machines.get_mut(&id).unwrap().direct = Some(Direct {
+    h.shard.machines.get_mut(&id).unwrap().direct = Some(DirectCommand {
         call: 9,
-        token: CLAIM,
-        session: 1,
+        fencing_token: CLAIM,
+        incarnation: 1,
         unknown: false,
     });
     h.with(s(101), |s, context| {
@@ -654,8 +685,8 @@
 #[test]
 fn the_last_answer_and_a_lease_end_before_a_cancellation_falls_due() {
     let mut alone = Alone::new();
-    let token = alone
-        .hello(s(2), report("i-0", 1, 1, 0, &[]))
+    let fencing_token = alone
+        .hello(s(2), heartbeat("i-0", 1, 1, 0, &[]))
         .expect("it holds the share");
     // Proofs are made every second, so the last one was sent within this second.
     let proven = s(1);
@@ -664,20 +695,20 @@
     for (n, t) in (2_050..40_000).step_by(50).enumerate() {
         let now = Micros::from_millis(t);
         if alone
-            .hello(now, report("i-0", 1, 2 + n as u64, token, &[]))
+            .hello(now, heartbeat("i-0", 1, 2 + n as u64, fencing_token, &[]))
             .is_some()
         {
             last = now;
         }
     }
-    let cfg = settings();
+    let settings = settings();
     assert!(
-        last > s(2) + cfg.acting_time() - s(1),
+        last > s(2) + settings.verification_ttl() - s(1),
         "an outage shorter than that costs nothing"
     );
     let drift = |t: Micros| Micros(t.0 + t.0 / 2_000);
     assert!(
-        drift(last - proven) + drift(cfg.lease) < cfg.cancel,
+        drift(last - proven) + drift(settings.lease) < settings.cancel,
         "answered until {last:?}"
     );
 }
@@ -686,15 +717,15 @@
 #[test]
 fn back_at_once_it_acts_on_no_proof_of_its_former_life() {
     let mut alone = Alone::new();
-    let token = alone
-        .hello(s(2), report("i-0", 1, 1, 0, &[]))
+    let fencing_token = alone
+        .hello(s(2), heartbeat("i-0", 1, 1, 0, &[]))
         .expect("it holds the share");
     alone.engine = Engine::new(settings());
     alone.watches.clear();
     alone.reached = false;
     for t in 0..40 {
         assert_eq!(
-            alone.hello(s(t), report("i-0", 1, 2 + t as u64, token, &[])),
+            alone.hello(s(t), heartbeat("i-0", 1, 2 + t as u64, fencing_token, &[])),
             None
         );
     }
@@ -702,8 +733,8 @@
     alone.reached = true;
     alone.run(40_000, 43_000);
     assert!(alone
-        .hello(s(43), report("i-0", 1, 60, token, &[]))
-        .is_some_and(|t| t > token));
+        .hello(s(43), heartbeat("i-0", 1, 60, fencing_token, &[]))
+        .is_some_and(|t| t > fencing_token));
 }
 
 /// With any lease and any time to cancel that leave room, and clocks that drift by 0.05% each: what was answered
@@ -713,17 +744,17 @@
 fn the_time_to_act_without_proof_leaves_room_for_a_whole_lease() {
     for lease in 5..60 {
         for room in 6..60 {
-            let cfg = Settings {
+            let settings = Settings {
                 lease: s(lease),
                 cancel: s(lease + room),
                 ..settings()
             };
-            if !cfg.acting_time_fits() {
+            if !settings.verification_ttl_fits() {
                 continue;
             }
             let slow = |t: Micros| Micros(t.0 + t.0 / 2_000);
             assert!(
-                slow(cfg.acting_time()) + slow(cfg.lease) + s(3) <= cfg.cancel,
+                slow(settings.verification_ttl()) + slow(settings.lease) + s(3) <= settings.cancel,
                 "{lease} {room}"
             );
         }
@@ -736,21 +767,21 @@
 #[test]
 fn a_claim_that_was_given_up_is_not_acted_on_again() {
     let mut a = Alone::new();
-    let token = a
-        .hello(s(3), report("i-0", 1, 1, 0, &[]))
+    let fencing_token = a
+        .hello(s(3), heartbeat("i-0", 1, 1, 0, &[]))
         .expect("it is ours");
     a.reached = false;
     assert_eq!(
-        a.hello(s(10), report("i-0", 1, 2, token + 5, &[])),
+        a.hello(s(10), heartbeat("i-0", 1, 2, fencing_token + 5, &[])),
         None,
         "given up"
     );
     a.reached = true;
     a.run(10_050, 13_000);
     assert!(
-        a.hello(s(13), report("i-1", 1, 1, 0, &[]))
-            .is_some_and(|t| t > token),
-        "acted again under {token}"
+        a.hello(s(13), heartbeat("i-1", 1, 1, 0, &[]))
+            .is_some_and(|t| t > fencing_token),
+        "acted again under {fencing_token}"
     );
 }
 
@@ -781,25 +812,25 @@
     );
     h.shard.jobs.get_mut(&spec.id).unwrap().record.touch();
     assert_eq!(
-        h.shard.jobs[&spec.id].record_room(&Layout::single(2_048)),
+        h.shard.jobs[&spec.id].record_headroom(&Layout::single(2_048)),
         0
     );
     assert!(h
         .shard
-        .writes(s(105), 100, &Layout::single(2_048))
+        .due_writes(s(105), 100, &Layout::single(2_048))
         .is_empty());
     assert!(h
         .shard
-        .writes(s(106), 100, &Layout::single(32 * 1024))
+        .due_writes(s(106), 100, &Layout::single(32 * 1024))
         .iter()
         .any(|w| matches!(w, ShardWrite::Record { .. })));
     let job = h.shard.jobs.get_mut(&spec.id).unwrap();
     job.record.in_flight = false;
     job.tasks.retain(|i, _| *i < 30);
-    assert!(job.record_room(&Layout::single(2_048)) > 0);
+    assert!(job.record_headroom(&Layout::single(2_048)) > 0);
     assert!(h
         .shard
-        .writes(s(110), 100, &Layout::single(2_048))
+        .due_writes(s(110), 100, &Layout::single(2_048))
         .iter()
         .any(|w| matches!(w, ShardWrite::Record { .. })));
 }
@@ -813,7 +844,7 @@
         for t in (0..tasks.min(300)).step_by(7) {
             j.done.insert(t);
         }
-        let room = j.record_room(&Layout::single(value));
+        let room = j.record_headroom(&Layout::single(value));
         let mut record = j.to_record();
         for k in 0..room.min(tasks) {
             let runs = vec![(tasks - 1, tasks, 99_999)];
@@ -832,7 +863,7 @@
 /// been cancelled with a job that it needed, whose user was told long ago.
 #[test]
 fn a_job_that_has_left_the_view_is_not_called_queued() {
-    use seamfront_core::users::{end_key, job_key, EndRecord};
+    use seamfront_core::user_api::{end_key, job_key, EndRecord};
     let mut a = Alone::new();
     let id: JobId = "j-2".into();
     a.write(vec![put(&job_key(&id), &*job("j-2", 1))]);
@@ -846,10 +877,13 @@
         }],
     );
     let confirms = |e: &Effect| match e {
-        Effect::State {
+        Effect::Store {
             call,
-            request: StateCall::Commit { when, apply },
-        } if apply.is_empty() => when.iter().any(|w| w.0 == job_key(&id)).then_some(*call),
+            request: StoreRequest::CompareAndSwap { conditions, writes },
+        } if writes.is_empty() => conditions
+            .iter()
+            .any(|w| w.0 == job_key(&id))
+            .then_some(*call),
         _ => None,
     };
     let call = asked
@@ -866,9 +900,9 @@
         Write::Delete { key: job_key(&id) },
     ]);
     a.run(3_050, 3_500);
-    let confirmed = Command::State {
+    let confirmed = Command::Store {
         call,
-        reply: StateReply::Committed { revision },
+        reply: StoreReply::Committed { revision },
     };
     let answers = a.step(s(4), vec![confirmed]);
     let told = answers.iter().find_map(|e| match e {
@@ -878,5 +912,5 @@
         } => Some(*state),
         _ => None,
     });
-    assert_eq!(told, Some(ShownState::Cancelled), "{answers:?}");
+    assert_eq!(told, Some(JobState::Cancelled), "{answers:?}");
 }
--- a/crates/seamfront-core/tests/failing_jobs.rs
+++ b/crates/seamfront-core/tests/failing_jobs.rs
@@ -17,7 +17,7 @@
 struct Play {
     held: Held,
     now: Micros,
-    seq: u64,
+    sequence: u64,
     /// Most tasks of one job placed at a time after it had begun to fail.
     most_tried: usize,
     /// How often a task of each job was started.
@@ -33,7 +33,7 @@
         Play {
             held,
             now: s(101),
-            seq: 1,
+            sequence: 1,
             most_tried: 0,
             starts: BTreeMap::new(),
         }
@@ -48,18 +48,18 @@
     fn step(&mut self, ends: impl Fn(&TaskKey, &MachineId) -> Exit) {
         self.now += Micros::from_millis(500);
         let now = self.now;
-        self.seq += 1;
+        self.sequence += 1;
         for m in 0..MACHINES {
             let placed = &self.held.shard.machines[&machine(m)].tasks;
             let tasks = placed
                 .iter()
                 .filter_map(|t| self.ended(t, &machine(m), &ends))
                 .collect();
-            let report = Report {
+            let heartbeat = Heartbeat {
                 tasks,
-                ..held::report(&format!("i-{m}"), 1, self.seq, CLAIM, &[])
+                ..held::heartbeat(&format!("i-{m}"), 1, self.sequence, CLAIM, &[])
             };
-            self.held.hello(now, &report);
+            self.held.hello(now, &heartbeat);
         }
         let failing: Vec<JobId> = self
             .held
@@ -70,7 +70,8 @@
             .map(|(id, _)| id.clone())
             .collect();
         self.held.with(now, |s, context| s.tick(context));
-        self.held.with(now, |s, context| s.round(context));
+        self.held
+            .with(now, |s, context| s.run_scheduling_cycle(context));
         for job in failing.iter().filter_map(|id| self.held.shard.jobs.get(id)) {
             self.most_tried = self.most_tried.max(job.tasks.len());
         }
@@ -87,19 +88,19 @@
         task: &TaskKey,
         machine: &MachineId,
         ends: impl Fn(&TaskKey, &MachineId) -> Exit,
-    ) -> Option<TaskReport> {
+    ) -> Option<TaskStatus> {
         let placement = self.job(task.job.as_str()).tasks.get(&task.index)?;
         let state = TaskState::Exited(ends(task, machine));
-        (placement.phase > Phase::Recording).then(|| TaskReport {
+        (placement.phase > Phase::Recording).then(|| TaskStatus {
             task: task.clone(),
             attempt: placement.attempt,
             state,
         })
     }
 
-    fn suspected(&self) -> Vec<usize> {
+    fn quarantined(&self) -> Vec<usize> {
         (0..MACHINES)
-            .filter(|m| self.held.shard.machines[&machine(*m)].suspected())
+            .filter(|m| self.held.shard.machines[&machine(*m)].quarantined())
             .collect()
     }
 }
@@ -118,13 +119,13 @@
     for _ in 0..600 {
         p.step(|_, _| Exit::Error);
         assert_eq!(
-            p.suspected(),
+            p.quarantined(),
             Vec::<usize>::new(),
             "machines are blamed for the jobs' mistakes"
         );
     }
     for id in ["j-0", "j-1", "j-2"] {
-        let errors = p.job(id).errors;
+        let errors = p.job(id).consecutive_errors;
         // Three at first, then pauses of 2, 4, 8, 16 and always 32 s.
         assert!(
             (12..18).contains(&errors),
@@ -171,16 +172,16 @@
             }
         });
     }
-    assert_eq!(p.suspected(), [3]);
+    assert_eq!(p.quarantined(), [3]);
 }
 
 /// What was known of a job's failures outlives its holder, so that its pauses go on growing.
 #[test]
 fn a_successor_knows_how_often_a_job_has_failed() {
     let mut former = Job::new(job("j-0", 4), 5, s(90));
-    former.errors = 6;
+    former.consecutive_errors = 6;
     let mut next = Job::new(job("j-0", 4), 5, s(100));
     next.adopt(former.to_record(), 9, 0, s(100));
-    assert_eq!(next.errors, 6);
-    assert!(next.failing() && next.tried_at_once() == 2);
+    assert_eq!(next.consecutive_errors, 6);
+    assert!(next.failing() && next.concurrent_attempts() == 2);
 }
--- a/crates/seamfront-core/tests/fault_combinations.rs
+++ b/crates/seamfront-core/tests/fault_combinations.rs
@@ -316,7 +316,8 @@
         for n in 100..120 {
             let at = w.draw(500..70_000);
             submit(w, n, at, |s| {
-                (s.kind, s.class, s.one_zone, s.spread) = (Kind::Array, "bound".into(), true, false)
+                (s.kind, s.class, s.one_zone, s.spread) =
+                    (JobKind::Array, "bound".into(), true, false)
             });
         }
         for k in 0..6 {
@@ -382,7 +383,7 @@
         for n in 100..140 {
             let at = w.draw(5_000..85_000);
             submit(w, n, at, |s| {
-                (s.kind, s.tasks, s.priority) = (Kind::Array, 2, Priority::Urgent)
+                (s.kind, s.tasks, s.priority) = (JobKind::Array, 2, Priority::Urgent)
             });
         }
     });
@@ -484,8 +485,8 @@
         for n in 100..118 {
             let at = w.draw(500..80_000);
             submit(w, n, at, |s| {
-                (s.team, s.kind, s.tasks) = ("b".into(), Kind::Array, 3);
-                s.need = Amounts::needed(2.0, 0.0, 4.0);
+                (s.team, s.kind, s.tasks) = ("b".into(), JobKind::Array, 3);
+                s.task_resources = Resources::needed(2.0, 0.0, 4.0);
             });
         }
         for k in 0..4 {
@@ -551,7 +552,7 @@
     let coverage = play(1_340..1_350, |w, _| {
         for n in 100..140 {
             let (at, tasks) = (w.draw(500..80_000), w.draw(2..4) as u32);
-            submit(w, n, at, |s| (s.kind, s.tasks) = (Kind::Array, tasks));
+            submit(w, n, at, |s| (s.kind, s.tasks) = (JobKind::Array, tasks));
         }
         for k in 0..8 {
             let at = 8_000 + 10_000 * k;
@@ -593,7 +594,10 @@
                 } else {
                     Priority::BestEffort
                 };
-                (s.kind, s.class) = (Kind::Array, if urgent { "urgent" } else { "lesser" }.into());
+                (s.kind, s.class) = (
+                    JobKind::Array,
+                    if urgent { "urgent" } else { "lesser" }.into(),
+                );
             });
         }
         for k in 0..3 {
--- a/crates/seamfront-core/tests/forms.rs
+++ b/crates/seamfront-core/tests/forms.rs
@@ -10,14 +10,14 @@
 #[allow(dead_code)]
 mod store;
 
-use seamfront_core::capacity::RentRecord;
-use seamfront_core::fleet::{machine_key, MachineRecord};
+use seamfront_core::capacity::ProvisioningRecord;
 use seamfront_core::gang::Member;
+use seamfront_core::machine::{machine_key, MachineRecord};
 use seamfront_core::port::*;
 use seamfront_core::record::{decode, encode, part_key, parts_prefix, Layout, WorkRecord};
 use seamfront_core::store_session::ClaimValue;
 use seamfront_core::types::*;
-use seamfront_core::users::{end_key, job_key, EndRecord};
+use seamfront_core::user_api::{end_key, job_key, EndRecord};
 use seamfront_core::Engine;
 use serde::de::DeserializeOwned;
 use serde::Serialize;
@@ -74,9 +74,9 @@
         kept::<JobSpec>(&JOB.replace("\"Urgent\"", &format!("{priority:?}")));
     }
     for (kind, text) in [
-        (Kind::Array, "Array"),
-        (Kind::Gang, "Gang"),
-        (Kind::Service, "Service"),
+        (JobKind::Array, "Array"),
+        (JobKind::Gang, "Gang"),
+        (JobKind::Service, "Service"),
     ] {
         assert_eq!(stored(&kind), format!("{text:?}"));
     }
@@ -186,9 +186,9 @@
     read_as::<MachineRecord>(r#"{"share":1,"kind":"g8","zone":"a","spot":true}"#, machine);
     read_as::<MachineRecord>(r#"{"kind":"g8","zone":"b","spot":false}"#, returned);
     let rent = r#"{"count":12,"kind":"g8","share":2,"spot":false,"zone":"b"}"#;
-    kept::<RentRecord>(rent);
-    required::<RentRecord>(rent, &["count", "kind", "share", "spot", "zone"]);
-    read_as::<RentRecord>(
+    kept::<ProvisioningRecord>(rent);
+    required::<ProvisioningRecord>(rent, &["count", "kind", "share", "spot", "zone"]);
+    read_as::<ProvisioningRecord>(
         r#"{"share":2,"kind":"g8","zone":"b","spot":false,"count":12}"#,
         rent,
     );
@@ -214,7 +214,7 @@
     kept::<Micros>("-1500000");
     assert_eq!(stored(&Micros::from_millis(250)), "250000");
     assert_eq!(
-        stored(&Amounts::needed(1.5, 0.25, 4.0)),
+        stored(&Resources::needed(1.5, 0.25, 4.0)),
         r#"{"c":1500,"g":250,"r":4000}"#
     );
     kept::<TaskNames>(r#"{"job":"j-1","machine":"i-1"}"#);
@@ -230,15 +230,15 @@
 
 /// As messages are sent: in the order in which their fields are declared.
 fn sent_again(text: &str) -> String {
-    let message: MeshMessage = serde_json::from_str(text).unwrap_or_else(|e| panic!("{text}: {e}"));
+    let message: PeerMessage = serde_json::from_str(text).unwrap_or_else(|e| panic!("{text}: {e}"));
     serde_json::to_string(&message).unwrap()
 }
 
 const NEED: &str = r#"{"job":"j-1","task":{"c":1,"g":2,"r":3},"count":2,"total":3,"together":true,"one_zone":false,"gathering":"a","spread":true,"priority":"Normal","guaranteed":false,"overdue":true,"types":["g8","g4"],"zone":"b","spot":false,"image_mb":5,"estimate":6,"waited":7,"left":8,"service":true}"#;
 const VIEW: &str = r#"{"i":"i-1","v":4,"n":true,"u":{"c":1,"g":0,"r":2},"p":{"c":1,"g":0,"r":1},"e":9,"g":true,"r":true,"b":true,"t":true,"l":"Urgent","w":3}"#;
 
-fn shard(needs: &str, machines: &str) -> String {
-    format!(r#"{{"Share":{{"share":1,"version":7,"needs":[{needs}],"machines":[{machines}]}}}}"#)
+fn shard(requests: &str, machines: &str) -> String {
+    format!(r#"{{"Share":{{"share":1,"version":7,"needs":[{requests}],"machines":[{machines}]}}}}"#)
 }
 
 #[test]
@@ -319,7 +319,7 @@
         r#"{"Alive":{"ready":true}}"#,
         r#"{"Cancelled":{"job":"j-1"}}"#,
     ] {
-        assert!(serde_json::from_str::<MeshMessage>(bad).is_err(), "{bad}");
+        assert!(serde_json::from_str::<PeerMessage>(bad).is_err(), "{bad}");
     }
 }
 
@@ -333,26 +333,26 @@
     now: Micros,
     engine: Engine,
     store: Store,
-    waiting: Vec<(CallId, StateCall)>,
+    waiting: Vec<(CallId, StoreRequest)>,
     /// Key and value of each write, in order; `gone` for removals.
     written: Vec<(String, String)>,
-    cloud: Vec<CloudCall>,
+    cloud: Vec<CloudRequest>,
     answers: Vec<Answer>,
     workers: BTreeMap<MachineId, Worker>,
     /// Jobs whose tasks do not end by themselves.
     endless: BTreeSet<JobId>,
     /// Commands for the next step.
     next: Vec<Command>,
-    requests: ReplyTo,
-    asked: BTreeMap<ReplyTo, MachineId>,
-    messages: Vec<MeshMessage>,
+    requests: ClientRequestId,
+    asked: BTreeMap<ClientRequestId, MachineId>,
+    messages: Vec<PeerMessage>,
     cloud_answers: bool,
 }
 
 #[derive(Default)]
 struct Worker {
-    seq: u64,
-    token: u64,
+    sequence: u64,
+    fencing_token: u64,
     tasks: BTreeMap<TaskKey, (u64, TaskState)>,
 }
 
@@ -369,16 +369,16 @@
         let mut store = Store::with_page(100);
         for (key, value) in entries {
             let value = serde_json::from_str(value).unwrap();
-            let apply = vec![Write::Put {
+            let writes = vec![Write::Put {
                 key: (*key).to_owned(),
                 value,
                 lease: None,
             }];
             store.execute(
                 Micros::ZERO,
-                &StateCall::Commit {
-                    when: vec![],
-                    apply,
+                &StoreRequest::CompareAndSwap {
+                    conditions: vec![],
+                    writes,
                 },
             );
         }
@@ -400,7 +400,7 @@
         }
     }
 
-    fn request(&mut self) -> ReplyTo {
+    fn request(&mut self) -> ClientRequestId {
         self.requests += 1;
         self.requests
     }
@@ -426,7 +426,7 @@
         while self.now < end {
             self.now += Micros::from_millis(50);
             if self.now.0 % 1_000_000 == 0 {
-                self.report();
+                self.heartbeat();
             }
             let commands = std::mem::take(&mut self.next);
             for effect in self.engine.step(self.now, self.now, commands) {
@@ -439,63 +439,68 @@
         }
     }
 
-    fn ask_store(&mut self, call: CallId, request: StateCall) {
+    fn ask_store(&mut self, call: CallId, request: StoreRequest) {
         let Some(reply) = self.store.execute(self.now, &request) else {
             return self.waiting.push((call, request));
         };
-        if let (StateCall::Commit { apply, .. }, StateReply::Committed { .. }) = (&request, &reply)
+        if let (StoreRequest::CompareAndSwap { writes, .. }, StoreReply::Committed { .. }) =
+            (&request, &reply)
         {
-            self.written.extend(apply.iter().map(|write| match write {
+            self.written.extend(writes.iter().map(|write| match write {
                 Write::Put { key, value, .. } => (key.clone(), value.to_string()),
                 Write::Delete { key } => (key.clone(), "gone".to_owned()),
             }));
         }
-        self.next.push(Command::State { call, reply });
+        self.next.push(Command::Store { call, reply });
     }
 
     fn carry_out(&mut self, effect: Effect) {
         match effect {
-            Effect::State { call, request } => self.waiting.push((call, request)),
+            Effect::Store { call, request } => self.waiting.push((call, request)),
             Effect::Answer { answer, .. } => self.answers.push(answer),
-            Effect::Mesh { message, .. } => self.messages.push(message),
-            Effect::Orders { to, token, orders } => {
+            Effect::SendToPeer { message, .. } => self.messages.push(message),
+            Effect::HeartbeatReply {
+                to,
+                fencing_token,
+                orders,
+            } => {
                 let machine = self.asked.remove(&to).expect("a machine");
-                self.obey(&machine, token, orders);
+                self.obey(&machine, fencing_token, orders);
             }
-            Effect::Direct {
+            Effect::SendDirect {
                 call,
                 machine,
-                token,
+                fencing_token,
                 orders,
                 ..
             } => {
-                self.obey(&machine, token, orders);
-                let report = Box::new(self.report_of(&machine));
-                self.next.push(Command::Direct {
+                self.obey(&machine, fencing_token, orders);
+                let heartbeat = Box::new(self.report_of(&machine));
+                self.next.push(Command::DirectResult {
                     call,
                     machine,
-                    outcome: DirectOutcome::Settled { report },
+                    outcome: DirectOutcome::Settled { heartbeat },
                 });
             }
             Effect::Cloud { call, request, .. } => {
                 let reply = match &request {
                     _ if !self.cloud_answers => CloudReply::Failed,
-                    CloudCall::Types => CloudReply::Types(vec![type_on_offer()]),
-                    CloudCall::Rent { count, .. } => {
+                    CloudRequest::MachineTypes => CloudReply::MachineTypes(vec![type_on_offer()]),
+                    CloudRequest::Provision { count, .. } => {
                         let first = self.workers.len();
                         let ids = (0..*count as usize)
                             .map(|k| MachineId::from(format!("i-{:06}", first + k).as_str()));
                         let ids: Vec<MachineId> = ids.collect();
                         self.workers
                             .extend(ids.iter().map(|id| (id.clone(), Worker::default())));
-                        CloudReply::Rented(ids)
+                        CloudReply::Provisioned(ids)
                     }
-                    CloudCall::Delete { machines } => {
+                    CloudRequest::Terminate { machines } => {
                         self.workers.retain(|id, _| !machines.contains(id));
-                        CloudReply::Deleted
+                        CloudReply::Terminated
                     }
-                    CloudCall::List { .. } => {
-                        let listed = |id: &MachineId| Listed {
+                    CloudRequest::ListMachines { .. } => {
+                        let listed = |id: &MachineId| ListedMachine {
                             id: id.clone(),
                             kind: "m".into(),
                             zone: "z".into(),
@@ -512,15 +517,15 @@
                 self.cloud.push(request);
                 self.next.push(Command::Cloud { call, reply });
             }
-            Effect::Elsewhere { .. } | Effect::Healthy { .. } => {}
+            Effect::Redirect { .. } | Effect::Healthy { .. } => {}
         }
     }
 
-    fn obey(&mut self, machine: &MachineId, token: u64, orders: Vec<Order>) {
+    fn obey(&mut self, machine: &MachineId, fencing_token: u64, orders: Vec<Order>) {
         let Some(worker) = self.workers.get_mut(machine) else {
             return;
         };
-        worker.token = token;
+        worker.fencing_token = fencing_token;
         for order in orders {
             match order {
                 Order::Start { task, attempt } => {
@@ -542,32 +547,32 @@
         }
     }
 
-    fn report_of(&mut self, machine: &MachineId) -> Report {
+    fn report_of(&mut self, machine: &MachineId) -> Heartbeat {
         let worker = self.workers.entry(machine.clone()).or_default();
-        worker.seq += 1;
+        worker.sequence += 1;
         let tasks = worker.tasks.iter();
-        let tasks = tasks.map(|(task, (attempt, state))| TaskReport {
+        let tasks = tasks.map(|(task, (attempt, state))| TaskStatus {
             task: task.clone(),
             attempt: *attempt,
             state: *state,
         });
-        Report {
+        Heartbeat {
             machine: machine.clone(),
             addr: "10.0.0.1:9000".into(),
-            session: 1,
-            seq: worker.seq,
-            token: worker.token,
-            notice: None,
+            incarnation: 1,
+            sequence: worker.sequence,
+            fencing_token: worker.fencing_token,
+            preemption_notice: None,
             tasks: tasks.collect(),
         }
     }
 
-    fn report(&mut self) {
+    fn heartbeat(&mut self) {
         for machine in self.workers.keys().cloned().collect::<Vec<_>>() {
             let to = self.request();
-            let report = Box::new(self.report_of(&machine));
+            let heartbeat = Box::new(self.report_of(&machine));
             self.asked.insert(to, machine.clone());
-            self.next.push(Command::Report { to, report });
+            self.next.push(Command::Heartbeat { to, heartbeat });
             // What was shown running once is done the next time.
             let endless = &self.endless;
             let worker = self.workers.get_mut(&machine).unwrap();
@@ -615,7 +620,7 @@
     ));
     site.run(500);
     site.submit(JobSpec {
-        needs: vec!["j-1".into(), "j-2".into()],
+        dependencies: vec!["j-1".into(), "j-2".into()],
         ..spec(&SMALL_JOB.replace("j-1", "j-3"))
     });
     site.run(20_000);
@@ -796,17 +801,17 @@
         running,
     };
     for (id, state, done, running) in [
-        ("j-1", ShownState::Running, 1, 2),
-        ("j-4", ShownState::Running, 0, 1),
-        ("j-5", ShownState::Queued, 0, 0),
-        ("j-6", ShownState::Running, 0, 3),
-        ("j-8", ShownState::Done, 7, 0),
-        ("j-9", ShownState::Cancelled, 0, 0),
+        ("j-1", JobState::Running, 1, 2),
+        ("j-4", JobState::Running, 0, 1),
+        ("j-5", JobState::Queued, 0, 0),
+        ("j-6", JobState::Running, 0, 3),
+        ("j-8", JobState::Done, 7, 0),
+        ("j-9", JobState::Cancelled, 0, 0),
     ] {
         assert_eq!(site.poll(id), status(id, state, done, running));
     }
     assert_eq!(site.poll("j-7"), Answer::NotFound);
-    let rented = CloudCall::Rent {
+    let rented = CloudRequest::Provision {
         name: "r-1-1".into(),
         kind: "m".into(),
         zone: "z".into(),
@@ -816,7 +821,7 @@
     assert_eq!(
         site.cloud
             .iter()
-            .find(|call| matches!(call, CloudCall::Rent { .. })),
+            .find(|call| matches!(call, CloudRequest::Provision { .. })),
         Some(&rented)
     );
     assert_eq!(site.writes("format/"), Vec::<String>::new());
@@ -837,14 +842,14 @@
 #[test]
 fn stored_machine_types_are_read() {
     let types = r#"[{"name":"m","size":{"c":4000,"g":0,"r":16000},"cache_mb":9000,"fetch_mb_s":1000,"price":100,"spot_price":50,"boot":1000000,"zones":["z"]}]"#;
-    let later = |answer: &Answer| matches!(answer, Answer::Later { .. });
+    let later = |answer: &Answer| matches!(answer, Answer::RetryLater { .. });
     for (entries, known) in [(vec![("types", types)], true), (vec![], false)] {
         let mut site = Site::new(&["a"], &entries);
         site.cloud_answers = false;
         site.run(10_000);
         site.submit(spec(&SMALL_JOB.replace("3000", "5000")));
         site.run(3_000);
-        let impossible = Answer::Impossible(Impossible::NoMachineFits);
+        let impossible = Answer::Rejected(SubmissionError::NoMachineFits);
         assert!(
             if known {
                 site.answers == [impossible]
--- a/crates/seamfront-core/tests/held/mod.rs
+++ b/crates/seamfront-core/tests/held/mod.rs
@@ -1,7 +1,7 @@
 //! One share in the hand, no world round it: what it does with reports and rounds, step by step.
 
-use seamfront_core::fleet::MachineRecord;
 use seamfront_core::job::Job;
+use seamfront_core::machine::MachineRecord;
 use seamfront_core::port::*;
 use seamfront_core::record::{Layout, WorkRecord};
 use seamfront_core::shard::{Context, Shard, ShardWrite, StoredRecord, WriteOutcome};
@@ -17,8 +17,8 @@
 pub fn settings() -> Settings {
     let team = Team {
         name: "t".into(),
-        guarantee: Amounts::default(),
-        limit: Amounts {
+        guarantee: Resources::default(),
+        limit: Resources {
             cpus: 0,
             gpus: 0,
             ram: 0,
@@ -29,7 +29,7 @@
         me: 0,
         teams: vec![team],
         objectives: vec![],
-        report: s(2),
+        heartbeat_interval: s(2),
         lease: s(12),
         gang_wait: s(15),
         gang_peer: s(4),
@@ -49,10 +49,10 @@
         id: id.into(),
         class: "c".into(),
         team: "t".into(),
-        kind: Kind::Array,
+        kind: JobKind::Array,
         priority: Priority::Normal,
         tasks,
-        need: Amounts::needed(1.0, 0.0, 1.0),
+        task_resources: Resources::needed(1.0, 0.0, 1.0),
         types: None,
         zone: None,
         one_zone: false,
@@ -65,19 +65,19 @@
         save: Micros::ZERO,
         deadline: None,
         submitted: Micros::ZERO,
-        needs: vec![],
-        needs_parts: 0,
+        dependencies: vec![],
+        dependency_parts: 0,
     })
 }
 
-pub fn report(
+pub fn heartbeat(
     machine: &str,
-    session: u64,
-    seq: u64,
-    token: u64,
+    incarnation: u64,
+    sequence: u64,
+    fencing_token: u64,
     tasks: &[(&str, u64, TaskState)],
-) -> Report {
-    let shown = |(job, attempt, state): &(&str, u64, TaskState)| TaskReport {
+) -> Heartbeat {
+    let shown = |(job, attempt, state): &(&str, u64, TaskState)| TaskStatus {
         task: TaskKey {
             job: (*job).into(),
             index: 0,
@@ -85,13 +85,13 @@
         attempt: *attempt,
         state: *state,
     };
-    Report {
+    Heartbeat {
         machine: machine.into(),
         addr: "10.0.0.1:9000".into(),
-        session,
-        seq,
-        token,
-        notice: None,
+        incarnation,
+        sequence,
+        fencing_token,
+        preemption_notice: None,
         tasks: tasks.iter().map(shown).collect(),
     }
 }
@@ -99,7 +99,7 @@
 /// A shard that has just been taken over: `machines` machines, one task of attempt 3 recorded on
 /// each of the first `placed`.
 pub struct Held {
-    pub cfg: Settings,
+    pub settings: Settings,
     pub shard: Shard,
     pub effects: Vec<Effect>,
     pub calls: CallId,
@@ -108,7 +108,7 @@
 impl Held {
     pub fn new(machines: usize, placed: usize) -> Held {
         let mut shard = Shard::new(0, CLAIM, s(100));
-        let size = Amounts::offered(8.0, 0.0, 32.0);
+        let size = Resources::offered(8.0, 0.0, 32.0);
         for k in 0..machines {
             let record = MachineRecord {
                 shard: Some(0),
@@ -134,7 +134,7 @@
             shard.adopt_record(spec.id.clone(), Some((spec, 5)), stored, s(100));
         }
         let mut held = Held {
-            cfg: settings(),
+            settings: settings(),
             shard,
             effects: Vec::new(),
             calls: 1,
@@ -145,24 +145,24 @@
 
     pub fn with<R>(&mut self, now: Micros, f: impl FnOnce(&mut Shard, &mut Context) -> R) -> R {
         let (effects, calls) = (&mut self.effects, &mut self.calls);
-        let layout = Layout::single(self.cfg.value_bytes);
+        let layout = Layout::single(self.settings.value_bytes);
         let mut context = Context {
-            cfg: &self.cfg,
+            settings: &self.settings,
             now,
-            wall: now,
+            wall_time: now,
             types: &[],
             effects,
             calls,
-            acting: true,
+            lease_valid: true,
             layout,
         };
         f(&mut self.shard, &mut context)
     }
 
     /// A report that is answered with 200, as the engine does it.
-    pub fn hello(&mut self, now: Micros, r: &Report) -> Vec<Order> {
+    pub fn hello(&mut self, now: Micros, r: &Heartbeat) -> Vec<Order> {
         let orders = self.with(now, |s, context| {
-            if s.take_report(context, r, true) {
+            if s.apply_heartbeat(context, r, true) {
                 s.orders(context, r)
             } else {
                 vec![]
@@ -173,7 +173,7 @@
             .machines
             .get_mut(&r.machine)
             .unwrap()
-            .answered(now, version);
+            .reply_sent(now, version);
         orders
     }
 
@@ -187,7 +187,7 @@
     /// Carries out what the shard wants written of its machines; returns (name, still ours).
     pub fn machine_writes(&mut self, now: Micros, version: u64) -> Vec<(String, bool)> {
         let mut seen = Vec::new();
-        for w in self.shard.writes(now, 100, &Layout::single(32 * 1024)) {
+        for w in self.shard.due_writes(now, 100, &Layout::single(32 * 1024)) {
             if let ShardWrite::Machine {
                 machine, record, ..
             } = &w
--- a/crates/seamfront-core/tests/machines.rs
+++ b/crates/seamfront-core/tests/machines.rs
@@ -1,6 +1,6 @@
 //! A machine's pace and its lease, by themselves.
 
-use seamfront_core::fleet::{Machine, MachineRecord, PACE_TASKS};
+use seamfront_core::machine::{Machine, MachineRecord, PACE_TASKS};
 use seamfront_core::types::*;
 
 fn machine() -> Machine {
@@ -14,7 +14,7 @@
         "i-1".into(),
         record,
         7,
-        Amounts::offered(4.0, 0.0, 16.0),
+        Resources::offered(4.0, 0.0, 16.0),
         Micros::ZERO,
     )
 }
@@ -30,19 +30,19 @@
             Micros::from_secs(10),
         );
     }
-    assert!(slow.suspect && !fair.suspect);
+    assert!(slow.slow && !fair.slow);
 }
 
 /// Until the worker has shown the present token, a former holder may have kept its lease alive.
 #[test]
 fn a_lease_is_over_only_when_no_former_holder_can_have_renewed_it() {
-    let (lease, acting) = (Micros::from_secs(10), Micros::from_secs(20));
+    let (lease, lease_valid) = (Micros::from_secs(10), Micros::from_secs(20));
     let mut m = machine();
     m.owned_since = Micros::from_secs(100);
-    assert!(m.lease_over_at(9, lease, acting) >= Micros::from_secs(130));
-    m.last_ok = Some(Micros::from_secs(101));
-    assert!(m.lease_over_at(9, lease, acting) >= Micros::from_secs(130));
-    m.seen_token = 9;
-    let over = m.lease_over_at(9, lease, acting);
+    assert!(m.lease_expiry(9, lease, lease_valid) >= Micros::from_secs(130));
+    m.last_reply = Some(Micros::from_secs(101));
+    assert!(m.lease_expiry(9, lease, lease_valid) >= Micros::from_secs(130));
+    m.highest_seen_token = 9;
+    let over = m.lease_expiry(9, lease, lease_valid);
     assert!(over >= Micros::from_secs(111) && over < Micros::from_secs(112));
 }
--- a/crates/seamfront-core/tests/on_call.rs
+++ b/crates/seamfront-core/tests/on_call.rs
@@ -289,7 +289,7 @@
         w.fault(ms(1), Fault::SlowRentals { until: ms(60_000) });
         for n in 0..20 {
             let mut spec = w.job(n);
-            (spec.kind, spec.tasks, spec.types) = (Kind::Array, 30, Some(vec!["large".into()]));
+            (spec.kind, spec.tasks, spec.types) = (JobKind::Array, 30, Some(vec!["large".into()]));
             let at = 500 * i64::from(n);
             w.submit(ms(at), spec);
         }
@@ -330,7 +330,7 @@
             spec.team = ["a", "b", "c"][n as usize % 3].into();
             let (id, service, at) = (
                 spec.id.clone(),
-                spec.kind == Kind::Service,
+                spec.kind == JobKind::Service,
                 2_000 * i64::from(n),
             );
             w.submit(ms(at), spec);
@@ -340,12 +340,13 @@
         }
         let mut sweep = w.job(99);
         (sweep.kind, sweep.class, sweep.team, sweep.priority) = (
-            Kind::Array,
+            JobKind::Array,
             "sweep".into(),
             "d".into(),
             Priority::BestEffort,
         );
-        (sweep.tasks, sweep.need, sweep.image_mb) = (TASKS, Amounts::needed(0.25, 0.0, 0.25), 100);
+        (sweep.tasks, sweep.task_resources, sweep.image_mb) =
+            (TASKS, Resources::needed(0.25, 0.0, 0.25), 100);
         (sweep.zone, sweep.one_zone, sweep.spread, sweep.spot) = (None, false, false, true);
         (sweep.deadline, sweep.checkpoint, sweep.estimate) = (None, Micros::ZERO, ms(4_000));
         w.submit(ms(15_000), sweep);
--- a/crates/seamfront-core/tests/placement.rs
+++ b/crates/seamfront-core/tests/placement.rs
@@ -2,8 +2,8 @@
 
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
-use seamfront_core::fleet::{Machine, MachineRecord};
-use seamfront_core::placement::{Machines, Room, When, Wish};
+use seamfront_core::machine::{Machine, MachineRecord};
+use seamfront_core::placement::{Availability, FreeCapacity, Machines, PlacementRequest};
 use seamfront_core::quota::{within_limit, Quota};
 use seamfront_core::types::*;
 use std::collections::BTreeMap;
@@ -13,10 +13,10 @@
         id: "j-1".into(),
         class: "c".into(),
         team: "t".into(),
-        kind: Kind::Array,
+        kind: JobKind::Array,
         priority: Priority::Normal,
         tasks: rng.random_range(1..9),
-        need: Amounts::needed(
+        task_resources: Resources::needed(
             rng.random_range(1..4) as f64,
             0.0,
             rng.random_range(1..9) as f64,
@@ -33,8 +33,8 @@
         save: Micros::ZERO,
         deadline: None,
         submitted: Micros::ZERO,
-        needs: vec![],
-        needs_parts: 0,
+        dependencies: vec![],
+        dependency_parts: 0,
     }
 }
 
@@ -53,14 +53,14 @@
                     zone: pick(&mut rng, ["x", "y"]),
                     spot: rng.random_range(0..2) == 0,
                 };
-                let size = Amounts::offered(rng.random_range(1..9) as f64, 0.0, 16.0);
+                let size = Resources::offered(rng.random_range(1..9) as f64, 0.0, 16.0);
                 let id = MachineId::from(format!("m-{k}").as_str());
                 (id.clone(), Machine::new(id, record, 1, size, Micros::ZERO))
             })
             .collect();
-        let room = Room::of(machines.values());
+        let capacity = FreeCapacity::of(machines.values());
         let avoid = BTreeMap::from([("m-0".into(), Micros::from_secs(9))]);
-        let wish = Wish {
+        let placement = PlacementRequest {
             spec: &job,
             avoid: &avoid,
             now: Micros::ZERO,
@@ -69,10 +69,10 @@
             cached: false,
         };
         let partial = rng.random_range(0..2) == 0;
-        let got = wish.choose(
+        let got = placement.choose(
             &machines,
-            &room,
-            When::Now,
+            &capacity,
+            Availability::Now,
             &BTreeMap::new(),
             job.tasks,
             partial,
@@ -84,7 +84,7 @@
         );
         let mut zones: BTreeMap<&str, u32> = BTreeMap::new();
         for k in &got {
-            let m = &machines[&room.spots[*k].id];
+            let m = &machines[&capacity.machines[*k].id];
             assert!(
                 job.allows(&m.record.kind, &m.record.zone, m.record.spot) && m.id.as_str() != "m-0"
             );
@@ -92,9 +92,9 @@
         }
         assert!(!job.one_zone || zones.len() <= 1);
         assert!(zones.values().all(|n| *n <= job.zone_cap()));
-        for (k, spot) in room.spots.iter().enumerate() {
+        for (k, spot) in capacity.machines.iter().enumerate() {
             let taken = got.iter().filter(|g| **g == k).count() as i64;
-            assert!(taken <= spot.free.fits(job.need), "overfilled");
+            assert!(taken <= spot.free.fits(job.task_resources), "overfilled");
         }
         if !partial && !job.spread && got.is_empty() {
             // All or none, and none: then there is indeed no room for all where all must be.
@@ -107,7 +107,7 @@
                     .values()
                     .filter(may)
                     .filter(|m| z.is_none_or(|z| z == m.record.zone));
-                here.map(|m| m.free().fits(job.need)).sum::<i64>()
+                here.map(|m| m.free().fits(job.task_resources)).sum::<i64>()
             };
             let most = if job.one_zone {
                 fits(Some("x")).max(fits(Some("y")))
@@ -128,19 +128,21 @@
 #[test]
 fn quota_room_never_lets_a_team_over_its_limit() {
     let mut rng = StdRng::seed_from_u64(8);
-    let limit = Amounts::offered(20.0, 0.0, 0.0);
+    let limit = Resources::offered(20.0, 0.0, 0.0);
     let team = Team {
         name: "t".into(),
-        guarantee: Amounts::default(),
+        guarantee: Resources::default(),
         limit,
     };
     let mut quota = Quota::default();
-    let mut held: Vec<Amounts> = Vec::new();
+    let mut held: Vec<Resources> = Vec::new();
     for _ in 0..5_000 {
-        let need = Amounts::needed(rng.random_range(1..50) as f64 / 10.0, 1.0, 1.0);
-        if quota.room(&team, need, Amounts::default()) > 0 && rng.random_range(0..3) > 0 {
-            quota.take("t", need);
-            held.push(need);
+        let task_resources = Resources::needed(rng.random_range(1..50) as f64 / 10.0, 1.0, 1.0);
+        if quota.headroom(&team, task_resources, Resources::default()) > 0
+            && rng.random_range(0..3) > 0
+        {
+            quota.take("t", task_resources);
+            held.push(task_resources);
         } else if !held.is_empty() {
             let k = rng.random_range(0..held.len());
             quota.give("t", held.swap_remove(k));
@@ -150,12 +152,12 @@
         assert_eq!(used.cpus, held.iter().map(|h| h.cpus).sum::<i64>());
     }
     let mut job = spec(&mut rng);
-    job.need = Amounts::needed(6.0, 0.0, 1.0);
+    job.task_resources = Resources::needed(6.0, 0.0, 1.0);
     job.tasks = 4;
     assert!(
         within_limit(&team, &job),
         "an array needs room for one task only"
     );
-    job.kind = Kind::Gang;
+    job.kind = JobKind::Gang;
     assert!(!within_limit(&team, &job), "a gang for all");
 }
--- a/crates/seamfront-core/tests/records.rs
+++ b/crates/seamfront-core/tests/records.rs
@@ -30,7 +30,7 @@
     }
     WorkRecord {
         team: "t".into(),
-        need: Amounts::needed(1.0, 0.0, 2.0),
+        task_resources: Resources::needed(1.0, 0.0, 2.0),
         epoch: 7,
         draining: true,
         attempts: (0..members).map(|index| (index, 2)).collect(),
@@ -161,9 +161,9 @@
 fn large_gang(w: &mut World, n: u32, members: u32) -> JobId {
     let mut spec = w.job(n);
     (spec.kind, spec.class, spec.team, spec.tasks) =
-        (Kind::Gang, "large".into(), "a".into(), members);
+        (JobKind::Gang, "large".into(), "a".into(), members);
     // One member on a machine.
-    (spec.need, spec.priority) = (Amounts::needed(3.0, 0.0, 1.0), Priority::Urgent);
+    (spec.task_resources, spec.priority) = (Resources::needed(3.0, 0.0, 1.0), Priority::Urgent);
     (spec.zone, spec.one_zone, spec.spread, spec.spot) = (None, false, false, true);
     spec.image_mb = 100;
     let id = spec.id.clone();
@@ -236,7 +236,7 @@
             let (at, id, service) = (
                 w.draw(500..110_000),
                 spec.id.clone(),
-                spec.kind == Kind::Service,
+                spec.kind == JobKind::Service,
             );
             w.submit(ms(at), spec);
             if service || w.draw(0..4) == 0 {
@@ -248,8 +248,8 @@
         for (n, at) in [(90, 4_000), (91, 110_000)] {
             let mut large = w.job(n);
             (large.kind, large.class, large.team, large.tasks) =
-                (Kind::Array, "large".into(), "a".into(), 300);
-            (large.need, large.zone) = (Amounts::needed(3.0, 0.0, 1.0), None);
+                (JobKind::Array, "large".into(), "a".into(), 300);
+            (large.task_resources, large.zone) = (Resources::needed(3.0, 0.0, 1.0), None);
             (large.one_zone, large.spread) = (false, false);
             w.submit(ms(at), large);
         }
--- a/crates/seamfront-core/tests/rules.rs
+++ b/crates/seamfront-core/tests/rules.rs
@@ -72,12 +72,12 @@
 /// Bites: each of these guards, taken out by hand, made one or more of the tests in this file fail.
 /// - a placement is ordered only after its record is written (`Phase::Recording`): ran_twice
 /// - omissions count only in a report that shows the present token, with no command unsettled
-///   (`Shard::take_report`): quota
+///   (`Shard::apply_heartbeat`): quota
 /// - an unanswered command stays unsettled (`Shard::direct_result`): quota, jobs never done
-/// - the time of `Machine::lease_over_at`: ran_twice
-/// - orders for an earlier session only are void in a later one (`Shard::take_report`): ran_twice
-/// - the limit of acting without proof (`Settings::acting_time`): ran_cancelled
-/// - the token as the larger of claim and record (`Machine::token`): jobs never done
+/// - the time of `Machine::lease_expiry`: ran_twice
+/// - orders for an earlier session only are void in a later one (`Shard::apply_heartbeat`): ran_twice
+/// - the limit of acting without proof (`Settings::verification_ttl`): ran_cancelled
+/// - the token as the larger of claim and record (`Machine::fencing_token`): jobs never done
 /// - the team's limit in a round: quota
 ///
 /// The claim's version in each write was taken out alone without a failure here: the record's own
@@ -379,14 +379,14 @@
         w.quiet_from = ms(300_000);
         let mut gang = w.job(0);
         (gang.kind, gang.class, gang.team, gang.priority) =
-            (Kind::Gang, "gang".into(), "b".into(), Priority::Urgent);
-        (gang.tasks, gang.need) = (3, Amounts::needed(3.0, 0.0, 4.0));
+            (JobKind::Gang, "gang".into(), "b".into(), Priority::Urgent);
+        (gang.tasks, gang.task_resources) = (3, Resources::needed(3.0, 0.0, 4.0));
         (gang.one_zone, gang.spread, gang.zone, gang.spot) = (false, false, None, true);
         for n in 1..85 {
             let mut small = gang.clone();
             (small.id, small.kind, small.class) = (
                 format!("j-{n:06}").as_str().into(),
-                Kind::Array,
+                JobKind::Array,
                 "small".into(),
             );
             small.tasks = 1;
--- a/crates/seamfront-core/tests/size.rs
+++ b/crates/seamfront-core/tests/size.rs
@@ -30,9 +30,9 @@
         let mut spec = w.job(n);
         spec.team = ["d", "e", "f", "g", "h", "i", "j"][n as usize % 7].into();
         match spec.kind {
-            Kind::Array => spec.tasks = w.draw(60..350) as u32,
-            Kind::Service => spec.tasks = w.draw(4..17) as u32,
-            Kind::Gang => spec.tasks = w.draw(1..9) as u32,
+            JobKind::Array => spec.tasks = w.draw(60..350) as u32,
+            JobKind::Service => spec.tasks = w.draw(4..17) as u32,
+            JobKind::Gang => spec.tasks = w.draw(1..9) as u32,
         }
         let at = if n % 3 == 0 {
             w.draw(20_000..22_000)
@@ -123,7 +123,7 @@
 #[test]
 fn a_step_looks_at_no_more_in_a_fleet_twice_as_large() {
     scenario("size.a_step_looks_at_no_more_in_a_fleet_twice_as_large");
-    let looked = |machines: usize| {
+    let work_done = |machines: usize| {
         let mut w = World::sized(902, fleet(3, machines, 1_000, 400));
         w.quiet_from = ms(1_000);
         jobs(&mut w);
@@ -133,10 +133,10 @@
             "the run proves nothing: {} tasks started",
             w.truth.started
         );
-        let (steps, looked) = w.steps;
-        looked as f64 / steps as f64
+        let (steps, work_done) = w.steps;
+        work_done as f64 / steps as f64
     };
-    let (small, large) = (looked(1_000), looked(2_000));
+    let (small, large) = (work_done(1_000), work_done(2_000));
     assert!(
         large < 1.3 * small,
         "{small:.0} items in a step, and {large:.0} with twice as many machines"
--- a/crates/seamfront-core/tests/turns.rs
+++ b/crates/seamfront-core/tests/turns.rs
@@ -4,7 +4,7 @@
 #[allow(dead_code)]
 mod held;
 
-use held::{job, report, s, Held, CLAIM};
+use held::{heartbeat, job, s, Held, CLAIM};
 use seamfront_core::types::*;
 use std::rc::Rc;
 
@@ -33,10 +33,10 @@
         for m in 0..h.shard.machines.len() {
             h.hello(
                 now,
-                &report(&format!("i-{m}"), 1, 100 + now.0 as u64, CLAIM, &[]),
+                &heartbeat(&format!("i-{m}"), 1, 100 + now.0 as u64, CLAIM, &[]),
             );
         }
-        h.with(now, |s, context| s.round(context));
+        h.with(now, |s, context| s.run_scheduling_cycle(context));
     }
 }
 
@@ -49,10 +49,10 @@
 #[test]
 fn of_gangs_over_their_teams_limit_the_smallest_goes_first() {
     for (kind, limit, late, expected) in [
-        (Kind::Gang, 8.0, false, (0, 2)),
-        (Kind::Gang, 8.0, true, (8, 0)),
-        (Kind::Gang, 0.0, false, (8, 0)),
-        (Kind::Array, 8.0, false, (8, 0)),
+        (JobKind::Gang, 8.0, false, (0, 2)),
+        (JobKind::Gang, 8.0, true, (8, 0)),
+        (JobKind::Gang, 0.0, false, (8, 0)),
+        (JobKind::Array, 8.0, false, (8, 0)),
     ] {
         let mut small = JobSpec {
             kind,
@@ -65,7 +65,7 @@
             ..array("j-0", 8, Priority::Normal, s(100))
         };
         let mut h = Held::new(1, 0);
-        h.cfg.teams[0].limit = Amounts::offered(limit, 0.0, 0.0);
+        h.settings.teams[0].limit = Resources::offered(limit, 0.0, 0.0);
         for spec in [large, small] {
             h.shard.add_job(Rc::new(spec), 5, s(120));
         }
@@ -83,8 +83,8 @@
 #[test]
 fn what_began_by_its_turn_is_not_stopped_by_what_comes_after_it() {
     let now = s(400);
-    let mut old = array("j-0", 1, Priority::Normal, now - BEGIN_WITHIN);
-    old.need = Amounts::needed(8.0, 0.0, 1.0);
+    let mut old = array("j-0", 1, Priority::Normal, now - START_DEADLINE);
+    old.task_resources = Resources::needed(8.0, 0.0, 1.0);
     let urgent = JobSpec {
         id: "j-1".into(),
         priority: Priority::Urgent,
@@ -109,19 +109,22 @@
 fn what_began_by_its_turn_is_not_reclaimed_for_a_guarantee() {
     let now = s(400);
     let gang = |id: &str, team: &str, submitted| JobSpec {
-        kind: Kind::Gang,
+        kind: JobKind::Gang,
         team: team.into(),
-        need: Amounts::needed(8.0, 0.0, 1.0),
+        task_resources: Resources::needed(8.0, 0.0, 1.0),
         ..array(id, 1, Priority::Urgent, submitted)
     };
     let mut h = Held::new(1, 0);
-    let guarantee = Amounts::offered(16.0, 0.0, 0.0);
-    h.cfg.teams.push(Team {
+    let guarantee = Resources::offered(16.0, 0.0, 0.0);
+    h.settings.teams.push(Team {
         name: "u".into(),
         guarantee,
-        limit: Amounts::default(),
+        limit: Resources::default(),
     });
-    for spec in [gang("j-0", "t", now - BEGIN_WITHIN), gang("j-1", "u", now)] {
+    for spec in [
+        gang("j-0", "t", now - START_DEADLINE),
+        gang("j-1", "u", now),
+    ] {
         h.shard.add_job(Rc::new(spec), 5, now);
     }
     rounds(&mut h, now, 4);
@@ -143,7 +146,7 @@
     let now = s(120);
     let mut h = Held::new(3, 0);
     let live = JobSpec {
-        kind: Kind::Service,
+        kind: JobKind::Service,
         priority: Priority::Critical,
         image: "live".into(),
         ..(*job("j-0", 4)).clone()
@@ -177,8 +180,8 @@
     use seamfront_core::quota::guaranteed;
     let team = Team {
         name: "t".into(),
-        guarantee: Amounts::offered(4.0, 0.0, 0.0),
-        limit: Amounts {
+        guarantee: Resources::offered(4.0, 0.0, 0.0),
+        limit: Resources {
             cpus: 0,
             gpus: 0,
             ram: 0,
@@ -186,8 +189,8 @@
     };
     let mut first = Job::new(Rc::new(array("j-0", 4, Priority::Normal, s(1))), 5, s(1));
     let second = Job::new(Rc::new(array("j-1", 4, Priority::Normal, s(2))), 5, s(2));
-    for (waits, inside) in [(false, "j-0"), (true, "j-1")] {
-        first.waits = waits;
+    for (blocked, inside) in [(false, "j-0"), (true, "j-1")] {
+        first.blocked = blocked;
         let found = guaranteed(std::slice::from_ref(&team), [&first, &second].into_iter());
         assert_eq!(
             found.iter().map(|j| j.as_str()).collect::<Vec<_>>(),
@@ -205,19 +208,19 @@
     let whole = |id: &str, team: &str, kind, priority| JobSpec {
         kind,
         team: team.into(),
-        need: Amounts::needed(8.0, 0.0, 1.0),
+        task_resources: Resources::needed(8.0, 0.0, 1.0),
         ..array(id, 1, priority, now)
     };
     let mut h = Held::new(4, 0);
-    h.cfg.teams[0].limit = Amounts::offered(8.0, 0.0, 0.0);
-    h.cfg.teams.push(Team {
+    h.settings.teams[0].limit = Resources::offered(8.0, 0.0, 0.0);
+    h.settings.teams.push(Team {
         name: "u".into(),
-        guarantee: Amounts::default(),
-        limit: Amounts::default(),
+        guarantee: Resources::default(),
+        limit: Resources::default(),
     });
     for id in ["j-5", "j-6", "j-7", "j-8"] {
         h.shard.add_job(
-            Rc::new(whole(id, "u", Kind::Array, Priority::BestEffort)),
+            Rc::new(whole(id, "u", JobKind::Array, Priority::BestEffort)),
             5,
             now,
         );
@@ -226,13 +229,13 @@
     order_all(&mut h);
     for id in ["j-0", "j-1"] {
         h.shard.add_job(
-            Rc::new(whole(id, "t", Kind::Gang, Priority::Urgent)),
+            Rc::new(whole(id, "t", JobKind::Gang, Priority::Urgent)),
             5,
             now,
         );
     }
     for k in 1..4 {
-        h.with(now + s(k), |s, context| s.round(context));
+        h.with(now + s(k), |s, context| s.run_scheduling_cycle(context));
     }
     assert_eq!(stopped(&h), 1);
 }
@@ -245,17 +248,17 @@
     now: Micros,
 ) -> (Held, impl Fn(&str, u32, Micros) -> JobSpec) {
     let mut h = Held::new(machines, 0);
-    h.cfg.teams[0].limit = Amounts::offered(16.0, 0.0, 0.0);
-    h.cfg.teams.push(Team {
+    h.settings.teams[0].limit = Resources::offered(16.0, 0.0, 0.0);
+    h.settings.teams.push(Team {
         name: "u".into(),
-        guarantee: Amounts::default(),
-        limit: Amounts::default(),
+        guarantee: Resources::default(),
+        limit: Resources::default(),
     });
     for id in busy {
-        let need = Amounts::needed(8.0, 0.0, 1.0);
+        let task_resources = Resources::needed(8.0, 0.0, 1.0);
         let lesser = JobSpec {
             team: "u".into(),
-            need,
+            task_resources,
             ..array(id, 1, Priority::BestEffort, now)
         };
         h.shard.add_job(Rc::new(lesser), 5, now);
@@ -263,8 +266,8 @@
     rounds(&mut h, now, 1);
     order_all(&mut h);
     let gang = |id: &str, tasks, submitted| JobSpec {
-        kind: Kind::Gang,
-        need: Amounts::needed(8.0, 0.0, 1.0),
+        kind: JobKind::Gang,
+        task_resources: Resources::needed(8.0, 0.0, 1.0),
         ..array(id, tasks, Priority::Urgent, submitted)
     };
     (h, gang)
@@ -296,9 +299,9 @@
     let now = s(500);
     let (mut h, gang) = held_with_limit_for_two(3, &["j-5", "j-6"], now);
     h.shard
-        .add_job(Rc::new(gang("j-0", 2, now - BEGIN_WITHIN)), 5, now);
+        .add_job(Rc::new(gang("j-0", 2, now - START_DEADLINE)), 5, now);
     h.shard.add_job(Rc::new(gang("j-1", 1, now)), 5, now);
-    h.with(now + s(1), |s, context| s.round(context));
+    h.with(now + s(1), |s, context| s.run_scheduling_cycle(context));
     assert!(stopped(&h) > 0, "room is being freed");
     assert_eq!((placed(&h, "j-0"), placed(&h, "j-1")), (0, 0));
 }
@@ -309,16 +312,16 @@
     let now = s(500);
     let (mut h, gang) = held_with_limit_for_two(3, &[], now);
     h.shard.add_job(Rc::new(gang("j-1", 1, now)), 5, now);
-    h.with(now + s(1), |s, context| s.round(context));
+    h.with(now + s(1), |s, context| s.run_scheduling_cycle(context));
     order_all(&mut h);
     h.shard
-        .add_job(Rc::new(gang("j-0", 2, now - BEGIN_WITHIN)), 5, now);
+        .add_job(Rc::new(gang("j-0", 2, now - START_DEADLINE)), 5, now);
     let lesser = JobSpec {
         team: "u".into(),
         ..array("j-7", 40, Priority::BestEffort, now)
     };
     h.shard.add_job(Rc::new(lesser), 5, now);
-    h.with(now + s(2), |s, context| s.round(context));
+    h.with(now + s(2), |s, context| s.run_scheduling_cycle(context));
     assert_eq!(
         (placed(&h, "j-1"), placed(&h, "j-0"), placed(&h, "j-7")),
         (1, 0, 0)
