--- a/crates/seamfront-core/tests/world/checks.rs
+++ b/crates/seamfront-core/tests/world/checks.rs
@@ -11,10 +11,10 @@
             let done = self.truth.completed.get(id).map_or(0, |c| c.len() as u32) == spec.tasks;
             let over = self.told.contains_key(id);
             match spec.kind {
-                Kind::Service if self.wants_cancel.contains(id) && !over => {
+                JobKind::Service if self.wants_cancel.contains(id) && !over => {
                     owed.push(format!("{id} not cancelled"))
                 }
-                Kind::Service if !self.wants_cancel.contains(id) => {
+                JobKind::Service if !self.wants_cancel.contains(id) => {
                     let up = self.truth.workers.values().filter(|w| !w.dead);
                     let running = up
                         .flat_map(|w| w.tasks.iter())
@@ -46,7 +46,7 @@
             let spec = &self.truth.jobs[id];
             // What waits for others may begin once the last of them is done.
             let ready = spec
-                .needs
+                .dependencies
                 .iter()
                 .filter_map(|n| self.ended.get(n))
                 .max()
@@ -62,7 +62,7 @@
                 .iter()
                 .map(|j| &self.truth.jobs[j])
                 .filter(|j| j.class == spec.class);
-            let size = |j: &JobSpec| i64::from(j.tasks) * j.need.cpus;
+            let size = |j: &JobSpec| i64::from(j.tasks) * j.task_resources.cpus;
             let largest = largest.map(size).max().unwrap_or(0);
             let mut names = vec![
                 format!("class {}", spec.class),
@@ -124,12 +124,12 @@
     }
 
     /// Whoever acts on the cloud under a duty holds it, and so by the store.
-    pub(super) fn check_duty(&mut self, node: usize, request: &CloudCall) {
+    pub(super) fn check_duty(&mut self, node: usize, request: &CloudRequest) {
         let claim = match request {
-            CloudCall::Delete { .. } => "duty/claim/returning",
-            CloudCall::Types | CloudCall::List { .. } | CloudCall::Rent { .. } => {
-                "duty/claim/renting"
-            }
+            CloudRequest::Terminate { .. } => "duty/claim/returning",
+            CloudRequest::MachineTypes
+            | CloudRequest::ListMachines { .. }
+            | CloudRequest::Provision { .. } => "duty/claim/renting",
         };
         self.cover("a duty acted on the cloud");
         if self.holder(claim) != Some(node) {
@@ -164,7 +164,7 @@
         let Some(holder) = self.holder(claim) else {
             return;
         };
-        for (sent, report) in std::mem::take(&mut self.kept_reports) {
+        for (sent, heartbeat) in std::mem::take(&mut self.kept_reports) {
             self.cover("an old report reached every controller as a claim was taken");
             for node in 0..self.scale.nodes {
                 let soon = ms(self.rng.random_range(0..200));
@@ -173,7 +173,7 @@
                     Event::DuplicateReport {
                         node,
                         sent,
-                        report: Box::new(report.clone()),
+                        heartbeat: Box::new(heartbeat.clone()),
                     },
                 );
             }
@@ -183,7 +183,7 @@
                 Event::DuplicateReport {
                     node: holder,
                     sent,
-                    report: Box::new(report),
+                    heartbeat: Box::new(heartbeat),
                 },
             );
         }
@@ -203,8 +203,11 @@
     pub fn waits_after_needs(&self) -> Vec<Micros> {
         let mut waits = Vec::new();
         for (job, ordered) in &self.first_orders {
-            let needs = &self.truth.jobs[job].needs;
-            let last = needs.iter().filter_map(|n| self.durable_ends.get(n)).max();
+            let dependencies = &self.truth.jobs[job].dependencies;
+            let last = dependencies
+                .iter()
+                .filter_map(|n| self.durable_ends.get(n))
+                .max();
             if let Some(last) = last {
                 waits.push(*ordered - (*last).max(self.submitted[job]));
             }
@@ -252,7 +255,7 @@
     /// job was called off is stopped with the next reply: no start comes later than that.
     pub(super) fn check_late_starts(&mut self) {
         let settled = self.quiet_from + ms(30_000);
-        let at_most = self.settings.report.times(5).over(2) + ms(1_000);
+        let at_most = self.settings.heartbeat_interval.times(5).over(2) + ms(1_000);
         for (task, confirmed) in std::mem::take(&mut self.truth.started_cancelled) {
             self.cover("a task started after its cancellation was confirmed");
             if confirmed > settled && self.now - confirmed > at_most {
@@ -308,8 +311,8 @@
         if self.now < since || self.now.0 / 100_000 % 10 != 0 {
             return;
         }
-        let mut used: BTreeMap<&str, Amounts> = BTreeMap::new();
-        let mut room: BTreeMap<&MachineId, Amounts> = BTreeMap::new();
+        let mut used: BTreeMap<&str, Resources> = BTreeMap::new();
+        let mut room: BTreeMap<&MachineId, Resources> = BTreeMap::new();
         let mut placed: BTreeMap<&JobId, u32> = BTreeMap::new();
         for (id, w) in self
             .truth
@@ -323,7 +326,7 @@
                 .filter(|(_, t)| !matches!(t.state, TaskState::Exited(_)))
             {
                 let spec = &self.truth.jobs[&k.job];
-                used.entry(&spec.team).or_default().add(spec.need);
+                used.entry(&spec.team).or_default().add(spec.task_resources);
                 *placed.entry(&k.job).or_default() += 1;
             }
             room.insert(id, w.free(&self.truth.jobs));
@@ -332,11 +335,15 @@
         let wanted = |id: &&JobId| !self.wants_cancel.contains(*id) && !self.told.contains_key(*id);
         for id in self.accepted.iter().filter(wanted) {
             let spec = &self.truth.jobs[id];
-            if spec.needs.iter().any(|n| !self.ended.contains_key(n)) {
+            if spec
+                .dependencies
+                .iter()
+                .any(|n| !self.ended.contains_key(n))
+            {
                 continue;
             }
             let done = self.truth.completed.get(id).map_or(0, |c| c.len() as u32);
-            let whole = spec.kind == Kind::Gang && spec.tasks > 1;
+            let whole = spec.kind == JobKind::Gang && spec.tasks > 1;
             if whole
                 || spec.one_zone
                 || spec.spread
@@ -351,12 +358,12 @@
                 .find(|t| t.name == spec.team)
                 .unwrap();
             let mut sum = used.get(spec.team.as_str()).copied().unwrap_or_default();
-            sum.add(spec.need);
+            sum.add(spec.task_resources);
             let under = team.limit.cpus == 0 || sum.cpus <= team.limit.cpus;
-            let fits = |m: &MachineId, free: &Amounts| {
+            let fits = |m: &MachineId, free: &Resources| {
                 let w = &self.truth.workers[m];
                 spec.allows(&w.kind, &w.zone, w.spot)
-                    && free.fits(spec.need) > 0
+                    && free.fits(spec.task_resources) > 0
                     && w.notice_at.is_none()
             };
             for (m, _) in room.iter().filter(|(m, free)| under && fits(m, free)) {
--- a/crates/seamfront-core/tests/world/cloud.rs
+++ b/crates/seamfront-core/tests/world/cloud.rs
@@ -8,7 +8,7 @@
         node: usize,
         life: u64,
         call: CallId,
-        request: CloudCall,
+        request: CloudRequest,
         late: bool,
     ) {
         if !late && (self.cloud_outage > self.now || self.lost()) {
@@ -34,10 +34,10 @@
                 },
             );
         }
-        let rental = matches!(request, CloudCall::Rent { .. });
+        let rental = matches!(request, CloudRequest::Provision { .. });
         let reply = match request {
-            CloudCall::Types => CloudReply::Types(machine_types()),
-            CloudCall::Rent {
+            CloudRequest::MachineTypes => CloudReply::MachineTypes(machine_types()),
+            CloudRequest::Provision {
                 name,
                 kind,
                 zone,
@@ -45,7 +45,7 @@
                 count,
             } => {
                 if let Some(ids) = self.rented.get(&name) {
-                    CloudReply::Rented(ids.clone())
+                    CloudReply::Provisioned(ids.clone())
                 } else if self.truth.workers.values().filter(|w| !w.dead).count() > self.scale.most
                     || self.rng.random_range(0..5) == 0
                 {
@@ -63,10 +63,10 @@
                         ids.push(self.rent(&kind, &zone, spot, boot));
                     }
                     self.rented.insert(name, ids.clone());
-                    CloudReply::Rented(ids)
+                    CloudReply::Provisioned(ids)
                 }
             }
-            CloudCall::Delete { machines } => {
+            CloudRequest::Terminate { machines } => {
                 for id in machines {
                     if let Some(w) = self.truth.workers.get_mut(&id) {
                         // One that comes back just as it is given up is bad luck and no mistake.
@@ -82,9 +82,9 @@
                         w.dead = true;
                     }
                 }
-                CloudReply::Deleted
+                CloudReply::Terminated
             }
-            CloudCall::List { .. } => {
+            CloudRequest::ListMachines { .. } => {
                 let lag = self.settings.list_lag;
                 let machines = self
                     .truth
@@ -95,7 +95,7 @@
                             w.up_at > self.now && w.rented_at + lag + ms(9_000) < self.now;
                         !w.dead && (w.up_at + lag < self.now || w.up_at == ms(1) || long_not_up)
                     })
-                    .map(|(id, w)| Listed {
+                    .map(|(id, w)| ListedMachine {
                         id: id.clone(),
                         kind: w.kind.clone(),
                         zone: w.zone.clone(),
--- a/crates/seamfront-core/tests/world/faults.rs
+++ b/crates/seamfront-core/tests/world/faults.rs
@@ -200,7 +200,7 @@
                 .filter(|(_, t)| counts(t))
             {
                 let spec = &self.truth.jobs[&k.job];
-                *cpus.entry(&spec.team).or_default() += spec.need.cpus;
+                *cpus.entry(&spec.team).or_default() += spec.task_resources.cpus;
             }
             cpus
         };
@@ -425,7 +425,7 @@
                 let now = self.now;
                 for id in self.some_machines(count) {
                     let w = self.truth.workers.get_mut(&id).unwrap();
-                    w.session += 1;
+                    w.incarnation += 1;
                     w.tasks.clear();
                     (w.lease_from, w.in_flight) = (now, None);
                 }
--- a/crates/seamfront-core/tests/world/mod.rs
+++ b/crates/seamfront-core/tests/world/mod.rs
@@ -49,14 +49,14 @@
         node: usize,
         life: u64,
         call: CallId,
-        request: StateCall,
+        request: StoreRequest,
         late: bool,
     },
     Cloud {
         node: usize,
         life: u64,
         call: CallId,
-        request: CloudCall,
+        request: CloudRequest,
         late: bool,
     },
     ReportDue {
@@ -64,8 +64,8 @@
     },
     Answered {
         machine: MachineId,
-        session: u64,
-        seq: u64,
+        incarnation: u64,
+        sequence: u64,
         sent: Micros,
         node: usize,
         answer: ReportAnswer,
@@ -75,8 +75,8 @@
         life: u64,
         call: CallId,
         machine: MachineId,
-        session: u64,
-        token: u64,
+        incarnation: u64,
+        fencing_token: u64,
         orders: Vec<Order>,
         late: bool,
     },
@@ -84,7 +84,7 @@
     DuplicateReport {
         node: usize,
         sent: Micros,
-        report: Box<Report>,
+        heartbeat: Box<Heartbeat>,
     },
     Workers,
     Submit {
@@ -150,10 +150,10 @@
 
 /// A request of a user or worker that waits for its answer.
 enum Asked {
-    Report {
+    Heartbeat {
         machine: MachineId,
-        session: u64,
-        seq: u64,
+        incarnation: u64,
+        sequence: u64,
         sent: Micros,
     },
     Submit {
@@ -190,7 +190,7 @@
     cloud_outage: Micros,
     /// Until when the cloud takes seconds to answer requests for machines.
     slow_rentals: Micros,
-    watches: Vec<(usize, u64, CallId, StateCall, Micros)>,
+    watches: Vec<(usize, u64, CallId, StoreRequest, Micros)>,
     rented: BTreeMap<String, Vec<MachineId>>,
     machines_made: u32,
     cut_machines: BTreeMap<MachineId, Micros>,
@@ -207,7 +207,7 @@
     lose_commit_answers_until: Micros,
     keep_reports_until: Micros,
     /// Copies of reports that the next holder of a claim gets, with when they were sent.
-    kept_reports: Vec<(Micros, Report)>,
+    kept_reports: Vec<(Micros, Heartbeat)>,
     fast_boots_until: Micros,
     bad_boots: BadBoots,
     close_looks_until: Micros,
@@ -229,11 +229,11 @@
     /// Since when a job waits though that machine has room for it.
     passed_over: BTreeMap<(JobId, MachineId), Micros>,
     pub truth: Truth,
-    asked: BTreeMap<(usize, u64, ReplyTo), (Asked, Micros)>,
-    next_reply: ReplyTo,
+    asked: BTreeMap<(usize, u64, ClientRequestId), (Asked, Micros)>,
+    next_reply: ClientRequestId,
     accepted: BTreeSet<JobId>,
     /// Final answers, and since when they are known to the user.
-    told: BTreeMap<JobId, (ShownState, Micros)>,
+    told: BTreeMap<JobId, (JobState, Micros)>,
     wants_cancel: BTreeSet<JobId>,
     submitted: BTreeMap<JobId, Micros>,
     /// When a question about the job was last answered.
@@ -289,8 +289,8 @@
 fn settings(scale: Scale, me: usize) -> Settings {
     let team = |name: &str, limit: i64| Team {
         name: name.into(),
-        guarantee: Amounts::offered(8.0, 0.0, 0.0),
-        limit: Amounts::offered(limit as f64, 0.0, 0.0),
+        guarantee: Resources::offered(8.0, 0.0, 0.0),
+        limit: Resources::offered(limit as f64, 0.0, 0.0),
     };
     Settings {
         members: (0..scale.nodes).map(|k| format!("n{k}")).collect(),
@@ -302,7 +302,7 @@
             .take(scale.teams)
             .collect(),
         objectives: vec![],
-        report: ms(1_000 * scale.times.0),
+        heartbeat_interval: ms(1_000 * scale.times.0),
         lease: ms(1_000 * scale.times.1),
         gang_wait: ms(15_000),
         gang_peer: ms(4_000),
@@ -325,7 +325,7 @@
 fn machine_types() -> Vec<MachineType> {
     let one = |name: &str, cpus: f64, price: i64| MachineType {
         name: name.into(),
-        size: Amounts::offered(cpus, 0.0, 32.0),
+        size: Resources::offered(cpus, 0.0, 32.0),
         cache_mb: 50_000,
         fetch_mb_s: 500,
         price,
@@ -343,16 +343,16 @@
 
     /// A key that somebody has left in the store.
     pub fn leave_key(&mut self, key: &str) {
-        let apply = vec![Write::Put {
+        let writes = vec![Write::Put {
             key: key.to_owned(),
             value: serde_json::json!([]),
             lease: None,
         }];
         self.store.execute(
             self.now,
-            &StateCall::Commit {
-                when: vec![],
-                apply,
+            &StoreRequest::CompareAndSwap {
+                conditions: vec![],
+                writes,
             },
         );
         self.record_writes("operator");
@@ -509,9 +509,9 @@
             rented_at: self.now,
             dead: false,
             hung_until: Micros::ZERO,
-            session: 1,
-            seq: 0,
-            token: 0,
+            incarnation: 1,
+            sequence: 0,
+            fencing_token: 0,
             tasks: BTreeMap::new(),
             lease_from: up_at,
             steady_from: up_at,
@@ -610,28 +610,39 @@
             Event::ReportDue { machine } => self.send_report(machine),
             Event::Answered {
                 machine,
-                session,
-                seq,
+                incarnation,
+                sequence,
                 sent,
                 node,
                 answer,
-            } => self.answered(machine, session, seq, sent, node, answer),
+            } => self.answered(machine, incarnation, sequence, sent, node, answer),
             Event::Direct {
                 node,
                 life,
                 call,
                 machine,
-                session,
-                token,
+                incarnation,
+                fencing_token,
                 orders,
                 late,
-            } => self.direct((node, life, call), machine, session, token, orders, late),
-            Event::DuplicateReport { node, sent, report } => {
+            } => self.direct(
+                (node, life, call),
+                machine,
+                incarnation,
+                fencing_token,
+                orders,
+                late,
+            ),
+            Event::DuplicateReport {
+                node,
+                sent,
+                heartbeat,
+            } => {
                 if self
                     .truth
                     .workers
-                    .get(&report.machine)
-                    .is_some_and(|w| w.session > report.session)
+                    .get(&heartbeat.machine)
+                    .is_some_and(|w| w.incarnation > heartbeat.incarnation)
                 {
                     self.cover("a copy from an earlier session arrived");
                 }
@@ -640,12 +651,12 @@
                 }
                 self.next_reply += 1;
                 let to = self.next_reply;
-                self.step(node, vec![Command::Report { to, report }]);
+                self.step(node, vec![Command::Heartbeat { to, heartbeat }]);
             }
             Event::Workers => self.workers(),
             Event::Submit { job } => {
                 if self.truth.jobs[&job]
-                    .needs
+                    .dependencies
                     .iter()
                     .any(|n| !self.accepted.contains(n))
                 {
@@ -712,16 +723,16 @@
         let n = &mut self.nodes[node];
         // Clocks drift apart by at most 0.05%, and the time of day is somewhat off.
         let own = Micros((self.now - n.born).0 * (100_000 + 25 * node as i64) / 100_000);
-        let wall = ms(1_700_000_000_000) + self.now + ms(20 * node as i64);
+        let wall_time = ms(1_700_000_000_000) + self.now + ms(20 * node as i64);
         let Some(engine) = n.engine.as_mut() else {
             return;
         };
-        let before = engine.looked();
-        let effects = engine.step(own, wall, commands);
+        let before = engine.work_done();
+        let effects = engine.step(own, wall_time, commands);
         // A shard that is dropped takes its count along.
         self.steps = (
             self.steps.0 + 1,
-            self.steps.1 + (engine.looked() - before).max(0),
+            self.steps.1 + (engine.work_done() - before).max(0),
         );
         let life = n.life;
         for f in effects {
@@ -733,7 +744,7 @@
         self.record_effect(node, life, &f);
         let d = self.delay();
         match f {
-            Effect::State { call, request } => {
+            Effect::Store { call, request } => {
                 let slow = self.now < self.slow_state && self.rng.random_range(0..3) > 0;
                 let d = if slow {
                     d + ms(self.rng.random_range(200..3_000))
@@ -770,11 +781,11 @@
                     },
                 )
             }
-            Effect::Direct {
+            Effect::SendDirect {
                 call,
                 machine,
-                session,
-                token,
+                incarnation,
+                fencing_token,
                 orders,
                 ..
             } => {
@@ -787,14 +798,14 @@
                         life,
                         call,
                         machine,
-                        session,
-                        token,
+                        incarnation,
+                        fencing_token,
                         orders,
                         late: false,
                     },
                 )
             }
-            Effect::Mesh { to, message } => {
+            Effect::SendToPeer { to, message } => {
                 if self.scale.machines >= LARGE {
                     self.largest.0 = self
                         .largest
@@ -807,7 +818,7 @@
                 let d = if held { cut - self.now + d } else { d };
                 if (cut <= self.now || held) && !self.lost() {
                     let life = self.nodes[to].life;
-                    let command = Box::new(Command::Mesh {
+                    let command = Box::new(Command::Peer {
                         from: node,
                         message,
                     });
@@ -821,11 +832,15 @@
                     );
                 }
             }
-            Effect::Orders { to, token, orders } => {
+            Effect::HeartbeatReply {
+                to,
+                fencing_token,
+                orders,
+            } => {
                 self.check_orders(node, &orders);
-                self.report_answered(node, life, to, ReportAnswer::Orders(token, orders))
+                self.report_answered(node, life, to, ReportAnswer::Orders(fencing_token, orders))
             }
-            Effect::Elsewhere { to, member } => {
+            Effect::Redirect { to, member } => {
                 self.report_answered(node, life, to, ReportAnswer::Elsewhere(member))
             }
             Effect::Healthy { .. } => {}
@@ -833,7 +848,7 @@
                 if let Some((asked, at)) = self.asked.remove(&(node, life, to)) {
                     if let Answer::Status {
                         id,
-                        state: ShownState::Cancelled,
+                        state: JobState::Cancelled,
                         ..
                     } = &answer
                     {
--- a/crates/seamfront-core/tests/world/network.rs
+++ b/crates/seamfront-core/tests/world/network.rs
@@ -7,14 +7,14 @@
         &mut self,
         node: usize,
         life: u64,
-        to: ReplyTo,
+        to: ClientRequestId,
         answer: ReportAnswer,
     ) {
         let Some((
-            Asked::Report {
+            Asked::Heartbeat {
                 machine,
-                session,
-                seq,
+                incarnation,
+                sequence,
                 sent,
             },
             _,
@@ -36,8 +36,8 @@
                 d,
                 Event::Answered {
                     machine,
-                    session,
-                    seq,
+                    incarnation,
+                    sequence,
                     sent,
                     node,
                     answer,
@@ -55,8 +55,8 @@
     }
 
     /// Whether the process that sent a command has ended or no longer holds the claim that it sent it under.
-    fn is_former(&self, node: usize, life: u64, token: u64) -> bool {
-        let newer = |c: &(Option<u64>, Micros)| c.0.is_some_and(|v| v > token);
+    fn is_former(&self, node: usize, life: u64, fencing_token: u64) -> bool {
+        let newer = |c: &(Option<u64>, Micros)| c.0.is_some_and(|v| v > fencing_token);
         self.nodes[node].life != life || self.claims.values().any(newer)
     }
 
@@ -119,7 +119,7 @@
             let w = self.truth.workers.get_mut(&id).unwrap();
             w.target = (w.target + 1) % self.scale.nodes;
         }
-        let report = self.truth.report(&id);
+        let heartbeat = self.truth.heartbeat(&id);
         if self.now < self.duplicate_reports_until && self.rng.random_range(0..4) == 0 {
             // From seconds to well over a lease.
             let late = ms(self.rng.random_range(1_000..30_000));
@@ -129,16 +129,16 @@
                 Event::DuplicateReport {
                     node,
                     sent: self.now,
-                    report: Box::new(report.clone()),
+                    heartbeat: Box::new(heartbeat.clone()),
                 },
             );
         }
         if self.now < self.keep_reports_until && self.rng.random_range(0..3) == 0 {
-            self.kept_reports.push((self.now, report.clone()));
+            self.kept_reports.push((self.now, heartbeat.clone()));
         }
         let mute = self.loses_reports(&id);
         let w = self.truth.workers.get_mut(&id).unwrap();
-        w.in_flight = Some((report.seq, self.now));
+        w.in_flight = Some((heartbeat.sequence, self.now));
         let node = w.target;
         if mute {
             return;
@@ -153,13 +153,14 @@
         }
         if self.nodes[node].engine.is_none() {
             let answer = ReportAnswer::Nothing;
-            let (session, seq, sent) = (report.session, report.seq, self.now);
+            let (incarnation, sequence, sent) =
+                (heartbeat.incarnation, heartbeat.sequence, self.now);
             return self.after(
                 d,
                 Event::Answered {
                     machine: id,
-                    session,
-                    seq,
+                    incarnation,
+                    sequence,
                     sent,
                     node,
                     answer,
@@ -171,16 +172,16 @@
         }
         self.next_reply += 1;
         let (to, life) = (self.next_reply, self.nodes[node].life);
-        let asked = Asked::Report {
+        let asked = Asked::Heartbeat {
             machine: id,
-            session: report.session,
-            seq: report.seq,
+            incarnation: heartbeat.incarnation,
+            sequence: heartbeat.sequence,
             sent: self.now,
         };
         self.asked.insert((node, life, to), (asked, self.now));
-        let command = Box::new(Command::Report {
+        let command = Box::new(Command::Heartbeat {
             to,
-            report: Box::new(report),
+            heartbeat: Box::new(heartbeat),
         });
         let d = d + self.processing_delay(node);
         self.after(
@@ -196,8 +197,8 @@
     pub(super) fn answered(
         &mut self,
         id: MachineId,
-        session: u64,
-        seq: u64,
+        incarnation: u64,
+        sequence: u64,
         sent: Micros,
         node: usize,
         answer: ReportAnswer,
@@ -209,18 +210,18 @@
         let Some(w) = self.truth.workers.get_mut(&id) else {
             return;
         };
-        if w.dead || w.hung_until > now || w.session != session || now - sent > ms(4_000) {
+        if w.dead || w.hung_until > now || w.incarnation != incarnation || now - sent > ms(4_000) {
             return;
         }
-        if w.in_flight.is_none_or(|f| f.0 != seq) {
+        if w.in_flight.is_none_or(|f| f.0 != sequence) {
             return;
         }
         w.in_flight = None;
         match answer {
-            ReportAnswer::Orders(token, orders) => {
-                if token >= w.token {
-                    let changed = token > w.token;
-                    w.token = token;
+            ReportAnswer::Orders(fencing_token, orders) => {
+                if fencing_token >= w.fencing_token {
+                    let changed = fencing_token > w.fencing_token;
+                    w.fencing_token = fencing_token;
                     if sent - w.lease_from > ms(6_000) {
                         w.steady_from = sent;
                     }
@@ -251,13 +252,13 @@
         &mut self,
         (node, life, call): (usize, u64, CallId),
         id: MachineId,
-        session: u64,
-        token: u64,
+        incarnation: u64,
+        fencing_token: u64,
         orders: Vec<Order>,
         late: bool,
     ) {
         let unknown = |w: &mut World| {
-            let command = Command::Direct {
+            let command = Command::DirectResult {
                 call,
                 machine: id.clone(),
                 outcome: DirectOutcome::Unknown,
@@ -304,8 +305,8 @@
                     life,
                     call,
                     machine: id,
-                    session,
-                    token,
+                    incarnation,
+                    fencing_token,
                     orders,
                     late: true,
                 },
@@ -321,24 +322,24 @@
                     life,
                     call,
                     machine: id,
-                    session,
-                    token,
+                    incarnation,
+                    fencing_token,
                     orders,
                     late: true,
                 },
             );
         }
         let mute = self.loses_reports(&id);
-        let former = late && self.is_former(node, life, token);
+        let former = late && self.is_former(node, life, fencing_token);
         let w = self.truth.workers.get_mut(&id).unwrap();
-        if former && token < w.token {
+        if former && fencing_token < w.fencing_token {
             self.cover("a former holder's command arrived after the new holder's and was refused");
         } else if former {
             self.cover("a former holder's command arrived before the new holder's");
         }
         let w = self.truth.workers.get_mut(&id).unwrap();
-        if token >= w.token && session == w.session {
-            w.token = token;
+        if fencing_token >= w.fencing_token && incarnation == w.incarnation {
+            w.fencing_token = fencing_token;
             self.obey(&id, &orders);
             if late {
                 self.cover("a command was carried out late");
@@ -347,15 +348,15 @@
                 self.cover("a command was carried out by a machine that reaches no controller");
             }
         }
-        let report = self.truth.report(&id);
+        let heartbeat = self.truth.heartbeat(&id);
         if !late {
             let outcome = DirectOutcome::Settled {
-                report: Box::new(report),
+                heartbeat: Box::new(heartbeat),
             };
             self.tell(
                 node,
                 life,
-                Command::Direct {
+                Command::DirectResult {
                     call,
                     machine: id,
                     outcome,
@@ -375,7 +376,7 @@
             self.cover("a lease ended under running tasks");
         }
         let now = self.now;
-        let smallest = Amounts::needed(1.0, 0.0, 4.0);
+        let smallest = Resources::needed(1.0, 0.0, 4.0);
         let room = |w: &Worker| w.free(&self.truth.jobs).fits(smallest) > 0;
         if !self
             .truth
--- a/crates/seamfront-core/tests/world/old_version.rs
+++ b/crates/seamfront-core/tests/world/old_version.rs
@@ -24,46 +24,46 @@
     }
 
     /// Whether the version in production would never make this request.
-    pub(super) fn unknown_to_old(&self, node: usize, request: &StateCall) -> bool {
+    pub(super) fn unknown_to_old(&self, node: usize, request: &StoreRequest) -> bool {
         let foreign = |key: &str| key.starts_with("format/") || key.starts_with("part/");
         self.nodes[node].old
             && match request {
-                StateCall::Get { key } => foreign(key),
-                StateCall::List { prefix, .. } | StateCall::Changes { prefix, .. } => {
+                StoreRequest::Get { key } => foreign(key),
+                StoreRequest::List { prefix, .. } | StoreRequest::Watch { prefix, .. } => {
                     foreign(prefix)
                 }
-                StateCall::Commit { apply, .. } => apply.iter().any(|w| match w {
+                StoreRequest::CompareAndSwap { writes, .. } => writes.iter().any(|w| match w {
                     Write::Put { key, .. } | Write::Delete { key } => foreign(key),
                 }),
-                StateCall::Grant { .. } | StateCall::Renew { .. } => false,
+                StoreRequest::GrantLease { .. } | StoreRequest::RenewLease { .. } => false,
             }
     }
 
     /// What the version in production has in the place of that answer: it knows of no such keys.
-    pub(super) fn answer_to_unknown(&self, request: &StateCall) -> StateReply {
+    pub(super) fn answer_to_unknown(&self, request: &StoreRequest) -> StoreReply {
         match request {
-            StateCall::List { .. } => StateReply::Page {
+            StoreRequest::List { .. } => StoreReply::Page {
                 entries: Vec::new(),
                 more: false,
                 revision: self.store.revision,
             },
-            _ => StateReply::Refused,
+            _ => StoreReply::Refused,
         }
     }
 
     /// What the version in production makes of an answer. A record in parts would be unreadable to it, and its tasks
     /// would be started anew: that it ever reads one is an error of the new version.
-    pub(super) fn as_old_version_reads(&mut self, node: usize, reply: StateReply) -> StateReply {
+    pub(super) fn as_old_version_reads(&mut self, node: usize, reply: StoreReply) -> StoreReply {
         if !self.nodes[node].old {
             return reply;
         }
         let mut reply = reply;
         let values: Vec<(&String, &mut Value)> = match &mut reply {
-            StateReply::Entry(e) => vec![(&e.key, &mut e.value)],
-            StateReply::Page { entries, .. } => {
+            StoreReply::Entry(e) => vec![(&e.key, &mut e.value)],
+            StoreReply::Page { entries, .. } => {
                 entries.iter_mut().map(|e| (&e.key, &mut e.value)).collect()
             }
-            StateReply::Changes { events, .. } => events
+            StoreReply::Changes { events, .. } => events
                 .iter_mut()
                 .filter_map(|(key, value, _)| Some((&*key, value.as_mut()?)))
                 .collect(),
--- a/crates/seamfront-core/tests/world/recording.rs
+++ b/crates/seamfront-core/tests/world/recording.rs
@@ -114,48 +114,48 @@
 }
 
 /// Writes of a transaction.
-fn writes_json(apply: &[Write]) -> Vec<Value> {
+fn writes_json(writes: &[Write]) -> Vec<Value> {
     let one = |write: &Write| match write {
         Write::Put { key, value, lease } => json!({"put": key, "value": value, "lease": lease}),
         Write::Delete { key } => json!({ "delete": key }),
     };
-    apply.iter().map(one).collect()
+    writes.iter().map(one).collect()
 }
 
-fn state_text(request: &StateCall) -> String {
+fn state_text(request: &StoreRequest) -> String {
     match request {
-        StateCall::Get { key } => format!("GET /kv/{key}"),
-        StateCall::List { prefix, after } => {
+        StoreRequest::Get { key } => format!("GET /kv/{key}"),
+        StoreRequest::List { prefix, after } => {
             format!(
                 "GET /kv?prefix={prefix}&after={}",
                 after.as_deref().unwrap_or_default()
             )
         }
-        StateCall::Commit { when, apply } => {
+        StoreRequest::CompareAndSwap { conditions, writes } => {
             format!(
                 "POST /commit {}",
-                json!({"when": when, "apply": writes_json(apply)})
+                json!({"when": conditions, "apply": writes_json(writes)})
             )
         }
-        StateCall::Grant { ttl } => format!("POST /grants {}us", ttl.0),
-        StateCall::Renew { lease } => format!("POST /grants/{lease}/renew"),
-        StateCall::Changes {
+        StoreRequest::GrantLease { ttl } => format!("POST /grants {}us", ttl.0),
+        StoreRequest::RenewLease { lease } => format!("POST /grants/{lease}/renew"),
+        StoreRequest::Watch {
             prefix,
             after,
-            hold,
+            wait,
         } => {
             format!(
                 "GET /changes?prefix={prefix}&after={after}&hold={}us",
-                hold.0
+                wait.0
             )
         }
     }
 }
 
-fn cloud_text(request: &CloudCall, until: Option<Micros>) -> String {
+fn cloud_text(request: &CloudRequest, until: Option<Micros>) -> String {
     let call = match request {
-        CloudCall::Types => "GET /machine_types".to_owned(),
-        CloudCall::Rent {
+        CloudRequest::MachineTypes => "GET /machine_types".to_owned(),
+        CloudRequest::Provision {
             name,
             kind,
             zone,
@@ -164,11 +164,11 @@
         } => {
             format!("POST /hosts {}", json!([name, kind, zone, spot, count]))
         }
-        CloudCall::Delete { machines } => {
+        CloudRequest::Terminate { machines } => {
             let names: Vec<&str> = machines.iter().map(|m| m.as_str()).collect();
             format!("POST /hosts/delete {}", json!(names))
         }
-        CloudCall::List { after } => {
+        CloudRequest::ListMachines { after } => {
             format!(
                 "GET /hosts?after={}",
                 after.as_ref().map_or("", |m| m.as_str())
@@ -202,27 +202,27 @@
         } => {
             let status = if *created { 201 } else { 200 };
             let state = match state {
-                ShownState::Queued => "queued",
-                ShownState::Running => "running",
-                ShownState::Done => "done",
-                ShownState::Cancelled => "cancelled",
+                JobState::Queued => "queued",
+                JobState::Running => "running",
+                JobState::Done => "done",
+                JobState::Cancelled => "cancelled",
             };
             format!("{status} {id} {state} done {done} running {running}")
         }
         Answer::NotFound => "404".to_owned(),
-        Answer::Impossible(why) => format!("422 {why}"),
-        Answer::Later { after } => format!("503 after {}us", after.0),
+        Answer::Rejected(why) => format!("422 {why}"),
+        Answer::RetryLater { after } => format!("503 after {}us", after.0),
     }
 }
 
 fn asked_text(asked: Option<&(Asked, Micros)>) -> String {
     match asked.map(|(asked, _)| asked) {
-        Some(Asked::Report {
+        Some(Asked::Heartbeat {
             machine,
-            session,
-            seq,
+            incarnation,
+            sequence,
             ..
-        }) => format!("report of {machine} {session}/{seq}"),
+        }) => format!("report of {machine} {incarnation}/{sequence}"),
         Some(Asked::Submit { job }) => format!("submission of {job}"),
         Some(Asked::Poll { job }) => format!("question about {job}"),
         Some(Asked::Cancel { job }) => format!("cancellation of {job}"),
@@ -237,37 +237,41 @@
         if self.recorder.is_none() {
             return;
         }
-        let asked = |to: &ReplyTo| asked_text(self.asked.get(&(node, life, *to)));
+        let asked = |to: &ClientRequestId| asked_text(self.asked.get(&(node, life, *to)));
         let body = match effect {
-            Effect::State { request, .. } => format!("store: {}", state_text(request)),
+            Effect::Store { request, .. } => format!("store: {}", state_text(request)),
             Effect::Cloud { request, until, .. } => {
                 format!("cloud: {}", cloud_text(request, *until))
             }
-            Effect::Direct {
+            Effect::SendDirect {
                 machine,
                 addr,
-                session,
-                token,
+                incarnation,
+                fencing_token,
                 orders,
                 ..
             } => {
                 format!(
-                    "command to {machine} at {addr}, session {session}, token {token}: {}",
+                    "command to {machine} at {addr}, session {incarnation}, token {fencing_token}: {}",
                     orders_text(orders)
                 )
             }
-            Effect::Mesh { to, message } => {
+            Effect::SendToPeer { to, message } => {
                 let message = serde_json::to_value(message).expect("a message can be sent");
                 format!("message to {}: {message}", self.settings.members[*to])
             }
-            Effect::Orders { to, token, orders } => {
+            Effect::HeartbeatReply {
+                to,
+                fencing_token,
+                orders,
+            } => {
                 format!(
-                    "answer to {}: token {token}: {}",
+                    "answer to {}: token {fencing_token}: {}",
                     asked(to),
                     orders_text(orders)
                 )
             }
-            Effect::Elsewhere { to, member } => {
+            Effect::Redirect { to, member } => {
                 let owner = member.map_or("unknown", |m| self.settings.members[m].as_str());
                 format!("answer to {}: owner {owner}", asked(to))
             }
@@ -284,8 +288,8 @@
     pub(super) fn store_executes(
         &mut self,
         node: usize,
-        request: &StateCall,
-    ) -> Option<StateReply> {
+        request: &StoreRequest,
+    ) -> Option<StoreReply> {
         let reply = self.store.execute(self.now, request);
         if self.recorder.is_some() {
             let by = self.settings.members[node].clone();
--- a/crates/seamfront-core/tests/world/script.rs
+++ b/crates/seamfront-core/tests/world/script.rs
@@ -12,12 +12,16 @@
 
 impl World {
     pub fn job(&mut self, n: u32) -> JobSpec {
-        let kind =
-            [Kind::Array, Kind::Array, Kind::Gang, Kind::Service][self.rng.random_range(0..4)];
+        let kind = [
+            JobKind::Array,
+            JobKind::Array,
+            JobKind::Gang,
+            JobKind::Service,
+        ][self.rng.random_range(0..4)];
         let tasks = match kind {
-            Kind::Array => self.rng.random_range(1..14),
-            Kind::Gang => self.rng.random_range(1..4),
-            Kind::Service => self.rng.random_range(1..4),
+            JobKind::Array => self.rng.random_range(1..14),
+            JobKind::Gang => self.rng.random_range(1..4),
+            JobKind::Service => self.rng.random_range(1..4),
         };
         let priorities = [
             Priority::Critical,
@@ -31,18 +35,18 @@
             class: format!("{kind:?}"),
             team: ["a", "b", "c", "d"][self.rng.random_range(0..4)].into(),
             kind,
-            priority: if kind == Kind::Service {
+            priority: if kind == JobKind::Service {
                 Priority::Critical
             } else {
                 priorities[self.rng.random_range(1..4)]
             },
             tasks,
-            need: Amounts::needed(self.rng.random_range(1..4) as f64, 0.0, 4.0),
+            task_resources: Resources::needed(self.rng.random_range(1..4) as f64, 0.0, 4.0),
             types: None,
             zone: (self.rng.random_range(0..6) == 0).then(|| "x".into()),
-            one_zone: kind == Kind::Gang && self.rng.random_range(0..2) == 0,
-            spread: kind == Kind::Service && self.rng.random_range(0..2) == 0,
-            spot: kind != Kind::Service && self.rng.random_range(0..2) == 0,
+            one_zone: kind == JobKind::Gang && self.rng.random_range(0..2) == 0,
+            spread: kind == JobKind::Service && self.rng.random_range(0..2) == 0,
+            spot: kind != JobKind::Service && self.rng.random_range(0..2) == 0,
             image: format!("img-{}", self.rng.random_range(0..4)),
             image_mb: self.rng.random_range(100..2_000),
             estimate: ms(8_000),
@@ -50,8 +54,8 @@
             save: if saves { ms(1_000) } else { Micros::ZERO },
             deadline: (self.rng.random_range(0..3) == 0).then(|| ms(60_000)),
             submitted: Micros::ZERO,
-            needs: vec![],
-            needs_parts: 0,
+            dependencies: vec![],
+            dependency_parts: 0,
         }
     }
 
@@ -75,9 +79,9 @@
             let mut spec = self.job(first + step);
             (spec.one_zone, spec.spread) = (false, false);
             spec.kind = if step == wide + 1 {
-                Kind::Gang
+                JobKind::Gang
             } else {
-                Kind::Array
+                JobKind::Array
             };
             spec.tasks = self.rng.random_range(1..4);
             spec.class = format!(
@@ -88,7 +92,7 @@
                     1 + step.saturating_sub(wide)
                 }
             );
-            spec.needs = match step {
+            spec.dependencies = match step {
                 0 => vec![],
                 s if s <= wide => vec![ids[0].clone()],
                 s if s == wide + 1 => ids[1..].to_vec(),
@@ -150,7 +154,7 @@
         let id = spec.id.clone();
         let kind = spec.kind;
         w.submit(ms(at), spec);
-        if kind == Kind::Service || w.draw(0..4) == 0 {
+        if kind == JobKind::Service || w.draw(0..4) == 0 {
             let later = w.draw(2_000..40_000);
             w.cancel(ms(at + later), id);
         }
@@ -304,8 +308,8 @@
     w.quiet_from = ms(last);
     for n in 0..480 {
         let mut spec = w.job(n);
-        (spec.kind, spec.class, spec.tasks) = (Kind::Array, "small".into(), 1);
-        (spec.need, spec.image_mb) = (Amounts::needed(1.0, 0.0, 1.0), 100);
+        (spec.kind, spec.class, spec.tasks) = (JobKind::Array, "small".into(), 1);
+        (spec.task_resources, spec.image_mb) = (Resources::needed(1.0, 0.0, 1.0), 100);
         (spec.one_zone, spec.spread) = (false, false);
         let (id, at) = (spec.id.clone(), 250 * i64::from(n));
         w.submit(ms(at), spec);
@@ -341,10 +345,10 @@
     w.quiet_from = ms(80_000);
     for n in 0..44 {
         let mut spec = w.job(n);
-        (spec.kind, spec.class, spec.tasks) = (Kind::Array, "small".into(), 6);
-        (spec.team, spec.need) = (
+        (spec.kind, spec.class, spec.tasks) = (JobKind::Array, "small".into(), 6);
+        (spec.team, spec.task_resources) = (
             ["a", "b", "c", "d"][n as usize % 4].into(),
-            Amounts::needed(1.0, 0.0, 2.0),
+            Resources::needed(1.0, 0.0, 2.0),
         );
         (spec.zone, spec.one_zone, spec.spread) = (None, false, false);
         let at = w.draw(500..6_000);
--- a/crates/seamfront-core/tests/world/state_service.rs
+++ b/crates/seamfront-core/tests/world/state_service.rs
@@ -8,13 +8,13 @@
         node: usize,
         life: u64,
         call: CallId,
-        request: StateCall,
+        request: StoreRequest,
         late: bool,
     ) {
         let unknown = |w: &mut World| {
-            let command = Command::State {
+            let command = Command::Store {
                 call,
-                reply: StateReply::Unknown,
+                reply: StoreReply::Unknown,
             };
             w.after(
                 ms(1_500),
@@ -27,15 +27,15 @@
         };
         if self.unknown_to_old(node, &request) {
             let reply = self.answer_to_unknown(&request);
-            return self.tell(node, life, Command::State { call, reply });
+            return self.tell(node, life, Command::Store { call, reply });
         }
         let n = &self.nodes[node];
-        let (until, hold) = n.cut_state;
+        let (until, wait) = n.cut_state;
         if until > self.now {
             if !late {
                 unknown(self);
             }
-            if hold && !matches!(request, StateCall::Changes { .. }) {
+            if wait && !matches!(request, StoreRequest::Watch { .. }) {
                 let d = until - self.now + ms(1);
                 self.after(
                     d,
@@ -51,9 +51,9 @@
             return;
         }
         if self.outage > self.now || n.refused > self.now {
-            if let (StateCall::Changes { hold, .. }, false) = (&request, late) {
-                if *hold > Micros::ZERO {
-                    let until = self.now + *hold;
+            if let (StoreRequest::Watch { wait, .. }, false) = (&request, late) {
+                if *wait > Micros::ZERO {
+                    let until = self.now + *wait;
                     self.watches.push((node, life, call, request, until));
                     return;
                 }
@@ -62,9 +62,9 @@
                 self.tell(
                     node,
                     life,
-                    Command::State {
+                    Command::Store {
                         call,
-                        reply: StateReply::Refused,
+                        reply: StoreReply::Refused,
                     },
                 );
             }
@@ -75,10 +75,10 @@
             .entry(self.now.0 / 1_000_000)
             .or_default();
         second.0 += 1;
-        if let StateCall::Commit { apply, .. } = &request {
-            second.1 += apply.len() as u32;
+        if let StoreRequest::CompareAndSwap { writes, .. } = &request {
+            second.1 += writes.len() as u32;
             if self.scale.machines >= LARGE {
-                self.largest.1 = self.largest.1.max(apply.iter().map(store::size_of).sum());
+                self.largest.1 = self.largest.1.max(writes.iter().map(store::size_of).sum());
             }
         }
         if !self.state_takes(&request) {
@@ -87,16 +87,17 @@
                 self.tell(
                     node,
                     life,
-                    Command::State {
+                    Command::Store {
                         call,
-                        reply: StateReply::Refused,
+                        reply: StoreReply::Refused,
                     },
                 );
             }
             return;
         }
         self.leases_expire();
-        let writes = matches!(&request, StateCall::Commit { apply, .. } if !apply.is_empty());
+        let writes =
+            matches!(&request, StoreRequest::CompareAndSwap { writes, .. } if !writes.is_empty());
         if !late && writes && self.now < self.delay_writes_until && self.rng.random_range(0..4) == 0
         {
             unknown(self);
@@ -119,7 +120,7 @@
         {
             unknown(self);
             let reply = self.store_executes(node, &request);
-            if matches!(reply, Some(StateReply::Committed { .. })) {
+            if matches!(reply, Some(StoreReply::Committed { .. })) {
                 self.cover("a transaction was carried out and its answer lost");
                 if self.others_watch(node, &request) {
                     self.cover(
@@ -154,45 +155,45 @@
             }
         }
         let reply = self.store_executes(node, &request);
-        if let (StateCall::Commit { apply, .. }, Some(StateReply::Committed { .. })) =
+        if let (StoreRequest::CompareAndSwap { writes, .. }, Some(StoreReply::Committed { .. })) =
             (&request, &reply)
         {
             let in_parts =
                 |w: &Write| matches!(w, Write::Put { key, .. } if key.starts_with("part/"));
-            if apply.iter().any(in_parts) {
+            if writes.iter().any(in_parts) {
                 self.cover("a record was written in parts");
             }
-            for w in apply {
+            for w in writes {
                 let Write::Put { key, .. } = w else { continue };
                 if let Some(job) = key.strip_prefix("end/") {
                     self.durable_ends.entry(job.into()).or_insert(self.now);
                 }
             }
         }
-        if let (StateCall::List { prefix, .. }, Some(StateReply::Page { entries, .. })) =
+        if let (StoreRequest::List { prefix, .. }, Some(StoreReply::Page { entries, .. })) =
             (&request, &reply)
         {
             if prefix.starts_with("part/") && !entries.is_empty() {
                 self.cover("a record in parts was read by a new holder");
             }
         }
-        if let (Some(StateReply::Committed { revision }), true) = (&reply, writes) {
+        if let (Some(StoreReply::Committed { revision }), true) = (&reply, writes) {
             if late && self.nodes[node].wrote > 0 {
                 self.cover("a late transaction was carried out after newer ones");
             }
             self.nodes[node].wrote = *revision;
-        } else if late && matches!(reply, Some(StateReply::Conflict { .. })) {
+        } else if late && matches!(reply, Some(StoreReply::Conflict { .. })) {
             self.cover("a late transaction failed");
         }
         match reply {
             Some(reply) if !late => {
                 let reply = self.as_old_version_reads(node, reply);
-                self.tell(node, life, Command::State { call, reply })
+                self.tell(node, life, Command::Store { call, reply })
             }
             Some(_) => {}
             None => {
-                if let StateCall::Changes { hold, .. } = &request {
-                    let until = self.now + *hold;
+                if let StoreRequest::Watch { wait, .. } = &request {
+                    let until = self.now + *wait;
                     self.watches.push((node, life, call, request, until));
                 }
             }
@@ -201,7 +202,7 @@
     }
 
     /// A token bucket a second deep for requests, and one for writes; what passes them is refused.
-    fn state_takes(&mut self, request: &StateCall) -> bool {
+    fn state_takes(&mut self, request: &StoreRequest) -> bool {
         let (requests, writes, at) = self.state_tokens;
         let passed = (self.now - at).0;
         let fill = |have: i64, rate: i64| (have + rate * passed / 1_000).min(rate * 1_000);
@@ -209,8 +210,8 @@
             fill(requests, self.scale.state_rps),
             fill(writes, self.scale.write_rps),
         );
-        let asked = if let StateCall::Commit { apply, .. } = request {
-            apply.len() as i64 * 1_000
+        let asked = if let StoreRequest::CompareAndSwap { writes, .. } = request {
+            writes.len() as i64 * 1_000
         } else {
             0
         };
@@ -225,8 +226,8 @@
     }
 
     /// Whether another controller has a watch open on a key that this transaction writes.
-    fn others_watch(&self, node: usize, request: &StateCall) -> bool {
-        let StateCall::Commit { apply, .. } = request else {
+    fn others_watch(&self, node: usize, request: &StoreRequest) -> bool {
+        let StoreRequest::CompareAndSwap { writes, .. } = request else {
             return false;
         };
         let written = |w: &Write, prefix: &str| match w {
@@ -234,7 +235,7 @@
         };
         let watches = self.watches.iter().filter(|w| w.0 != node);
         watches.into_iter().any(|w| match &w.3 {
-            StateCall::Changes { prefix, .. } => apply.iter().any(|a| written(a, prefix)),
+            StoreRequest::Watch { prefix, .. } => writes.iter().any(|a| written(a, prefix)),
             _ => false,
         })
     }
@@ -247,13 +248,13 @@
                 continue;
             }
             let away = self.outage > self.now || n.refused > self.now || n.cut_state.0 > self.now;
-            let StateCall::Changes { prefix, after, .. } = &request else {
+            let StoreRequest::Watch { prefix, after, .. } = &request else {
                 continue;
             };
-            let now_or = StateCall::Changes {
+            let now_or = StoreRequest::Watch {
                 prefix: prefix.clone(),
                 after: *after,
-                hold: if until <= self.now {
+                wait: if until <= self.now {
                     Micros::ZERO
                 } else {
                     ms(1)
@@ -266,14 +267,14 @@
             } {
                 Some(reply) => {
                     let reply = self.as_old_version_reads(node, reply);
-                    self.tell(node, life, Command::State { call, reply })
+                    self.tell(node, life, Command::Store { call, reply })
                 }
                 None if until + ms(2_000) < self.now => self.tell(
                     node,
                     life,
-                    Command::State {
+                    Command::Store {
                         call,
-                        reply: StateReply::Unknown,
+                        reply: StoreReply::Unknown,
                     },
                 ),
                 None => self.watches.push((node, life, call, request, until)),
--- a/crates/seamfront-core/tests/world/users.rs
+++ b/crates/seamfront-core/tests/world/users.rs
@@ -14,14 +14,14 @@
             .collect()
     }
 
-    pub(super) fn ask(&mut self, asked: Asked, command: impl FnOnce(ReplyTo) -> Command) {
+    pub(super) fn ask(&mut self, asked: Asked, command: impl FnOnce(ClientRequestId) -> Command) {
         let up = self.nodes_up();
         let again = match &asked {
             Asked::Submit { job } => Event::Submit { job: job.clone() },
             Asked::Poll { job } => Event::Poll { job: job.clone() },
             Asked::Cancel { job } => Event::Cancel { job: job.clone() },
             Asked::Impossible => Event::InvalidRequests,
-            Asked::Report { .. } => unreachable!("workers ask by themselves"),
+            Asked::Heartbeat { .. } => unreachable!("workers ask by themselves"),
         };
         if up.is_empty() {
             return self.after(ms(1_500), again);
@@ -49,7 +49,12 @@
     }
 
     /// One question to one controller, without a repetition.
-    fn ask_once(&mut self, node: usize, asked: Asked, command: impl FnOnce(ReplyTo) -> Command) {
+    fn ask_once(
+        &mut self,
+        node: usize,
+        asked: Asked,
+        command: impl FnOnce(ClientRequestId) -> Command,
+    ) {
         self.next_reply += 1;
         let (to, life) = (self.next_reply, self.nodes[node].life);
         self.asked.insert((node, life, to), (asked, self.now));
@@ -138,7 +143,7 @@
                 self.cover("an unfinished job was submitted again");
                 self.at(self.now, Event::Submit { job });
             }
-            Some((ShownState::Done, _)) => {
+            Some((JobState::Done, _)) => {
                 self.cover("a job that is done was cancelled");
                 self.at(self.now, Event::Cancel { job });
             }
@@ -147,7 +152,7 @@
         let n = self.rng.random_range(500_000..999_999);
         let mut spec = self.job(n);
         match self.rng.random_range(0..3) {
-            0 => spec.need = Amounts::needed(900.0, 0.0, 1.0),
+            0 => spec.task_resources = Resources::needed(900.0, 0.0, 1.0),
             1 => spec.team = "nobody".into(),
             _ => spec.types = Some(vec!["none".into()]),
         }
@@ -171,10 +176,10 @@
                 }
                 return;
             }
-            Asked::Report { .. } => return,
+            Asked::Heartbeat { .. } => return,
         };
         let mut bad = Vec::new();
-        if self.accepted.contains(&job) && !matches!(answer, Answer::Later { .. }) {
+        if self.accepted.contains(&job) && !matches!(answer, Answer::RetryLater { .. }) {
             self.answered.insert(job.clone(), self.now);
         }
         match answer {
@@ -189,28 +194,28 @@
                     bad.push(format!("invented: {job}"));
                 }
                 if let Some((old, since)) = self.told.get(&job) {
-                    let final_too = matches!(state, ShownState::Done | ShownState::Cancelled);
+                    let final_too = matches!(state, JobState::Done | JobState::Cancelled);
                     if *old != state && (final_too || asked_at >= *since) {
                         bad.push(format!("went_back: {job} from {old:?} to {state:?}"));
                     }
                 }
                 let done = self.truth.completed.get(&job).map_or(0, |c| c.len() as u32);
                 if let Some(since) = self.truth.called_off(&job) {
-                    if state != ShownState::Cancelled && asked_at > since + self.settings.cancel {
+                    if state != JobState::Cancelled && asked_at > since + self.settings.cancel {
                         bad.push(format!("orphaned: {job} is called {state:?}"));
                     }
-                    if state == ShownState::Cancelled {
+                    if state == JobState::Cancelled {
                         self.cover("a job was cancelled with one that it needs");
                     }
                 }
                 match state {
-                    ShownState::Done => {
+                    JobState::Done => {
                         if done < self.truth.jobs[&job].tasks {
                             bad.push(format!("not_done: {job} with {done} tasks done"));
                         }
                         self.told.entry(job).or_insert((state, self.now));
                     }
-                    ShownState::Cancelled => {
+                    JobState::Cancelled => {
                         if !self.wants_cancel.contains(&job) && !self.needs_unwanted(&job) {
                             bad.push(format!("went_back: {job} cancelled by nobody"));
                         }
@@ -239,7 +244,7 @@
                     _ => {}
                 }
             }
-            Answer::NotFound | Answer::Impossible(_) if self.accepted.contains(&job) => {
+            Answer::NotFound | Answer::Rejected(_) if self.accepted.contains(&job) => {
                 bad.push(format!("forgotten: {job}"))
             }
             _ => {}
@@ -255,7 +260,7 @@
     /// Whether users want a job cancelled that this one needs, directly or through others.
     pub(super) fn needs_unwanted(&self, id: &JobId) -> bool {
         self.truth.jobs[id]
-            .needs
+            .dependencies
             .iter()
             .any(|n| self.wants_cancel.contains(n) || self.needs_unwanted(n))
     }
--- a/crates/seamfront-core/tests/world/workers.rs
+++ b/crates/seamfront-core/tests/world/workers.rs
@@ -29,14 +29,14 @@
     pub kind: String,
     pub zone: String,
     pub spot: bool,
-    pub size: Amounts,
+    pub size: Resources,
     pub up_at: Micros,
     pub rented_at: Micros,
     pub dead: bool,
     pub hung_until: Micros,
-    pub session: u64,
-    pub seq: u64,
-    pub token: u64,
+    pub incarnation: u64,
+    pub sequence: u64,
+    pub fencing_token: u64,
     pub tasks: BTreeMap<TaskKey, Task>,
     pub lease_from: Micros,
     /// Since when its reports have been answered without a longer gap.
@@ -49,14 +49,14 @@
 
 impl Worker {
     /// What is not taken by tasks that have not exited.
-    pub fn free(&self, jobs: &BTreeMap<JobId, JobSpec>) -> Amounts {
+    pub fn free(&self, jobs: &BTreeMap<JobId, JobSpec>) -> Resources {
         let mut free = self.size;
         for (k, _) in self
             .tasks
             .iter()
             .filter(|(_, t)| !matches!(t.state, TaskState::Exited(_)))
         {
-            free.sub(jobs[&k.job].need);
+            free.sub(jobs[&k.job].task_resources);
         }
         free
     }
@@ -98,20 +98,20 @@
 }
 
 impl Truth {
-    pub fn report(&mut self, id: &MachineId) -> Report {
+    pub fn heartbeat(&mut self, id: &MachineId) -> Heartbeat {
         let w = self.workers.get_mut(id).unwrap();
-        w.seq += 1;
-        Report {
+        w.sequence += 1;
+        Heartbeat {
             machine: id.clone(),
             addr: id.to_string(),
-            session: w.session,
-            seq: w.seq,
-            token: w.token,
-            notice: w.notice_at.map(|_| Micros::from_secs(5)),
+            incarnation: w.incarnation,
+            sequence: w.sequence,
+            fencing_token: w.fencing_token,
+            preemption_notice: w.notice_at.map(|_| Micros::from_secs(5)),
             tasks: w
                 .tasks
                 .iter()
-                .map(|(k, t)| TaskReport {
+                .map(|(k, t)| TaskStatus {
                     task: k.clone(),
                     attempt: t.attempt,
                     state: t.state,
@@ -145,7 +145,7 @@
                     let state = if live {
                         // Refused; the worker would show both, which one map entry can't: drop it.
                         continue;
-                    } else if free.fits(spec.need) < 1 {
+                    } else if free.fits(spec.task_resources) < 1 {
                         TaskState::Exited(Exit::NoRoom)
                     } else {
                         TaskState::Fetching
@@ -254,11 +254,11 @@
         }
         let done =
             |n: &JobId| self.completed.get(n).map_or(0, |c| c.len() as u32) == self.jobs[n].tasks;
-        if let Some(n) = spec.needs.iter().find(|n| !done(n)) {
+        if let Some(n) = spec.dependencies.iter().find(|n| !done(n)) {
             bad.push(format!("too_early: {key} started before {n} was done"));
         }
         let team = self.teams.iter().find(|t| t.name == spec.team).unwrap();
-        let mut used = Amounts::default();
+        let mut used = Resources::default();
         let limited = team.limit.cpus > 0 || team.limit.gpus > 0;
         for job in self
             .holders
@@ -267,7 +267,7 @@
         {
             used.add(
                 self.jobs[job]
-                    .need
+                    .task_resources
                     .times(self.everywhere(job).filter(|x| x.3.on_machine()).count() as i64),
             );
         }
@@ -289,7 +289,7 @@
         let mut todo = vec![id.clone()];
         while let Some(id) = todo.pop() {
             for n in self.jobs[&id]
-                .needs
+                .dependencies
                 .iter()
                 .filter(|n| seen.insert((*n).clone()))
             {
@@ -313,7 +313,7 @@
                 continue;
             }
             if now - w.lease_from > self.lease {
-                w.session += 1;
+                w.incarnation += 1;
                 self.leases_ended += u64::from(w.tasks.values().any(|t| t.on_machine()));
                 w.tasks.clear();
                 w.lease_from = now;
@@ -329,21 +329,21 @@
                         began.push((id.clone(), k.clone()));
                         t.waiting_since = now;
                         t.until = now + work(spec);
-                        t.state = if spec.kind == Kind::Gang {
+                        t.state = if spec.kind == JobKind::Gang {
                             TaskState::Waiting
                         } else {
                             TaskState::Running
                         };
                     }
                     TaskState::Running
-                        if spec.kind != Kind::Gang
+                        if spec.kind != JobKind::Gang
                             && self.failing.contains(&k.job)
                             && t.until <= now =>
                     {
                         t.state = TaskState::Exited(Exit::Error);
                         self.failures += 1;
                     }
-                    TaskState::Running if spec.kind == Kind::Array && t.until <= now => {
+                    TaskState::Running if spec.kind == JobKind::Array && t.until <= now => {
                         t.state = TaskState::Exited(Exit::Done);
                         self.completed
                             .entry(k.job.clone())
@@ -387,7 +387,7 @@
             .iter()
             .filter(|h| !h.1.is_empty())
             .map(|h| &self.jobs[h.0]);
-        let gangs: Vec<JobSpec> = held.filter(|j| j.kind == Kind::Gang).cloned().collect();
+        let gangs: Vec<JobSpec> = held.filter(|j| j.kind == JobKind::Gang).cloned().collect();
         for spec in gangs {
             let members: Vec<(MachineId, u32, u64, TaskState, Micros, bool)> = self
                 .everywhere(&spec.id)
--- a/crates/seamfront-lease/examples/fleet/keeper.rs
+++ b/crates/seamfront-lease/examples/fleet/keeper.rs
@@ -281,7 +281,7 @@
     fn adoption(&mut self, name: &str) -> Command {
         self.unknown.remove(name);
         let key = machine_key(name);
-        let apply = vec![Write::Put {
+        let writes = vec![Write::Put {
             key: key.clone(),
             value: json!({"adopted": true}),
             lease: None,
@@ -289,8 +289,8 @@
         Command::Commit {
             request: self.request(),
             duty: CLEANING.to_owned(),
-            when: vec![(key, 0)],
-            apply,
+            conditions: vec![(key, 0)],
+            writes,
         }
     }
 }
--- a/crates/seamfront-lease/src/driver.rs
+++ b/crates/seamfront-lease/src/driver.rs
@@ -5,7 +5,7 @@
 use crate::permit::Permit;
 use crate::port::{Command, Effect, Outcome};
 use crate::record::Operation;
-use crate::store::{StateCall, StateReply};
+use crate::store::{StoreReply, StoreRequest};
 use crate::time::Micros;
 use async_channel::{Receiver, Sender};
 use async_executor::LocalExecutor;
@@ -26,8 +26,8 @@
 
 /// A client of the store.
 pub trait StoreClient: 'static {
-    /// Carries out a request. A request without an answer is [`StateReply::Unknown`].
-    fn call(&self, request: StateCall) -> impl Future<Output = StateReply>;
+    /// Carries out a request. A request without an answer is [`StoreReply::Unknown`].
+    fn call(&self, request: StoreRequest) -> impl Future<Output = StoreReply>;
 }
 
 /// Whoever performs operations on the outside.
@@ -155,13 +155,13 @@
 }
 
 impl<S: StoreClient, P: Performer> Calls<S, P> {
-    async fn ask(&self, call: u64, request: StateCall) {
-        let hold = match &request {
-            StateCall::Changes { hold, .. } => Duration::from_micros(hold.0.max(0) as u64),
+    async fn ask(&self, call: u64, request: StoreRequest) {
+        let wait = match &request {
+            StoreRequest::Watch { wait, .. } => Duration::from_micros(wait.0.max(0) as u64),
             _ => Duration::ZERO,
         };
-        let reply = within(self.store_time + hold, self.store.call(request)).await;
-        let reply = reply.unwrap_or(StateReply::Unknown);
+        let reply = within(self.store_time + wait, self.store.call(request)).await;
+        let reply = reply.unwrap_or(StoreReply::Unknown);
         let _ = self.answers.send(Command::Store { call, reply }).await;
     }
 
--- a/crates/seamfront-lease/src/log.rs
+++ b/crates/seamfront-lease/src/log.rs
@@ -54,9 +54,9 @@
     /// Name of the request.
     pub request: RequestId,
     /// The program's conditions.
-    pub when: Vec<(String, u64)>,
+    pub conditions: Vec<(String, u64)>,
     /// Changes.
-    pub apply: Vec<Write>,
+    pub writes: Vec<Write>,
 }
 
 /// What the transaction under way will have done.
@@ -94,7 +94,7 @@
     /// Its new value.
     pub value: Value,
     /// Further conditions.
-    pub when: Vec<(String, u64)>,
+    pub conditions: Vec<(String, u64)>,
     /// Further changes.
     pub writes: Vec<Write>,
 }
@@ -137,7 +137,7 @@
 /// The log of a duty that is held.
 #[derive(Clone, Debug, Default)]
 pub struct OperationLog {
-    token: u64,
+    fencing_token: u64,
     version: u64,
     sequence: u64,
     next_number: u64,
@@ -154,7 +154,7 @@
 
 impl OperationLog {
     /// The log as it was read under a new token; None if there was none.
-    pub fn loaded(token: u64, version: u64, record: Option<LogRecord>) -> OperationLog {
+    pub fn loaded(fencing_token: u64, version: u64, record: Option<LogRecord>) -> OperationLog {
         let record = record.unwrap_or_default();
         let ready = Step::Ready { from: Micros::ZERO };
         let entry = |operation| Entry {
@@ -169,7 +169,7 @@
             .map(|operation| (operation.name, entry(operation)))
             .collect();
         OperationLog {
-            token,
+            fencing_token,
             version,
             ended: record.ended,
             recent: record.recent,
@@ -185,7 +185,9 @@
 
     /// Whether operations of a predecessor are open.
     pub fn unsettled(&self) -> bool {
-        self.entries.keys().any(|name| name.token != self.token)
+        self.entries
+            .keys()
+            .any(|name| name.fencing_token != self.fencing_token)
     }
 
     /// Whether an attempt is under way.
@@ -217,7 +219,7 @@
             return Err(Rejection::TooManyOpen);
         }
         let name = OperationName {
-            token: self.token,
+            fencing_token: self.fencing_token,
             number: self.next_number + 1,
         };
         let operation = Operation { name, payload };
@@ -246,8 +248,8 @@
         if self.fenced.len() >= most {
             return Err(Rejection::TooManyOpen);
         }
-        let bytes: usize = commit.apply.iter().map(bytes_of).sum();
-        if commit.apply.len() >= limits.transaction_changes || bytes > TRANSACTION_BYTES {
+        let bytes: usize = commit.writes.iter().map(bytes_of).sum();
+        if commit.writes.len() >= limits.transaction_changes || bytes > TRANSACTION_BYTES {
             return Err(Rejection::TooLarge);
         }
         self.fenced.push_back(commit);
@@ -360,12 +362,12 @@
     fn fenced_write(&mut self, limits: &StoreLimits) -> Option<LogWrite> {
         let value = self.unchanged_value(limits)?;
         let commit = self.fenced.pop_front()?;
-        let (when, writes) = (commit.when.clone(), commit.apply.clone());
+        let (conditions, writes) = (commit.conditions.clone(), commit.writes.clone());
         let changes = Changes {
             fenced: Some(commit),
             ..self.no_changes()
         };
-        Some(self.begin_write(changes, value, when, writes))
+        Some(self.begin_write(changes, value, conditions, writes))
     }
 
     fn no_changes(&self) -> Changes {
@@ -394,14 +396,14 @@
         &mut self,
         changes: Changes,
         value: Value,
-        when: Vec<(String, u64)>,
+        conditions: Vec<(String, u64)>,
         writes: Vec<Write>,
     ) -> LogWrite {
         self.sequence += 1;
         let write = LogWrite {
             version: self.version,
             value,
-            when,
+            conditions,
             writes,
         };
         self.underway = Some(Underway {
@@ -507,7 +509,7 @@
     fn record(&self, changes: &Changes, open: &[Operation]) -> LogRecord {
         LogRecord {
             format: FORMAT,
-            token: self.token,
+            fencing_token: self.fencing_token,
             sequence: self.sequence + 1,
             ended: changes.ended_count,
             open: open.to_vec(),
@@ -593,7 +595,7 @@
         underway.fencing = Some((failed, underway.sequence));
         underway.sequence = self.sequence;
         underway.write.value["sequence"] = Value::from(self.sequence);
-        underway.write.when.clear();
+        underway.write.conditions.clear();
         underway.write.writes.clear();
         underway.resend = true;
         LogProgress::default()
@@ -627,7 +629,7 @@
             return Reread::NotApplied;
         };
         let sequence = stored
-            .filter(|record| record.token == self.token)
+            .filter(|record| record.fencing_token == self.fencing_token)
             .map(|record| record.sequence);
         if sequence == Some(underway.sequence) {
             return Reread::Applied(self.written(version, now));
--- a/crates/seamfront-lease/src/manager/claims.rs
+++ b/crates/seamfront-lease/src/manager/claims.rs
@@ -16,36 +16,38 @@
             return;
         }
         let me = &self.settings.member;
-        let ours = |c: &SeenClaim| c.member == *me && Some(c.lease) == self.session.lease;
+        let ours = |c: &SeenClaim| c.member == *me && Some(c.lease) == self.membership.lease;
         let mine = claim.as_ref().is_some_and(ours);
         duty.free_since = claim.is_none().then_some(self.now);
         duty.claim = claim;
-        let held = duty.holding.as_ref().map(|holding| holding.token);
-        if held.is_some_and(|token| token < version || (token == version && !mine)) {
+        let held = duty.holding.as_ref().map(|holding| holding.fencing_token);
+        if held.is_some_and(|fencing_token| {
+            fencing_token < version || (fencing_token == version && !mine)
+        }) {
             self.lose(index, LossReason::Replaced);
         }
-        self.tell_successor(index);
+        self.notify_successor(index);
     }
 
     /// Says once who holds what was lost here.
-    fn tell_successor(&mut self, index: usize) {
+    fn notify_successor(&mut self, index: usize) {
         let duty = &mut self.duties[index];
-        let (Some(token), Some(claim)) = (duty.lost, &duty.claim) else {
+        let (Some(fencing_token), Some(claim)) = (duty.lost, &duty.claim) else {
             return;
         };
-        if claim.version <= token || claim.member.is_empty() {
+        if claim.version <= fencing_token || claim.member.is_empty() {
             return;
         }
         duty.lost = None;
         let successor = Successor {
             member: claim.member.clone(),
-            token: claim.version,
+            fencing_token: claim.version,
         };
         let name = duty.name.clone();
-        info!(duty = %name, token, successor = %successor.member, successor_token = successor.token, "duty replaced");
+        info!(duty = %name, fencing_token, successor = %successor.member, successor_token = successor.fencing_token, "duty replaced");
         self.effects.push(Effect::Replaced {
             duty: name,
-            token,
+            fencing_token,
             successor,
         });
     }
@@ -56,19 +58,19 @@
         let Some(holding) = duty.holding.take() else {
             return;
         };
-        duty.spent = duty.spent.max(holding.token);
-        duty.lost = Some(holding.token);
+        duty.last_released_token = duty.last_released_token.max(holding.fencing_token);
+        duty.lost = Some(holding.fencing_token);
         duty.handover_wanted = None;
         let name = duty.name.clone();
         if reason == LossReason::HandedOver {
-            info!(duty = %name, token = holding.token, "duty given away");
+            info!(duty = %name, fencing_token = holding.fencing_token, "duty given away");
         } else {
-            warn!(duty = %name, token = holding.token, %reason, "duty lost");
+            warn!(duty = %name, fencing_token = holding.fencing_token, %reason, "duty lost");
         }
         self.end_requests(holding.log.unfinished());
         self.effects.push(Effect::Lost {
             duty: name,
-            token: holding.token,
+            fencing_token: holding.fencing_token,
             reason,
         });
     }
@@ -99,14 +101,19 @@
     }
 
     /// Whether a condition on this duty's claim has failed under the token that is held. If so, it is lost.
-    pub(super) fn token_refused(&mut self, index: usize, token: u64, reply: &StateReply) -> bool {
-        let StateReply::Conflict { failed } = reply else {
+    pub(super) fn token_refused(
+        &mut self,
+        index: usize,
+        fencing_token: u64,
+        reply: &StoreReply,
+    ) -> bool {
+        let StoreReply::Conflict { failed } = reply else {
             return false;
         };
         if !failed.contains(&self.claim_key(index)) {
             return false;
         }
-        if self.held_token(index) == Some(token) {
+        if self.held_token(index) == Some(fencing_token) {
             self.lose(index, LossReason::TokenRefused);
         }
         true
@@ -116,14 +123,15 @@
         self.duties[index]
             .holding
             .as_ref()
-            .map(|holding| holding.token)
+            .map(|holding| holding.fencing_token)
     }
 
     pub(super) fn claims_tick(&mut self) {
-        let Some(lease) = self.session.lease else {
+        let Some(lease) = self.membership.lease else {
             return;
         };
-        if self.session.registered.is_none() || self.session.superseded || !self.view.loaded() {
+        if self.membership.registered.is_none() || self.membership.superseded || !self.view.loaded()
+        {
             return;
         }
         if self.settings_differ() {
@@ -152,7 +160,7 @@
         let duty = &self.duties[index];
         let expected = match &duty.claim {
             Some(claim) if claim.member == self.settings.member => {
-                if claim.lease == lease && claim.version > duty.spent {
+                if claim.lease == lease && claim.version > duty.last_released_token {
                     // Handed to us, or claimed by us and the answer was lost.
                     let version = claim.version;
                     return self.hold(index, version, None);
@@ -167,7 +175,7 @@
             }
             Some(_) => return,
             None => {
-                if self.leaving || !self.our_turn(index) {
+                if self.leaving || !self.claim_delay_elapsed(index) {
                     return;
                 }
                 0
@@ -180,16 +188,16 @@
             member: self.settings.member.clone(),
             lease,
         });
-        let apply = vec![Write::Put {
+        let writes = vec![Write::Put {
             key: key.clone(),
             value,
             lease: Some(lease),
         }];
         let sent = self.now;
         self.store(
-            StateCall::Commit {
-                when: vec![(key, expected)],
-                apply,
+            StoreRequest::CompareAndSwap {
+                conditions: vec![(key, expected)],
+                writes,
             },
             Pending::Claim {
                 duty: index,
@@ -200,7 +208,7 @@
     }
 
     /// The member with least to do claims first, the others each a moment later.
-    fn our_turn(&mut self, index: usize) -> bool {
+    fn claim_delay_elapsed(&mut self, index: usize) -> bool {
         let now = self.now;
         let since = *self.duties[index].free_since.get_or_insert(now);
         if let Some(holder) = self.group_holder(index) {
@@ -241,10 +249,10 @@
             .map(str::to_owned)
     }
 
-    pub(super) fn claimed(&mut self, index: usize, lease: u64, sent: Micros, reply: StateReply) {
+    pub(super) fn claimed(&mut self, index: usize, lease: u64, sent: Micros, reply: StoreReply) {
         self.duties[index].claim_busy = false;
         match reply {
-            StateReply::Committed { revision } if self.session.lease == Some(lease) => {
+            StoreReply::Committed { revision } if self.membership.lease == Some(lease) => {
                 let newer = self.duties[index]
                     .claim
                     .as_ref()
@@ -259,34 +267,37 @@
                     self.hold(index, revision, Some(sent));
                 }
             }
-            StateReply::NoSuchLease if self.session.lease == Some(lease) => self.lease_ended(),
+            StoreReply::NoSuchLease if self.membership.lease == Some(lease) => self.lease_ended(),
             // The race is lost, or nobody knows: the view will tell.
             _ => self.duties[index].claim_next = self.now + RETRY,
         }
     }
 
     /// Begins holding a duty. Its claim is proven if it was taken by a request sent then.
-    fn hold(&mut self, index: usize, token: u64, proven: Option<Micros>) {
-        let mut proof = ClaimProof::default();
-        if let Some(sent) = proven {
-            proof.proven(sent);
+    fn hold(&mut self, index: usize, fencing_token: u64, verified: Option<Micros>) {
+        let mut verification = ClaimVerification::default();
+        if let Some(sent) = verified {
+            verification.verified(sent);
         }
         let duty = &mut self.duties[index];
         duty.lost = None;
         duty.free_since = None;
         duty.holding = Some(Holding {
-            token,
+            fencing_token,
             since: self.now,
             phase: Phase::Loading,
-            proof,
-            proof_wanted: proven.is_none(),
+            verification,
+            verification_due: verified.is_none(),
             log: OperationLog::default(),
             log_busy: false,
             log_next: self.now,
         });
         let name = duty.name.clone();
-        info!(duty = %name, token, "duty taken");
-        self.effects.push(Effect::Taken { duty: name, token });
+        info!(duty = %name, fencing_token, "duty taken");
+        self.effects.push(Effect::Taken {
+            duty: name,
+            fencing_token,
+        });
     }
 
     // ---- proofs --------------------------------------------------------------------------
@@ -294,9 +305,11 @@
     /// In the embedding program's time.
     pub(super) fn current_permit(&self, index: usize) -> Option<Permit> {
         let holding = self.duties[index].holding.as_ref()?;
-        let permit = holding
-            .proof
-            .permit(holding.token, &self.session.proof, &self.settings)?;
+        let permit = holding.verification.permit(
+            holding.fencing_token,
+            &self.membership.verification,
+            &self.settings,
+        )?;
         let valid = permit.valid(self.now);
         valid.then_some(Permit {
             until: permit.until - self.clock_offset,
@@ -305,14 +318,14 @@
     }
 
     /// Proves all claims that need it with one transaction.
-    pub(super) fn prove_tick(&mut self) {
-        if self.prove_busy || self.now < self.prove_next {
+    pub(super) fn verify_tick(&mut self) {
+        if self.verify_busy || self.now < self.verify_next {
             return;
         }
         let wanted = |duty: &Duty| {
             duty.holding
                 .as_ref()
-                .is_some_and(|holding| holding.proof_wanted)
+                .is_some_and(|holding| holding.verification_due)
         };
         if !self.duties.iter().any(wanted) {
             return;
@@ -320,47 +333,52 @@
         let held =
             (0..self.duties.len()).filter_map(|index| Some((index, self.held_token(index)?)));
         let claims: Vec<(usize, u64)> = held.collect();
-        self.prove_busy = true;
-        let when = claims
+        self.verify_busy = true;
+        let conditions = claims
             .iter()
-            .map(|(index, token)| (self.claim_key(*index), *token))
+            .map(|(index, fencing_token)| (self.claim_key(*index), *fencing_token))
             .collect();
         let sent = self.now;
         self.store(
-            StateCall::Commit {
-                when,
-                apply: Vec::new(),
+            StoreRequest::CompareAndSwap {
+                conditions,
+                writes: Vec::new(),
             },
-            Pending::Prove { sent, claims },
+            Pending::Verify { sent, claims },
         );
     }
 
-    pub(super) fn proved(&mut self, sent: Micros, claims: &[(usize, u64)], reply: &StateReply) {
-        self.prove_busy = false;
+    pub(super) fn verify_reply(
+        &mut self,
+        sent: Micros,
+        claims: &[(usize, u64)],
+        reply: &StoreReply,
+    ) {
+        self.verify_busy = false;
         match reply {
-            StateReply::Committed { .. } => {
-                for (index, token) in claims {
-                    self.claim_proven(*index, *token, sent);
+            StoreReply::Committed { .. } => {
+                for (index, fencing_token) in claims {
+                    self.claim_verified(*index, *fencing_token, sent);
                 }
             }
-            StateReply::Conflict { .. } => {
-                for (index, token) in claims {
-                    self.token_refused(*index, *token, reply);
+            StoreReply::Conflict { .. } => {
+                for (index, fencing_token) in claims {
+                    self.token_refused(*index, *fencing_token, reply);
                 }
             }
-            _ => self.prove_next = self.now + RETRY,
+            _ => self.verify_next = self.now + RETRY,
         }
     }
 
     /// A transaction on the claim under this token has succeeded.
-    pub(super) fn claim_proven(&mut self, index: usize, token: u64, sent: Micros) {
+    pub(super) fn claim_verified(&mut self, index: usize, fencing_token: u64, sent: Micros) {
         let holding = self.duties[index]
             .holding
             .as_mut()
-            .filter(|holding| holding.token == token);
+            .filter(|holding| holding.fencing_token == fencing_token);
         if let Some(holding) = holding {
-            holding.proof.proven(sent);
-            holding.proof_wanted = false;
+            holding.verification.verified(sent);
+            holding.verification_due = false;
         }
     }
 }
--- a/crates/seamfront-lease/src/manager/handover.rs
+++ b/crates/seamfront-lease/src/manager/handover.rs
@@ -103,7 +103,7 @@
         if up {
             return Some(to);
         }
-        if self.tell_once(format!("move {name} {to}")) {
+        if self.first_report(format!("move {name} {to}")) {
             warn!(duty = %name, %to, "asked to move a duty to a member that is not up; it stays until that one is");
         }
         None
@@ -155,7 +155,7 @@
         if let Phase::HandingOver { sent, .. } = &mut holding.phase {
             *sent = true;
         }
-        let token = holding.token;
+        let fencing_token = holding.fencing_token;
         let key = self.claim_key(index);
         let lease = receiver.record.lease;
         let value = record::write(&ClaimRecord {
@@ -163,8 +163,11 @@
             member: to.to_owned(),
             lease,
         });
-        let mut when = vec![(key.clone(), token), (keys::member(to), receiver.version)];
-        let mut apply = vec![Write::Put {
+        let mut conditions = vec![
+            (key.clone(), fencing_token),
+            (keys::member(to), receiver.version),
+        ];
+        let mut writes = vec![Write::Put {
             key,
             value,
             lease: Some(lease),
@@ -174,25 +177,33 @@
             self.moves.get(name).filter(|(request, _)| request.to == to)
         {
             debug_assert_eq!(request.to, to);
-            when.push((keys::move_request(name), *version));
-            apply.push(Write::Delete {
+            conditions.push((keys::move_request(name), *version));
+            writes.push(Write::Delete {
                 key: keys::move_request(name),
             });
         }
         let pending = Pending::Transfer {
             duty: index,
-            token,
+            fencing_token,
             to: to.to_owned(),
         };
-        self.store(StateCall::Commit { when, apply }, pending);
+        self.store(StoreRequest::CompareAndSwap { conditions, writes }, pending);
     }
 
-    pub(super) fn transferred(&mut self, index: usize, token: u64, to: &str, reply: &StateReply) {
-        if self.token_refused(index, token, reply) || self.held_token(index) != Some(token) {
+    pub(super) fn transferred(
+        &mut self,
+        index: usize,
+        fencing_token: u64,
+        to: &str,
+        reply: &StoreReply,
+    ) {
+        if self.token_refused(index, fencing_token, reply)
+            || self.held_token(index) != Some(fencing_token)
+        {
             return;
         }
         match reply {
-            StateReply::Committed { revision } => {
+            StoreReply::Committed { revision } => {
                 self.lose(index, LossReason::HandedOver);
                 let lease = self.members.get(to).map_or(0, |seen| seen.record.lease);
                 let claim = SeenClaim {
@@ -203,7 +214,7 @@
                 self.claim_changed(index, Some(claim), *revision);
             }
             // Certainly not made: the receiver has gone, or the store refused.
-            StateReply::Conflict { .. } | StateReply::NoSuchLease | StateReply::Refused => {
+            StoreReply::Conflict { .. } | StoreReply::NoSuchLease | StoreReply::Refused => {
                 self.keep(index)
             }
             // It may yet be made. Our token is given up; if the claim stays ours, it is claimed anew under another, and
@@ -214,36 +225,36 @@
 
     /// Gives a duty up with nobody there to take it.
     fn release(&mut self, index: usize) {
-        let Some(token) = self.held_token(index) else {
+        let Some(fencing_token) = self.held_token(index) else {
             return;
         };
         self.lose(index, LossReason::HandedOver);
-        self.remove_claim(index, token);
+        self.remove_claim(index, fencing_token);
     }
 
     /// Removes our claim of this version.
     pub(super) fn remove_claim(&mut self, index: usize, version: u64) {
         self.duties[index].claim_busy = true;
         let key = self.claim_key(index);
-        let apply = vec![Write::Delete { key: key.clone() }];
+        let writes = vec![Write::Delete { key: key.clone() }];
         self.store(
-            StateCall::Commit {
-                when: vec![(key, version)],
-                apply,
+            StoreRequest::CompareAndSwap {
+                conditions: vec![(key, version)],
+                writes,
             },
             Pending::Release { duty: index },
         );
     }
 
-    pub(super) fn released(&mut self, index: usize, reply: &StateReply) {
+    pub(super) fn released(&mut self, index: usize, reply: &StoreReply) {
         let duty = &mut self.duties[index];
         duty.claim_busy = false;
         duty.claim_next = self.now + RETRY;
         let ours = duty
             .claim
             .as_ref()
-            .is_some_and(|claim| claim.version <= duty.spent);
-        if ours && matches!(reply, StateReply::Committed { .. }) {
+            .is_some_and(|claim| claim.version <= duty.last_released_token);
+        if ours && matches!(reply, StoreReply::Committed { .. }) {
             // Before the view shows it, or it would be taken for a claim that is to be overwritten.
             duty.claim = None;
             duty.free_since = Some(self.now);
--- a/crates/seamfront-lease/src/manager/session.rs
+++ b/crates/seamfront-lease/src/manager/membership.rs
@@ -1,7 +1,7 @@
 //! The member's lease and its record in the store.
 
 use super::*;
-use crate::permit::LeaseProof;
+use crate::permit::LeaseVerification;
 use crate::record::{self, VersionRecord, FORMAT};
 
 /// How often the member's record may be rewritten as its load changes.
@@ -11,11 +11,11 @@
 
 /// A member's standing with the store.
 #[derive(Debug, Default)]
-pub(super) struct Session {
+pub(super) struct Membership {
     pub(super) lease: Option<u64>,
     /// All leases that this process has had: their keys are no other process's.
     own_leases: BTreeSet<u64>,
-    pub(super) proof: LeaseProof,
+    pub(super) verification: LeaseVerification,
     renew_busy: bool,
     pub(super) renew_next: Micros,
     /// Version of our record, once it is written under the present lease.
@@ -32,8 +32,8 @@
 }
 
 impl DutyManager {
-    pub(super) fn session_tick(&mut self) {
-        if self.session.superseded || self.left {
+    pub(super) fn membership_tick(&mut self) {
+        if self.membership.superseded || self.left {
             return;
         }
         self.renew_tick();
@@ -42,47 +42,50 @@
     }
 
     fn renew_tick(&mut self) {
-        if self.session.renew_busy || self.now < self.session.renew_next {
+        if self.membership.renew_busy || self.now < self.membership.renew_next {
             return;
         }
-        self.session.renew_busy = true;
+        self.membership.renew_busy = true;
         let sent = self.now;
-        match self.session.lease {
+        match self.membership.lease {
             None => self.store(
-                StateCall::Grant {
+                StoreRequest::GrantLease {
                     ttl: self.settings.lease,
                 },
                 Pending::Grant { sent },
             ),
-            Some(lease) => self.store(StateCall::Renew { lease }, Pending::Renew { sent, lease }),
+            Some(lease) => self.store(
+                StoreRequest::RenewLease { lease },
+                Pending::Renew { sent, lease },
+            ),
         }
     }
 
-    pub(super) fn granted(&mut self, sent: Micros, reply: StateReply) {
-        self.session.renew_busy = false;
-        let StateReply::Lease { id } = reply else {
-            self.session.renew_next = self.now + RETRY;
+    pub(super) fn granted(&mut self, sent: Micros, reply: StoreReply) {
+        self.membership.renew_busy = false;
+        let StoreReply::Lease { id } = reply else {
+            self.membership.renew_next = self.now + RETRY;
             return;
         };
         info!(lease = id, "lease granted");
-        self.session.renew_next = self.now + self.settings.renew_every();
-        self.session.lease = Some(id);
-        self.session.own_leases.insert(id);
-        self.session.proof.renewed(sent);
+        self.membership.renew_next = self.now + self.settings.renew_every();
+        self.membership.lease = Some(id);
+        self.membership.own_leases.insert(id);
+        self.membership.verification.renewed(sent);
     }
 
-    pub(super) fn renewed(&mut self, sent: Micros, lease: u64, reply: StateReply) {
-        self.session.renew_busy = false;
-        if self.session.lease != Some(lease) {
+    pub(super) fn renewed(&mut self, sent: Micros, lease: u64, reply: StoreReply) {
+        self.membership.renew_busy = false;
+        if self.membership.lease != Some(lease) {
             return;
         }
         match reply {
-            StateReply::Renewed => {
-                self.session.proof.renewed(sent);
-                self.session.renew_next = sent + self.settings.renew_every();
+            StoreReply::Renewed => {
+                self.membership.verification.renewed(sent);
+                self.membership.renew_next = sent + self.settings.renew_every();
             }
-            StateReply::NoSuchLease => self.lease_ended(),
-            _ => self.session.renew_next = self.now + RETRY,
+            StoreReply::NoSuchLease => self.lease_ended(),
+            _ => self.membership.renew_next = self.now + RETRY,
         }
     }
 
@@ -92,11 +95,11 @@
         for index in 0..self.duties.len() {
             self.lose(index, LossReason::LeaseEnded);
         }
-        self.session.lease = None;
-        self.session.proof.clear();
-        self.session.registered = None;
-        self.session.written = None;
-        self.session.renew_next = self.now;
+        self.membership.lease = None;
+        self.membership.verification.clear();
+        self.membership.registered = None;
+        self.membership.written = None;
+        self.membership.renew_next = self.now;
     }
 
     fn own_record(&self, lease: u64) -> MemberRecord {
@@ -111,12 +114,12 @@
 
     /// Writes the member's record, and rewrites it when others should know of a change.
     fn register_tick(&mut self) {
-        let Some(lease) = self.session.lease else {
+        let Some(lease) = self.membership.lease else {
             return;
         };
         if !self.view.loaded()
-            || self.session.register_busy
-            || self.now < self.session.register_next
+            || self.membership.register_busy
+            || self.now < self.membership.register_next
         {
             return;
         }
@@ -130,64 +133,64 @@
         let key = keys::member(&self.settings.member);
         let stored = self.members.get(&self.settings.member);
         let stranger =
-            stored.is_some_and(|seen| !self.session.own_leases.contains(&seen.record.lease));
-        if stranger && self.session.registered_once {
+            stored.is_some_and(|seen| !self.membership.own_leases.contains(&seen.record.lease));
+        if stranger && self.membership.registered_once {
             return self.superseded();
         }
         // A former incarnation's record can be overwritten: that process can't come back.
         let version = self
-            .session
+            .membership
             .registered
             .or(stored.map(|seen| seen.version))
             .unwrap_or(0);
-        self.session.register_busy = true;
+        self.membership.register_busy = true;
         let value = record::write(&record);
-        let apply = vec![Write::Put {
+        let writes = vec![Write::Put {
             key: key.clone(),
             value,
             lease: Some(lease),
         }];
         self.store(
-            StateCall::Commit {
-                when: vec![(key, version)],
-                apply,
+            StoreRequest::CompareAndSwap {
+                conditions: vec![(key, version)],
+                writes,
             },
             Pending::Register { record },
         );
     }
 
     fn worth_writing(&self, record: &MemberRecord) -> bool {
-        let Some(written) = &self.session.written else {
+        let Some(written) = &self.membership.written else {
             return true;
         };
-        let load_changed =
-            written.load.abs_diff(record.load) >= LOAD_STEP && self.now >= self.session.load_next;
+        let load_changed = written.load.abs_diff(record.load) >= LOAD_STEP
+            && self.now >= self.membership.load_next;
         written.lease != record.lease || written.leaving != record.leaving || load_changed
     }
 
-    pub(super) fn registered(&mut self, record: MemberRecord, reply: StateReply) {
-        self.session.register_busy = false;
-        self.session.register_next = self.now + RETRY;
-        if self.session.lease != Some(record.lease) {
+    pub(super) fn registered(&mut self, record: MemberRecord, reply: StoreReply) {
+        self.membership.register_busy = false;
+        self.membership.register_next = self.now + RETRY;
+        if self.membership.lease != Some(record.lease) {
             return;
         }
         match reply {
-            StateReply::Committed { revision } => {
-                self.session.registered = Some(revision);
-                self.session.registered_once = true;
-                self.session.load_next = self.now + LOAD_EVERY;
+            StoreReply::Committed { revision } => {
+                self.membership.registered = Some(revision);
+                self.membership.registered_once = true;
+                self.membership.load_next = self.now + LOAD_EVERY;
                 let own = SeenMember {
                     record: record.clone(),
                     version: revision,
                 };
                 self.members.insert(self.settings.member.clone(), own);
-                self.session.written = Some(record);
+                self.membership.written = Some(record);
             }
-            StateReply::NoSuchLease => self.lease_ended(),
+            StoreReply::NoSuchLease => self.lease_ended(),
             // Which version stands there is not known: it is written once more, on what the view shows.
             _ => {
-                self.session.registered = None;
-                self.session.written = None;
+                self.membership.registered = None;
+                self.membership.written = None;
             }
         }
     }
@@ -195,11 +198,11 @@
     /// Two processes under one name would take every claim from each other. The one that came first gives way: the other
     /// may be its successor.
     pub(super) fn superseded(&mut self) {
-        if self.session.superseded {
+        if self.membership.superseded {
             return;
         }
         warn!(member = %self.settings.member, "another process has this member's name; this one stops");
-        self.session.superseded = true;
+        self.membership.superseded = true;
         for index in 0..self.duties.len() {
             self.lose(index, LossReason::Superseded);
         }
@@ -207,16 +210,18 @@
 
     pub(super) fn own_record_changed(&mut self, seen: Option<&SeenMember>) {
         let Some(seen) = seen else { return };
-        if self.session.own_leases.contains(&seen.record.lease) {
-            if self.session.lease == Some(seen.record.lease) && self.session.registered.is_none() {
-                self.session.registered = Some(seen.version);
-                self.session.registered_once = true;
-                self.session.written = Some(seen.record.clone());
+        if self.membership.own_leases.contains(&seen.record.lease) {
+            if self.membership.lease == Some(seen.record.lease)
+                && self.membership.registered.is_none()
+            {
+                self.membership.registered = Some(seen.version);
+                self.membership.registered_once = true;
+                self.membership.written = Some(seen.record.clone());
             }
             return;
         }
         if self
-            .session
+            .membership
             .registered
             .is_some_and(|version| version < seen.version)
         {
@@ -229,7 +234,7 @@
     pub(super) fn settings_differ(&mut self) -> bool {
         let own = self.settings.shared();
         let me = &self.settings.member;
-        let registered = self.session.registered.is_some();
+        let registered = self.membership.registered.is_some();
         let others = self
             .members
             .iter()
@@ -240,7 +245,7 @@
         let Some((member, field)) = difference.min() else {
             return false;
         };
-        if self.tell_once(format!("settings differ: {member} {field}")) {
+        if self.first_report(format!("settings differ: {member} {field}")) {
             warn!(
                 member,
                 field, "settings differ from another member's; no duty is taken"
@@ -253,37 +258,37 @@
     fn version_tick(&mut self) {
         let known = self.versions.contains_key(&self.settings.member);
         if known
-            || self.session.version_busy
+            || self.membership.version_busy
             || !self.view.loaded()
             || self.settings.former_claim.is_none()
         {
             return;
         }
-        self.session.version_busy = true;
+        self.membership.version_busy = true;
         let key = keys::version(&self.settings.member);
         let value = record::write(&VersionRecord { format: FORMAT });
-        let apply = vec![Write::Put {
+        let writes = vec![Write::Put {
             key: key.clone(),
             value,
             lease: None,
         }];
         self.store(
-            StateCall::Commit {
-                when: vec![(key, 0)],
-                apply,
+            StoreRequest::CompareAndSwap {
+                conditions: vec![(key, 0)],
+                writes,
             },
             Pending::Version,
         );
     }
 
-    pub(super) fn unregistered(&mut self, reply: &StateReply) {
-        self.session.register_busy = false;
+    pub(super) fn unregistered(&mut self, reply: &StoreReply) {
+        self.membership.register_busy = false;
         let gone = matches!(
             reply,
-            StateReply::Committed { .. } | StateReply::Conflict { .. }
+            StoreReply::Committed { .. } | StoreReply::Conflict { .. }
         );
         if !gone {
-            self.session.register_next = self.now + RETRY;
+            self.membership.register_next = self.now + RETRY;
             return;
         }
         info!("left; all duties are handed over");
@@ -299,30 +304,30 @@
             .any(|duty| duty.holding.is_some() || duty.claim_busy);
         if !self.leaving
             || holds
-            || self.session.register_busy
-            || self.now < self.session.register_next
+            || self.membership.register_busy
+            || self.now < self.membership.register_next
         {
             return;
         }
-        let told = self
-            .session
+        let reported = self
+            .membership
             .written
             .as_ref()
             .is_some_and(|record| record.leaving);
-        let (Some(version), true) = (self.session.registered, told) else {
-            if self.session.lease.is_none() || self.session.superseded {
+        let (Some(version), true) = (self.membership.registered, reported) else {
+            if self.membership.lease.is_none() || self.membership.superseded {
                 self.left = true;
                 self.effects.push(Effect::Left);
             }
             return;
         };
         let key = keys::member(&self.settings.member);
-        self.session.register_busy = true;
-        let apply = vec![Write::Delete { key: key.clone() }];
+        self.membership.register_busy = true;
+        let writes = vec![Write::Delete { key: key.clone() }];
         self.store(
-            StateCall::Commit {
-                when: vec![(key, version)],
-                apply,
+            StoreRequest::CompareAndSwap {
+                conditions: vec![(key, version)],
+                writes,
             },
             Pending::Unregister,
         );
--- a/crates/seamfront-lease/src/manager/mod.rs
+++ b/crates/seamfront-lease/src/manager/mod.rs
@@ -3,12 +3,12 @@
 
 use crate::keys;
 use crate::log::OperationLog;
-use crate::permit::{ClaimProof, Permit};
+use crate::permit::{ClaimVerification, Permit};
 use crate::port::*;
 use crate::record::{MemberRecord, MoveRecord, RecordError, SwitchRecord};
 use crate::settings::{LeaseSettings, SettingsError, StoreLimits};
 use crate::spread::MemberLoad;
-use crate::store::{StateCall, StateReply, Write};
+use crate::store::{StoreReply, StoreRequest, Write};
 use crate::time::Micros;
 use crate::view::View;
 use std::collections::{BTreeMap, BTreeSet};
@@ -16,12 +16,12 @@
 
 mod claims;
 mod handover;
+mod membership;
 mod operations;
-mod session;
 mod switch;
 mod views;
 
-use session::Session;
+use membership::Membership;
 
 /// How long a refused or unanswered request rests before it is made again.
 const RETRY: Micros = Micros::from_millis(250);
@@ -56,12 +56,12 @@
 /// A duty that is held here.
 #[derive(Debug)]
 struct Holding {
-    token: u64,
+    fencing_token: u64,
     since: Micros,
     phase: Phase,
-    proof: ClaimProof,
+    verification: ClaimVerification,
     /// A proof is needed before the next effect.
-    proof_wanted: bool,
+    verification_due: bool,
     log: OperationLog,
     log_busy: bool,
     log_next: Micros,
@@ -76,7 +76,7 @@
     claim_busy: bool,
     claim_next: Micros,
     /// The last token that was given up here. It is never acted on again, even if the store still has it as ours.
-    spent: u64,
+    last_released_token: u64,
     holding: Option<Holding>,
     /// A token that was lost, until its successor has been told.
     lost: Option<u64>,
@@ -114,22 +114,22 @@
         lease: u64,
         sent: Micros,
     },
-    Prove {
+    Verify {
         sent: Micros,
         claims: Vec<(usize, u64)>,
     },
     LogRead {
         duty: usize,
-        token: u64,
+        fencing_token: u64,
     },
     LogWrite {
         duty: usize,
-        token: u64,
+        fencing_token: u64,
         sent: Micros,
     },
     Transfer {
         duty: usize,
-        token: u64,
+        fencing_token: u64,
         to: String,
     },
     Release {
@@ -148,7 +148,7 @@
     effects: Vec<Effect>,
     calls: BTreeMap<CallId, Pending>,
     next_call: CallId,
-    session: Session,
+    membership: Membership,
     view: View,
     view_busy: bool,
     view_next: Micros,
@@ -161,8 +161,8 @@
     switch_next: Micros,
     moves: BTreeMap<String, (MoveRecord, u64)>,
     duties: Vec<Duty>,
-    prove_busy: bool,
-    prove_next: Micros,
+    verify_busy: bool,
+    verify_next: Micros,
     /// Changes that the store takes now, in thousandths.
     budget: i64,
     budget_filled: Micros,
@@ -170,7 +170,7 @@
     leaving: bool,
     left: bool,
     /// What has been complained of; each is told once.
-    told: BTreeSet<String>,
+    reported: BTreeSet<String>,
 }
 
 impl DutyManager {
@@ -183,7 +183,7 @@
             free_since: None,
             claim_busy: false,
             claim_next: Micros::ZERO,
-            spent: 0,
+            last_released_token: 0,
             holding: None,
             lost: None,
             unreadable_until: Micros::ZERO,
@@ -197,7 +197,7 @@
             effects: Vec::new(),
             calls: BTreeMap::new(),
             next_call: 1,
-            session: Session::default(),
+            membership: Membership::default(),
             view: View::default(),
             view_busy: false,
             view_next: Micros::ZERO,
@@ -209,14 +209,14 @@
             switch_busy: false,
             switch_next: Micros::ZERO,
             moves: BTreeMap::new(),
-            prove_busy: false,
-            prove_next: Micros::ZERO,
+            verify_busy: false,
+            verify_next: Micros::ZERO,
             budget: 0,
             budget_filled: Micros::ZERO,
             load: 0,
             leaving: false,
             left: false,
-            told: BTreeSet::new(),
+            reported: BTreeSet::new(),
         })
     }
 
@@ -236,7 +236,7 @@
             duty.holding
                 .as_ref()
                 .filter(|h| h.phase == Phase::Active)
-                .map(|h| h.token)
+                .map(|h| h.fencing_token)
         };
         self.duties
             .iter()
@@ -245,7 +245,7 @@
     }
 
     /// The token of a duty that may be performed here.
-    pub fn token(&self, duty: &str) -> Option<u64> {
+    pub fn fencing_token(&self, duty: &str) -> Option<u64> {
         self.active()
             .into_iter()
             .find(|held| held.0 == duty)
@@ -259,16 +259,16 @@
     }
 
     /// Asks for a proof of a duty's claim where the permit has run out or soon will: an effect is about to begin.
-    pub fn want_proof(&mut self, duty: &str) {
+    pub fn request_verification(&mut self, duty: &str) {
         let Some(index) = self.index(duty) else {
             return;
         };
-        let half = self.settings.proof_time().over(2);
+        let half = self.settings.verification_ttl().over(2);
         let fresh = self
             .current_permit(index)
             .is_some_and(|permit| permit.until + self.clock_offset > self.now + half);
         if let Some(holding) = self.duties[index].holding.as_mut() {
-            holding.proof_wanted |= !fresh;
+            holding.verification_due |= !fresh;
         }
     }
 
@@ -301,14 +301,14 @@
             "the steady clock went back; proving everything anew"
         );
         self.clock_offset = self.now - now;
-        self.session.proof.clear();
-        self.session.renew_next = self.now;
+        self.membership.verification.clear();
+        self.membership.renew_next = self.now;
         for holding in self
             .duties
             .iter_mut()
             .filter_map(|duty| duty.holding.as_mut())
         {
-            holding.proof.clear();
+            holding.verification.clear();
         }
     }
 
@@ -323,9 +323,9 @@
             Command::Commit {
                 request,
                 duty,
-                when,
-                apply,
-            } => self.fenced_commit(request, &duty, when, apply),
+                conditions,
+                writes,
+            } => self.fenced_commit(request, &duty, conditions, writes),
             Command::Performed {
                 duty,
                 operation,
@@ -340,10 +340,13 @@
                     holding.log.performed(operation, attempt, outcome, now);
                 }
             }
-            Command::TokenRefused { duty, token } => {
+            Command::TokenRefused {
+                duty,
+                fencing_token,
+            } => {
                 let index = self
                     .index(&duty)
-                    .filter(|index| self.held_token(*index) == Some(token));
+                    .filter(|index| self.held_token(*index) == Some(fencing_token));
                 if let Some(index) = index {
                     self.lose(index, LossReason::TokenRefused);
                 }
@@ -362,7 +365,7 @@
 
     fn tick(&mut self) {
         self.fill_budget();
-        self.session_tick();
+        self.membership_tick();
         self.view_tick();
         if self.left {
             return;
@@ -373,11 +376,11 @@
         for index in 0..self.duties.len() {
             self.operations_tick(index);
         }
-        self.prove_tick();
+        self.verify_tick();
         self.leave_tick();
     }
 
-    fn store_reply(&mut self, call: CallId, reply: StateReply) {
+    fn store_reply(&mut self, call: CallId, reply: StoreReply) {
         let Some(pending) = self.calls.remove(&call) else {
             return;
         };
@@ -387,12 +390,23 @@
             Pending::View => self.view_reply(reply),
             Pending::Register { record } => self.registered(record, reply),
             Pending::Unregister => self.unregistered(&reply),
-            Pending::Version => self.session.version_busy = false,
+            Pending::Version => self.membership.version_busy = false,
             Pending::Claim { duty, lease, sent } => self.claimed(duty, lease, sent, reply),
-            Pending::Prove { sent, claims } => self.proved(sent, &claims, &reply),
-            Pending::LogRead { duty, token } => self.log_read(duty, token, reply),
-            Pending::LogWrite { duty, token, sent } => self.log_written(duty, token, sent, &reply),
-            Pending::Transfer { duty, token, to } => self.transferred(duty, token, &to, &reply),
+            Pending::Verify { sent, claims } => self.verify_reply(sent, &claims, &reply),
+            Pending::LogRead {
+                duty,
+                fencing_token,
+            } => self.log_read(duty, fencing_token, reply),
+            Pending::LogWrite {
+                duty,
+                fencing_token,
+                sent,
+            } => self.log_written(duty, fencing_token, sent, &reply),
+            Pending::Transfer {
+                duty,
+                fencing_token,
+                to,
+            } => self.transferred(duty, fencing_token, &to, &reply),
             Pending::Release { duty } => self.released(duty, &reply),
             Pending::Switch => self.switched(&reply),
         }
@@ -404,7 +418,7 @@
         self.duties.iter().position(|d| d.name == duty)
     }
 
-    fn store(&mut self, request: StateCall, pending: Pending) {
+    fn store(&mut self, request: StoreRequest, pending: Pending) {
         let call = self.next_number();
         self.calls.insert(call, pending);
         self.effects.push(Effect::Store { call, request });
@@ -417,12 +431,12 @@
     }
 
     /// Whether this is said for the first time.
-    fn tell_once(&mut self, what: String) -> bool {
-        self.told.insert(what)
+    fn first_report(&mut self, what: String) -> bool {
+        self.reported.insert(what)
     }
 
     fn complain(&mut self, error: &RecordError) {
-        if self.tell_once(error.to_string()) {
+        if self.first_report(error.to_string()) {
             warn!(%error, "stored value set aside");
         }
     }
--- a/crates/seamfront-lease/src/manager/operations.rs
+++ b/crates/seamfront-lease/src/manager/operations.rs
@@ -54,23 +54,26 @@
             return;
         }
         holding.log_busy = true;
-        let (key, token) = (keys::log(&duty.name), holding.token);
+        let (key, fencing_token) = (keys::log(&duty.name), holding.fencing_token);
         self.store(
-            StateCall::Get { key },
-            Pending::LogRead { duty: index, token },
+            StoreRequest::Get { key },
+            Pending::LogRead {
+                duty: index,
+                fencing_token,
+            },
         );
     }
 
-    pub(super) fn log_read(&mut self, index: usize, token: u64, reply: StateReply) {
-        if self.held_token(index) != Some(token) {
+    pub(super) fn log_read(&mut self, index: usize, fencing_token: u64, reply: StoreReply) {
+        if self.held_token(index) != Some(fencing_token) {
             return;
         }
         let key = keys::log(&self.duties[index].name);
         let stored = match reply {
-            StateReply::Entry(entry) => {
+            StoreReply::Entry(entry) => {
                 record::read::<LogRecord>(&key, &entry.value).map(|r| (entry.version, Some(r)))
             }
-            StateReply::Missing => Ok((0, None)),
+            StoreReply::Missing => Ok((0, None)),
             _ => {
                 let now = self.now;
                 if let Some(holding) = self.duties[index].holding.as_mut() {
@@ -93,7 +96,7 @@
         };
         holding.log_busy = false;
         if holding.phase == Phase::Loading {
-            holding.log = OperationLog::loaded(holding.token, version, stored);
+            holding.log = OperationLog::loaded(holding.fencing_token, version, stored);
             holding.phase = Phase::Settling;
             let (open, duty) = (holding.log.open(), &self.duties[index].name);
             if open > 0 {
@@ -111,11 +114,11 @@
     /// Nothing is guessed and nothing deleted. The duty is given up, perhaps to a member that can read its log.
     fn log_unreadable(&mut self, index: usize, error: &RecordError) {
         self.complain(error);
-        let token = self.held_token(index);
+        let fencing_token = self.held_token(index);
         self.lose(index, LossReason::UnreadableLog);
         self.duties[index].unreadable_until = self.now + UNREADABLE_REST;
-        if let Some(token) = token {
-            self.remove_claim(index, token);
+        if let Some(fencing_token) = fencing_token {
+            self.remove_claim(index, fencing_token);
         }
     }
 
@@ -135,25 +138,25 @@
         let Some(write) = holding.log.next_write(&limits) else {
             return;
         };
-        let (key, token) = (keys::log(&duty.name), holding.token);
-        let mut when = vec![
-            (keys::claim(&duty.name), token),
+        let (key, fencing_token) = (keys::log(&duty.name), holding.fencing_token);
+        let mut conditions = vec![
+            (keys::claim(&duty.name), fencing_token),
             (key.clone(), write.version),
         ];
-        when.extend(write.when);
-        let mut apply = vec![Write::Put {
+        conditions.extend(write.conditions);
+        let mut writes = vec![Write::Put {
             key,
             value: write.value,
             lease: None,
         }];
-        apply.extend(write.writes);
-        self.spend(apply.len());
+        writes.extend(write.writes);
+        self.spend(writes.len());
         let sent = self.now;
         self.store(
-            StateCall::Commit { when, apply },
+            StoreRequest::CompareAndSwap { conditions, writes },
             Pending::LogWrite {
                 duty: index,
-                token,
+                fencing_token,
                 sent,
             },
         );
@@ -162,11 +165,11 @@
     pub(super) fn log_written(
         &mut self,
         index: usize,
-        token: u64,
+        fencing_token: u64,
         sent: Micros,
-        reply: &StateReply,
+        reply: &StoreReply,
     ) {
-        if self.token_refused(index, token, reply) {
+        if self.token_refused(index, fencing_token, reply) {
             return;
         }
         let now = self.now;
@@ -174,19 +177,19 @@
         let holding = self.duties[index]
             .holding
             .as_mut()
-            .filter(|holding| holding.token == token);
+            .filter(|holding| holding.fencing_token == fencing_token);
         let Some(holding) = holding else { return };
         let progress = match reply {
-            StateReply::Committed { revision } => {
+            StoreReply::Committed { revision } => {
                 let progress = holding.log.written(*revision, now);
-                self.claim_proven(index, token, sent);
+                self.claim_verified(index, fencing_token, sent);
                 progress
             }
-            StateReply::Refused => {
+            StoreReply::Refused => {
                 holding.log_next = now + RETRY;
                 holding.log.refused()
             }
-            StateReply::Conflict { failed } if !failed.contains(&log_key) => {
+            StoreReply::Conflict { failed } if !failed.contains(&log_key) => {
                 holding.log.conflicted(failed.clone())
             }
             // A copy that came late has changed the log, or nobody knows.
@@ -232,13 +235,16 @@
             return;
         }
         if !permitted {
-            holding.proof_wanted = true;
+            holding.verification_due = true;
             return;
         }
         holding.phase = Phase::Active;
-        info!(duty = %duty.name, token = holding.token, "duty active");
-        let (name, token) = (duty.name.clone(), holding.token);
-        self.effects.push(Effect::Active { duty: name, token });
+        info!(duty = %duty.name, fencing_token = holding.fencing_token, "duty active");
+        let (name, fencing_token) = (duty.name.clone(), holding.fencing_token);
+        self.effects.push(Effect::Active {
+            duty: name,
+            fencing_token,
+        });
     }
 
     fn perform_tick(&mut self, index: usize) {
@@ -250,13 +256,13 @@
                 return;
             };
             let Some(permit) = permit else {
-                holding.proof_wanted = true;
+                holding.verification_due = true;
                 return;
             };
             let Some(operation) = holding.log.attempt(name, attempt) else {
                 return;
             };
-            let settling = name.token != holding.token;
+            let settling = name.fencing_token != holding.fencing_token;
             let duty = duty.name.clone();
             self.effects.push(Effect::Perform {
                 duty,
@@ -282,14 +288,14 @@
         &mut self,
         request: RequestId,
         duty: &str,
-        when: Vec<(String, u64)>,
-        apply: Vec<Write>,
+        conditions: Vec<(String, u64)>,
+        writes: Vec<Write>,
     ) {
         let limits = self.settings.limits;
         let commit = FencedCommit {
             request,
-            when,
-            apply,
+            conditions,
+            writes,
         };
         let accepted = match self.ready_holding(duty) {
             Ok(holding) => holding.log.commit(commit, FENCED_WAITING, &limits),
--- a/crates/seamfront-lease/src/manager/switch.rs
+++ b/crates/seamfront-lease/src/manager/switch.rs
@@ -35,8 +35,8 @@
             .collect();
         let Some(versions) = known else { return };
         self.switch_busy = true;
-        let mut when = vec![(key.clone(), version), (keys::SWITCH.to_owned(), 0)];
-        when.extend(versions);
+        let mut conditions = vec![(key.clone(), version), (keys::SWITCH.to_owned(), 0)];
+        conditions.extend(versions);
         let nobody = record::write(&FormerClaimRecord {
             member: String::new(),
             lease: 0,
@@ -46,7 +46,7 @@
             by: self.settings.member.clone(),
             ended: version,
         };
-        let apply = vec![
+        let writes = vec![
             Write::Put {
                 key,
                 value: nobody,
@@ -58,13 +58,16 @@
                 lease: None,
             },
         ];
-        self.store(StateCall::Commit { when, apply }, Pending::Switch);
+        self.store(
+            StoreRequest::CompareAndSwap { conditions, writes },
+            Pending::Switch,
+        );
     }
 
-    pub(super) fn switched(&mut self, reply: &StateReply) {
+    pub(super) fn switched(&mut self, reply: &StoreReply) {
         self.switch_busy = false;
         self.switch_next = self.now + RETRY;
-        if matches!(reply, StateReply::Committed { .. }) {
+        if matches!(reply, StoreReply::Committed { .. }) {
             info!("all members know duties; the former claim has ended");
         }
     }
--- a/crates/seamfront-lease/src/manager/views.rs
+++ b/crates/seamfront-lease/src/manager/views.rs
@@ -19,7 +19,7 @@
         self.store(request, Pending::View);
     }
 
-    pub(super) fn view_reply(&mut self, reply: StateReply) {
+    pub(super) fn view_reply(&mut self, reply: StoreReply) {
         self.view_busy = false;
         self.view_next = self.now + PAUSE;
         match self.view.take(reply) {
@@ -92,7 +92,7 @@
 
     fn claim_key_changed(&mut self, duty: &str, change: &Change) {
         let Some(index) = self.index(duty) else {
-            if self.tell_once(format!("unknown duty {duty}")) {
+            if self.first_report(format!("unknown duty {duty}")) {
                 warn!(duty, "a claim on a duty that the settings do not name");
             }
             return;
@@ -131,7 +131,7 @@
         if member == self.settings.member {
             self.own_record_changed(seen.as_ref());
         } else if seen.is_some() && !self.settings.members.iter().any(|name| name == member) {
-            if self.tell_once(format!("unknown member {member}")) {
+            if self.first_report(format!("unknown member {member}")) {
                 warn!(
                     member,
                     "a member that the settings do not name; it gets no duty from here"
--- a/crates/seamfront-lease/src/permit.rs
+++ b/crates/seamfront-lease/src/permit.rs
@@ -7,7 +7,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Permit {
     /// The fencing token.
-    pub token: u64,
+    pub fencing_token: u64,
     /// The effect may begin before this instant.
     pub until: Micros,
 }
@@ -21,11 +21,11 @@
 
 /// When the lease was last renewed, counted from the sending of the request.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct LeaseProof {
+pub struct LeaseVerification {
     renewed: Option<Micros>,
 }
 
-impl LeaseProof {
+impl LeaseVerification {
     /// A renewal that was sent then has been confirmed.
     pub fn renewed(&mut self, sent: Micros) {
         self.renewed = self.renewed.max(Some(sent));
@@ -44,30 +44,33 @@
 
 /// When a claim was last proven, counted from the sending of the request.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct ClaimProof {
-    proven: Option<Micros>,
+pub struct ClaimVerification {
+    last_verified: Option<Micros>,
 }
 
-impl ClaimProof {
+impl ClaimVerification {
     /// A transaction with the claim among its conditions was sent then and has succeeded.
-    pub fn proven(&mut self, sent: Micros) {
-        self.proven = self.proven.max(Some(sent));
+    pub fn verified(&mut self, sent: Micros) {
+        self.last_verified = self.last_verified.max(Some(sent));
     }
 
     /// Nothing is known of the claim any more.
     pub fn clear(&mut self) {
-        self.proven = None;
+        self.last_verified = None;
     }
 
     /// Until when an effect may begin, if at all: the lease must hold, and the proof must be recent.
     pub fn permit(
         &self,
-        token: u64,
-        lease: &LeaseProof,
+        fencing_token: u64,
+        lease: &LeaseVerification,
         settings: &LeaseSettings,
     ) -> Option<Permit> {
-        let proven = self.proven? + settings.proof_time();
-        let until = proven.min(lease.until(settings)?);
-        Some(Permit { token, until })
+        let last_verified = self.last_verified? + settings.verification_ttl();
+        let until = last_verified.min(lease.until(settings)?);
+        Some(Permit {
+            fencing_token,
+            until,
+        })
     }
 }
--- a/crates/seamfront-lease/src/port.rs
+++ b/crates/seamfront-lease/src/port.rs
@@ -3,7 +3,7 @@
 use crate::permit::Permit;
 use crate::record::{Operation, OperationName, Settlement};
 use crate::settings::StoreLimits;
-use crate::store::{StateCall, StateReply, Write};
+use crate::store::{StoreReply, StoreRequest, Write};
 use serde_json::Value;
 use thiserror::Error;
 
@@ -21,7 +21,7 @@
         /// The request that it answers.
         call: CallId,
         /// The answer.
-        reply: StateReply,
+        reply: StoreReply,
     },
     /// Begin an operation: record it, then perform it.
     Begin {
@@ -39,9 +39,9 @@
         /// The duty that it belongs to.
         duty: String,
         /// Further conditions.
-        when: Vec<(String, u64)>,
+        conditions: Vec<(String, u64)>,
         /// Changes.
-        apply: Vec<Write>,
+        writes: Vec<Write>,
     },
     /// An attempt to perform an operation has ended.
     Performed {
@@ -59,7 +59,7 @@
         /// The duty.
         duty: String,
         /// The token that was refused.
-        token: u64,
+        fencing_token: u64,
     },
     /// How busy this member is, in percent.
     SetLoad(u64),
@@ -161,7 +161,7 @@
     /// The member.
     pub member: String,
     /// Its token.
-    pub token: u64,
+    pub fencing_token: u64,
 }
 
 /// What comes out.
@@ -172,7 +172,7 @@
         /// Name of the request.
         call: CallId,
         /// The request.
-        request: StateCall,
+        request: StoreRequest,
     },
     /// Perform a recorded operation. It may begin only while the permit is valid by a clock read just before.
     Perform {
@@ -229,21 +229,21 @@
         /// The duty.
         duty: String,
         /// The token.
-        token: u64,
+        fencing_token: u64,
     },
     /// The duty may be performed.
     Active {
         /// The duty.
         duty: String,
         /// The token.
-        token: u64,
+        fencing_token: u64,
     },
     /// The duty is not held here any more.
     Lost {
         /// The duty.
         duty: String,
         /// The token that is void.
-        token: u64,
+        fencing_token: u64,
         /// Why.
         reason: LossReason,
     },
@@ -252,7 +252,7 @@
         /// The duty.
         duty: String,
         /// The void token.
-        token: u64,
+        fencing_token: u64,
         /// The new holder.
         successor: Successor,
     },
--- a/crates/seamfront-lease/src/record.rs
+++ b/crates/seamfront-lease/src/record.rs
@@ -141,14 +141,15 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct OperationName {
     /// Token of the holder that recorded it.
-    pub token: u64,
+    #[serde(rename = "token")]
+    pub fencing_token: u64,
     /// Its number under that token.
     pub number: u64,
 }
 
 impl fmt::Display for OperationName {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "{}-{}", self.token, self.number)
+        write!(f, "{}-{}", self.fencing_token, self.number)
     }
 }
 
@@ -186,7 +187,8 @@
     /// Format of this value.
     pub format: u32,
     /// Token of the holder that wrote it.
-    pub token: u64,
+    #[serde(rename = "token")]
+    pub fencing_token: u64,
     /// Number of this write under that token.
     pub sequence: u64,
     /// Operations that have ended since the log began.
--- a/crates/seamfront-lease/src/settings.rs
+++ b/crates/seamfront-lease/src/settings.rs
@@ -92,7 +92,7 @@
     }
 
     /// How old a proof of a claim may be when an effect begins.
-    pub fn proof_time(&self) -> Micros {
+    pub fn verification_ttl(&self) -> Micros {
         self.acting_time().over(2)
     }
 
--- a/crates/seamfront-lease/src/store.rs
+++ b/crates/seamfront-lease/src/store.rs
@@ -3,9 +3,9 @@
 use crate::time::Micros;
 use serde_json::Value;
 
-/// A request to the state service.
+/// A request to the key-value store.
 #[derive(Clone, Debug, PartialEq)]
-pub enum StateCall {
+pub enum StoreRequest {
     /// Read one key.
     Get {
         /// Key.
@@ -19,30 +19,30 @@
         after: Option<String>,
     },
     /// Compare versions, then write; all or nothing.
-    Commit {
+    CompareAndSwap {
         /// Keys with the versions that they must have, 0 for none.
-        when: Vec<(String, u64)>,
+        conditions: Vec<(String, u64)>,
         /// Changes; without any the versions are only compared.
-        apply: Vec<Write>,
+        writes: Vec<Write>,
     },
     /// Get a lease.
-    Grant {
+    GrantLease {
         /// How long it lasts without being renewed.
         ttl: Micros,
     },
     /// Renew a lease.
-    Renew {
+    RenewLease {
         /// The lease.
         lease: u64,
     },
     /// Wait for changes after a revision.
-    Changes {
+    Watch {
         /// Prefix of the keys.
         prefix: String,
         /// The revision after which changes are wanted.
         after: u64,
         /// How long to wait for one.
-        hold: Micros,
+        wait: Micros,
     },
 }
 
@@ -76,9 +76,9 @@
     pub version: u64,
 }
 
-/// An answer of the state service.
+/// A reply of the key-value store.
 #[derive(Clone, Debug)]
-pub enum StateReply {
+pub enum StoreReply {
     /// The key asked for.
     Entry(Entry),
     /// There is no such key.
--- a/crates/seamfront-lease/src/view.rs
+++ b/crates/seamfront-lease/src/view.rs
@@ -1,6 +1,6 @@
 //! A view of all keys with one prefix: read once, then kept up by long-lived requests for changes.
 
-use crate::store::{Entry, StateCall, StateReply};
+use crate::store::{Entry, StoreReply, StoreRequest};
 use crate::time::Micros;
 use serde_json::Value;
 use std::collections::BTreeMap;
@@ -61,20 +61,20 @@
     }
 
     /// The next request.
-    pub fn request(&self, prefix: &str, hold: Micros) -> StateCall {
+    pub fn request(&self, prefix: &str, wait: Micros) -> StoreRequest {
         let prefix = prefix.to_owned();
         if self.loaded && self.listing.is_none() {
-            return StateCall::Changes {
+            return StoreRequest::Watch {
                 prefix,
                 after: self.seen,
-                hold,
+                wait,
             };
         }
         let after = self
             .listing
             .as_ref()
             .and_then(|l| l.1.keys().next_back().cloned());
-        StateCall::List { prefix, after }
+        StoreRequest::List { prefix, after }
     }
 
     /// All changes up to this revision have been taken in.
@@ -83,14 +83,14 @@
     }
 
     /// Takes the answer to a request.
-    pub fn take(&mut self, reply: StateReply) -> ViewUpdate {
+    pub fn take(&mut self, reply: StoreReply) -> ViewUpdate {
         match reply {
-            StateReply::Page {
+            StoreReply::Page {
                 entries,
                 more,
                 revision,
             } => self.take_page(entries, more, revision),
-            StateReply::Changes { revision, events } => {
+            StoreReply::Changes { revision, events } => {
                 // Two answers may hold the same change; the older must not undo the newer.
                 let new = events.into_iter().filter(|event| event.2 > self.seen);
                 let changes = new
@@ -102,7 +102,7 @@
                     .collect();
                 ViewUpdate::Changed { changes, revision }
             }
-            StateReply::TooOld => {
+            StoreReply::TooOld => {
                 self.loaded = false;
                 ViewUpdate::TooOld
             }
--- a/crates/seamfront-lease/tests/forms.rs
+++ b/crates/seamfront-lease/tests/forms.rs
@@ -9,7 +9,7 @@
 use seamfront_lease::port::{Command, Effect, Outcome};
 use seamfront_lease::record::*;
 use seamfront_lease::settings::{LeaseSettings, StoreLimits};
-use seamfront_lease::store::{StateCall, StateReply, Write};
+use seamfront_lease::store::{StoreReply, StoreRequest, Write};
 use seamfront_lease::time::Micros;
 use seamfront_lease::DutyManager;
 use serde::de::DeserializeOwned;
@@ -128,7 +128,7 @@
     );
     assert_eq!(
         OperationName {
-            token: 41,
+            fencing_token: 41,
             number: 3
         }
         .to_string(),
@@ -151,7 +151,7 @@
     now: Micros,
     store: Store,
     manager: DutyManager,
-    waiting: Vec<(u64, StateCall)>,
+    waiting: Vec<(u64, StoreRequest)>,
     next: Vec<Command>,
     /// Key, value and lease of each write, in order.
     written: Vec<String>,
@@ -182,20 +182,20 @@
 
     fn put(&mut self, key: &str, value: &str, lease: Option<u64>) {
         let value = serde_json::from_str(value).unwrap();
-        let apply = vec![Write::Put {
+        let writes = vec![Write::Put {
             key: key.to_owned(),
             value,
             lease,
         }];
         let reply = self.store.execute(
             self.now,
-            &StateCall::Commit {
-                when: vec![],
-                apply,
+            &StoreRequest::CompareAndSwap {
+                conditions: vec![],
+                writes,
             },
         );
         assert!(
-            matches!(reply, Some(StateReply::Committed { .. })),
+            matches!(reply, Some(StoreReply::Committed { .. })),
             "{reply:?}"
         );
     }
@@ -203,11 +203,11 @@
     fn lease(&mut self) -> u64 {
         match self.store.execute(
             self.now,
-            &StateCall::Grant {
+            &StoreRequest::GrantLease {
                 ttl: Micros::from_secs(600),
             },
         ) {
-            Some(StateReply::Lease { id }) => id,
+            Some(StoreReply::Lease { id }) => id,
             other => panic!("no lease: {other:?}"),
         }
     }
@@ -229,10 +229,10 @@
                     self.waiting.push((call, request));
                     continue;
                 };
-                if let (StateCall::Commit { apply, .. }, StateReply::Committed { .. }) =
+                if let (StoreRequest::CompareAndSwap { writes, .. }, StoreReply::Committed { .. }) =
                     (&request, &reply)
                 {
-                    self.written.extend(apply.iter().map(|write| match write {
+                    self.written.extend(writes.iter().map(|write| match write {
                         Write::Put {
                             key,
                             value,
@@ -262,13 +262,13 @@
 
     /// Ends the attempt that was asked for last.
     fn performed(&mut self, outcome: Outcome) {
-        let attempt = self.told.iter().rev().find_map(|effect| match effect {
+        let attempts = self.told.iter().filter_map(|effect| match effect {
             Effect::Perform {
                 operation, attempt, ..
             } => Some((operation.name, *attempt)),
             _ => None,
         });
-        let (operation, attempt) = attempt.expect("an attempt");
+        let (operation, attempt) = attempts.last().expect("an attempt");
         self.next.push(Command::Performed {
             duty: "renting".to_owned(),
             operation,
--- a/crates/seamfront-lease/tests/hard_cases.rs
+++ b/crates/seamfront-lease/tests/hard_cases.rs
@@ -7,7 +7,7 @@
 use seamfront_lease::port::*;
 use seamfront_lease::record::{self, MemberRecord, OperationName, Settlement, FORMAT};
 use seamfront_lease::settings::{LeaseSettings, StoreLimits};
-use seamfront_lease::store::{StateCall, StateReply, Write};
+use seamfront_lease::store::{StoreReply, StoreRequest, Write};
 use seamfront_lease::time::Micros;
 use seamfront_lease::{keys, DutyManager};
 use serde_json::{json, Value};
@@ -28,9 +28,9 @@
     LeaseSettings::new("n0", &["n0", "n1"], &[DUTY], LIMITS)
 }
 
-fn writes(request: &StateCall, key: &str) -> bool {
+fn writes(request: &StoreRequest, key: &str) -> bool {
     match request {
-        StateCall::Commit { apply, .. } => apply
+        StoreRequest::CompareAndSwap { writes, .. } => writes
             .iter()
             .any(|w| matches!(w, Write::Put { key: k, .. } if k == key)),
         _ => false,
@@ -43,7 +43,7 @@
     store: Store,
     manager: DutyManager,
     told: Vec<Effect>,
-    waiting: Vec<(CallId, StateCall)>,
+    waiting: Vec<(CallId, StoreRequest)>,
     performing: Vec<(OperationName, u64)>,
     /// Attempts to write the claim.
     claims: usize,
@@ -69,12 +69,12 @@
     fn active() -> Rig {
         let mut rig = Rig::new(settings());
         rig.run(ms(2_000));
-        assert!(rig.token() > 0);
+        assert!(rig.fencing_token() > 0);
         rig.told.clear();
         rig
     }
 
-    fn token(&self) -> u64 {
+    fn fencing_token(&self) -> u64 {
         self.manager.active().first().map_or(0, |held| held.1)
     }
 
@@ -120,7 +120,7 @@
     }
 
     /// Takes the next request that is a commit with these changes out of what waits, without carrying it out.
-    fn take_commit(&mut self, key: &str) -> (CallId, StateCall) {
+    fn take_commit(&mut self, key: &str) -> (CallId, StoreRequest) {
         let index = self
             .waiting
             .iter()
@@ -132,7 +132,7 @@
     fn unanswered(&mut self, call: CallId) {
         self.step(vec![Command::Store {
             call,
-            reply: StateReply::Unknown,
+            reply: StoreReply::Unknown,
         }]);
     }
 
@@ -165,9 +165,9 @@
 
     /// Another member that is up, with a lease of its own.
     fn neighbour(&mut self, settings: &LeaseSettings) -> u64 {
-        let Some(StateReply::Lease { id }) = self
+        let Some(StoreReply::Lease { id }) = self
             .store
-            .execute(self.now, &StateCall::Grant { ttl: ms(600_000) })
+            .execute(self.now, &StoreRequest::GrantLease { ttl: ms(600_000) })
         else {
             panic!("no lease");
         };
@@ -183,19 +183,19 @@
     }
 
     fn put(&mut self, key: &str, value: Value, lease: Option<u64>) -> u64 {
-        let apply = vec![Write::Put {
+        let writes = vec![Write::Put {
             key: key.to_owned(),
             value,
             lease,
         }];
         match self.store.execute(
             self.now,
-            &StateCall::Commit {
-                when: Vec::new(),
-                apply,
+            &StoreRequest::CompareAndSwap {
+                conditions: Vec::new(),
+                writes,
             },
         ) {
-            Some(StateReply::Committed { revision }) => revision,
+            Some(StoreReply::Committed { revision }) => revision,
             other => panic!("not written: {other:?}"),
         }
     }
@@ -267,7 +267,7 @@
         .collect();
     let expected = Successor {
         member: "n1".to_owned(),
-        token: successor,
+        fencing_token: successor,
     };
     assert!(
         matches!(replaced[..], [Effect::Replaced { successor, .. }] if *successor == expected),
@@ -287,20 +287,20 @@
     let index = rig
         .waiting
         .iter()
-        .position(|(_, request)| matches!(request, StateCall::Renew { .. }));
+        .position(|(_, request)| matches!(request, StoreRequest::RenewLease { .. }));
     let (call, _) = rig.waiting.remove(index.expect("a renewal"));
     rig.now += ms(1_400);
     rig.step(vec![Command::Store {
         call,
-        reply: StateReply::Renewed,
+        reply: StoreReply::Renewed,
     }]);
     // All further renewals are refused; transactions are not.
     rig.now += ms(1_100);
     rig.begin(1);
     for (call, request) in std::mem::take(&mut rig.waiting) {
-        let refused = matches!(request, StateCall::Renew { .. });
+        let refused = matches!(request, StoreRequest::RenewLease { .. });
         let reply = if refused {
-            Some(StateReply::Refused)
+            Some(StoreReply::Refused)
         } else {
             rig.store.execute(rig.now, &request)
         };
@@ -368,12 +368,12 @@
     rig.put(&keys::log(DUTY), log, None);
     rig.run(ms(2_000));
     let old = OperationName {
-        token: 3,
+        fencing_token: 3,
         number: 7,
     };
     assert_eq!(rig.performing.first().map(|p| p.0), Some(old));
     assert_eq!(
-        rig.token(),
+        rig.fencing_token(),
         0,
         "active with open operations of a predecessor"
     );
@@ -386,7 +386,7 @@
     let attempt = rig.performing[0];
     rig.performed(attempt, Outcome::NotDone);
     rig.run(ms(500));
-    assert!(rig.token() > 0);
+    assert!(rig.fencing_token() > 0);
     let settled = rig
         .told
         .iter()
@@ -428,7 +428,7 @@
 fn a_fenced_change_without_an_answer_is_never_made_after_it_was_called_a_conflict() {
     let mut rig = Rig::active();
     let key = "machine/i-9".to_owned();
-    let apply = vec![Write::Put {
+    let writes = vec![Write::Put {
         key: key.clone(),
         value: json!({}),
         lease: None,
@@ -436,8 +436,8 @@
     let commit = Command::Commit {
         request: 5,
         duty: DUTY.to_owned(),
-        when: vec![(key.clone(), 0)],
-        apply,
+        conditions: vec![(key.clone(), 0)],
+        writes,
     };
     rig.step(vec![commit]);
     let (call, late) = rig.take_commit(&key);
@@ -456,9 +456,9 @@
     // The record is removed, and the late copy's own condition holds again.
     rig.store.execute(
         rig.now,
-        &StateCall::Commit {
-            when: vec![],
-            apply: vec![Write::Delete { key: key.clone() }],
+        &StoreRequest::CompareAndSwap {
+            conditions: vec![],
+            writes: vec![Write::Delete { key: key.clone() }],
         },
     );
     rig.store.execute(rig.now, &late);
@@ -487,7 +487,7 @@
     };
     rig.unanswered(call);
     rig.run(ms(1_000));
-    assert!(rig.token() > 0);
+    assert!(rig.fencing_token() > 0);
 }
 
 #[test]
@@ -500,7 +500,7 @@
     let first = rig.performing[0];
     rig.performed(first, Rig::done());
     rig.run(ms(200));
-    let before = rig.token();
+    let before = rig.fencing_token();
     rig.step(vec![Command::HandOver {
         duty: DUTY.to_owned(),
         to: Some("n1".to_owned()),
@@ -508,7 +508,7 @@
     rig.step(Vec::new());
     let (call, transfer) = rig.take_commit(&keys::claim(DUTY));
     assert_eq!(
-        rig.token(),
+        rig.fencing_token(),
         0,
         "acts although the transfer may have been made"
     );
@@ -516,7 +516,7 @@
     assert_eq!(rig.lost(), [LossReason::HandedOver]);
     rig.run(ms(1_000));
     assert!(
-        rig.token() > before,
+        rig.fencing_token() > before,
         "the claim that stayed ours is taken under another token"
     );
     rig.store.execute(rig.now, &transfer);
@@ -533,7 +533,7 @@
     let mut rig = Rig::active();
     rig.neighbour(&settings());
     rig.run(ms(200));
-    let before = rig.token();
+    let before = rig.fencing_token();
     rig.step(vec![Command::HandOver {
         duty: DUTY.to_owned(),
         to: Some("n1".to_owned()),
@@ -543,13 +543,13 @@
     };
     rig.store.execute(
         rig.now,
-        &StateCall::Commit {
-            when: vec![],
-            apply: vec![member],
+        &StoreRequest::CompareAndSwap {
+            conditions: vec![],
+            writes: vec![member],
         },
     );
     rig.run(ms(1_000));
-    assert_eq!(rig.token(), before);
+    assert_eq!(rig.fencing_token(), before);
     assert!(rig.lost().is_empty());
 }
 
@@ -567,9 +567,9 @@
     rig.begin(1);
     for _ in 0..4 {
         for (call, request) in std::mem::take(&mut rig.waiting) {
-            let refused = matches!(request, StateCall::Renew { .. });
+            let refused = matches!(request, StoreRequest::RenewLease { .. });
             let reply = if refused {
-                Some(StateReply::Refused)
+                Some(StoreReply::Refused)
             } else {
                 rig.store.execute(store_now, &request)
             };
@@ -596,19 +596,22 @@
 #[test]
 fn a_former_incarnations_claim_is_taken_at_once_and_under_another_token() {
     let mut rig = Rig::active();
-    let before = rig.token();
+    let before = rig.fencing_token();
     rig.waiting.clear();
     rig.manager = DutyManager::new(settings()).expect("settings");
     rig.run(ms(600));
-    assert!(rig.token() > before, "back within a fraction of a second");
+    assert!(
+        rig.fencing_token() > before,
+        "back within a fraction of a second"
+    );
 }
 
 #[test]
 fn a_second_process_of_the_same_name_ends_the_first() {
     let mut rig = Rig::active();
-    let Some(StateReply::Lease { id }) = rig
+    let Some(StoreReply::Lease { id }) = rig
         .store
-        .execute(rig.now, &StateCall::Grant { ttl: ms(60_000) })
+        .execute(rig.now, &StoreRequest::GrantLease { ttl: ms(60_000) })
     else {
         panic!("no lease");
     };
@@ -624,7 +627,7 @@
     rig.run(ms(1_000));
     assert_eq!(rig.lost(), [LossReason::Superseded]);
     rig.run(ms(10_000));
-    assert_eq!(rig.token(), 0);
+    assert_eq!(rig.fencing_token(), 0);
 }
 
 #[test]
@@ -634,7 +637,7 @@
     let mut rig = Rig::new(settings());
     rig.neighbour(&other);
     rig.run(ms(5_000));
-    assert_eq!(rig.token(), 0);
+    assert_eq!(rig.fencing_token(), 0);
     assert!(
         !rig.store.keys.contains_key(&keys::member("n0")),
         "registered with other settings"
@@ -645,13 +648,13 @@
     };
     rig.store.execute(
         rig.now,
-        &StateCall::Commit {
-            when: vec![],
-            apply: vec![member],
+        &StoreRequest::CompareAndSwap {
+            conditions: vec![],
+            writes: vec![member],
         },
     );
     rig.run(ms(2_000));
-    assert!(rig.token() > 0);
+    assert!(rig.fencing_token() > 0);
 }
 
 #[test]
@@ -664,7 +667,7 @@
         let mut rig = Rig::new(settings());
         let version = rig.put(&keys::log(DUTY), log.clone(), None);
         rig.run(ms(30_000));
-        assert_eq!(rig.token(), 0);
+        assert_eq!(rig.fencing_token(), 0);
         let stored = rig.store.keys.get(&keys::log(DUTY)).expect("the log");
         assert_eq!(
             (&stored.0, stored.1),
@@ -684,7 +687,7 @@
     let mut rig = Rig::new(settings());
     rig.put(&keys::claim(DUTY), json!({"format": 99}), None);
     rig.run(ms(10_000));
-    assert_eq!(rig.token(), 0);
+    assert_eq!(rig.fencing_token(), 0);
     assert_eq!(rig.store.keys[&keys::claim(DUTY)].0, json!({"format": 99}));
     assert_eq!(rig.claims, 0, "taken for free");
 }
@@ -792,12 +795,12 @@
     assert!(rig.told.contains(&Effect::Left));
     let claim = &rig.store.keys[&keys::claim(DUTY)];
     assert_eq!(claim.2, Some(lease));
-    let changes = StateCall::Changes {
+    let changes = StoreRequest::Watch {
         prefix: keys::CLAIM_PREFIX.to_owned(),
         after: before,
-        hold: Micros::ZERO,
+        wait: Micros::ZERO,
     };
-    let Some(StateReply::Changes { events, .. }) = rig.store.execute(rig.now, &changes) else {
+    let Some(StoreReply::Changes { events, .. }) = rig.store.execute(rig.now, &changes) else {
         panic!("no changes")
     };
     assert!(
@@ -879,33 +882,37 @@
     let version = rig.put("leader", json!({"member": "n0", "lease": 1}), None);
     rig.step(vec![Command::FormerClaim(Some(version))]);
     rig.run(ms(5_000));
-    assert_eq!(rig.token(), 0, "n1 has not said that it knows duties");
+    assert_eq!(
+        rig.fencing_token(),
+        0,
+        "n1 has not said that it knows duties"
+    );
     rig.put(&keys::version("n1"), json!({"format": FORMAT}), None);
     rig.run(ms(2_000));
-    assert!(rig.token() > 0);
+    assert!(rig.fencing_token() > 0);
     // An old process that comes back finds a claim that it can't take.
     let value = json!({"member": "n1", "lease": 77});
-    let apply = vec![Write::Put {
+    let writes = vec![Write::Put {
         key: "leader".to_owned(),
         value,
         lease: None,
     }];
-    let take = StateCall::Commit {
-        when: vec![("leader".to_owned(), 0)],
-        apply: apply.clone(),
+    let take = StoreRequest::CompareAndSwap {
+        conditions: vec![("leader".to_owned(), 0)],
+        writes: writes.clone(),
     };
     assert!(matches!(
         rig.store.execute(rig.now, &take),
-        Some(StateReply::Conflict { .. })
+        Some(StoreReply::Conflict { .. })
     ));
     // What it may still have under way under the former claim fails.
-    let late = StateCall::Commit {
-        when: vec![("leader".to_owned(), version)],
-        apply,
+    let late = StoreRequest::CompareAndSwap {
+        conditions: vec![("leader".to_owned(), version)],
+        writes,
     };
     assert!(matches!(
         rig.store.execute(rig.now, &late),
-        Some(StateReply::Conflict { .. })
+        Some(StoreReply::Conflict { .. })
     ));
     assert_eq!(
         rig.store.keys["leader"].2, None,
@@ -925,5 +932,5 @@
     rig.step(vec![Command::FormerClaim(Some(version))]);
     rig.run(ms(3_000));
     assert!(!rig.store.keys.contains_key(keys::SWITCH));
-    assert_eq!(rig.token(), 0);
+    assert_eq!(rig.fencing_token(), 0);
 }
--- a/crates/seamfront-lease/tests/histories/main.rs
+++ b/crates/seamfront-lease/tests/histories/main.rs
@@ -186,7 +186,7 @@
             world.nodes[0]
                 .old
                 .as_ref()
-                .is_none_or(|old| old.token.is_none()),
+                .is_none_or(|old| old.fencing_token.is_none()),
             "the former claim was taken"
         );
         world.boot(0);
--- a/crates/seamfront-lease/tests/histories/world.rs
+++ b/crates/seamfront-lease/tests/histories/world.rs
@@ -9,7 +9,7 @@
 use seamfront_lease::port::{Command, Effect, LossReason, Outcome};
 use seamfront_lease::record::{LogRecord, Operation, OperationName};
 use seamfront_lease::settings::{LeaseSettings, StoreLimits};
-use seamfront_lease::store::{Entry, StateCall, StateReply, Write};
+use seamfront_lease::store::{Entry, StoreReply, StoreRequest, Write};
 use seamfront_lease::time::Micros;
 use seamfront_lease::{keys, DutyManager};
 use serde::Deserialize;
@@ -117,7 +117,7 @@
 #[derive(Default)]
 pub struct OldVersion {
     lease: Option<u64>,
-    pub token: Option<u64>,
+    pub fencing_token: Option<u64>,
     next: Micros,
 }
 
@@ -126,16 +126,16 @@
         node: usize,
         life: u64,
         call: u64,
-        request: StateCall,
+        request: StoreRequest,
     },
     Late {
-        request: StateCall,
+        request: StoreRequest,
     },
     Watch {
         node: usize,
         life: u64,
         call: u64,
-        request: StateCall,
+        request: StoreRequest,
         until: Micros,
     },
     Perform {
@@ -375,7 +375,7 @@
         let acts = matches!(
             effect,
             Effect::Store {
-                request: StateCall::Commit { .. },
+                request: StoreRequest::CompareAndSwap { .. },
                 ..
             } | Effect::Perform { .. }
         );
@@ -425,17 +425,17 @@
         }
     }
 
-    fn count(&mut self, request: &StateCall) {
+    fn count(&mut self, request: &StoreRequest) {
         let kind = match request {
-            StateCall::Get { .. } => "get",
-            StateCall::List { .. } => "list",
-            StateCall::Commit { apply, .. } => {
-                self.changes += apply.len() as u64;
+            StoreRequest::Get { .. } => "get",
+            StoreRequest::List { .. } => "list",
+            StoreRequest::CompareAndSwap { writes, .. } => {
+                self.changes += writes.len() as u64;
                 "commit"
             }
-            StateCall::Grant { .. } => "grant",
-            StateCall::Renew { .. } => "renew",
-            StateCall::Changes { .. } => "changes",
+            StoreRequest::GrantLease { .. } => "grant",
+            StoreRequest::RenewLease { .. } => "renew",
+            StoreRequest::Watch { .. } => "changes",
         };
         *self.requests.entry(kind).or_default() += 1;
     }
@@ -463,14 +463,19 @@
                     _ => {}
                 }
             }
-            Effect::Replaced { duty, token, .. } => {
+            Effect::Replaced {
+                duty,
+                fencing_token,
+                ..
+            } => {
                 self.coverage.replaced += 1;
                 if !self.nodes[node]
                     .told_replaced
-                    .insert((duty.clone(), *token))
+                    .insert((duty.clone(), *fencing_token))
                 {
-                    self.broken
-                        .push(format!("{duty} {token}: its successor was told twice"));
+                    self.broken.push(format!(
+                        "{duty} {fencing_token}: its successor was told twice"
+                    ));
                 }
             }
             Effect::Settled { operation, .. } => self.check_settled(operation),
@@ -671,18 +676,18 @@
 
     // ---- the store -----------------------------------------------------------------------
 
-    fn handle_store(&mut self, node: usize, life: u64, call: u64, request: StateCall) {
+    fn handle_store(&mut self, node: usize, life: u64, call: u64, request: StoreRequest) {
         let same = self.nodes[node].life == life;
         let refused = self.now < self.trouble.store_out.max(self.nodes[node].refused);
-        if let StateCall::Changes { hold, .. } = &request {
+        if let StoreRequest::Watch { wait, .. } = &request {
             if same {
-                let until = self.now + *hold;
+                let until = self.now + *wait;
                 self.handle_watch(node, life, call, request, until);
             }
             return;
         }
         let (hold_until, one_in) = self.trouble.hold_back;
-        if matches!(request, StateCall::Commit { .. })
+        if matches!(request, StoreRequest::CompareAndSwap { .. })
             && self.now < hold_until
             && self.chance(one_in)
         {
@@ -693,25 +698,25 @@
                 node,
                 life,
                 call,
-                StateReply::Unknown,
+                StoreReply::Unknown,
                 self.settings.store_answer,
             );
         }
         if refused {
-            return self.reply(node, life, call, StateReply::Refused, ms(2));
+            return self.reply(node, life, call, StoreReply::Refused, ms(2));
         }
         let slow = self.now < self.trouble.store_slow;
         let reply = self
             .store
             .execute(self.now, &request)
-            .unwrap_or(StateReply::Refused);
+            .unwrap_or(StoreReply::Refused);
         let (lose_until, one_in) = self.trouble.lose_answers;
         if self.now < lose_until && self.chance(one_in) {
             return self.reply(
                 node,
                 life,
                 call,
-                StateReply::Unknown,
+                StoreReply::Unknown,
                 self.settings.store_answer,
             );
         }
@@ -725,14 +730,14 @@
                 node,
                 life,
                 call,
-                StateReply::Unknown,
+                StoreReply::Unknown,
                 self.settings.store_answer,
             );
         }
         self.reply(node, life, call, reply, delay);
     }
 
-    fn reply(&mut self, node: usize, life: u64, call: u64, reply: StateReply, delay: Micros) {
+    fn reply(&mut self, node: usize, life: u64, call: u64, reply: StoreReply, delay: Micros) {
         let command = Box::new(Command::Store { call, reply });
         self.after(
             delay,
@@ -749,7 +754,7 @@
         node: usize,
         life: u64,
         call: u64,
-        request: StateCall,
+        request: StoreRequest,
         until: Micros,
     ) {
         if self.nodes[node].life != life {
@@ -761,7 +766,7 @@
         } else {
             self.store.execute(self.now, &request)
         };
-        let none = StateReply::Changes {
+        let none = StoreReply::Changes {
             revision: 0,
             events: Vec::new(),
         };
@@ -786,14 +791,14 @@
     }
 
     pub fn holder(&self, duty: &str) -> Option<usize> {
-        let token = self.claim_version(duty)?;
+        let fencing_token = self.claim_version(duty)?;
         let active = |node: &Node| {
             let manager = node.manager.as_ref();
             manager.is_some_and(|manager| {
                 manager
                     .active()
                     .iter()
-                    .any(|held| held.0 == duty && held.1 == token)
+                    .any(|held| held.0 == duty && held.1 == fencing_token)
             })
         };
         self.nodes.iter().position(active)
@@ -816,7 +821,7 @@
             };
             return self.step(node, vec![command]);
         }
-        self.check_holder(&work.duty, permit.token);
+        self.check_holder(&work.duty, permit.fencing_token);
         let (hold_until, one_in) = self.trouble.hold_back;
         if self.now < hold_until && self.chance(one_in) {
             // In a socket: carried out after its holder has given it up, perhaps after its successor's.
@@ -900,11 +905,11 @@
     // ---- checks --------------------------------------------------------------------------
 
     /// An effect may begin only while its token is the store's.
-    fn check_holder(&mut self, duty: &str, token: u64) {
+    fn check_holder(&mut self, duty: &str, fencing_token: u64) {
         let current = self.claim_version(duty);
-        if current != Some(token) {
+        if current != Some(fencing_token) {
             self.broken.push(format!(
-                "{duty}: acts under {token}, the store has {current:?}"
+                "{duty}: acts under {fencing_token}, the store has {current:?}"
             ));
         }
     }
@@ -1002,43 +1007,43 @@
         };
         if now >= old.next {
             old.next = now + ms(1_000);
-            let renew = old.lease.map(|lease| StateCall::Renew { lease });
-            let request = renew.unwrap_or(StateCall::Grant {
+            let renew = old.lease.map(|lease| StoreRequest::RenewLease { lease });
+            let request = renew.unwrap_or(StoreRequest::GrantLease {
                 ttl: self.settings.lease,
             });
             match self.store.execute(now, &request) {
-                Some(StateReply::Lease { id }) => old.lease = Some(id),
-                Some(StateReply::NoSuchLease) => old = OldVersion::default(),
+                Some(StoreReply::Lease { id }) => old.lease = Some(id),
+                Some(StoreReply::NoSuchLease) => old = OldVersion::default(),
                 _ => {}
             }
             if let Some(lease) = old.lease {
                 let value = json!({"member": format!("n{node}"), "lease": lease});
-                let apply = vec![Write::Put {
+                let writes = vec![Write::Put {
                     key: FORMER_CLAIM.to_owned(),
                     value,
                     lease: Some(lease),
                 }];
-                let request = StateCall::Commit {
-                    when: vec![(FORMER_CLAIM.to_owned(), 0)],
-                    apply,
+                let request = StoreRequest::CompareAndSwap {
+                    conditions: vec![(FORMER_CLAIM.to_owned(), 0)],
+                    writes,
                 };
-                if let Some(StateReply::Committed { revision }) = self.store.execute(now, &request)
+                if let Some(StoreReply::Committed { revision }) = self.store.execute(now, &request)
                 {
-                    old.token = Some(revision);
+                    old.fencing_token = Some(revision);
                 }
             }
         }
         let current = self.store.execute(
             now,
-            &StateCall::Get {
+            &StoreRequest::Get {
                 key: FORMER_CLAIM.to_owned(),
             },
         );
-        let held = matches!(&current, Some(StateReply::Entry(Entry { version, .. })) if Some(*version) == old.token);
-        old.token = old.token.filter(|_| held);
-        let token = old.token;
+        let held = matches!(&current, Some(StoreReply::Entry(Entry { version, .. })) if Some(*version) == old.fencing_token);
+        old.fencing_token = old.fencing_token.filter(|_| held);
+        let fencing_token = old.fencing_token;
         self.nodes[node].old = Some(old);
-        self.step(node, vec![Command::FormerClaim(token)]);
+        self.step(node, vec![Command::FormerClaim(fencing_token)]);
         self.check_switch();
     }
 
--- a/crates/seamfront-lease/tests/stand_ins/store.rs
+++ b/crates/seamfront-lease/tests/stand_ins/store.rs
@@ -51,17 +51,17 @@
     }
 
     /// None: a watch with nothing to tell yet.
-    pub fn execute(&mut self, now: Micros, call: &StateCall) -> Option<StateReply> {
+    pub fn execute(&mut self, now: Micros, call: &StoreRequest) -> Option<StoreReply> {
         Some(match call {
-            StateCall::Get { key } => match self.keys.get(key) {
-                Some((v, version, _)) => StateReply::Entry(Entry {
+            StoreRequest::Get { key } => match self.keys.get(key) {
+                Some((v, version, _)) => StoreReply::Entry(Entry {
                     key: key.clone(),
                     value: v.clone(),
                     version: *version,
                 }),
-                None => StateReply::Missing,
+                None => StoreReply::Missing,
             },
-            StateCall::List { prefix, after } => {
+            StoreRequest::List { prefix, after } => {
                 let from = after.clone().unwrap_or_default();
                 let all: Vec<Entry> = self
                     .keys
@@ -76,39 +76,39 @@
                     .collect();
                 let more = all.len() > self.page;
                 let entries = all.into_iter().take(self.page).collect();
-                StateReply::Page {
+                StoreReply::Page {
                     entries,
                     more,
                     revision: self.revision,
                 }
             }
-            StateCall::Commit { when, apply } => {
-                let bad: Vec<String> = when
+            StoreRequest::CompareAndSwap { conditions, writes } => {
+                let bad: Vec<String> = conditions
                     .iter()
                     .filter(|(k, v)| self.keys.get(k).map_or(0, |e| e.1) != *v)
                     .map(|w| w.0.clone())
                     .collect();
-                let leases = apply.iter().filter_map(|w| match w {
+                let leases = writes.iter().filter_map(|w| match w {
                     Write::Put { lease, .. } => *lease,
                     Write::Delete { .. } => None,
                 });
                 if leases.into_iter().any(|l| !self.leases.contains_key(&l)) {
-                    return Some(StateReply::NoSuchLease);
+                    return Some(StoreReply::NoSuchLease);
                 }
                 if !bad.is_empty() {
-                    return Some(StateReply::Conflict { failed: bad });
+                    return Some(StoreReply::Conflict { failed: bad });
                 }
-                let conditions = when.len();
-                let bytes: usize = apply.iter().map(size_of).sum();
+                let conditions = conditions.len();
+                let bytes: usize = writes.iter().map(size_of).sum();
                 assert!(bytes <= TRANSACTION_BYTES, "a transaction of {bytes} bytes");
                 assert!(
-                    apply.len() <= self.txn_ops && conditions <= 4 * self.txn_ops,
+                    writes.len() <= self.txn_ops && conditions <= 4 * self.txn_ops,
                     "a transaction is too large"
                 );
-                if !apply.is_empty() {
+                if !writes.is_empty() {
                     self.revision += 1;
                 }
-                for w in apply {
+                for w in writes {
                     match w {
                         Write::Put { key, value, lease } => {
                             assert!(
@@ -123,28 +123,28 @@
                         Write::Delete { key } => self.remove(key),
                     }
                 }
-                StateReply::Committed {
+                StoreReply::Committed {
                     revision: self.revision,
                 }
             }
-            StateCall::Grant { ttl } => {
+            StoreRequest::GrantLease { ttl } => {
                 self.next_lease += 1;
                 self.leases.insert(self.next_lease, (now + *ttl, *ttl));
-                StateReply::Lease {
+                StoreReply::Lease {
                     id: self.next_lease,
                 }
             }
-            StateCall::Renew { lease } => match self.leases.get_mut(lease) {
+            StoreRequest::RenewLease { lease } => match self.leases.get_mut(lease) {
                 Some(l) => {
                     l.0 = now + l.1;
-                    StateReply::Renewed
+                    StoreReply::Renewed
                 }
-                None => StateReply::NoSuchLease,
+                None => StoreReply::NoSuchLease,
             },
-            StateCall::Changes {
+            StoreRequest::Watch {
                 prefix,
                 after,
-                hold,
+                wait,
             } => {
                 let from = self.log.partition_point(|(r, _, _)| r <= after);
                 let events: Vec<(String, Option<Value>, u64)> = self.log[from..]
@@ -152,10 +152,10 @@
                     .filter(|(_, k, _)| k.starts_with(prefix.as_str()))
                     .map(|(r, k, v)| (k.clone(), v.clone(), *r))
                     .collect();
-                if events.is_empty() && *hold > Micros::ZERO {
+                if events.is_empty() && *wait > Micros::ZERO {
                     return None;
                 }
-                StateReply::Changes {
+                StoreReply::Changes {
                     revision: self.revision,
                     events,
                 }
--- a/crates/seamfront/build.rs
+++ b/crates/seamfront/build.rs
@@ -4,9 +4,9 @@
     let deliver = tonic_build::manual::Method::builder()
         .name("deliver")
         .route_name("Deliver")
-        .input_type("crate::mesh::Envelope")
-        .output_type("crate::mesh::Receipt")
-        .codec_path("crate::mesh::JsonCodec")
+        .input_type("crate::peer_transport::Envelope")
+        .output_type("crate::peer_transport::Receipt")
+        .codec_path("crate::peer_transport::JsonCodec")
         .build();
     let service = tonic_build::manual::Service::builder()
         .name("Mesh")
--- a/crates/seamfront/examples/duty_holder/main.rs
+++ b/crates/seamfront/examples/duty_holder/main.rs
@@ -14,8 +14,8 @@
 use futures_lite::FutureExt;
 use keeper::{Keeper, Work};
 use seamfront::http::Client;
-use seamfront::{cloud, state};
-use seamfront_core::port::{CloudCall, CloudReply, StateCall, StateReply};
+use seamfront::{cloud_client, store_client};
+use seamfront_core::port::{CloudReply, CloudRequest, StoreReply, StoreRequest};
 use seamfront_core::types::{MachineId, Micros};
 use seamfront_lease::driver::{Driver, Performer, SteadyClock, StoreClient};
 use seamfront_lease::port::{Command, Effect, Outcome};
@@ -68,8 +68,8 @@
 }
 
 impl StoreClient for HttpStore {
-    async fn call(&self, request: StateCall) -> StateReply {
-        state::call(&self.client, self.addr, &request).await
+    async fn call(&self, request: StoreRequest) -> StoreReply {
+        store_client::call(&self.client, self.addr, &request).await
     }
 }
 
@@ -84,15 +84,15 @@
     async fn rent(&self, duty: &str, operation: &Operation, count: usize) -> Outcome {
         let name = keeper::order_name(duty, operation.name);
         let (kind, zone) = ("small".to_owned(), "a".to_owned());
-        let request = CloudCall::Rent {
+        let request = CloudRequest::Provision {
             name,
             kind,
             zone,
             spot: false,
             count: count as u32,
         };
-        match cloud::call(&self.client, self.addr, &request).await {
-            CloudReply::Rented(machines) => {
+        match cloud_client::call(&self.client, self.addr, &request).await {
+            CloudReply::Provisioned(machines) => {
                 let machines: Vec<String> = machines
                     .iter()
                     .map(|machine| machine.as_str().to_owned())
@@ -112,14 +112,14 @@
             .iter()
             .map(|name| MachineId::from(name.as_str()))
             .collect();
-        match cloud::call(
+        match cloud_client::call(
             &self.client,
             self.addr,
-            &CloudCall::Delete { machines: ids },
+            &CloudRequest::Terminate { machines: ids },
         )
         .await
         {
-            CloudReply::Deleted => keeper::returned(machines),
+            CloudReply::Terminated => keeper::returned(machines),
             _ => Outcome::Unknown,
         }
     }
@@ -190,12 +190,12 @@
         let mut machines = BTreeSet::new();
         let mut after = None;
         loop {
-            let request = StateCall::List {
+            let request = StoreRequest::List {
                 prefix: keeper::MACHINE_PREFIX.to_owned(),
                 after,
             };
-            let StateReply::Page { entries, more, .. } =
-                state::call(&self.client, self.state, &request).await
+            let StoreReply::Page { entries, more, .. } =
+                store_client::call(&self.client, self.state, &request).await
             else {
                 return None;
             };
@@ -212,14 +212,14 @@
 
     async fn open_orders(&self) -> Option<BTreeSet<OperationName>> {
         let key = keys::log(keeper::RENTING);
-        match state::call(
+        match store_client::call(
             &self.client,
             self.state,
-            &StateCall::Get { key: key.clone() },
+            &StoreRequest::Get { key: key.clone() },
         )
         .await
         {
-            StateReply::Entry(entry) => {
+            StoreReply::Entry(entry) => {
                 let log: LogRecord = record::read(&key, &entry.value).ok()?;
                 Some(
                     log.open
@@ -228,7 +228,7 @@
                         .collect(),
                 )
             }
-            StateReply::Missing => Some(BTreeSet::new()),
+            StoreReply::Missing => Some(BTreeSet::new()),
             _ => None,
         }
     }
@@ -251,11 +251,11 @@
         let mut machines = BTreeSet::new();
         let mut after = None;
         loop {
-            let request = CloudCall::List { after };
+            let request = CloudRequest::ListMachines { after };
             let CloudReply::Page {
                 machines: page,
                 more,
-            } = cloud::call(&self.client, self.cloud.addr, &request).await
+            } = cloud_client::call(&self.client, self.cloud.addr, &request).await
             else {
                 return None;
             };
--- a/crates/seamfront/src/cloud.rs
+++ b/crates/seamfront/src/cloud_client.rs
@@ -2,7 +2,7 @@
 
 use crate::http::Client;
 use http_types::Method;
-use seamfront_core::port::{CloudCall, CloudReply, Listed, ListedState};
+use seamfront_core::port::{CloudReply, CloudRequest, ListedMachine, ListedState};
 use seamfront_core::types::*;
 use serde::Deserialize;
 use serde_json::json;
@@ -69,7 +69,7 @@
     fn from(t: WireType) -> MachineType {
         MachineType {
             name: t.name,
-            size: Amounts::offered(t.cores, t.accelerators, t.ram_gb),
+            size: Resources::offered(t.cores, t.accelerators, t.ram_gb),
             cache_mb: milli(t.cache_gb),
             fetch_mb_s: milli(t.fetch_gb_per_s),
             price: milli(t.hourly),
@@ -80,14 +80,14 @@
     }
 }
 
-fn listed(m: WireMachine) -> Option<Listed> {
+fn listed(m: WireMachine) -> Option<ListedMachine> {
     let state = match m.ponto.as_str() {
         "starting" => ListedState::Starting,
         "running" => ListedState::Running,
         "failed" => ListedState::Failed,
         _ => return None,
     };
-    Some(Listed {
+    Some(ListedMachine {
         id: m.id.as_str().into(),
         kind: m.modelo,
         zone: m.praca,
@@ -98,10 +98,10 @@
 }
 
 /// Carries out a request of the engine's to the cloud.
-pub async fn call(client: &Client, to: SocketAddr, request: &CloudCall) -> CloudReply {
+pub async fn call(client: &Client, to: SocketAddr, request: &CloudRequest) -> CloudReply {
     let (method, path, body) = match request {
-        CloudCall::Types => (Method::Get, "/machine_types".to_owned(), None),
-        CloudCall::Rent {
+        CloudRequest::MachineTypes => (Method::Get, "/machine_types".to_owned(), None),
+        CloudRequest::Provision {
             name,
             kind,
             zone,
@@ -111,7 +111,7 @@
             let body = json!({"encomenda": name, "modelo": kind, "praca": zone, "emprestados": spot, "count": count});
             (Method::Post, "/hosts".to_owned(), Some(body))
         }
-        CloudCall::Delete { machines } => {
+        CloudRequest::Terminate { machines } => {
             let names: Vec<&str> = machines.iter().map(|m| m.as_str()).collect();
             (
                 Method::Post,
@@ -119,7 +119,7 @@
                 Some(json!({ "fornalhas": names })),
             )
         }
-        CloudCall::List { after } => {
+        CloudRequest::ListMachines { after } => {
             let after = after
                 .as_ref()
                 .map_or(String::new(), |a| format!("after={a}&"));
@@ -135,26 +135,28 @@
         }
     };
     let reply = match (request, status) {
-        (CloudCall::Types, 200) => serde_json::from_slice::<WireTypes>(&bytes)
-            .ok()
-            .map(|t| CloudReply::Types(t.modelos.into_iter().map(MachineType::from).collect())),
-        (CloudCall::Rent { .. }, 200) => serde_json::from_slice::<WireRented>(&bytes)
-            .ok()
-            .map(|r| CloudReply::Rented(r.fornalhas.iter().map(|f| f.as_str().into()).collect())),
-        (CloudCall::Rent { .. }, 503)
+        (CloudRequest::MachineTypes, 200) => {
+            serde_json::from_slice::<WireTypes>(&bytes).ok().map(|t| {
+                CloudReply::MachineTypes(t.modelos.into_iter().map(MachineType::from).collect())
+            })
+        }
+        (CloudRequest::Provision { .. }, 200) => {
+            serde_json::from_slice::<WireRented>(&bytes).ok().map(|r| {
+                CloudReply::Provisioned(r.fornalhas.iter().map(|f| f.as_str().into()).collect())
+            })
+        }
+        (CloudRequest::Provision { .. }, 503)
             if String::from_utf8_lossy(&bytes).contains("no capacity") =>
         {
             Some(CloudReply::NoCapacity)
         }
-        (CloudCall::Delete { .. }, 200) => Some(CloudReply::Deleted),
-        (CloudCall::List { .. }, 200) => {
-            serde_json::from_slice::<WireList>(&bytes)
-                .ok()
-                .map(|l| CloudReply::Page {
-                    machines: l.fornalhas.into_iter().filter_map(listed).collect(),
-                    more: l.more,
-                })
-        }
+        (CloudRequest::Terminate { .. }, 200) => Some(CloudReply::Terminated),
+        (CloudRequest::ListMachines { .. }, 200) => serde_json::from_slice::<WireList>(&bytes)
+            .ok()
+            .map(|l| CloudReply::Page {
+                machines: l.fornalhas.into_iter().filter_map(listed).collect(),
+                more: l.more,
+            }),
         _ => None,
     };
     reply.unwrap_or_else(|| {
--- a/crates/seamfront/src/driver.rs
+++ b/crates/seamfront/src/driver.rs
@@ -3,7 +3,7 @@
 
 use crate::http::{self, Client, Incoming, Reply};
 use crate::settings::Service;
-use crate::{cloud, mesh, state, users, workers};
+use crate::{cloud_client, peer_transport, store_client, user_api, worker_api};
 use async_channel::{Receiver, Sender};
 use async_executor::LocalExecutor;
 use async_io::Timer;
@@ -33,19 +33,19 @@
 const ANSWER_TIME: Duration = Duration::from_millis(4_500);
 const MESH_QUEUE: usize = 64;
 
-type Waiting = Rc<RefCell<BTreeMap<ReplyTo, Sender<Reply>>>>;
+type Waiting = Rc<RefCell<BTreeMap<ClientRequestId, Sender<Reply>>>>;
 
 /// What connection tasks need to hand a request to the engine.
 #[derive(Clone)]
-struct Desk {
+struct RequestRouter {
     queue: Sender<Command>,
     waiting: Waiting,
-    next: Rc<Cell<ReplyTo>>,
+    next: Rc<Cell<ClientRequestId>>,
 }
 
-impl Desk {
+impl RequestRouter {
     /// Queues a command and waits for its answer. A full queue is told at once.
-    async fn ask(&self, command: impl FnOnce(ReplyTo) -> Command) -> Reply {
+    async fn ask(&self, command: impl FnOnce(ClientRequestId) -> Command) -> Reply {
         let to = self.next.get() + 1;
         self.next.set(to);
         let (tx, rx) = async_channel::bounded(1);
@@ -71,12 +71,12 @@
                 let Some(body) = req.body else {
                     return Reply::error(400, "body: too long");
                 };
-                match workers::parse_report(&body) {
-                    Ok(report) => {
+                match worker_api::parse_heartbeat(&body) {
+                    Ok(heartbeat) => {
                         let mut r = self
-                            .ask(|to| Command::Report {
+                            .ask(|to| Command::Heartbeat {
                                 to,
-                                report: Box::new(report),
+                                heartbeat: Box::new(heartbeat),
                             })
                             .await;
                         r.worker = true;
@@ -89,7 +89,7 @@
                 let Some(body) = req.body else {
                     return Reply::error(400, "body: too long");
                 };
-                match users::parse_submission(&body) {
+                match user_api::parse_submission(&body) {
                     Ok(spec) => {
                         self.ask(|to| Command::Submit {
                             to,
@@ -100,7 +100,7 @@
                     Err(why) => Reply::error(400, &why),
                 }
             }
-            ["submissions", id] if get => match users::valid_id(id) {
+            ["submissions", id] if get => match user_api::valid_id(id) {
                 true => {
                     self.ask(|to| Command::Poll {
                         to,
@@ -110,7 +110,7 @@
                 }
                 false => Reply::error(404, "no such job"),
             },
-            ["submissions", id, "abort"] if post => match users::valid_id(id) {
+            ["submissions", id, "abort"] if post => match user_api::valid_id(id) {
                 true => {
                     self.ask(|to| Command::Cancel {
                         to,
@@ -129,19 +129,19 @@
 }
 
 /// Sends effects on their way.
-struct Out {
+struct EffectExecutor {
     ex: &'static LocalExecutor<'static>,
     client: Client,
     settings: Rc<Service>,
     queue: Sender<Command>,
     waiting: Waiting,
-    peers: Vec<Option<Sender<MeshMessage>>>,
+    peers: Vec<Option<Sender<PeerMessage>>>,
     /// When the engine's time began.
     start: Instant,
 }
 
-impl Out {
-    fn reply(&self, to: ReplyTo, reply: Reply) {
+impl EffectExecutor {
+    fn reply(&self, to: ClientRequestId, reply: Reply) {
         if let Some(tx) = self.waiting.borrow_mut().remove(&to) {
             let _ = tx.try_send(reply);
         }
@@ -155,13 +155,15 @@
         );
         let start = self.start;
         match effect {
-            Effect::Answer { to, answer } => self.reply(to, users::reply(&answer)),
-            Effect::Orders { to, token, orders } => {
-                self.reply(to, workers::orders_reply(token, &orders))
-            }
-            Effect::Elsewhere { to, member } => {
+            Effect::Answer { to, answer } => self.reply(to, user_api::reply(&answer)),
+            Effect::HeartbeatReply {
+                to,
+                fencing_token,
+                orders,
+            } => self.reply(to, worker_api::orders_reply(fencing_token, &orders)),
+            Effect::Redirect { to, member } => {
                 let name = member.and_then(|m| settings.core.members.get(m));
-                self.reply(to, workers::elsewhere_reply(name.map(String::as_str)));
+                self.reply(to, worker_api::elsewhere_reply(name.map(String::as_str)));
             }
             Effect::Healthy { to, yes } => {
                 let r = if yes {
@@ -171,9 +173,9 @@
                 };
                 self.reply(to, r);
             }
-            Effect::State { call, request } => self.spawn(async move {
-                let reply = state::call(&client, settings.state, &request).await;
-                let _ = queue.send(Command::State { call, reply }).await;
+            Effect::Store { call, request } => self.spawn(async move {
+                let reply = store_client::call(&client, settings.state, &request).await;
+                let _ = queue.send(Command::Store { call, reply }).await;
             }),
             Effect::Cloud {
                 call,
@@ -184,28 +186,29 @@
                 let reply = if until.is_some_and(|until| start.elapsed() >= duration(until)) {
                     CloudReply::Failed
                 } else {
-                    cloud::call(&client, settings.cloud, &request).await
+                    cloud_client::call(&client, settings.cloud, &request).await
                 };
                 let _ = queue.send(Command::Cloud { call, reply }).await;
             }),
-            Effect::Direct {
+            Effect::SendDirect {
                 call,
                 machine,
                 addr,
-                session,
-                token,
+                incarnation,
+                fencing_token,
                 orders,
             } => self.spawn(async move {
-                let outcome = workers::direct(&client, &addr, session, token, &orders).await;
+                let outcome =
+                    worker_api::direct(&client, &addr, incarnation, fencing_token, &orders).await;
                 let _ = queue
-                    .send(Command::Direct {
+                    .send(Command::DirectResult {
                         call,
                         machine,
                         outcome,
                     })
                     .await;
             }),
-            Effect::Mesh { to, message } => {
+            Effect::SendToPeer { to, message } => {
                 if let Some(Some(peer)) = self.peers.get(to) {
                     // A peer that can't be reached misses what is old anyway by then.
                     let _ = peer.try_send(message);
@@ -229,14 +232,14 @@
     let ex: &'static LocalExecutor<'static> = Box::leak(Box::new(LocalExecutor::new()));
     let settings = Rc::new(settings);
     let core = &settings.core;
-    info!(member = %core.members[core.me], acting_s = core.acting_time().as_secs_decimal(), "starting");
-    if !core.acting_time_fits() {
+    info!(member = %core.members[core.me], verification_ttl_s = core.verification_ttl().as_secs_decimal(), "starting");
+    if !core.verification_ttl_fits() {
         warn!("cancel_s leaves no room beyond lease_s: machines that can't be reached are deleted before a cancellation falls due");
     }
     let (queue, commands) = async_channel::bounded::<Command>(QUEUE);
     let waiting: Waiting = Rc::default();
     let client = Client::default();
-    let desk = Desk {
+    let router = RequestRouter {
         queue: queue.clone(),
         waiting: waiting.clone(),
         next: Rc::default(),
@@ -250,7 +253,7 @@
         }
         let (tx, rx) = async_channel::bounded(MESH_QUEUE);
         peers.push(Some(tx));
-        ex.spawn(mesh::deliver(
+        ex.spawn(peer_transport::deliver(
             ex,
             me.clone(),
             name.clone(),
@@ -259,7 +262,7 @@
         ))
         .detach();
     }
-    let out = Out {
+    let out = EffectExecutor {
         ex,
         client: client.clone(),
         settings: settings.clone(),
@@ -273,10 +276,10 @@
     let most = settings.sockets * 8 / 10;
     let bind = settings.bind;
     let server = http::serve(ex, bind, most, move |req| {
-        let desk = desk.clone();
-        async move { desk.handle(req).await }
+        let router = router.clone();
+        async move { router.handle(req).await }
     });
-    let mesh = mesh::serve(ex, settings.mesh, core.members.clone(), queue);
+    let mesh = peer_transport::serve(ex, settings.mesh, core.members.clone(), queue);
     let engine = Engine::new(core.clone());
     async_io::block_on(ex.run(async move {
         let owner = own(engine, commands, out);
@@ -292,7 +295,7 @@
 }
 
 /// The one owner of the engine.
-async fn own(mut engine: Engine, commands: Receiver<Command>, out: Out) {
+async fn own(mut engine: Engine, commands: Receiver<Command>, out: EffectExecutor) {
     let start = out.start;
     let mut swept = start;
     loop {
--- a/crates/seamfront/src/duties.rs
+++ b/crates/seamfront/src/duty_admin.rs
@@ -3,9 +3,9 @@
 
 use crate::http::Client;
 use crate::settings::Service;
-use crate::state;
-use seamfront_core::duties::LEADER_CLAIM;
-use seamfront_core::port::{Entry, StateCall, StateReply, Write};
+use crate::store_client;
+use seamfront_core::fleet_duties::LEADER_CLAIM;
+use seamfront_core::port::{Entry, StoreReply, StoreRequest, Write};
 use seamfront_lease::keys;
 use seamfront_lease::record::{self, ClaimRecord, LogRecord, MemberRecord, MoveRecord, FORMAT};
 use std::collections::BTreeMap;
@@ -65,7 +65,7 @@
     if !settings.core.members.contains(&request.to) {
         return invalid("move-duty", format!("{:?} is no member", request.to));
     }
-    let lease = seamfront_core::duties::lease_settings(&settings.core);
+    let lease = seamfront_core::fleet_duties::lease_settings(&settings.core);
     if !lease.duties.contains(&request.duty) {
         return invalid(
             "move-duty",
@@ -91,13 +91,13 @@
         value: value.clone(),
         lease: None,
     };
-    let commit = StateCall::Commit {
-        when: Vec::new(),
-        apply: group.iter().map(put).collect(),
+    let commit = StoreRequest::CompareAndSwap {
+        conditions: Vec::new(),
+        writes: group.iter().map(put).collect(),
     };
     async_io::block_on(async {
-        match state::call(&Client::default(), settings.state, &commit).await {
-            StateReply::Committed { .. } => Ok(()),
+        match store_client::call(&Client::default(), settings.state, &commit).await {
+            StoreReply::Committed { .. } => Ok(()),
             other => Err(DutyCommandError::State(format!("not written: {other:?}"))),
         }
     })
@@ -106,7 +106,7 @@
 /// The way back: removes the switch and what stands in the leader's claim, so that controllers with duties off have a
 /// leader again. Refused while a member with duties on is up or holds a duty; the same is a condition of the removal.
 pub fn end(settings: &Service) -> Result<(), DutyCommandError> {
-    let lease = seamfront_core::duties::lease_settings(&settings.core);
+    let lease = seamfront_core::fleet_duties::lease_settings(&settings.core);
     async_io::block_on(async {
         let client = Client::default();
         let control = list(&client, settings, keys::CONTROL_PREFIX).await?;
@@ -123,40 +123,46 @@
                 reason,
             });
         }
-        let leader = match state::call(
+        let leader = match store_client::call(
             &client,
             settings.state,
-            &StateCall::Get {
+            &StoreRequest::Get {
                 key: LEADER_CLAIM.to_owned(),
             },
         )
         .await
         {
-            StateReply::Entry(entry) => Some(entry),
-            StateReply::Missing => None,
+            StoreReply::Entry(entry) => Some(entry),
+            StoreReply::Missing => None,
             other => return Err(DutyCommandError::State(format!("not read: {other:?}"))),
         };
         let switch = control.iter().find(|entry| entry.key == keys::SWITCH);
         let Some(switch) = switch else { return Ok(()) };
-        let mut when = vec![(keys::SWITCH.to_owned(), switch.version)];
-        when.extend(lease.duties.iter().map(|duty| (keys::claim(duty), 0)));
-        when.extend(lease.members.iter().map(|member| (keys::member(member), 0)));
-        let mut apply = vec![Write::Delete {
+        let mut conditions = vec![(keys::SWITCH.to_owned(), switch.version)];
+        conditions.extend(lease.duties.iter().map(|duty| (keys::claim(duty), 0)));
+        conditions.extend(lease.members.iter().map(|member| (keys::member(member), 0)));
+        let mut writes = vec![Write::Delete {
             key: keys::SWITCH.to_owned(),
         }];
         if let Some(leader) = leader {
-            when.push((leader.key.clone(), leader.version));
-            apply.push(Write::Delete { key: leader.key });
+            conditions.push((leader.key.clone(), leader.version));
+            writes.push(Write::Delete { key: leader.key });
         }
         // The next switch waits until all have begun with duties on again.
         let versions = control
             .iter()
             .filter(|entry| entry.key.starts_with(keys::VERSION_PREFIX));
-        apply.extend(versions.map(|entry| Write::Delete {
+        writes.extend(versions.map(|entry| Write::Delete {
             key: entry.key.clone(),
         }));
-        match state::call(&client, settings.state, &StateCall::Commit { when, apply }).await {
-            StateReply::Committed { .. } => Ok(()),
+        match store_client::call(
+            &client,
+            settings.state,
+            &StoreRequest::CompareAndSwap { conditions, writes },
+        )
+        .await
+        {
+            StoreReply::Committed { .. } => Ok(()),
             other => Err(DutyCommandError::State(format!("not written: {other:?}"))),
         }
     })
@@ -170,12 +176,12 @@
     let mut all = Vec::new();
     loop {
         let after = all.last().map(|entry: &Entry| entry.key.clone());
-        let request = StateCall::List {
+        let request = StoreRequest::List {
             prefix: prefix.to_owned(),
             after,
         };
-        match state::call(client, settings.state, &request).await {
-            StateReply::Page { entries, more, .. } => {
+        match store_client::call(client, settings.state, &request).await {
+            StoreReply::Page { entries, more, .. } => {
                 all.extend(entries);
                 if !more {
                     return Ok(all);
--- a/crates/seamfront/src/lib.rs
+++ b/crates/seamfront/src/lib.rs
@@ -3,12 +3,12 @@
 #![forbid(unsafe_code)]
 #![deny(missing_docs)]
 
-pub mod cloud;
+pub mod cloud_client;
 pub mod driver;
-pub mod duties;
+pub mod duty_admin;
 pub mod http;
-pub mod mesh;
+pub mod peer_transport;
 pub mod settings;
-pub mod state;
-pub mod users;
-pub mod workers;
+pub mod store_client;
+pub mod user_api;
+pub mod worker_api;
--- a/crates/seamfront/src/main.rs
+++ b/crates/seamfront/src/main.rs
@@ -1,7 +1,7 @@
 #![forbid(unsafe_code)]
 
 use clap::Parser;
-use seamfront::{driver, duties, settings};
+use seamfront::{driver, duty_admin, settings};
 use std::io::Write;
 use std::path::PathBuf;
 use std::process::ExitCode;
@@ -30,7 +30,7 @@
     show_duties: bool,
     /// Ask the holder of a duty to hand it over, and exit.
     #[arg(long, value_name = "DUTY=MEMBER")]
-    move_duty: Option<duties::MoveRequest>,
+    move_duty: Option<duty_admin::MoveRequest>,
     /// Go back to one leader's claim, once no controller has duties on any more, and exit.
     #[arg(long)]
     end_duties: bool,
@@ -80,20 +80,19 @@
 }
 
 fn duty_command(args: &Args, settings: &settings::Service) -> ExitCode {
-    let moved = args
-        .move_duty
-        .as_ref()
-        .map_or(Ok(()), |request| duties::request_move(settings, request));
+    let moved = args.move_duty.as_ref().map_or(Ok(()), |request| {
+        duty_admin::request_move(settings, request)
+    });
     let ended = moved.and_then(|()| {
         if args.end_duties {
-            duties::end(settings)
+            duty_admin::end(settings)
         } else {
             Ok(())
         }
     });
     let shown = ended.and_then(|()| {
         if args.show_duties {
-            duties::show(settings)
+            duty_admin::show(settings)
         } else {
             Ok(String::new())
         }
