--- a/crates/seamfront/src/mesh.rs
+++ b/crates/seamfront/src/peer_transport.rs
@@ -5,7 +5,7 @@
 use async_executor::LocalExecutor;
 use async_io::Timer;
 use async_net::{TcpListener, TcpStream};
-use seamfront_core::port::{Command, MeshMessage};
+use seamfront_core::port::{Command, PeerMessage};
 use serde::de::DeserializeOwned;
 use serde::{Deserialize, Serialize};
 use smol_hyper::rt::FuturesIo;
@@ -39,7 +39,7 @@
     /// Name of the sender.
     pub from: String,
     /// The message.
-    pub message: MeshMessage,
+    pub message: PeerMessage,
 }
 
 /// The answer to a message: that it has arrived.
@@ -134,7 +134,7 @@
             return Err(Status::permission_denied("not a member"));
         };
         // A full queue means overload; the peer will say the newer thing soon.
-        match self.queue.try_send(Command::Mesh { from, message }) {
+        match self.queue.try_send(Command::Peer { from, message }) {
             Ok(()) => Ok(Response::new(Receipt {})),
             Err(_) => Err(Status::resource_exhausted("busy")),
         }
@@ -233,7 +233,7 @@
     me: String,
     peer: String,
     to: SocketAddr,
-    queue: Receiver<MeshMessage>,
+    queue: Receiver<PeerMessage>,
 ) {
     let mut client: Option<MeshClient<Http2>> = None;
     let mut reached = false;
--- a/crates/seamfront/src/settings.rs
+++ b/crates/seamfront/src/settings.rs
@@ -59,7 +59,7 @@
     pub fn with_duties(mut self, wanted: bool) -> Result<Service, SettingsError> {
         self.core.tuning.duties |= wanted;
         if self.core.tuning.duties {
-            let settings = seamfront_core::duties::lease_settings(&self.core);
+            let settings = seamfront_core::fleet_duties::lease_settings(&self.core);
             settings
                 .validate()
                 .map_err(|e| invalid(format!("duties: {}", e.field), e.reason))?;
@@ -262,8 +262,8 @@
         }
         teams.push(Team {
             name: t.name.clone(),
-            guarantee: Amounts::offered(t.cpus, t.gpus, 0.0),
-            limit: Amounts::offered(t.cpus_max, t.gpus_max, 0.0),
+            guarantee: Resources::offered(t.cpus, t.gpus, 0.0),
+            limit: Resources::offered(t.cpus_max, t.gpus_max, 0.0),
         });
     }
     let p = &file.params;
@@ -295,7 +295,7 @@
         members: members.iter().map(|m| m.0.clone()).collect(),
         teams,
         objectives,
-        report: secs("params.workers.report_s", p.workers.report_s)?,
+        heartbeat_interval: secs("params.workers.report_s", p.workers.report_s)?,
         lease: secs("params.workers.lease_s", p.workers.lease_s)?,
         gang_wait: secs("params.workers.gang_wait_s", p.workers.gang_wait_s)?,
         gang_peer: secs("params.workers.gang_peer_s", p.workers.gang_peer_s)?,
--- a/crates/seamfront/src/state.rs
+++ b/crates/seamfront/src/store_client.rs
@@ -2,7 +2,7 @@
 
 use crate::http::{Client, Failure};
 use http_types::Method;
-use seamfront_core::port::{Entry, StateCall, StateReply, Write};
+use seamfront_core::port::{Entry, StoreReply, StoreRequest, Write};
 use serde::Deserialize;
 use serde_json::{json, Value};
 use std::net::SocketAddr;
@@ -70,12 +70,12 @@
     rasura: u64,
 }
 
-fn commit_body(when: &[(String, u64)], apply: &[Write]) -> Value {
-    let when: Vec<Value> = when
+fn commit_body(conditions: &[(String, u64)], writes: &[Write]) -> Value {
+    let conditions: Vec<Value> = conditions
         .iter()
         .map(|(k, v)| json!({"key": k, "rasura": v}))
         .collect();
-    let apply: Vec<Value> = apply
+    let writes: Vec<Value> = writes
         .iter()
         .map(|w| match w {
             Write::Put {
@@ -91,18 +91,18 @@
             Write::Delete { key } => json!({"remove": key}),
         })
         .collect();
-    if apply.is_empty() {
-        json!({ "when": when })
+    if writes.is_empty() {
+        json!({ "when": conditions })
     } else {
-        json!({"when": when, "apply": apply})
+        json!({"when": conditions, "apply": writes})
     }
 }
 
 /// Carries out a request of the engine's to the state service.
-pub async fn call(client: &Client, to: SocketAddr, request: &StateCall) -> StateReply {
+pub async fn call(client: &Client, to: SocketAddr, request: &StoreRequest) -> StoreReply {
     let (method, path, body, limit) = match request {
-        StateCall::Get { key } => (Method::Get, format!("/kv/{key}"), None, CALL_TIME),
-        StateCall::List { prefix, after } => {
+        StoreRequest::Get { key } => (Method::Get, format!("/kv/{key}"), None, CALL_TIME),
+        StoreRequest::List { prefix, after } => {
             let after = after
                 .as_ref()
                 .map_or(String::new(), |a| format!("&after={a}"));
@@ -113,30 +113,30 @@
                 CALL_TIME,
             )
         }
-        StateCall::Commit { when, apply } => (
+        StoreRequest::CompareAndSwap { conditions, writes } => (
             Method::Post,
             "/commit".to_owned(),
-            Some(commit_body(when, apply)),
+            Some(commit_body(conditions, writes)),
             CALL_TIME,
         ),
-        StateCall::Grant { ttl } => (
+        StoreRequest::GrantLease { ttl } => (
             Method::Post,
             "/grants".to_owned(),
             Some(json!({"ttl_ms": ttl.0 / 1_000})),
             CALL_TIME,
         ),
-        StateCall::Renew { lease } => (
+        StoreRequest::RenewLease { lease } => (
             Method::Post,
             format!("/grants/{lease}/renew"),
             None,
             CALL_TIME,
         ),
-        StateCall::Changes {
+        StoreRequest::Watch {
             prefix,
             after,
-            hold,
+            wait,
         } => {
-            let ms = hold.0 / 1_000;
+            let ms = wait.0 / 1_000;
             let path = format!("/changes?prefix={prefix}&after={after}&hold_ms={ms}");
             (
                 Method::Get,
@@ -148,58 +148,58 @@
     };
     let body = body.map(|b| b.to_string().into_bytes());
     match client.call(to, method, &path, body, limit).await {
-        Err(Failure::NotSent) => StateReply::Refused,
-        Err(Failure::Unknown) => StateReply::Unknown,
-        Ok((429 | 503, _)) => StateReply::Refused,
+        Err(Failure::NotSent) => StoreReply::Refused,
+        Err(Failure::Unknown) => StoreReply::Unknown,
+        Ok((429 | 503, _)) => StoreReply::Refused,
         Ok((status, bytes)) => understand(request, status, &bytes).unwrap_or_else(|| {
             let text = String::from_utf8_lossy(&bytes[..bytes.len().min(300)]).into_owned();
             warn!(status, text, ?request, "odd answer of the state service");
             // A refusal of the request as such was certainly not executed.
             if status == 400 {
-                StateReply::Refused
+                StoreReply::Refused
             } else {
-                StateReply::Unknown
+                StoreReply::Unknown
             }
         }),
     }
 }
 
-fn understand(request: &StateCall, status: u16, bytes: &[u8]) -> Option<StateReply> {
+fn understand(request: &StoreRequest, status: u16, bytes: &[u8]) -> Option<StoreReply> {
     fn read<'a, T: Deserialize<'a>>(bytes: &'a [u8]) -> Option<T> {
         serde_json::from_slice(bytes).ok()
     }
     Some(match (request, status) {
-        (StateCall::Get { .. }, 200) => StateReply::Entry(read::<WirePair>(bytes)?.into()),
-        (StateCall::Get { .. }, 404) => StateReply::Missing,
-        (StateCall::List { .. }, 200) => {
+        (StoreRequest::Get { .. }, 200) => StoreReply::Entry(read::<WirePair>(bytes)?.into()),
+        (StoreRequest::Get { .. }, 404) => StoreReply::Missing,
+        (StoreRequest::List { .. }, 200) => {
             let p: WirePage = read(bytes)?;
             let entries = p.pairs.into_iter().map(Entry::from).collect();
-            StateReply::Page {
+            StoreReply::Page {
                 entries,
                 more: p.more,
                 revision: p.caderno,
             }
         }
-        (StateCall::Commit { .. }, 200) => StateReply::Committed {
+        (StoreRequest::CompareAndSwap { .. }, 200) => StoreReply::Committed {
             revision: read::<WireRevision>(bytes)?.caderno,
         },
-        (StateCall::Commit { .. }, 409) => StateReply::Conflict {
+        (StoreRequest::CompareAndSwap { .. }, 409) => StoreReply::Conflict {
             failed: read::<WireFailed>(bytes)?.failed,
         },
-        (StateCall::Commit { .. }, 400) => {
+        (StoreRequest::CompareAndSwap { .. }, 400) => {
             let text = String::from_utf8_lossy(bytes);
             if !text.contains("no such lease") {
                 return None;
             }
-            StateReply::NoSuchLease
+            StoreReply::NoSuchLease
         }
-        (StateCall::Grant { .. }, 200) => StateReply::Lease {
+        (StoreRequest::GrantLease { .. }, 200) => StoreReply::Lease {
             id: read::<WireLease>(bytes)?.vale,
         },
-        (StateCall::Renew { .. }, 200) => StateReply::Renewed,
-        (StateCall::Renew { .. }, 404) => StateReply::NoSuchLease,
-        (StateCall::Changes { .. }, 410) => StateReply::TooOld,
-        (StateCall::Changes { .. }, 200) => {
+        (StoreRequest::RenewLease { .. }, 200) => StoreReply::Renewed,
+        (StoreRequest::RenewLease { .. }, 404) => StoreReply::NoSuchLease,
+        (StoreRequest::Watch { .. }, 410) => StoreReply::TooOld,
+        (StoreRequest::Watch { .. }, 200) => {
             let c: WireChanges = read(bytes)?;
             let mut events = Vec::new();
             for e in c.events {
@@ -210,7 +210,7 @@
                 }
             }
             events.sort_by_key(|e| e.2);
-            StateReply::Changes {
+            StoreReply::Changes {
                 revision: c.caderno,
                 events,
             }
--- a/crates/seamfront/src/users.rs
+++ b/crates/seamfront/src/user_api.rs
@@ -1,7 +1,7 @@
 //! The users' protocol: strict about what comes in, one JSON object for what goes out.
 
 use crate::http::Reply;
-use seamfront_core::port::{Answer, ShownState};
+use seamfront_core::port::{Answer, JobState};
 use seamfront_core::types::*;
 use serde_json::{json, Map, Value};
 
@@ -102,7 +102,7 @@
         }
         Some(_) => return Err("modelos: must be a list of texts or null".to_owned()),
     };
-    let need = Amounts::needed(
+    let task_resources = Resources::needed(
         f.amount("cores")?,
         f.amount("accelerators")?,
         f.amount("ram_gb")?,
@@ -114,9 +114,9 @@
         kind: f.one_of(
             "feitio",
             &[
-                ("array", Kind::Array),
-                ("group", Kind::Gang),
-                ("service", Kind::Service),
+                ("array", JobKind::Array),
+                ("group", JobKind::Gang),
+                ("service", JobKind::Service),
             ],
         )?,
         priority: f.one_of(
@@ -129,7 +129,7 @@
             ],
         )?,
         tasks,
-        need,
+        task_resources,
         types,
         zone: f.optional_text("praca")?,
         one_zone: f.flag("one_zone")?,
@@ -145,20 +145,20 @@
             .map(|_| f.span("entrega_s"))
             .transpose()?,
         submitted: Micros::ZERO,
-        needs: needs(&f, &id)?,
-        needs_parts: 0,
+        dependencies: dependencies(&f, &id)?,
+        dependency_parts: 0,
     })
 }
 
 /// Jobs that have to be done first; each counts once.
-fn needs(f: &Fields, own: &str) -> Result<Vec<JobId>, String> {
+fn dependencies(f: &Fields, own: &str) -> Result<Vec<JobId>, String> {
     let Some(value) = f.get("espera") else {
         return Ok(Vec::new());
     };
     let list = value
         .as_array()
         .ok_or("espera: must be a list of job ids or null")?;
-    let mut needs = std::collections::BTreeSet::new();
+    let mut dependencies = std::collections::BTreeSet::new();
     for v in list {
         let id = v
             .as_str()
@@ -167,9 +167,9 @@
         if id == own {
             return Err("espera: names the job itself".to_owned());
         }
-        needs.insert(JobId::from(id));
+        dependencies.insert(JobId::from(id));
     }
-    Ok(needs.into_iter().collect())
+    Ok(dependencies.into_iter().collect())
 }
 
 /// What a user is told.
@@ -183,16 +183,16 @@
             running,
         } => {
             let state = match state {
-                ShownState::Queued => "queued",
-                ShownState::Running => "running",
-                ShownState::Done => "done",
-                ShownState::Cancelled => "withdrawn",
+                JobState::Queued => "queued",
+                JobState::Running => "running",
+                JobState::Done => "done",
+                JobState::Cancelled => "withdrawn",
             };
             let body = json!({"id": id.as_str(), "ponto": state, "done": done, "running": running});
             Reply::json(if *created { 201 } else { 200 }, body.to_string())
         }
         Answer::NotFound => Reply::error(404, "no such job"),
-        Answer::Impossible(why) => Reply::error(422, &why.to_string()),
-        Answer::Later { after } => Reply::later((after.0 / 1_000_000).max(1) as u64),
+        Answer::Rejected(why) => Reply::error(422, &why.to_string()),
+        Answer::RetryLater { after } => Reply::later((after.0 / 1_000_000).max(1) as u64),
     }
 }
--- a/crates/seamfront/src/workers.rs
+++ b/crates/seamfront/src/worker_api.rs
@@ -15,7 +15,7 @@
 const ORDERS_MAX: usize = 400;
 
 #[derive(Deserialize)]
-struct WireReport {
+struct WireHeartbeat {
     fornalha: String,
     addr: String,
     turno: u64,
@@ -73,29 +73,29 @@
 
 /// A report with anything in it that is not understood is refused whole: half a report would be
 /// false evidence.
-pub fn parse_report(body: &[u8]) -> Result<Report, String> {
-    let w: WireReport = serde_json::from_slice(body).map_err(|e| e.to_string())?;
+pub fn parse_heartbeat(body: &[u8]) -> Result<Heartbeat, String> {
+    let w: WireHeartbeat = serde_json::from_slice(body).map_err(|e| e.to_string())?;
     let mut tasks = Vec::with_capacity(w.paes.len());
     for t in &w.paes {
         let task = task_key(&t.pao).ok_or_else(|| format!("paes.pao: `{}`", t.pao))?;
         let state = task_state(t).ok_or_else(|| format!("paes.ponto: `{}`", t.ponto))?;
-        tasks.push(TaskReport {
+        tasks.push(TaskStatus {
             task,
             attempt: t.tentativa,
             state,
         });
     }
-    let notice = match w.aviso_s {
+    let preemption_notice = match w.aviso_s {
         Some(s) if !s.is_finite() => return Err("aviso_s".to_owned()),
         s => s.map(Micros::from_secs_decimal),
     };
-    Ok(Report {
+    Ok(Heartbeat {
         machine: w.fornalha.as_str().into(),
         addr: w.addr,
-        session: w.turno,
-        seq: w.conta,
-        token: w.bastao,
-        notice,
+        incarnation: w.turno,
+        sequence: w.conta,
+        fencing_token: w.bastao,
+        preemption_notice,
         tasks,
     })
 }
@@ -120,10 +120,10 @@
 }
 
 /// The answer to a report, with orders.
-pub fn orders_reply(token: u64, orders: &[Order]) -> Reply {
+pub fn orders_reply(fencing_token: u64, orders: &[Order]) -> Reply {
     let mut r = Reply::json(
         200,
-        json!({"bastao": token, "ordens": orders_json(orders)}).to_string(),
+        json!({"bastao": fencing_token, "ordens": orders_json(orders)}).to_string(),
     );
     r.worker = true;
     r
@@ -139,14 +139,15 @@
 pub async fn direct(
     client: &Client,
     addr: &str,
-    session: u64,
-    token: u64,
+    incarnation: u64,
+    fencing_token: u64,
     orders: &[Order],
 ) -> DirectOutcome {
     let Ok(to) = addr.parse::<SocketAddr>() else {
         return DirectOutcome::NotSent;
     };
-    let body = json!({"bastao": token, "turno": session, "ordens": orders_json(orders)});
+    let body =
+        json!({"bastao": fencing_token, "turno": incarnation, "ordens": orders_json(orders)});
     let sent = client
         .call(
             to,
@@ -159,9 +160,9 @@
     match sent {
         Err(Failure::NotSent) => DirectOutcome::NotSent,
         Err(Failure::Unknown) => DirectOutcome::Unknown,
-        Ok((200 | 409, bytes)) => match parse_report(&bytes) {
-            Ok(report) => DirectOutcome::Settled {
-                report: Box::new(report),
+        Ok((200 | 409, bytes)) => match parse_heartbeat(&bytes) {
+            Ok(heartbeat) => DirectOutcome::Settled {
+                heartbeat: Box::new(heartbeat),
             },
             Err(why) => {
                 warn!(addr, why, "odd answer of a worker");
--- a/crates/seamfront/tests/end_to_end.rs
+++ b/crates/seamfront/tests/end_to_end.rs
@@ -66,8 +66,8 @@
 
 struct Worker {
     addr: String,
-    token: u64,
-    seq: u64,
+    fencing_token: u64,
+    sequence: u64,
     /// By task: attempt, and when it will be done.
     tasks: BTreeMap<String, (u64, Instant)>,
     gone: bool,
@@ -78,8 +78,8 @@
     fn start(id: String, controllers: Vec<SocketAddr>) -> Arc<Mutex<Worker>> {
         let w = Worker {
             addr: String::new(),
-            token: 0,
-            seq: 0,
+            fencing_token: 0,
+            sequence: 0,
             tasks: BTreeMap::new(),
             gone: false,
             ever: vec![],
@@ -88,35 +88,35 @@
         let (mine, name) = (w.clone(), id.clone());
         let addr = serve(move |_, _, body| {
             let mut w = mine.lock().unwrap();
-            let ok = body["bastao"].as_u64() >= Some(w.token) && !w.gone;
+            let ok = body["bastao"].as_u64() >= Some(w.fencing_token) && !w.gone;
             if ok {
-                w.token = body["bastao"].as_u64().unwrap_or(0);
+                w.fencing_token = body["bastao"].as_u64().unwrap_or(0);
                 w.obey(&body["ordens"]);
             }
-            (if ok { 200 } else { 409 }, w.report(&name))
+            (if ok { 200 } else { 409 }, w.heartbeat(&name))
         });
         w.lock().unwrap().addr = addr.to_string();
         let mine = w.clone();
         std::thread::spawn(move || {
             let mut k = 0;
             loop {
-                let report = {
+                let heartbeat = {
                     let mut w = mine.lock().unwrap();
                     if w.gone {
                         return;
                     }
-                    w.report(&id)
+                    w.heartbeat(&id)
                 };
                 match call(
                     controllers[k % controllers.len()],
                     "POST",
                     "/hello",
-                    &report.to_string(),
+                    &heartbeat.to_string(),
                 ) {
                     Some((200, body)) => {
                         let mut w = mine.lock().unwrap();
-                        if body["bastao"].as_u64() >= Some(w.token) {
-                            w.token = body["bastao"].as_u64().unwrap_or(0);
+                        if body["bastao"].as_u64() >= Some(w.fencing_token) {
+                            w.fencing_token = body["bastao"].as_u64().unwrap_or(0);
                             w.obey(&body["ordens"]);
                         }
                     }
@@ -152,8 +152,8 @@
         }
     }
 
-    fn report(&mut self, id: &str) -> Value {
-        self.seq += 1;
+    fn heartbeat(&mut self, id: &str) -> Value {
+        self.sequence += 1;
         let one = |(k, t): (&String, &(u64, Instant))| {
             if t.1 > Instant::now() {
                 json!({"pao": k, "tentativa": t.0, "ponto": "running"})
@@ -164,7 +164,7 @@
         };
         let tasks: Vec<Value> = self.tasks.iter().map(one).collect();
         json!({"fornalha": id, "addr": self.addr, "modelo": "m", "praca": "zone-1", "emprestados": false, "turno": 1,
-            "conta": self.seq, "bastao": self.token, "aviso_s": null, "paes": tasks})
+            "conta": self.sequence, "bastao": self.fencing_token, "aviso_s": null, "paes": tasks})
     }
 }
 
@@ -328,9 +328,9 @@
     eventually("service running", || is("j-900001", "running"));
 
     // A chain: what needs others runs once these are done, and is cancelled with them.
-    let after = |id: &str, needs: Value| {
+    let after = |id: &str, dependencies: Value| {
         let mut body: Value = serde_json::from_str(&job(id, "array", 1, "research")).unwrap();
-        body["espera"] = needs;
+        body["espera"] = dependencies;
         submit(&body.to_string())
     };
     assert_eq!(status(after("j-000020", json!(["j-777777"]))), Some(422));
--- a/crates/seamfront/tests/forms.rs
+++ b/crates/seamfront/tests/forms.rs
@@ -7,7 +7,9 @@
 use bytes::Bytes;
 use hyper::body::{Body, Frame};
 use seamfront::http::{Client, Reply};
-use seamfront::{cloud, duties, mesh, settings, state, users, workers};
+use seamfront::{
+    cloud_client, duty_admin, peer_transport, settings, store_client, user_api, worker_api,
+};
 use seamfront_core::port::*;
 use seamfront_core::types::*;
 use serde_json::Value;
@@ -25,7 +27,8 @@
 const SUBMITTED: &str = r#"{"id":"j-000031","class":"nightly","team":"sound","kind":"Gang","priority":"Urgent","tasks":12,"need":{"c":2500,"g":500,"r":12250},"types":["g4","g8"],"zone":"b","one_zone":true,"spread":false,"spot":true,"image":"img-3","image_mb":1500,"estimate":90500000,"checkpoint":15000000,"save":2500000,"deadline":600000000,"submitted":0,"needs":["j-7","j-8"]}"#;
 
 fn submitted(text: &str) -> String {
-    let spec = users::parse_submission(text.as_bytes()).unwrap_or_else(|e| panic!("{text}: {e}"));
+    let spec =
+        user_api::parse_submission(text.as_bytes()).unwrap_or_else(|e| panic!("{text}: {e}"));
     serde_json::to_string(&spec).unwrap()
 }
 
@@ -103,7 +106,7 @@
 #[test]
 fn answers_to_users() {
     let status = |created, state, done, running| {
-        text_of(&users::reply(&Answer::Status {
+        text_of(&user_api::reply(&Answer::Status {
             created,
             id: "j-4".into(),
             state,
@@ -112,53 +115,53 @@
         }))
     };
     assert_eq!(
-        status(true, ShownState::Queued, 0, 0),
+        status(true, JobState::Queued, 0, 0),
         r#"201 {"done":0,"id":"j-4","ponto":"queued","running":0} None"#
     );
     assert_eq!(
-        status(false, ShownState::Running, 3, 13),
+        status(false, JobState::Running, 3, 13),
         r#"200 {"done":3,"id":"j-4","ponto":"running","running":13} None"#
     );
     assert_eq!(
-        status(false, ShownState::Done, 16, 0),
+        status(false, JobState::Done, 16, 0),
         r#"200 {"done":16,"id":"j-4","ponto":"done","running":0} None"#
     );
     assert_eq!(
-        status(false, ShownState::Cancelled, 1, 0),
+        status(false, JobState::Cancelled, 1, 0),
         r#"200 {"done":1,"id":"j-4","ponto":"withdrawn","running":0} None"#
     );
     for (answer, expected) in [
         (Answer::NotFound, r#"404 {"error":"no such job"} None"#),
         (
-            Answer::Impossible(Impossible::UnknownTeam),
+            Answer::Rejected(SubmissionError::UnknownTeam),
             r#"422 {"error":"equipe: unknown team"} None"#,
         ),
         (
-            Answer::Impossible(Impossible::NoMachineFits),
+            Answer::Rejected(SubmissionError::NoMachineFits),
             r#"422 {"error":"no allowed machine type fits a task"} None"#,
         ),
         (
-            Answer::Impossible(Impossible::OverLimit),
+            Answer::Rejected(SubmissionError::OverLimit),
             r#"422 {"error":"the job needs more than its team's limit"} None"#,
         ),
         (
-            Answer::Impossible(Impossible::NeedNeverAccepted("j-9".into())),
+            Answer::Rejected(SubmissionError::UnknownDependency("j-9".into())),
             r#"422 {"error":"espera: j-9 was never accepted"} None"#,
         ),
         (
-            Answer::Later {
+            Answer::RetryLater {
                 after: Micros::from_secs(3),
             },
             r#"503 {"error":"come back later"} Some(3)"#,
         ),
         (
-            Answer::Later {
+            Answer::RetryLater {
                 after: Micros::ZERO,
             },
             r#"503 {"error":"come back later"} Some(1)"#,
         ),
     ] {
-        assert_eq!(text_of(&users::reply(&answer)), expected);
+        assert_eq!(text_of(&user_api::reply(&answer)), expected);
     }
 }
 
@@ -168,16 +171,16 @@
 
 /// One line for a report: its fields in this order, each task as a line of its own.
 fn report_text(body: &str) -> Result<String, String> {
-    let r = workers::parse_report(body.as_bytes())?;
+    let r = worker_api::parse_heartbeat(body.as_bytes())?;
     let tasks: String = r
         .tasks
         .iter()
         .map(|t| format!(" | {} {} {:?}", t.task, t.attempt, t.state))
         .collect();
-    let notice = r.notice.map(|n| n.0);
+    let notice = r.preemption_notice.map(|n| n.0);
     Ok(format!(
         "{} {} {} {} {} {notice:?}{tasks}",
-        r.machine, r.addr, r.session, r.seq, r.token
+        r.machine, r.addr, r.incarnation, r.sequence, r.fencing_token
     ))
 }
 
@@ -306,18 +309,18 @@
 #[test]
 fn answers_to_workers() {
     assert_eq!(
-        text_of(&workers::orders_reply(77, &all_orders())),
+        text_of(&worker_api::orders_reply(77, &all_orders())),
         format!(r#"200 {{"bastao":77,"ordens":{ORDERS}}} None"#)
     );
     assert_eq!(
-        text_of(&workers::orders_reply(0, &[])),
+        text_of(&worker_api::orders_reply(0, &[])),
         r#"200 {"bastao":0,"ordens":[]} None"#
     );
     assert_eq!(
-        text_of(&workers::elsewhere_reply(Some("beta"))),
+        text_of(&worker_api::elsewhere_reply(Some("beta"))),
         r#"421 {"mestre":"beta"} None"#
     );
-    assert_eq!(text_of(&workers::elsewhere_reply(None)), "421 {} None");
+    assert_eq!(text_of(&worker_api::elsewhere_reply(None)), "421 {} None");
 }
 
 // ---- requests as they arrive -----------------------------------------------------------------
@@ -355,21 +358,21 @@
         let (addr, arrived) = server(status, body);
         let client = Client::default();
         let (to, orders) = (addr.to_string(), all_orders());
-        let outcome = async_io::block_on(workers::direct(&client, &to, 3, 77, &orders));
+        let outcome = async_io::block_on(worker_api::direct(&client, &to, 3, 77, &orders));
         let expected = format!(r#"POST /commands {{"bastao":77,"ordens":{ORDERS},"turno":3}}"#);
         assert_eq!(arrived.recv().unwrap(), expected);
         outcome
     };
     for status in [200, 409] {
-        let DirectOutcome::Settled { report } = send(status, REPORT) else {
+        let DirectOutcome::Settled { heartbeat } = send(status, REPORT) else {
             panic!("{status}: not settled")
         };
         assert_eq!(
             (
-                report.machine.as_str(),
-                report.session,
-                report.seq,
-                report.token
+                heartbeat.machine.as_str(),
+                heartbeat.incarnation,
+                heartbeat.sequence,
+                heartbeat.fencing_token
             ),
             ("i-000031", 3, 19, 77)
         );
@@ -381,15 +384,15 @@
 // ---- the state service -----------------------------------------------------------------------
 
 /// Sends a request, compares what arrives, and shows what the answer is understood as.
-fn ask_state(request: &StateCall, expected: &str, status: u16, body: &str) -> String {
+fn ask_state(request: &StoreRequest, expected: &str, status: u16, body: &str) -> String {
     let (addr, arrived) = server(status, body);
-    let reply = async_io::block_on(state::call(&Client::default(), addr, request));
+    let reply = async_io::block_on(store_client::call(&Client::default(), addr, request));
     assert_eq!(arrived.recv().unwrap(), expected);
     let entry = |e: Entry| format!("{} {} {}", e.key, e.value, e.version);
     match reply {
-        StateReply::Entry(e) => format!("entry {}", entry(e)),
-        StateReply::Missing => "missing".to_owned(),
-        StateReply::Page {
+        StoreReply::Entry(e) => format!("entry {}", entry(e)),
+        StoreReply::Missing => "missing".to_owned(),
+        StoreReply::Page {
             entries,
             more,
             revision,
@@ -397,11 +400,11 @@
             let entries: Vec<String> = entries.into_iter().map(entry).collect();
             format!("page {} more {more} at {revision}", entries.join(", "))
         }
-        StateReply::Committed { revision } => format!("committed {revision}"),
-        StateReply::Conflict { failed } => format!("conflict {}", failed.join(", ")),
-        StateReply::Lease { id } => format!("lease {id}"),
-        StateReply::Renewed => "renewed".to_owned(),
-        StateReply::Changes { revision, events } => {
+        StoreReply::Committed { revision } => format!("committed {revision}"),
+        StoreReply::Conflict { failed } => format!("conflict {}", failed.join(", ")),
+        StoreReply::Lease { id } => format!("lease {id}"),
+        StoreReply::Renewed => "renewed".to_owned(),
+        StoreReply::Changes { revision, events } => {
             let shown = |(key, value, at): (String, Option<Value>, u64)| {
                 format!(
                     "{key} {} {at}",
@@ -411,16 +414,16 @@
             let events: Vec<String> = events.into_iter().map(shown).collect();
             format!("changes {} to {revision}", events.join(", "))
         }
-        StateReply::TooOld => "too old".to_owned(),
-        StateReply::NoSuchLease => "no such lease".to_owned(),
-        StateReply::Refused => "refused".to_owned(),
-        StateReply::Unknown => "unknown".to_owned(),
+        StoreReply::TooOld => "too old".to_owned(),
+        StoreReply::NoSuchLease => "no such lease".to_owned(),
+        StoreReply::Refused => "refused".to_owned(),
+        StoreReply::Unknown => "unknown".to_owned(),
     }
 }
 
 #[test]
 fn reading_from_the_state_service() {
-    let get = StateCall::Get {
+    let get = StoreRequest::Get {
         key: "job/j-4".into(),
     };
     let sent = "GET /kv/job/j-4";
@@ -446,7 +449,7 @@
         assert_eq!(ask_state(&get, sent, status, "{}"), expected);
     }
 
-    let list = |after: Option<&str>| StateCall::List {
+    let list = |after: Option<&str>| StoreRequest::List {
         prefix: "work/0/".into(),
         after: after.map(str::to_owned),
     };
@@ -475,10 +478,10 @@
         "unknown"
     );
 
-    let changes = StateCall::Changes {
+    let changes = StoreRequest::Watch {
         prefix: "duty/".into(),
         after: 31,
-        hold: Micros::from_millis(1_500),
+        wait: Micros::from_millis(1_500),
     };
     let sent = "GET /changes?prefix=duty/&after=31&hold_ms=1500";
     let body = r#"{"caderno":40,"events":[{"write":"duty/b","data":{"x":1},"rasura":39},{"remove":"duty/a","rasura":33}]}"#;
@@ -509,9 +512,9 @@
         value: serde_json::json!({"x": null}),
         lease,
     };
-    let commit = |apply| StateCall::Commit {
-        when: vec![("a/b".into(), 0), ("leader".into(), 41)],
-        apply,
+    let commit = |writes| StoreRequest::CompareAndSwap {
+        conditions: vec![("a/b".into(), 0), ("leader".into(), 41)],
+        writes,
     };
     let all = commit(vec![
         put(Some(7)),
@@ -549,7 +552,7 @@
         "committed 42"
     );
 
-    let grant = StateCall::Grant {
+    let grant = StoreRequest::GrantLease {
         ttl: Micros::from_secs(4),
     };
     assert_eq!(
@@ -561,7 +564,7 @@
         ),
         "lease 7"
     );
-    let renew = StateCall::Renew { lease: 7 };
+    let renew = StoreRequest::RenewLease { lease: 7 };
     assert_eq!(
         ask_state(&renew, "POST /grants/7/renew", 200, "{}"),
         "renewed"
@@ -575,17 +578,17 @@
 // ---- the cloud -------------------------------------------------------------------------------
 
 /// Sends a request, compares what arrives, and shows what the answer is understood as.
-fn ask_cloud(request: &CloudCall, expected: &str, status: u16, body: &str) -> String {
+fn ask_cloud(request: &CloudRequest, expected: &str, status: u16, body: &str) -> String {
     let (addr, arrived) = server(status, body);
-    let reply = async_io::block_on(cloud::call(&Client::default(), addr, request));
+    let reply = async_io::block_on(cloud_client::call(&Client::default(), addr, request));
     assert_eq!(arrived.recv().unwrap(), expected);
     match reply {
-        CloudReply::Types(types) => serde_json::to_string(&types).unwrap(),
-        CloudReply::Rented(ids) => format!("rented {ids:?}"),
+        CloudReply::MachineTypes(types) => serde_json::to_string(&types).unwrap(),
+        CloudReply::Provisioned(ids) => format!("rented {ids:?}"),
         CloudReply::NoCapacity => "no capacity".to_owned(),
-        CloudReply::Deleted => "deleted".to_owned(),
+        CloudReply::Terminated => "deleted".to_owned(),
         CloudReply::Page { machines, more } => {
-            let shown = |m: &Listed| {
+            let shown = |m: &ListedMachine| {
                 format!(
                     "{} {} {} {} {:?} {}",
                     m.id, m.kind, m.zone, m.spot, m.state, m.age.0
@@ -604,7 +607,12 @@
 fn requests_to_the_cloud() {
     let types = r#"{"modelos":[{"name":"g4","cores":48,"accelerators":4,"ram_gb":384.5,"cache_gb":100,"fetch_gb_per_s":0.5,"hourly":6.25,"spot_price":2.125,"boot_s":40.5,"pracas":["a","b"]},{"name":"m","cores":8,"ram_gb":32,"pracas":[]}]}"#;
     assert_eq!(
-        ask_cloud(&CloudCall::Types, "GET /machine_types", 200, types),
+        ask_cloud(
+            &CloudRequest::MachineTypes,
+            "GET /machine_types",
+            200,
+            types
+        ),
         r#"[{"name":"g4","size":{"c":48000,"g":4000,"r":384500},"cache_mb":100000,"fetch_mb_s":500,"price":6250,"spot_price":2125,"boot":40500000,"zones":["a","b"]},{"name":"m","size":{"c":8000,"g":0,"r":32000},"cache_mb":0,"fetch_mb_s":0,"price":0,"spot_price":0,"boot":0,"zones":[]}]"#
     );
     for lacking in [
@@ -612,12 +620,17 @@
         r#"{"modelos":[{"cores":8,"ram_gb":32,"pracas":[]}]}"#,
     ] {
         assert_eq!(
-            ask_cloud(&CloudCall::Types, "GET /machine_types", 200, lacking),
+            ask_cloud(
+                &CloudRequest::MachineTypes,
+                "GET /machine_types",
+                200,
+                lacking
+            ),
             "failed"
         );
     }
 
-    let rent = CloudCall::Rent {
+    let rent = CloudRequest::Provision {
         name: "r-41-2".into(),
         kind: "g4".into(),
         zone: "b".into(),
@@ -639,7 +652,7 @@
     );
     assert_eq!(ask_cloud(&rent, sent, 200, "{}"), "failed");
 
-    let delete = CloudCall::Delete {
+    let delete = CloudRequest::Terminate {
         machines: vec!["i-1".into(), "i-2".into()],
     };
     assert_eq!(
@@ -652,7 +665,7 @@
         "deleted"
     );
 
-    let list = |after: Option<&str>| CloudCall::List {
+    let list = |after: Option<&str>| CloudRequest::ListMachines {
         after: after.map(Into::into),
     };
     let machine = r#"{"id":"i-1","addr":"10.2.0.1:9100","modelo":"g4","praca":"b","emprestados":true,"ponto":"starting","held_s":61.5}"#;
@@ -774,7 +787,14 @@
             o.class, o.started, o.within.0
         ));
     }
-    let workers = [c.report, c.lease, c.gang_wait, c.gang_peer, c.cancel].map(|t| t.0);
+    let workers = [
+        c.heartbeat_interval,
+        c.lease,
+        c.gang_wait,
+        c.gang_peer,
+        c.cancel,
+    ]
+    .map(|t| t.0);
     lines.push(format!("workers {workers:?}"));
     lines.push(format!(
         "state {} {} {} {}",
@@ -955,7 +975,7 @@
         let listener = async_net::TcpListener::bind("127.0.0.1:0").await.unwrap();
         let to = listener.local_addr().unwrap();
         let (queue, messages) = async_channel::unbounded();
-        ex.spawn(mesh::deliver(
+        ex.spawn(peer_transport::deliver(
             ex,
             "alpha".into(),
             "beta".into(),
@@ -964,7 +984,7 @@
         ))
         .detach();
         queue
-            .send(MeshMessage::Cancelled {
+            .send(PeerMessage::Cancelled {
                 job: "j-1".into(),
                 tasks: 3,
             })
@@ -1001,7 +1021,7 @@
     async_io::block_on(ex.run(async {
         let bind = stand_ins::process::free_port();
         let (queue, commands) = async_channel::unbounded();
-        ex.spawn(mesh::serve(
+        ex.spawn(peer_transport::serve(
             ex,
             bind,
             vec!["beta".into(), "alpha".into()],
@@ -1041,14 +1061,14 @@
                 "{text}"
             );
         }
-        let Ok(Command::Mesh { from, message }) = commands.try_recv() else {
+        let Ok(Command::Peer { from, message }) = commands.try_recv() else {
             panic!("no message")
         };
         assert_eq!(
             (from, message),
             (
                 1,
-                MeshMessage::Cancelled {
+                PeerMessage::Cancelled {
                     job: "j-1".into(),
                     tasks: 3
                 }
@@ -1060,9 +1080,9 @@
 
 #[test]
 fn envelopes() {
-    let read: mesh::Envelope = serde_json::from_str(ENVELOPE).unwrap();
+    let read: peer_transport::Envelope = serde_json::from_str(ENVELOPE).unwrap();
     assert_eq!(serde_json::to_string(&read).unwrap(), ENVELOPE);
-    let receipt: mesh::Receipt = serde_json::from_str(r#"{"later":1}"#).unwrap();
+    let receipt: peer_transport::Receipt = serde_json::from_str(r#"{"later":1}"#).unwrap();
     assert_eq!(serde_json::to_string(&receipt).unwrap(), "{}");
 }
 
@@ -1223,13 +1243,13 @@
     let settings =
         settings::parse(&PLATFORM.replace("127.0.0.1:7006", &at.to_string()), None).unwrap();
     assert_eq!(
-        duties::show(&settings).unwrap(),
+        duty_admin::show(&settings).unwrap(),
         "no duty is held and no member is up\n"
     );
-    let request: duties::MoveRequest = "cleaning=gamma".parse().unwrap();
-    duties::request_move(&settings, &request).unwrap();
-    let request: duties::MoveRequest = "moving=aaa".parse().unwrap();
-    duties::request_move(&settings, &request).unwrap();
+    let request: duty_admin::MoveRequest = "cleaning=gamma".parse().unwrap();
+    duty_admin::request_move(&settings, &request).unwrap();
+    let request: duty_admin::MoveRequest = "moving=aaa".parse().unwrap();
+    duty_admin::request_move(&settings, &request).unwrap();
     assert_eq!(
         all(),
         [
@@ -1269,8 +1289,8 @@
 duty renting: to be moved to aaa
 duty returning: to be moved to aaa
 ";
-    assert_eq!(duties::show(&settings).unwrap(), shown);
-    assert!(duties::end(&settings)
+    assert_eq!(duty_admin::show(&settings).unwrap(), shown);
+    assert!(duty_admin::end(&settings)
         .unwrap_err()
         .to_string()
         .contains("duty/claim/cleaning"));
@@ -1288,7 +1308,7 @@
             200
         );
     }
-    duties::end(&settings).unwrap();
+    duty_admin::end(&settings).unwrap();
     let left: Vec<String> = all()
         .iter()
         .map(|line| line.split(' ').next().unwrap().to_owned())
--- a/crates/seamfront/tests/parsing.rs
+++ b/crates/seamfront/tests/parsing.rs
@@ -1,6 +1,6 @@
 //! What comes in from users, workers and settings is read strictly, and errors name the field.
 
-use seamfront::{settings, users, workers};
+use seamfront::{settings, user_api, worker_api};
 use seamfront_core::port::{Exit, TaskState};
 use serde_json::{json, Value};
 
@@ -12,14 +12,14 @@
 }
 
 fn parse(v: &Value) -> Result<seamfront_core::types::JobSpec, String> {
-    users::parse_submission(v.to_string().as_bytes())
+    user_api::parse_submission(v.to_string().as_bytes())
 }
 
 #[test]
 fn a_whole_submission_is_taken() {
     let job = parse(&submission()).unwrap();
     assert_eq!(
-        (job.tasks, job.need.cpus, job.need.gpus),
+        (job.tasks, job.task_resources.cpus, job.task_resources.gpus),
         (16, 8_000, 1_000)
     );
     assert_eq!(job.save.0, 4_000_000);
@@ -111,19 +111,22 @@
         }
     }
     for text in ["", "[]", "7", "{", "{\"id\":\"j-1\"", "\u{0}"] {
-        assert!(users::parse_submission(text.as_bytes()).is_err(), "{text}");
+        assert!(
+            user_api::parse_submission(text.as_bytes()).is_err(),
+            "{text}"
+        );
     }
 }
 
 #[test]
 fn a_report_that_is_not_understood_is_refused_whole() {
-    let report = |tasks: Value| {
+    let heartbeat = |tasks: Value| {
         json!({"fornalha":"i-1","addr":"10.1.0.1:9","turno":1,"conta":8,"bastao":41,"aviso_s":null,"paes":tasks})
             .to_string()
     };
     let good = json!([{"pao":"j-1/3","tentativa":2,"ponto":"running"},
         {"pao":"j-2/0","tentativa":1,"ponto":"exited","motivo":"halted","saved":true}]);
-    let r = workers::parse_report(report(good).as_bytes()).unwrap();
+    let r = worker_api::parse_heartbeat(heartbeat(good).as_bytes()).unwrap();
     assert_eq!(
         r.tasks[1].state,
         TaskState::Exited(Exit::Stopped { saved: true })
@@ -137,7 +140,7 @@
         json!([{"pao":"j-1/1","tentativa":1,"ponto":"exited","motivo":"boredom"}]),
     ] {
         assert!(
-            workers::parse_report(report(bad.clone()).as_bytes()).is_err(),
+            worker_api::parse_heartbeat(heartbeat(bad.clone()).as_bytes()).is_err(),
             "{bad}"
         );
     }
@@ -190,12 +193,12 @@
         v["espera"] = espera;
         v.to_string()
     };
-    let parse = |espera: Value| users::parse_submission(body(espera).as_bytes());
-    assert_eq!(parse(Value::Null).unwrap().needs, []);
-    assert_eq!(parse(json!([])).unwrap().needs, []);
-    let needs = parse(json!(["j-9", "j-8", "j-9"])).unwrap().needs;
+    let parse = |espera: Value| user_api::parse_submission(body(espera).as_bytes());
+    assert_eq!(parse(Value::Null).unwrap().dependencies, []);
+    assert_eq!(parse(json!([])).unwrap().dependencies, []);
+    let dependencies = parse(json!(["j-9", "j-8", "j-9"])).unwrap().dependencies;
     assert_eq!(
-        needs.iter().map(|n| n.as_str()).collect::<Vec<_>>(),
+        dependencies.iter().map(|n| n.as_str()).collect::<Vec<_>>(),
         ["j-8", "j-9"]
     );
     for bad in [
@@ -245,7 +248,7 @@
     use seamfront_core::record::WorkRecord;
     let job = r#"{"id":"j-000412","class":"c","team":"t","kind":"Array","priority":"Urgent","tasks":3,"need":{"c":1000,"g":0,"r":2000},"types":null,"zone":null,"one_zone":false,"spread":false,"spot":true,"image":"i","image_mb":100,"estimate":1000000,"checkpoint":0,"save":0,"deadline":null,"submitted":17}"#;
     let spec: seamfront_core::types::JobSpec = serde_json::from_str(job).unwrap();
-    assert!(spec.needs.is_empty());
+    assert!(spec.dependencies.is_empty());
     let as_value = |text: &str| serde_json::from_str::<Value>(text).unwrap();
     assert_eq!(
         serde_json::to_value(&spec).unwrap(),
@@ -262,11 +265,11 @@
         r#"{"Cancelled":{"job":"j-1","tasks":3}}"#,
         r#"{"Progress":{"jobs":[["j-1",2,1]]}}"#,
     ] {
-        let message: seamfront_core::port::MeshMessage = serde_json::from_str(text).unwrap();
+        let message: seamfront_core::port::PeerMessage = serde_json::from_str(text).unwrap();
         assert_eq!(serde_json::to_value(&message).unwrap(), as_value(text));
     }
     let machine = r#"{"share":1,"kind":"g8","zone":"a","spot":true}"#;
-    let record: seamfront_core::fleet::MachineRecord = serde_json::from_str(machine).unwrap();
+    let record: seamfront_core::machine::MachineRecord = serde_json::from_str(machine).unwrap();
     assert_eq!(serde_json::to_value(&record).unwrap(), as_value(machine));
     let claim = r#"{"member":"n0","lease":4}"#;
     let value: seamfront_core::store_session::ClaimValue = serde_json::from_str(claim).unwrap();
@@ -275,7 +278,7 @@
         r#"{"cancelled":true,"tasks":3}"#,
         r#"{"cancelled":false,"tasks":3}"#,
     ] {
-        let record: seamfront_core::users::EndRecord = serde_json::from_str(end).unwrap();
+        let record: seamfront_core::user_api::EndRecord = serde_json::from_str(end).unwrap();
         assert_eq!(serde_json::to_value(record).unwrap(), as_value(end));
     }
 }
--- a/crates/seamfront/tests/stand_ins/mod.rs
+++ b/crates/seamfront/tests/stand_ins/mod.rs
@@ -8,7 +8,7 @@
 #[allow(dead_code)]
 pub mod store;
 
-use seamfront_core::port::{Entry, StateCall, StateReply, Write as Put};
+use seamfront_core::port::{Entry, StoreReply, StoreRequest, Write as Put};
 use seamfront_core::types::Micros;
 use serde_json::{json, Value};
 use std::collections::BTreeMap;
@@ -59,14 +59,14 @@
         }
     }
 
-    fn execute(&self, request: &StateCall, over: bool) -> Option<StateReply> {
+    fn execute(&self, request: &StoreRequest, over: bool) -> Option<StoreReply> {
         let now = self.now();
         let mut store = self.store.lock().unwrap();
         store.expire(now);
         let mut request = request.clone();
-        if let StateCall::Changes { hold, .. } = &mut request {
+        if let StoreRequest::Watch { wait, .. } = &mut request {
             if over {
-                *hold = Micros::ZERO;
+                *wait = Micros::ZERO;
             }
         }
         store.execute(now, &request)
@@ -79,46 +79,46 @@
     http::serve(move |method, path, body| service.handle(method, path, &body))
 }
 
-fn hold_of(request: &StateCall) -> Duration {
+fn hold_of(request: &StoreRequest) -> Duration {
     match request {
-        StateCall::Changes { hold, .. } => Duration::from_micros(hold.0 as u64),
+        StoreRequest::Watch { wait, .. } => Duration::from_micros(wait.0 as u64),
         _ => Duration::ZERO,
     }
 }
 
-fn parse(method: &str, path: &str, body: &Value) -> StateCall {
+fn parse(method: &str, path: &str, body: &Value) -> StoreRequest {
     let q = query(path);
     let text = |k: &str| q.get(k).map(|s| s.to_string());
     let number = |k: &str| q.get(k).and_then(|s| s.parse::<u64>().ok()).unwrap_or(0);
     let bare = path.split('?').next().unwrap_or("");
     let parts: Vec<&str> = bare.trim_start_matches('/').splitn(3, '/').collect();
     match (method, parts.as_slice()) {
-        ("GET", ["kv"]) => StateCall::List {
+        ("GET", ["kv"]) => StoreRequest::List {
             prefix: text("prefix").unwrap_or_default(),
             after: text("after"),
         },
-        ("GET", ["kv", ..]) => StateCall::Get {
+        ("GET", ["kv", ..]) => StoreRequest::Get {
             key: bare["/kv/".len()..].to_owned(),
         },
-        ("GET", ["changes"]) => StateCall::Changes {
+        ("GET", ["changes"]) => StoreRequest::Watch {
             prefix: text("prefix").unwrap_or_default(),
             after: number("after"),
-            hold: Micros::from_millis(number("hold_ms") as i64),
+            wait: Micros::from_millis(number("hold_ms") as i64),
         },
-        ("POST", ["grants"]) => StateCall::Grant {
+        ("POST", ["grants"]) => StoreRequest::GrantLease {
             ttl: Micros::from_millis(body["ttl_ms"].as_i64().unwrap_or(0)),
         },
-        ("POST", ["grants", id, "renew"]) => StateCall::Renew {
+        ("POST", ["grants", id, "renew"]) => StoreRequest::RenewLease {
             lease: id.parse().unwrap_or(0),
         },
         _ => parse_commit(body),
     }
 }
 
-fn parse_commit(body: &Value) -> StateCall {
+fn parse_commit(body: &Value) -> StoreRequest {
     let list = |k: &str| body[k].as_array().cloned().unwrap_or_default();
     let name = |v: &Value| v.as_str().unwrap_or("").to_owned();
-    let when = list("when")
+    let conditions = list("when")
         .iter()
         .map(|w| (name(&w["key"]), w["rasura"].as_u64().unwrap_or(0)))
         .collect();
@@ -132,17 +132,17 @@
             key: name(&a["remove"]),
         },
     };
-    StateCall::Commit {
-        when,
-        apply: list("apply").iter().map(change).collect(),
+    StoreRequest::CompareAndSwap {
+        conditions,
+        writes: list("apply").iter().map(change).collect(),
     }
 }
 
-fn answer(request: &StateCall, reply: StateReply) -> (u16, Value) {
+fn answer(request: &StoreRequest, reply: StoreReply) -> (u16, Value) {
     match reply {
-        StateReply::Entry(e) => (200, pair(e)),
-        StateReply::Missing => (404, json!({"caderno": 0})),
-        StateReply::Page {
+        StoreReply::Entry(e) => (200, pair(e)),
+        StoreReply::Missing => (404, json!({"caderno": 0})),
+        StoreReply::Page {
             entries,
             more,
             revision,
@@ -153,14 +153,14 @@
                 json!({"pairs": pairs, "more": more, "caderno": revision}),
             )
         }
-        StateReply::Committed { revision } => (200, json!({ "caderno": revision })),
-        StateReply::Conflict { failed } => (409, json!({"failed": failed, "caderno": 0})),
-        StateReply::Lease { id } => (200, json!({ "vale": id })),
-        StateReply::Renewed => (200, json!({})),
-        StateReply::NoSuchLease if matches!(request, StateCall::Commit { .. }) => {
+        StoreReply::Committed { revision } => (200, json!({ "caderno": revision })),
+        StoreReply::Conflict { failed } => (409, json!({"failed": failed, "caderno": 0})),
+        StoreReply::Lease { id } => (200, json!({ "vale": id })),
+        StoreReply::Renewed => (200, json!({})),
+        StoreReply::NoSuchLease if matches!(request, StoreRequest::CompareAndSwap { .. }) => {
             (400, json!({"error": "no such lease"}))
         }
-        StateReply::Changes { revision, events } => {
+        StoreReply::Changes { revision, events } => {
             let event = |(k, v, r): (String, Option<Value>, u64)| match v {
                 Some(v) => json!({"write": k, "data": v, "rasura": r}),
                 None => json!({"remove": k, "rasura": r}),
