--- a/crates/seamfront-core/src/dependencies/answers.rs
+++ b/crates/seamfront-core/src/dependencies/answers.rs
@@ -17,7 +17,7 @@
                 after: view.seen(),
                 wait: Micros::ZERO,
             };
-            return self.send_to_store(request, Pending::Refresh { polls, revision });
+            return self.send_to_store(request, DependencyRequest::Refresh { polls, revision });
         }
         let until = self.now + UNDETERMINED_TIMEOUT;
         self.answer_determined(polls.into_iter().map(|q| (q, until)).collect());
--- a/crates/seamfront-core/src/dependencies/mod.rs
+++ b/crates/seamfront-core/src/dependencies/mod.rs
@@ -6,7 +6,7 @@
 //! A job starts only once the store has said of each that it needs that it is done. One that needs a cancelled
 //! job is cancelled in turn, link by link: the end of the first is durable, and the rest follows from it.
 
-use crate::engine::{Engine, LiveJob, Pending};
+use crate::engine::{Engine, LiveJob};
 use crate::port::*;
 use crate::shard::ShardPhase;
 use crate::types::*;
@@ -136,7 +136,71 @@
     format!("needs/{id}/{part:05}")
 }
 
+/// An outstanding request on behalf of dependencies between jobs.
+pub(crate) enum DependencyRequest {
+    Known {
+        to: ClientRequestId,
+        spec: Rc<JobSpec>,
+        left: Vec<JobId>,
+        end: bool,
+    },
+    PartsWritten {
+        to: ClientRequestId,
+        spec: Rc<JobSpec>,
+        parts: Vec<Vec<JobId>>,
+        next: usize,
+    },
+    SubmitCancelled {
+        to: ClientRequestId,
+        spec: Rc<JobSpec>,
+    },
+    PartsRead {
+        id: JobId,
+        version: u64,
+        got: Vec<Entry>,
+    },
+    End {
+        id: JobId,
+    },
+    CascadeCancel {
+        ids: Vec<JobId>,
+    },
+    Refresh {
+        polls: Vec<StatusQuery>,
+        revision: u64,
+    },
+}
+
 impl Engine {
+    /// Routes a reply of the store to what asked for it.
+    pub(crate) fn dependency_reply(&mut self, request: DependencyRequest, reply: StoreReply) {
+        match request {
+            DependencyRequest::Known {
+                to,
+                spec,
+                left,
+                end,
+            } => self.dependency_known_reply(to, spec, left, end, reply),
+            DependencyRequest::PartsWritten {
+                to,
+                spec,
+                parts,
+                next,
+            } => self.dependency_parts_written(to, spec, parts, next, &reply),
+            DependencyRequest::SubmitCancelled { to, spec } => {
+                self.submit_cancelled_reply(to, &spec, &reply)
+            }
+            DependencyRequest::PartsRead { id, version, got } => {
+                self.dependency_parts_read(id, version, got, reply)
+            }
+            DependencyRequest::End { id } => self.dependency_end_reply(&id, reply),
+            DependencyRequest::CascadeCancel { ids } => self.cascade_reply(&ids, &reply),
+            DependencyRequest::Refresh { polls, revision } => {
+                self.refresh_reply(polls, revision, reply)
+            }
+        }
+    }
+
     // ---- who waits for whom ----------------------------------------------------------------
 
     /// Whether it waits.
@@ -330,7 +394,7 @@
             );
             self.send_to_store(
                 StoreRequest::Get { key: end_key(&id) },
-                Pending::DependencyEnd { id },
+                DependencyRequest::End { id },
             );
         }
         let read: Vec<JobId> = self
@@ -358,7 +422,7 @@
             };
             self.send_to_store(
                 request,
-                Pending::DependencyPartsRead {
+                DependencyRequest::PartsRead {
                     id,
                     version,
                     got: Vec::new(),
@@ -404,7 +468,7 @@
         if !writes.is_empty() {
             self.send_to_store(
                 StoreRequest::CompareAndSwap { conditions, writes },
-                Pending::CascadeCancel { ids },
+                DependencyRequest::CascadeCancel { ids },
             );
         }
     }
--- a/crates/seamfront-core/src/dependencies/submissions.rs
+++ b/crates/seamfront-core/src/dependencies/submissions.rs
@@ -22,7 +22,7 @@
             let key = job_key(n);
             return self.send_to_store(
                 StoreRequest::Get { key },
-                Pending::DependencyKnown {
+                DependencyRequest::Known {
                     to,
                     spec,
                     left,
@@ -50,7 +50,7 @@
             self.users.in_flight += 1;
             return self.send_to_store(
                 StoreRequest::CompareAndSwap { conditions, writes },
-                Pending::SubmitCancelled { to, spec },
+                DependencyRequest::SubmitCancelled { to, spec },
             );
         }
         let parts = self.split_dependencies(&spec);
@@ -89,7 +89,7 @@
                 let key = end_key(&n);
                 self.send_to_store(
                     StoreRequest::Get { key },
-                    Pending::DependencyKnown {
+                    DependencyRequest::Known {
                         to,
                         spec,
                         left,
@@ -188,7 +188,7 @@
         };
         let writes = (next..until).map(put).collect();
         self.users.in_flight += 1;
-        let pending = Pending::DependencyPartsWritten {
+        let pending = DependencyRequest::PartsWritten {
             to,
             spec,
             parts,
@@ -243,7 +243,7 @@
                 prefix: dependencies_prefix(&id),
                 after,
             };
-            return self.send_to_store(request, Pending::DependencyPartsRead { id, version, got });
+            return self.send_to_store(request, DependencyRequest::PartsRead { id, version, got });
         }
         let lists: Vec<Vec<JobId>> = got
             .into_iter()
--- a/crates/seamfront-core/src/engine/mod.rs
+++ b/crates/seamfront-core/src/engine/mod.rs
@@ -1,22 +1,24 @@
 //! The one owner of all state of a controller. Commands come in batches, effects go out; time is
 //! given, never asked for. Same commands, same times, same effects.
 
-use crate::dependencies::{DependencyGraph, JobDependencies, StatusQuery};
-use crate::format_versions::Formats;
-use crate::garbage_collector::GarbageCollector;
+use crate::dependencies::{DependencyGraph, DependencyRequest, JobDependencies};
+use crate::format_versions::{FormatRequest, Formats};
+use crate::garbage_collector::{CollectionRequest, GarbageCollector};
 use crate::leader::{Leader, LeaderRequest};
 use crate::machine::MachineRecord;
 use crate::port::*;
 use crate::record::Layout;
 use crate::shard::*;
-use crate::store_session::StoreSession;
+use crate::store_session::{SessionRequest, StoreSession};
 use crate::types::*;
-use crate::user_api::{EndRecord, LookupPurpose, Users};
+use crate::user_api::{EndRecord, UserRequest, Users};
 use seamfront_lease::DutyManager;
 use std::collections::BTreeMap;
 use std::rc::Rc;
 use tracing::{info, trace, warn};
 
+mod machine_types;
+use machine_types::MachineTypesRequest;
 mod peers;
 mod writes;
 
@@ -49,96 +51,17 @@
 
 /// What a call's answer is for.
 pub(crate) enum Pending {
-    Grant,
-    Renew,
-    Watch(usize),
-    Claim {
-        slot: usize,
-        lease: u64,
-    },
-    TransferShard {
-        slot: usize,
-        version: u64,
-    },
-    Verify {
-        sent: Micros,
-        claims: Vec<(usize, u64)>,
-    },
-    VerifyView {
-        sent: Micros,
-        claims: Vec<(usize, u64)>,
-        revision: u64,
-    },
-    Fleet {
-        shard: usize,
-        version: u64,
-    },
-    Records {
-        shard: usize,
-        version: u64,
-    },
+    Session(SessionRequest),
+    User(UserRequest),
+    Dependency(DependencyRequest),
+    Collection(CollectionRequest),
+    Format(FormatRequest),
+    MachineTypes(MachineTypesRequest),
     Shard {
         shard: usize,
         version: u64,
         shard_writes: Vec<ShardWrite>,
     },
-    Submit {
-        batch: Vec<(ClientRequestId, Rc<JobSpec>)>,
-    },
-    VerifyUnknown {
-        to: ClientRequestId,
-        spec: Rc<JobSpec>,
-        why: SubmissionError,
-        end: bool,
-    },
-    DependencyKnown {
-        to: ClientRequestId,
-        spec: Rc<JobSpec>,
-        left: Vec<JobId>,
-        end: bool,
-    },
-    DependencyPartsWritten {
-        to: ClientRequestId,
-        spec: Rc<JobSpec>,
-        parts: Vec<Vec<JobId>>,
-        next: usize,
-    },
-    SubmitCancelled {
-        to: ClientRequestId,
-        spec: Rc<JobSpec>,
-    },
-    DependencyPartsRead {
-        id: JobId,
-        version: u64,
-        got: Vec<Entry>,
-    },
-    DependencyEnd {
-        id: JobId,
-    },
-    CascadeCancel {
-        ids: Vec<JobId>,
-    },
-    Confirm {
-        polls: Vec<(ClientRequestId, JobId)>,
-    },
-    Refresh {
-        polls: Vec<StatusQuery>,
-        revision: u64,
-    },
-    LookUp {
-        to: ClientRequestId,
-        id: JobId,
-        purpose: LookupPurpose,
-    },
-    LookUpEnd {
-        to: ClientRequestId,
-        id: JobId,
-    },
-    Cancel {
-        to: ClientRequestId,
-        id: JobId,
-        end: EndRecord,
-    },
     Leader {
         version: u64,
         call: LeaderRequest,
@@ -146,12 +69,42 @@
     Duty {
         call: CallId,
     },
-    OrphanedRecords,
-    OwnerEnd,
-    FormatsRead,
-    FormatWritten,
-    TypesRead,
-    TypesAsked,
+}
+
+impl From<SessionRequest> for Pending {
+    fn from(request: SessionRequest) -> Self {
+        Pending::Session(request)
+    }
+}
+
+impl From<UserRequest> for Pending {
+    fn from(request: UserRequest) -> Self {
+        Pending::User(request)
+    }
+}
+
+impl From<DependencyRequest> for Pending {
+    fn from(request: DependencyRequest) -> Self {
+        Pending::Dependency(request)
+    }
+}
+
+impl From<CollectionRequest> for Pending {
+    fn from(request: CollectionRequest) -> Self {
+        Pending::Collection(request)
+    }
+}
+
+impl From<FormatRequest> for Pending {
+    fn from(request: FormatRequest) -> Self {
+        Pending::Format(request)
+    }
+}
+
+impl From<MachineTypesRequest> for Pending {
+    fn from(request: MachineTypesRequest) -> Self {
+        Pending::MachineTypes(request)
+    }
 }
 
 /// The scheduler of one controller: commands in, effects out.
@@ -275,7 +228,7 @@
                     });
                 }
             }
-            Command::Store { call, reply } => self.state_reply(call, reply),
+            Command::Store { call, reply } => self.store_reply(call, reply),
             Command::Cloud { call, reply } => self.cloud_reply(call, reply),
             Command::Peer { from, message } => self.peer_message(from, message),
             Command::Health { to } => {
@@ -364,8 +317,8 @@
         id
     }
 
-    pub(crate) fn send_to_store(&mut self, request: StoreRequest, pending: Pending) {
-        let call = self.call(pending);
+    pub(crate) fn send_to_store(&mut self, request: StoreRequest, pending: impl Into<Pending>) {
+        let call = self.call(pending.into());
         self.effects.push(Effect::Store { call, request });
     }
 
@@ -374,9 +327,9 @@
         &mut self,
         request: CloudRequest,
         until: Option<Micros>,
-        pending: Pending,
+        pending: impl Into<Pending>,
     ) {
-        let call = self.call(pending);
+        let call = self.call(pending.into());
         self.effects.push(Effect::Cloud {
             call,
             request,
@@ -396,80 +349,28 @@
             .unwrap_or_default()
     }
 
-    fn state_reply(&mut self, call: CallId, reply: StoreReply) {
+    fn store_reply(&mut self, call: CallId, reply: StoreReply) {
         let Some(pending) = self.calls.remove(&call) else {
             return;
         };
-        trace!(call, ?reply, "state answered");
+        trace!(call, ?reply, "store replied");
         if !matches!(reply, StoreReply::Refused | StoreReply::Unknown) {
             self.store.last_reply = self.now;
         }
         match pending {
-            Pending::Grant | Pending::Renew => self.lease_reply(reply),
-            Pending::Watch(k) => self.watch_reply(k, reply),
-            Pending::Claim { slot, lease } => self.claim_reply(slot, lease, reply),
-            Pending::TransferShard { slot, version } => self.transfer_reply(slot, version, &reply),
-            Pending::Verify { sent, claims } => self.verify_reply(sent, claims, reply),
-            Pending::VerifyView {
-                sent,
-                claims,
-                revision,
-            } => self.verify_view_reply(sent, claims, revision, reply),
-            Pending::Fleet { shard, version } => self.fleet_reply(shard, version, reply),
-            Pending::Records { shard, version } => self.records_reply(shard, version, reply),
+            Pending::Session(request) => self.session_reply(request, reply),
+            Pending::User(request) => self.user_reply(request, reply),
+            Pending::Dependency(request) => self.dependency_reply(request, reply),
+            Pending::Collection(request) => self.collection_reply(request, reply),
+            Pending::Format(request) => self.format_reply(request, reply),
+            Pending::MachineTypes(request) => self.machine_types_reply(request, reply),
             Pending::Shard {
                 shard,
                 version,
                 shard_writes,
             } => self.shard_reply(shard, version, &shard_writes, &reply),
-            Pending::Submit { batch } => self.submit_reply(batch, reply),
-            Pending::VerifyUnknown { to, spec, why, end } => {
-                self.verify_unknown_reply(to, spec, why, end, reply)
-            }
-            Pending::DependencyKnown {
-                to,
-                spec,
-                left,
-                end,
-            } => self.dependency_known_reply(to, spec, left, end, reply),
-            Pending::DependencyPartsWritten {
-                to,
-                spec,
-                parts,
-                next,
-            } => self.dependency_parts_written(to, spec, parts, next, &reply),
-            Pending::SubmitCancelled { to, spec } => self.submit_cancelled_reply(to, &spec, &reply),
-            Pending::DependencyPartsRead { id, version, got } => {
-                self.dependency_parts_read(id, version, got, reply)
-            }
-            Pending::DependencyEnd { id } => self.dependency_end_reply(&id, reply),
-            Pending::CascadeCancel { ids } => self.cascade_reply(&ids, &reply),
-            Pending::Refresh { polls, revision } => self.refresh_reply(polls, revision, reply),
-            Pending::Confirm { polls } => self.confirm_reply(polls, reply),
-            Pending::LookUp { to, id, purpose } => self.look_up_reply(to, id, purpose, reply),
-            Pending::LookUpEnd { to, id } => self.look_up_end_reply(to, id, reply),
-            Pending::Cancel { to, id, end } => self.cancel_reply(to, id, end, reply),
-            Pending::Leader { version, call } => self.leader_state_reply(version, call, reply),
+            Pending::Leader { version, call } => self.leader_store_reply(version, call, reply),
             Pending::Duty { call } => self.duty_reply(call, reply),
-            Pending::OrphanedRecords => self.orphaned_records_reply(reply),
-            Pending::OwnerEnd => self.owner_end_reply(reply),
-            Pending::FormatsRead => self.formats_read(reply),
-            Pending::FormatWritten => self.format_written(),
-            Pending::TypesRead => {
-                self.types_busy = false;
-                match reply {
-                    StoreReply::Entry(e) => match serde_json::from_value(e.value) {
-                        Ok(types) => self.types_known(types),
-                        Err(e) => warn!(%e, "unreadable record of machine types"),
-                    },
-                    StoreReply::Missing => {
-                        self.types_busy = true;
-                        self.send_to_cloud(CloudRequest::MachineTypes, None, Pending::TypesAsked);
-                    }
-                    _ => {}
-                }
-            }
-            Pending::TypesAsked => {}
         }
     }
 
@@ -478,7 +379,7 @@
             Some(Pending::Leader { version, call }) => {
                 self.leader_cloud_reply(version, call, reply)
             }
-            Some(Pending::TypesAsked) => {
+            Some(Pending::MachineTypes(MachineTypesRequest::FromCloud)) => {
                 self.types_busy = false;
                 if let CloudReply::MachineTypes(types) = reply {
                     self.types_known(types);
@@ -488,42 +389,6 @@
         }
     }
 
-    // ---- machine types -------------------------------------------------------------------
-
-    /// Types are kept in the store too, so that a controller that starts during an outage of the
-    /// cloud knows them.
-    fn types_tick(&mut self) {
-        if !self.types.is_empty() || self.types_busy || self.now < self.types_next {
-            return;
-        }
-        self.types_busy = true;
-        self.types_next = self.now + Micros::from_millis(700);
-        self.send_to_store(
-            StoreRequest::Get {
-                key: "types".to_owned(),
-            },
-            Pending::TypesRead,
-        );
-    }
-
-    pub(crate) fn types_known(&mut self, types: Vec<MachineType>) {
-        if types.is_empty() {
-            return;
-        }
-        if self.types.is_empty() {
-            info!(types = types.len(), "machine types known");
-        }
-        self.types = types;
-        let machines: Vec<_> = self
-            .machines
-            .iter()
-            .map(|(id, (r, v))| (id.clone(), r.clone(), *v))
-            .collect();
-        for (id, record, version) in machines {
-            self.machine_changed(id, record, version);
-        }
-    }
-
     // ---- machines ------------------------------------------------------------------------
 
     pub(crate) fn machine_changed(&mut self, id: MachineId, record: MachineRecord, version: u64) {
--- a/crates/seamfront-core/src/format_versions.rs
+++ b/crates/seamfront-core/src/format_versions.rs
@@ -4,7 +4,7 @@
 //! that knows parts says so once, under `format/<member>`, for good: parts are written only when all members
 //! have said so. Silence proves nothing, since an old process may be away for a while and come back old.
 
-use crate::engine::{Engine, Pending};
+use crate::engine::Engine;
 use crate::port::*;
 use crate::types::*;
 use serde::{Deserialize, Serialize};
@@ -35,7 +35,21 @@
     format!("{PREFIX}{member}")
 }
 
+/// An outstanding request about the members' stored-format versions.
+pub(crate) enum FormatRequest {
+    Read,
+    Written,
+}
+
 impl Engine {
+    /// Routes a reply of the store to what asked for it.
+    pub(crate) fn format_reply(&mut self, request: FormatRequest, reply: StoreReply) {
+        match request {
+            FormatRequest::Read => self.formats_read(reply),
+            FormatRequest::Written => self.format_written(),
+        }
+    }
+
     /// Whether every member is known to read records in parts.
     pub(crate) fn all_read_parts(&self) -> bool {
         self.settings
@@ -58,7 +72,7 @@
                 prefix: PREFIX.to_owned(),
                 after: None,
             },
-            Pending::FormatsRead,
+            FormatRequest::Read,
         );
     }
 
@@ -92,7 +106,7 @@
                     conditions: vec![(key, 0)],
                     writes,
                 },
-                Pending::FormatWritten,
+                FormatRequest::Written,
             );
         }
     }
--- a/crates/seamfront-core/src/garbage_collector.rs
+++ b/crates/seamfront-core/src/garbage_collector.rs
@@ -5,7 +5,7 @@
 //! can want the record. The end's version, the absence of the record's head and the duty's token are conditions of the
 //! removal.
 
-use crate::engine::{Engine, Pending};
+use crate::engine::Engine;
 use crate::fleet_duties::GARBAGE_COLLECTION;
 use crate::port::*;
 use crate::types::*;
@@ -82,7 +82,21 @@
     Some((JobId::from(job), None))
 }
 
+/// An outstanding request of the garbage collector.
+pub(crate) enum CollectionRequest {
+    OrphanedRecords,
+    OwnerEnd,
+}
+
 impl Engine {
+    /// Routes a reply of the store to what asked for it.
+    pub(crate) fn collection_reply(&mut self, request: CollectionRequest, reply: StoreReply) {
+        match request {
+            CollectionRequest::OrphanedRecords => self.orphaned_records_reply(reply),
+            CollectionRequest::OwnerEnd => self.owner_end_reply(reply),
+        }
+    }
+
     pub(crate) fn sweep_tick(&mut self) {
         let now = self.now;
         if self.duty_token(GARBAGE_COLLECTION).is_none() {
@@ -115,14 +129,14 @@
                 StoreRequest::Get {
                     key: end_key(&orphaned.job),
                 },
-                Pending::OwnerEnd,
+                CollectionRequest::OwnerEnd,
             )
         } else if *more {
             let request = StoreRequest::List {
                 prefix: PREFIXES[*prefix].to_owned(),
                 after: after.clone(),
             };
-            (request, Pending::OrphanedRecords)
+            (request, CollectionRequest::OrphanedRecords)
         } else if *prefix + 1 < PREFIXES.len() {
             *prefix += 1;
             (*after, *more) = (None, true);
--- a/crates/seamfront-core/src/leader/replies.rs
+++ b/crates/seamfront-core/src/leader/replies.rs
@@ -3,7 +3,7 @@
 use super::*;
 
 impl Engine {
-    pub(crate) fn leader_state_reply(
+    pub(crate) fn leader_store_reply(
         &mut self,
         version: u64,
         call: LeaderRequest,
--- a/crates/seamfront-core/src/store_session/claims.rs
+++ b/crates/seamfront-core/src/store_session/claims.rs
@@ -117,7 +117,7 @@
                     lease: Some(lease),
                 }],
             };
-            self.send_to_store(request, Pending::Claim { slot, lease });
+            self.send_to_store(request, SessionRequest::Claim { slot, lease });
         }
         self.transfer_shards();
     }
@@ -202,7 +202,7 @@
                 conditions: vec![(key.clone(), version)],
                 writes: vec![Write::Delete { key }],
             };
-            self.send_to_store(request, Pending::TransferShard { slot, version });
+            self.send_to_store(request, SessionRequest::TransferShard { slot, version });
         }
     }
 
@@ -240,7 +240,7 @@
                 conditions,
                 writes: vec![],
             },
-            Pending::Verify { sent, claims },
+            SessionRequest::Verify { sent, claims },
         );
     }
 
@@ -263,7 +263,7 @@
                 };
                 self.send_to_store(
                     request,
-                    Pending::VerifyView {
+                    SessionRequest::VerifyView {
                         sent,
                         claims,
                         revision,
--- a/crates/seamfront-core/src/store_session/failover.rs
+++ b/crates/seamfront-core/src/store_session/failover.rs
@@ -40,7 +40,7 @@
                 let request = StoreRequest::List { prefix, after };
                 self.send_to_store(
                     request,
-                    Pending::Records {
+                    SessionRequest::Records {
                         shard: slot,
                         version,
                     },
@@ -54,7 +54,7 @@
                 };
                 self.send_to_store(
                     request,
-                    Pending::Fleet {
+                    SessionRequest::Fleet {
                         shard: slot,
                         version,
                     },
--- a/crates/seamfront-core/src/store_session/mod.rs
+++ b/crates/seamfront-core/src/store_session/mod.rs
@@ -1,7 +1,7 @@
 //! The node's standing with the state service: its lease, its views of what others wrote, the
 //! claims on shards and on leadership, and the proof that these still hold.
 
-use crate::engine::{Engine, Pending};
+use crate::engine::Engine;
 use crate::leader::Leader;
 use crate::machine::MachineRecord;
 use crate::port::*;
@@ -152,7 +152,59 @@
 const RETRY: Micros = Micros::from_millis(250);
 const HOLD: Micros = Micros::from_secs(20);
 
+/// An outstanding request of the store session.
+pub(crate) enum SessionRequest {
+    Grant,
+    Renew,
+    Watch(usize),
+    Claim {
+        slot: usize,
+        lease: u64,
+    },
+    TransferShard {
+        slot: usize,
+        version: u64,
+    },
+    Verify {
+        sent: Micros,
+        claims: Vec<(usize, u64)>,
+    },
+    VerifyView {
+        sent: Micros,
+        claims: Vec<(usize, u64)>,
+        revision: u64,
+    },
+    Fleet {
+        shard: usize,
+        version: u64,
+    },
+    Records {
+        shard: usize,
+        version: u64,
+    },
+}
+
 impl Engine {
+    /// Routes a reply of the store to what asked for it.
+    pub(crate) fn session_reply(&mut self, request: SessionRequest, reply: StoreReply) {
+        match request {
+            SessionRequest::Grant | SessionRequest::Renew => self.lease_reply(reply),
+            SessionRequest::Watch(k) => self.watch_reply(k, reply),
+            SessionRequest::Claim { slot, lease } => self.claim_reply(slot, lease, reply),
+            SessionRequest::TransferShard { slot, version } => {
+                self.transfer_reply(slot, version, &reply)
+            }
+            SessionRequest::Verify { sent, claims } => self.verify_reply(sent, claims, reply),
+            SessionRequest::VerifyView {
+                sent,
+                claims,
+                revision,
+            } => self.verify_view_reply(sent, claims, revision, reply),
+            SessionRequest::Fleet { shard, version } => self.fleet_reply(shard, version, reply),
+            SessionRequest::Records { shard, version } => self.records_reply(shard, version, reply),
+        }
+    }
+
     pub(crate) fn claim_key(&self, slot: usize) -> String {
         if slot == self.leader_slot() {
             "leader".to_owned()
@@ -184,8 +236,10 @@
         self.store.lease_busy = true;
         let ttl = self.settings.tuning.claim_ttl;
         match self.store.lease {
-            None => self.send_to_store(StoreRequest::GrantLease { ttl }, Pending::Grant),
-            Some(lease) => self.send_to_store(StoreRequest::RenewLease { lease }, Pending::Renew),
+            None => self.send_to_store(StoreRequest::GrantLease { ttl }, SessionRequest::Grant),
+            Some(lease) => {
+                self.send_to_store(StoreRequest::RenewLease { lease }, SessionRequest::Renew)
+            }
         }
     }
 
@@ -220,7 +274,7 @@
         }
         w.busy = true;
         let request = w.view.request(TOPICS[k].prefix(), HOLD);
-        self.send_to_store(request, Pending::Watch(k));
+        self.send_to_store(request, SessionRequest::Watch(k));
     }
 
     pub(crate) fn watch_reply(&mut self, k: usize, reply: StoreReply) {
--- a/crates/seamfront-core/src/user_api.rs
+++ b/crates/seamfront-core/src/user_api.rs
@@ -2,7 +2,7 @@
 //! change and are kept; everything else is confirmed by the store at the time of the answer.
 
 use crate::dependencies::StatusQuery;
-use crate::engine::{Engine, LiveJob, Pending};
+use crate::engine::{Engine, LiveJob};
 use crate::port::*;
 use crate::quota::within_limit;
 use crate::types::*;
@@ -110,7 +110,51 @@
 
 const RETRY_AFTER: Micros = Micros::from_secs(1);
 
+/// An outstanding request on behalf of users.
+pub(crate) enum UserRequest {
+    Submit {
+        batch: Vec<(ClientRequestId, Rc<JobSpec>)>,
+    },
+    VerifyUnknown {
+        to: ClientRequestId,
+        spec: Rc<JobSpec>,
+        why: SubmissionError,
+        end: bool,
+    },
+    Confirm {
+        polls: Vec<(ClientRequestId, JobId)>,
+    },
+    LookUp {
+        to: ClientRequestId,
+        id: JobId,
+        purpose: LookupPurpose,
+    },
+    LookUpEnd {
+        to: ClientRequestId,
+        id: JobId,
+    },
+    Cancel {
+        to: ClientRequestId,
+        id: JobId,
+        end: EndRecord,
+    },
+}
+
 impl Engine {
+    /// Routes a reply of the store to what asked for it.
+    pub(crate) fn user_reply(&mut self, request: UserRequest, reply: StoreReply) {
+        match request {
+            UserRequest::Submit { batch } => self.submit_reply(batch, reply),
+            UserRequest::VerifyUnknown { to, spec, why, end } => {
+                self.verify_unknown_reply(to, spec, why, end, reply)
+            }
+            UserRequest::Confirm { polls } => self.confirm_reply(polls, reply),
+            UserRequest::LookUp { to, id, purpose } => self.look_up_reply(to, id, purpose, reply),
+            UserRequest::LookUpEnd { to, id } => self.look_up_end_reply(to, id, reply),
+            UserRequest::Cancel { to, id, end } => self.cancel_reply(to, id, end, reply),
+        }
+    }
+
     pub(crate) fn reject_with_retry_after(&mut self, to: ClientRequestId) {
         self.answer(to, Answer::RetryLater { after: RETRY_AFTER });
     }
@@ -262,7 +306,7 @@
             writes: end_writes(&id, end).into(),
         };
         self.users.in_flight += 1;
-        self.send_to_store(request, Pending::Cancel { to, id, end });
+        self.send_to_store(request, UserRequest::Cancel { to, id, end });
     }
 
     pub(crate) fn cancel_reply(
@@ -304,7 +348,7 @@
         self.users.in_flight += 1;
         self.send_to_store(
             StoreRequest::Get { key: job_key(&id) },
-            Pending::LookUp { to, id, purpose },
+            UserRequest::LookUp { to, id, purpose },
         );
     }
 
@@ -342,7 +386,7 @@
                 self.users.in_flight += 1;
                 self.send_to_store(
                     StoreRequest::Get { key: end_key(&id) },
-                    Pending::LookUpEnd { to, id },
+                    UserRequest::LookUpEnd { to, id },
                 );
             }
             _ => self.reject_with_retry_after(to),
@@ -426,7 +470,7 @@
                     conditions,
                     writes: vec![],
                 },
-                Pending::Confirm { polls },
+                UserRequest::Confirm { polls },
             );
         }
     }
@@ -448,7 +492,7 @@
             self.users.in_flight += sent.len();
             self.send_to_store(
                 StoreRequest::CompareAndSwap { conditions, writes },
-                Pending::Submit { batch: sent },
+                UserRequest::Submit { batch: sent },
             );
         }
     }
@@ -464,7 +508,7 @@
         let key = job_key(&spec.id);
         self.send_to_store(
             StoreRequest::Get { key },
-            Pending::VerifyUnknown {
+            UserRequest::VerifyUnknown {
                 to,
                 spec,
                 why,
@@ -497,7 +541,7 @@
                 let key = end_key(&spec.id);
                 self.send_to_store(
                     StoreRequest::Get { key },
-                    Pending::VerifyUnknown {
+                    UserRequest::VerifyUnknown {
                         to,
                         spec,
                         why,
