--- a/crates/seamfront-core/src/capacity/mod.rs
+++ b/crates/seamfront-core/src/capacity/mod.rs
@@ -4,7 +4,7 @@
 use crate::boot_times::BootTimes;
 use crate::machine::MachineRecord;
 use crate::port::{MachineView, ResourceRequest};
-use crate::types::*;
+use crate::types::{MachineId, MachineType, Micros, Priority, Resources, Tuning};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
--- a/crates/seamfront-core/src/capacity/planner.rs
+++ b/crates/seamfront-core/src/capacity/planner.rs
@@ -4,7 +4,7 @@
 use super::provisioning::PoolSummary;
 use super::{cheap, hourly_price, ClusterSnapshot, Plan, Supply, CHEAP_FACTOR};
 use crate::port::ResourceRequest;
-use crate::types::*;
+use crate::types::{queue_rank, suits, MachineId, MachineType, Micros, Resources};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// How long ordinary work waits before lesser work is stopped elsewhere for it.
--- a/crates/seamfront-core/src/capacity/provisioning.rs
+++ b/crates/seamfront-core/src/capacity/provisioning.rs
@@ -4,7 +4,7 @@
 use super::{cheap, ClusterSnapshot, ProvisioningRecord};
 use crate::machine::MachineRecord;
 use crate::port::ResourceRequest;
-use crate::types::*;
+use crate::types::{MachineType, Micros, Resources};
 use std::collections::BTreeMap;
 
 /// Work that the machines at hand get through in time is not rented for. In time is until it must
--- a/crates/seamfront-core/src/dependencies/answers.rs
+++ b/crates/seamfront-core/src/dependencies/answers.rs
@@ -1,6 +1,9 @@
 //! Answers to users about jobs that wait for others.
 
-use super::*;
+use super::{
+    BTreeSet, DependencyRequest, Engine, JobId, Micros, StatusQuery, StoreReply, StoreRequest,
+    UNDETERMINED_TIMEOUT,
+};
 
 impl Engine {
     /// Nobody may be told that a job waits once one that it needs has been cancelled. The view is made as new as the
--- a/crates/seamfront-core/src/dependencies/mod.rs
+++ b/crates/seamfront-core/src/dependencies/mod.rs
@@ -7,9 +7,11 @@
 //! job is cancelled in turn, link by link: the end of the first is durable, and the rest follows from it.
 
 use crate::engine::{Engine, LiveJob};
-use crate::port::*;
+use crate::port::{
+    Answer, ClientRequestId, Entry, JobState, StoreReply, StoreRequest, SubmissionError, Write,
+};
 use crate::shard::ShardPhase;
-use crate::types::*;
+use crate::types::{JobId, JobSpec, Micros, Priority};
 use crate::user_api::{end_conditions, end_key, end_writes, job_key, EndRecord, LookupPurpose};
 use std::collections::{BTreeMap, BTreeSet};
 use std::rc::Rc;
--- a/crates/seamfront-core/src/dependencies/submissions.rs
+++ b/crates/seamfront-core/src/dependencies/submissions.rs
@@ -1,6 +1,10 @@
 //! Submissions that name other jobs, and lists of needed jobs that do not fit into one value.
 
-use super::*;
+use super::{
+    dependencies_key, dependencies_prefix, end_key, info, job_key, warn, Answer, ClientRequestId,
+    DependencyRequest, EndRecord, Engine, Entry, JobId, JobSpec, JobState, LookupPurpose, Rc,
+    StoreReply, StoreRequest, SubmissionError, Write, AGAIN,
+};
 
 impl Engine {
     /// A submission may name only jobs that were accepted. What neither the view nor our memory knows is asked of
--- a/crates/seamfront-core/src/engine/machine_types.rs
+++ b/crates/seamfront-core/src/engine/machine_types.rs
@@ -1,6 +1,6 @@
 //! The machine types on offer: read from the store, or else asked of the cloud.
 
-use super::*;
+use super::{info, warn, CloudRequest, Engine, MachineType, Micros, StoreReply, StoreRequest};
 
 /// An outstanding request for the machine types on offer.
 pub(crate) enum MachineTypesRequest {
--- a/crates/seamfront-core/src/engine/mod.rs
+++ b/crates/seamfront-core/src/engine/mod.rs
@@ -6,11 +6,14 @@
 use crate::garbage_collector::{CollectionRequest, GarbageCollector};
 use crate::leader::{Leader, LeaderRequest};
 use crate::machine::MachineRecord;
-use crate::port::*;
+use crate::port::{
+    Answer, CallId, ClientRequestId, CloudReply, CloudRequest, Command, Effect, Heartbeat,
+    PeerMessage, StoreReply, StoreRequest, Write,
+};
 use crate::record::Layout;
-use crate::shard::*;
+use crate::shard::{machine_write, work_key, Context, Shard, ShardPhase, ShardWrite, WriteOutcome};
 use crate::store_session::{SessionRequest, StoreSession};
-use crate::types::*;
+use crate::types::{JobId, JobSpec, MachineId, MachineType, Micros, Resources, Settings};
 use crate::user_api::{EndRecord, UserRequest, Users};
 use seamfront_lease::DutyManager;
 use std::collections::BTreeMap;
--- a/crates/seamfront-core/src/engine/peers.rs
+++ b/crates/seamfront-core/src/engine/peers.rs
@@ -1,6 +1,8 @@
 //! Between controllers, and what a controller says of its own health.
 
-use super::*;
+use super::{
+    warn, Effect, EndRecord, Engine, Micros, Peer, PeerMessage, Shard, ShardPhase, NEEDS_MAX,
+};
 
 /// How often the others are told that this controller is alive.
 const ALIVE_INTERVAL: Micros = Micros::from_millis(500);
--- a/crates/seamfront-core/src/engine/writes.rs
+++ b/crates/seamfront-core/src/engine/writes.rs
@@ -1,6 +1,9 @@
 //! The scheduler's own writes: their pace, their transactions and their outcomes.
 
-use super::*;
+use super::{
+    machine_write, work_key, EndRecord, Engine, JobId, Micros, Pending, Shard, ShardPhase,
+    ShardWrite, StoreReply, StoreRequest, Write, WriteOutcome,
+};
 use crate::record::part_key;
 use crate::user_api::{end_conditions, end_writes};
 
--- a/crates/seamfront-core/src/fleet_duties.rs
+++ b/crates/seamfront-core/src/fleet_duties.rs
@@ -6,8 +6,8 @@
 
 use crate::engine::{Engine, Pending};
 use crate::leader::Leader;
-use crate::port::*;
-use crate::types::*;
+use crate::port::{CallId, StoreReply};
+use crate::types::{Micros, Settings};
 use seamfront_lease::keys;
 use seamfront_lease::port::{Command as DutyCommand, CommitOutcome, Effect as DutyEffect};
 use seamfront_lease::settings::{LeaseSettings, StoreLimits};
--- a/crates/seamfront-core/src/format_versions.rs
+++ b/crates/seamfront-core/src/format_versions.rs
@@ -5,8 +5,8 @@
 //! have said so. Silence proves nothing, since an old process may be away for a while and come back old.
 
 use crate::engine::Engine;
-use crate::port::*;
-use crate::types::*;
+use crate::port::{StoreReply, StoreRequest, Write};
+use crate::types::Micros;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeSet;
 use tracing::info;
--- a/crates/seamfront-core/src/job.rs
+++ b/crates/seamfront-core/src/job.rs
@@ -3,7 +3,9 @@
 use crate::gang::{Gang, Member};
 use crate::ranges::Ranges;
 use crate::record::{Layout, Position, WorkRecord};
-use crate::types::*;
+use crate::types::{
+    queue_rank, JobKind, JobSpec, MachineId, MachineType, Micros, Priority, START_DEADLINE,
+};
 use serde_json::Value;
 use std::collections::BTreeMap;
 use std::rc::Rc;
--- a/crates/seamfront-core/src/leader/adoption.rs
+++ b/crates/seamfront-core/src/leader/adoption.rs
@@ -1,6 +1,9 @@
 //! Machines that the cloud lists and nobody has a record of.
 
-use super::*;
+use super::{
+    capacity, info, machine_key, BTreeMap, BTreeSet, Engine, FleetDuty, LeaderRequest,
+    ListedMachine, ListedState, MachineId, MachineRecord, Reverse,
+};
 
 impl Engine {
     /// Machines that the list shows and nobody has a record of: late requests, or those of the
--- a/crates/seamfront-core/src/leader/mod.rs
+++ b/crates/seamfront-core/src/leader/mod.rs
@@ -5,8 +5,11 @@
 use crate::engine::{Engine, Pending};
 use crate::fleet_duties::FleetDuty;
 use crate::machine::{machine_key, MachineRecord};
-use crate::port::*;
-use crate::types::*;
+use crate::port::{
+    CloudReply, CloudRequest, Entry, ListedMachine, ListedState, MachineView, PeerMessage,
+    ResourceRequest, StoreReply, StoreRequest, Write,
+};
+use crate::types::{MachineId, Micros};
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet};
 use tracing::{debug, info, warn};
--- a/crates/seamfront-core/src/leader/provisioning.rs
+++ b/crates/seamfront-core/src/leader/provisioning.rs
@@ -1,6 +1,9 @@
 //! Rentals, from the plan to the machines' records.
 
-use super::*;
+use super::{
+    info, machine_key, CloudRequest, Engine, FleetDuty, LeaderRequest, ListedMachine, MachineId,
+    MachineRecord, Micros, ProvisioningRecord, Write,
+};
 
 /// How much a listed machine's age may be off.
 const LISTED_AGE_SLACK: Micros = Micros::from_secs(1);
--- a/crates/seamfront-core/src/leader/replies.rs
+++ b/crates/seamfront-core/src/leader/replies.rs
@@ -1,6 +1,10 @@
 //! What the leader makes of the answers to its calls.
 
-use super::*;
+use super::{
+    debug, info, machine_key, warn, CloudReply, Engine, LeaderRequest, Micros, Pending,
+    Provisioning, ProvisioningStep, StoreReply, StoreRequest, Write, FORMER_ASKED_WITHIN,
+    REFUSED_FOR,
+};
 
 impl Engine {
     pub(crate) fn leader_store_reply(
--- a/crates/seamfront-core/src/machine.rs
+++ b/crates/seamfront-core/src/machine.rs
@@ -1,7 +1,7 @@
 //! Machines of a shard, and the evidence of what is on them.
 
 use crate::port::CallId;
-use crate::types::*;
+use crate::types::{JobId, MachineId, Micros, Resources, TaskKey};
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
 
--- a/crates/seamfront-core/src/placement.rs
+++ b/crates/seamfront-core/src/placement.rs
@@ -2,7 +2,7 @@
 
 use crate::job::Job;
 use crate::machine::Machine;
-use crate::types::*;
+use crate::types::{JobSpec, MachineId, MachineType, Micros, Resources};
 use std::cell::Cell;
 use std::collections::BTreeMap;
 
--- a/crates/seamfront-core/src/port/cloud.rs
+++ b/crates/seamfront-core/src/port/cloud.rs
@@ -1,6 +1,6 @@
 //! The cloud: requests and answers.
 
-use crate::types::*;
+use crate::types::{MachineId, MachineType, Micros};
 
 /// A request to the cloud.
 #[derive(Clone, Debug, PartialEq)]
--- a/crates/seamfront-core/src/port/mod.rs
+++ b/crates/seamfront-core/src/port/mod.rs
@@ -1,6 +1,6 @@
 //! What goes into the engine and what comes out of it. Adapters translate these to the wire.
 
-use crate::types::*;
+use crate::types::{JobId, JobSpec, MachineId, Micros};
 
 mod cloud;
 mod peers;
--- a/crates/seamfront-core/src/port/peers.rs
+++ b/crates/seamfront-core/src/port/peers.rs
@@ -1,6 +1,6 @@
 //! Messages between controllers.
 
-use crate::types::*;
+use crate::types::{JobId, MachineId, Micros, Priority, Resources};
 use serde::{Deserialize, Serialize};
 
 /// Tasks of one size that find no room in a shard: a class, not single tasks.
--- a/crates/seamfront-core/src/port/users.rs
+++ b/crates/seamfront-core/src/port/users.rs
@@ -1,6 +1,6 @@
 //! Answers to users.
 
-use crate::types::*;
+use crate::types::{JobId, Micros};
 
 /// Why a job can never run.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
--- a/crates/seamfront-core/src/port/workers.rs
+++ b/crates/seamfront-core/src/port/workers.rs
@@ -1,6 +1,6 @@
 //! Workers: reports, orders, and what becomes of direct commands.
 
-use crate::types::*;
+use crate::types::{MachineId, Micros, TaskKey};
 
 /// State of a task as its worker shows it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
--- a/crates/seamfront-core/src/quota.rs
+++ b/crates/seamfront-core/src/quota.rs
@@ -1,7 +1,7 @@
 //! Teams' use, limits and guarantees. A team belongs to one shard, so its holder alone counts.
 
 use crate::job::Job;
-use crate::types::*;
+use crate::types::{JobId, JobKind, JobSpec, Resources, Team};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// What each team's tasks take.
--- a/crates/seamfront-core/src/record.rs
+++ b/crates/seamfront-core/src/record.rs
@@ -5,7 +5,7 @@
 //! transaction, so a reader that holds the shard's claim finds either all of them or none.
 
 use crate::ranges::Ranges;
-use crate::types::*;
+use crate::types::{JobId, MachineId, Resources};
 use serde::{Deserialize, Serialize};
 use serde_json::Value;
 use std::collections::BTreeMap;
--- a/crates/seamfront-core/src/scheduling/machine_health.rs
+++ b/crates/seamfront-core/src/scheduling/machine_health.rs
@@ -1,6 +1,9 @@
 //! Judging machines, and what the leader is told of them.
 
-use super::*;
+use super::{
+    debug, info, warn, Cause, Context, JobKind, Machine, MachineId, MachineView, Member, Micros,
+    Priority, Resources, Shard, ShardPhase, TaskKey,
+};
 
 impl Shard {
     /// Marks machines that should be returned with whatever may be on them. Only their owner can
--- a/crates/seamfront-core/src/scheduling/mod.rs
+++ b/crates/seamfront-core/src/scheduling/mod.rs
@@ -2,13 +2,16 @@
 //! alike and are decided together, as a class.
 
 use crate::gang::Member;
-use crate::job::*;
+use crate::job::{Cause, Job, Phase, Placement};
 use crate::machine::Machine;
 use crate::placement::{Availability, FreeCapacity, Machines, PlacementRequest};
 use crate::port::{MachineView, ResourceRequest};
 use crate::quota;
 use crate::shard::{Context, Shard, ShardPhase};
-use crate::types::*;
+use crate::types::{
+    queue_rank, JobId, JobKind, JobSpec, MachineId, MachineType, Micros, Priority, Resources,
+    TaskKey, Team,
+};
 use std::collections::{BTreeMap, BTreeSet};
 use std::rc::Rc;
 use tracing::{debug, info, warn};
--- a/crates/seamfront-core/src/scheduling/preemption.rs
+++ b/crates/seamfront-core/src/scheduling/preemption.rs
@@ -1,6 +1,10 @@
 //! Stopping lesser work so that more important work finds room.
 
-use super::*;
+use super::{
+    info, Availability, BTreeMap, BTreeSet, Cause, Context, FreeCapacity, JobId, JobKind, JobSpec,
+    Machine, Micros, PlacementRequest, PreemptibleWork, Priority, Resources, SchedulingCycle,
+    Shard, TaskKey,
+};
 
 impl Shard {
     /// See [`PreemptibleWork`].
--- a/crates/seamfront-core/src/shard/drain.rs
+++ b/crates/seamfront-core/src/shard/drain.rs
@@ -1,6 +1,9 @@
 //! Draining gangs and stopping tasks for the sake of others.
 
-use super::*;
+use super::{
+    info, warn, Cause, Context, JobId, JobSpec, Member, Micros, Phase, Placement, Removal, Shard,
+    Stop, TaskKey, Verdict,
+};
 
 impl Shard {
     pub(super) fn drain_gang(
--- a/crates/seamfront-core/src/shard/heartbeats.rs
+++ b/crates/seamfront-core/src/shard/heartbeats.rs
@@ -1,6 +1,10 @@
 //! Workers' reports, the orders in their replies, and direct commands.
 
-use super::*;
+use super::{
+    debug, info, warn, BTreeMap, CallId, Cause, Context, DirectCommand, DirectOutcome, Effect,
+    Ending, Exit, Heartbeat, JobKind, Machine, MachineId, Micros, Order, Phase, Removal, Resources,
+    Shard, ShardPhase, TaskKey, TaskState, TaskStatus,
+};
 
 impl Shard {
     /// Takes in what a worker shows. `hello` marks reports of its own, the only ones whose
--- a/crates/seamfront-core/src/shard/mod.rs
+++ b/crates/seamfront-core/src/shard/mod.rs
@@ -3,12 +3,17 @@
 //! Order of things, always: decide → record → order → evidence → record → forget.
 
 use crate::gang::{Member, Verdict};
-use crate::job::*;
+use crate::job::{Cause, Ending, Job, Phase, Placement, Stop};
 use crate::machine::{machine_key, DirectCommand, Machine, MachineRecord};
-use crate::port::*;
+use crate::port::{
+    CallId, DirectOutcome, Effect, Exit, Heartbeat, Order, ResourceRequest, TaskState, TaskStatus,
+    Write,
+};
 use crate::quota::Quota;
 use crate::record::{Layout, WorkRecord};
-use crate::types::*;
+use crate::types::{
+    JobId, JobKind, JobSpec, MachineId, MachineType, Micros, Priority, Resources, Settings, TaskKey,
+};
 use std::cell::Cell;
 use std::collections::{BTreeMap, BTreeSet};
 use std::rc::Rc;
--- a/crates/seamfront-core/src/shard/records.rs
+++ b/crates/seamfront-core/src/shard/records.rs
@@ -1,6 +1,10 @@
 //! What a shard has written to the state service, and what follows from the outcome.
 
-use super::*;
+use super::{
+    info, machine_key, Cause, Context, Ending, Job, JobId, JobKind, JobSpec, Layout, MachineId,
+    MachineRecord, Micros, Phase, Priority, Shard, Stop, WorkRecord, Write, INSPECTION_INTERVAL,
+    RELEASE_KEPT, RESULTS_EVERY,
+};
 use crate::record::{encode, EncodedRecord};
 use serde_json::Value;
 
--- a/crates/seamfront-core/src/shard/task_removal.rs
+++ b/crates/seamfront-core/src/shard/task_removal.rs
@@ -1,6 +1,9 @@
 //! What becomes of a task that is known to be on no machine any more.
 
-use super::*;
+use super::{
+    debug, info, warn, Cause, Context, Ending, Exit, JobId, JobKind, MachineId, Micros, Phase,
+    Placement, Removal, Shard, TaskKey,
+};
 use crate::job::ERRORS_OF_JOB;
 
 /// How long a job avoids a machine where a task of it failed.
--- a/crates/seamfront-core/src/store_session/claims.rs
+++ b/crates/seamfront-core/src/store_session/claims.rs
@@ -1,6 +1,9 @@
 //! Claims on shards and on leadership: taking, proving, giving back.
 
-use super::*;
+use super::{
+    info, warn, Claim, ClaimValue, Engine, Leader, Load, Micros, SessionRequest, Shard, ShardPhase,
+    StoreReply, StoreRequest, Topic, Write, RETRY, VERIFY_INTERVAL,
+};
 
 impl Engine {
     pub(super) fn claim_changed(&mut self, slot: usize, claim: Option<Claim>, version: u64) {
--- a/crates/seamfront-core/src/store_session/failover.rs
+++ b/crates/seamfront-core/src/store_session/failover.rs
@@ -1,6 +1,9 @@
 //! Reading the former holder's records before a shard goes on.
 
-use super::*;
+use super::{
+    debug, warn, work_prefix, BTreeMap, Engine, Entry, JobId, Load, Micros, SessionRequest,
+    StoreReply, StoreRequest, Topic, MACHINES, RETRY,
+};
 use crate::record::{decode, parse_part_key, parts_prefix};
 use crate::shard::StoredRecord;
 
--- a/crates/seamfront-core/src/store_session/mod.rs
+++ b/crates/seamfront-core/src/store_session/mod.rs
@@ -4,9 +4,9 @@
 use crate::engine::Engine;
 use crate::leader::Leader;
 use crate::machine::MachineRecord;
-use crate::port::*;
+use crate::port::{Entry, StoreReply, StoreRequest, Write};
 use crate::shard::{work_prefix, Shard, ShardPhase};
-use crate::types::*;
+use crate::types::{JobId, JobSpec, MachineId, Micros};
 use seamfront_lease::view::{View, ViewUpdate};
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
--- a/crates/seamfront-core/src/user_api.rs
+++ b/crates/seamfront-core/src/user_api.rs
@@ -3,9 +3,12 @@
 
 use crate::dependencies::StatusQuery;
 use crate::engine::{Engine, LiveJob};
-use crate::port::*;
+use crate::port::{
+    Answer, ClientRequestId, JobState, PeerMessage, StoreReply, StoreRequest, SubmissionError,
+    Write,
+};
 use crate::quota::within_limit;
-use crate::types::*;
+use crate::types::{JobId, JobSpec, MachineType, Micros};
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, VecDeque};
 use std::rc::Rc;
--- a/crates/seamfront-lease/src/manager/claims.rs
+++ b/crates/seamfront-lease/src/manager/claims.rs
@@ -1,6 +1,10 @@
 //! Taking claims on duties, proving them and losing them.
 
-use super::*;
+use super::{
+    info, warn, ClaimVerification, CommitOutcome, Duty, DutyManager, Effect, Holding, LossReason,
+    Micros, OperationLog, Pending, Permit, Phase, Rejection, SeenClaim, StoreReply, StoreRequest,
+    Successor, Write, RETRY,
+};
 use crate::log::Unfinished;
 use crate::record::{self, ClaimRecord, FORMAT};
 use crate::spread;
--- a/crates/seamfront-lease/src/manager/handover.rs
+++ b/crates/seamfront-lease/src/manager/handover.rs
@@ -1,6 +1,9 @@
 //! Handing duties over on purpose: for load, by an operator's hand, before the process ends.
 
-use super::*;
+use super::{
+    info, keys, warn, Duty, DutyManager, LossReason, Micros, Pending, Phase, SeenClaim, StoreReply,
+    StoreRequest, Write, RETRY,
+};
 use crate::record::{self, ClaimRecord, FORMAT};
 use crate::spread;
 
--- a/crates/seamfront-lease/src/manager/membership.rs
+++ b/crates/seamfront-lease/src/manager/membership.rs
@@ -1,6 +1,9 @@
 //! The member's lease and its record in the store.
 
-use super::*;
+use super::{
+    info, keys, warn, BTreeSet, DutyManager, Effect, LossReason, MemberRecord, Micros, Pending,
+    SeenMember, StoreReply, StoreRequest, Write, RETRY,
+};
 use crate::permit::LeaseVerification;
 use crate::record::{self, VersionRecord, FORMAT};
 
--- a/crates/seamfront-lease/src/manager/mod.rs
+++ b/crates/seamfront-lease/src/manager/mod.rs
@@ -4,7 +4,9 @@
 use crate::keys;
 use crate::log::OperationLog;
 use crate::permit::{ClaimVerification, Permit};
-use crate::port::*;
+use crate::port::{
+    CallId, Command, CommitOutcome, Effect, LossReason, Rejection, RequestId, Successor,
+};
 use crate::record::{MemberRecord, MoveRecord, RecordError, SwitchRecord};
 use crate::settings::{LeaseSettings, SettingsError, StoreLimits};
 use crate::spread::MemberLoad;
--- a/crates/seamfront-lease/src/manager/operations.rs
+++ b/crates/seamfront-lease/src/manager/operations.rs
@@ -1,6 +1,9 @@
 //! Operations of the duties that are held: recording, performing, settling.
 
-use super::*;
+use super::{
+    info, keys, DutyManager, Effect, Holding, LossReason, Micros, OperationLog, Pending, Phase,
+    Rejection, RequestId, StoreReply, StoreRequest, Write, FENCED_WAITING, RETRY,
+};
 use crate::log::{FencedCommit, LogProgress, Reread};
 use crate::record::{self, LogRecord, RecordError};
 use serde_json::Value;
--- a/crates/seamfront-lease/src/manager/switch.rs
+++ b/crates/seamfront-lease/src/manager/switch.rs
@@ -4,7 +4,7 @@
 //! said that it knows duties, the holder of the former claim ends it for good and records the switch, in one
 //! transaction. What then stands in the former claim's key can't be taken over by an old process that comes back.
 
-use super::*;
+use super::{info, keys, DutyManager, Pending, StoreReply, StoreRequest, Write, RETRY};
 use crate::record::{self, FormerClaimRecord, SwitchRecord, FORMAT};
 
 impl DutyManager {
--- a/crates/seamfront-lease/src/manager/views.rs
+++ b/crates/seamfront-lease/src/manager/views.rs
@@ -1,6 +1,9 @@
 //! The view of claims, members, requests to move duties, and the switch.
 
-use super::*;
+use super::{
+    keys, warn, BTreeSet, DutyManager, MemberRecord, Micros, MoveRecord, Pending, SeenClaim,
+    SeenMember, StoreReply, RETRY,
+};
 use crate::record::{self, ClaimRecord, VersionRecord};
 use crate::view::{Change, ViewUpdate};
 use serde::de::DeserializeOwned;
--- a/crates/seamfront/src/cloud_client.rs
+++ b/crates/seamfront/src/cloud_client.rs
@@ -3,7 +3,7 @@
 use crate::http::Client;
 use http_types::Method;
 use seamfront_core::port::{CloudReply, CloudRequest, ListedMachine, ListedState};
-use seamfront_core::types::*;
+use seamfront_core::types::{MachineType, Micros, Resources};
 use serde::Deserialize;
 use serde_json::json;
 use std::net::SocketAddr;
--- a/crates/seamfront/src/driver.rs
+++ b/crates/seamfront/src/driver.rs
@@ -9,7 +9,7 @@
 use async_io::Timer;
 use futures_lite::FutureExt;
 use http_types::Method;
-use seamfront_core::port::*;
+use seamfront_core::port::{ClientRequestId, CloudReply, Command, Effect, PeerMessage};
 use seamfront_core::types::{JobId, Micros};
 use seamfront_core::Engine;
 use std::cell::{Cell, RefCell};
--- a/crates/seamfront/src/settings.rs
+++ b/crates/seamfront/src/settings.rs
@@ -1,7 +1,7 @@
 //! The platform's TOML and the operators' INI, each field checked and named when it is wrong.
 
 use ini::Ini;
-use seamfront_core::types::*;
+use seamfront_core::types::{Micros, Objective, Resources, Settings, Team, Tuning};
 use serde::Deserialize;
 use std::net::SocketAddr;
 use std::path::Path;
--- a/crates/seamfront/src/user_api.rs
+++ b/crates/seamfront/src/user_api.rs
@@ -2,7 +2,7 @@
 
 use crate::http::Reply;
 use seamfront_core::port::{Answer, JobState};
-use seamfront_core::types::*;
+use seamfront_core::types::{JobId, JobKind, JobSpec, Micros, Priority, Resources};
 use serde_json::{json, Map, Value};
 
 /// Tasks of a job at the most.
--- a/crates/seamfront/src/worker_api.rs
+++ b/crates/seamfront/src/worker_api.rs
@@ -2,8 +2,8 @@
 
 use crate::http::{Client, Failure, Reply};
 use http_types::Method;
-use seamfront_core::port::*;
-use seamfront_core::types::*;
+use seamfront_core::port::{DirectOutcome, Exit, Heartbeat, Order, TaskState, TaskStatus};
+use seamfront_core::types::{Micros, TaskKey};
 use serde::Deserialize;
 use serde_json::{json, Value};
 use std::net::SocketAddr;
