--- a/crates/seamfront-core/src/engine/mod.rs
+++ b/crates/seamfront-core/src/engine/mod.rs
@@ -2,10 +2,11 @@
 //! given, never asked for. Same commands, same times, same effects.
 
 use crate::dependencies::{DependencyGraph, DependencyRequest, JobDependencies};
-use crate::format_versions::{FormatRequest, Formats};
+use crate::format_versions::{FormatRequest, FormatVersions};
 use crate::garbage_collector::{CollectionRequest, GarbageCollector};
 use crate::leader::{Leader, LeaderRequest};
 use crate::machine::MachineRecord;
+use crate::outbox::{Outbox, Outgoing};
 use crate::port::{
     Answer, CallId, ClientRequestId, CloudReply, CloudRequest, Command, Effect, Heartbeat,
     PeerMessage, StoreReply, StoreRequest, Write,
@@ -130,7 +131,7 @@
     pub(crate) last_verified: Vec<Option<Micros>>,
     pub(crate) users: Users,
     pub(crate) dependencies: DependencyGraph,
-    pub(crate) formats: Formats,
+    format_versions: FormatVersions,
     /// Where duties are on.
     pub(crate) duties: Option<DutyManager>,
     pub(crate) garbage_collector: GarbageCollector,
@@ -175,7 +176,7 @@
             last_verified: vec![None; n + 1],
             users: Users::default(),
             dependencies: DependencyGraph::default(),
-            formats: Formats::default(),
+            format_versions: FormatVersions::default(),
             duties: crate::fleet_duties::manager(&settings),
             garbage_collector: GarbageCollector::default(),
             types: Vec::new(),
@@ -245,7 +246,7 @@
         self.detect_inbound_partition();
         self.store_session_tick();
         self.types_tick();
-        self.formats_tick();
+        self.format_versions_tick();
         self.duties_tick();
         for k in 0..self.shards.len() {
             self.with_shard(k, |s, context| {
@@ -307,12 +308,44 @@
 
     /// How work records may be laid out now.
     pub(crate) fn layout(&self) -> Layout {
-        if self.all_read_parts() {
+        if self.format_versions.all_read_parts(&self.settings) {
             return Layout::in_parts(self.settings.value_bytes, self.settings.txn_ops);
         }
         Layout::single(self.settings.value_bytes)
     }
 
+    /// Hands out what an owner has put into its outbox, in that order.
+    fn flush<R: Into<Pending>>(&mut self, outbox: Outbox<R>) {
+        for outgoing in outbox {
+            match outgoing {
+                Outgoing::Store { request, pending } => self.send_to_store(request, pending),
+                Outgoing::Cloud {
+                    request,
+                    until,
+                    pending,
+                } => self.send_to_cloud(request, until, pending),
+                Outgoing::Effect(effect) => self.effects.push(effect),
+            }
+        }
+    }
+
+    fn format_versions_tick(&mut self) {
+        if !self.store.loaded() {
+            return;
+        }
+        let mut outbox = Outbox::new();
+        self.format_versions
+            .tick(&self.settings, self.now, &mut outbox);
+        self.flush(outbox);
+    }
+
+    fn format_versions_reply(&mut self, request: FormatRequest, reply: StoreReply) {
+        let mut outbox = Outbox::new();
+        self.format_versions
+            .reply(&self.settings, self.now, request, reply, &mut outbox);
+        self.flush(outbox);
+    }
+
     fn call(&mut self, pending: Pending) -> CallId {
         let id = self.next_call;
         self.next_call += 1;
@@ -365,7 +398,7 @@
             Pending::User(request) => self.user_reply(request, reply),
             Pending::Dependency(request) => self.dependency_reply(request, reply),
             Pending::Collection(request) => self.collection_reply(request, reply),
-            Pending::Format(request) => self.format_reply(request, reply),
+            Pending::Format(request) => self.format_versions_reply(request, reply),
             Pending::MachineTypes(request) => self.machine_types_reply(request, reply),
             Pending::Shard {
                 shard,
--- a/crates/seamfront-core/src/format_versions.rs
+++ b/crates/seamfront-core/src/format_versions.rs
@@ -1,12 +1,12 @@
-//! Which controllers are known to read records in parts.
+//! Which controllers are known to read work records in parts.
 //!
 //! While an upgrade runs, some controllers may still run a version that reads whole records only. Each controller
 //! that knows parts says so once, under `format/<member>`, for good: parts are written only when all members
 //! have said so. Silence proves nothing, since an old process may be away for a while and come back old.
 
-use crate::engine::Engine;
-use crate::port::{StoreReply, StoreRequest, Write};
-use crate::types::Micros;
+use crate::outbox::Outbox;
+use crate::port::{Entry, StoreReply, StoreRequest, Write};
+use crate::types::{Micros, Settings};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeSet;
 use tracing::info;
@@ -19,101 +19,114 @@
 }
 
 const PREFIX: &str = "format/";
-/// How often it is asked who has said so, until all have.
-const ASK_EVERY: Micros = Micros::from_secs(3);
-
-/// What is known of the members' versions.
-#[derive(Debug, Default)]
-pub(crate) struct Formats {
-    /// Members whose record was read.
-    members: BTreeSet<String>,
-    busy: bool,
-    ask_at: Micros,
-}
+/// Time between two readings of all members' records, until all members have one.
+const READ_INTERVAL: Micros = Micros::from_secs(3);
+/// Time from our own record's write to the next reading.
+const READ_AFTER_WRITE: Micros = Micros::from_millis(300);
 
 fn format_key(member: &str) -> String {
     format!("{PREFIX}{member}")
 }
 
 /// An outstanding request about the members' stored-format versions.
+#[derive(Clone, Copy, Debug)]
 pub(crate) enum FormatRequest {
+    /// Reading of all members' records.
     Read,
+    /// The write of our own record.
     Written,
 }
 
-impl Engine {
-    /// Routes a reply of the store to what asked for it.
-    pub(crate) fn format_reply(&mut self, request: FormatRequest, reply: StoreReply) {
-        match request {
-            FormatRequest::Read => self.formats_read(reply),
-            FormatRequest::Written => self.format_written(),
-        }
-    }
+/// The members' stored-format versions as this controller knows them.
+#[derive(Debug, Default)]
+pub(crate) struct FormatVersions {
+    /// Members whose record says that they read parts.
+    members: BTreeSet<String>,
+    request_in_flight: bool,
+    read_next: Micros,
+}
 
+impl FormatVersions {
     /// Whether every member is known to read records in parts.
-    pub(crate) fn all_read_parts(&self) -> bool {
-        self.settings
-            .members
-            .iter()
-            .all(|m| self.formats.members.contains(m))
+    pub(crate) fn all_read_parts(&self, settings: &Settings) -> bool {
+        settings.members.iter().all(|m| self.members.contains(m))
     }
 
-    pub(crate) fn formats_tick(&mut self) {
-        if self.formats.busy
-            || self.now < self.formats.ask_at
-            || !self.store.loaded()
-            || self.all_read_parts()
-        {
+    /// Reads the members' records when that is due.
+    pub(crate) fn tick(
+        &mut self,
+        settings: &Settings,
+        now: Micros,
+        outbox: &mut Outbox<FormatRequest>,
+    ) {
+        if self.request_in_flight || now < self.read_next || self.all_read_parts(settings) {
             return;
         }
-        self.formats.busy = true;
-        self.send_to_store(
-            StoreRequest::List {
-                prefix: PREFIX.to_owned(),
-                after: None,
-            },
-            FormatRequest::Read,
-        );
+        self.request_in_flight = true;
+        let request = StoreRequest::List {
+            prefix: PREFIX.to_owned(),
+            after: None,
+        };
+        outbox.store(request, FormatRequest::Read);
     }
 
-    pub(crate) fn formats_read(&mut self, reply: StoreReply) {
-        self.formats.busy = false;
-        self.formats.ask_at = self.now + ASK_EVERY;
-        let StoreReply::Page { entries, .. } = reply else {
-            return;
-        };
-        for e in entries {
-            let known = serde_json::from_value::<FormatRecord>(e.value).is_ok_and(|f| f.parts);
-            if let Some(member) = e.key.strip_prefix(PREFIX).filter(|_| known) {
-                self.formats.members.insert(member.to_owned());
+    /// Takes in a reply of the store.
+    pub(crate) fn reply(
+        &mut self,
+        settings: &Settings,
+        now: Micros,
+        request: FormatRequest,
+        reply: StoreReply,
+        outbox: &mut Outbox<FormatRequest>,
+    ) {
+        self.request_in_flight = false;
+        match request {
+            FormatRequest::Read => {
+                self.read_next = now + READ_INTERVAL;
+                if let StoreReply::Page { entries, .. } = reply {
+                    self.records_read(settings, entries, outbox);
+                }
+            }
+            // Whatever the outcome, the next reading shows it.
+            FormatRequest::Written => self.read_next = now + READ_AFTER_WRITE,
+        }
+    }
+
+    fn records_read(
+        &mut self,
+        settings: &Settings,
+        entries: Vec<Entry>,
+        outbox: &mut Outbox<FormatRequest>,
+    ) {
+        for entry in entries {
+            let reads_parts = serde_json::from_value::<FormatRecord>(entry.value)
+                .is_ok_and(|record| record.parts);
+            if let Some(member) = entry.key.strip_prefix(PREFIX).filter(|_| reads_parts) {
+                self.members.insert(member.to_owned());
             }
         }
-        if self.all_read_parts() {
+        if self.all_read_parts(settings) {
             info!("all controllers read records in parts");
         }
-        let own = &self.settings.members[self.settings.me];
-        if !self.formats.members.contains(own) {
-            self.formats.busy = true;
-            let key = format_key(own);
-            let value = serde_json::to_value(FormatRecord { parts: true }).unwrap_or_default();
-            let writes = vec![Write::Put {
-                key: key.clone(),
-                value,
-                lease: None,
-            }];
-            self.send_to_store(
-                StoreRequest::CompareAndSwap {
-                    conditions: vec![(key, 0)],
-                    writes,
-                },
-                FormatRequest::Written,
-            );
+        let own = &settings.members[settings.me];
+        if !self.members.contains(own) {
+            self.write_own_record(own, outbox);
         }
     }
 
-    /// Whatever the outcome, the next reading tells.
-    pub(crate) fn format_written(&mut self) {
-        self.formats.busy = false;
-        self.formats.ask_at = self.now + Micros::from_millis(300);
+    fn write_own_record(&mut self, own: &str, outbox: &mut Outbox<FormatRequest>) {
+        self.request_in_flight = true;
+        let key = format_key(own);
+        let value = serde_json::to_value(FormatRecord { parts: true }).unwrap_or_default();
+        let write = Write::Put {
+            key: key.clone(),
+            value,
+            lease: None,
+        };
+        let request = StoreRequest::CompareAndSwap {
+            conditions: vec![(key, 0)],
+            writes: vec![write],
+        };
+        outbox.store(request, FormatRequest::Written);
     }
 }
