--- a/crates/seamfront-core/tests/chains.rs
+++ b/crates/seamfront-core/tests/chains.rs
@@ -1,17 +1,16 @@
 //! Jobs that wait for others, in the seeded world: none starts before all that it needs is done, and none outlives
 //! the cancellation of one that it needs (`too_early` and `orphaned` are checked after each step).
 
-#[allow(dead_code)]
-mod world;
-
 use seamfront_core::types::*;
+use seamfront_testing::simulation::recording::scenario;
+use seamfront_testing::simulation::script::{
+    count, pairs, pairs_of_all_kinds, play as play_histories, Coverage,
+};
+use seamfront_testing::simulation::{ms, Fault, Scale, Simulation, SMALL};
 use std::ops::Range;
-use world::recording::scenario;
-use world::script::{count, pairs, pairs_of_all_kinds, play as play_histories, Coverage};
-use world::{ms, Fault, Scale, World, SMALL};
 
 /// Pipelines among the usual jobs, some of whose jobs are called off, with troubles.
-fn play(seeds: Range<u64>, faults: impl Fn(&mut World, i64)) -> Coverage {
+fn play(seeds: Range<u64>, faults: impl Fn(&mut Simulation, i64)) -> Coverage {
     play_histories(seeds, |w, troubles| {
         for k in 0..6 {
             let at = w.draw(1_000..60_000);
@@ -58,7 +57,7 @@
     scenario("chains.the_next_step_is_ordered_soon_after_the_last_needed_job_has_ended");
     let mut waits = Vec::new();
     for seed in 2_800..2_808 {
-        let mut w = World::sized(
+        let mut w = Simulation::sized(
             seed,
             Scale {
                 machines: 24,
@@ -117,7 +116,7 @@
     assert!(count(&coverage, CALLED_OFF) > 5, "{coverage:?}");
 }
 
-fn gap(w: &mut World, _troubles: i64) {
+fn gap(w: &mut Simulation, _troubles: i64) {
     for (k, claim) in [(0, "share/0"), (1, "share/1")] {
         let at = 14_000 + 38_000 * k;
         w.fault(
@@ -191,7 +190,7 @@
             most: 30,
             ..SMALL
         };
-        let mut w = World::sized(seed, scale);
+        let mut w = Simulation::sized(seed, scale);
         w.quiet_from = ms(120_000);
         let mut small = Vec::new();
         for n in 0..400 {
--- a/crates/seamfront-core/tests/cleaning.rs
+++ b/crates/seamfront-core/tests/cleaning.rs
@@ -1,12 +1,9 @@
 //! The duty of cleaning in the seeded world: records that belong to nothing go once their jobs have ended, nothing else
 //! goes, and no rule is broken meanwhile.
 
-#[allow(dead_code)]
-mod world;
-
-use world::recording::scenario;
-use world::script::{history_of, pairs_of_all_kinds};
-use world::{ms, Scale, World, SMALL};
+use seamfront_testing::simulation::recording::scenario;
+use seamfront_testing::simulation::script::{history_of, pairs_of_all_kinds};
+use seamfront_testing::simulation::{ms, Scale, Simulation, SMALL};
 
 const DUTIES: Scale = Scale {
     duties: true,
@@ -21,7 +18,7 @@
 }
 
 /// One and a half times the time between two sweeps.
-fn sweep(w: &mut World) {
+fn sweep(w: &mut Simulation) {
     let end = w.now + ms(180_000);
     w.run_until(end);
 }
@@ -36,7 +33,7 @@
             }
             pairs_of_all_kinds(w, troubles);
         });
-        let ended = |w: &World, n: u32| !w.stored_keys(&format!("end/j-{n:06}")).is_empty();
+        let ended = |w: &Simulation, n: u32| !w.stored_keys(&format!("end/j-{n:06}")).is_empty();
         // Nobody has submitted these; that may yet come, and what they need with it.
         for n in 900..920 {
             for key in leftovers(n) {
--- a/crates/seamfront-core/tests/duties.rs
+++ b/crates/seamfront-core/tests/duties.rs
@@ -1,13 +1,12 @@
 //! The scheduler with duties on, in the seeded world: renting, returning and moving under tokens of their own. All rules
 //! are checked after each step, and that whoever acts on the cloud holds the duty.
 
-#[allow(dead_code)]
-mod world;
-
 use seamfront_core::types::*;
-use world::recording::scenario;
-use world::script::{add_coverage, count, history_of, pairs_of_all_kinds, Coverage};
-use world::{ms, Fault, Scale, World, NODES, SMALL};
+use seamfront_testing::simulation::recording::scenario;
+use seamfront_testing::simulation::script::{
+    add_coverage, count, history_of, pairs_of_all_kinds, Coverage,
+};
+use seamfront_testing::simulation::{ms, Fault, Scale, Simulation, NODES, SMALL};
 
 const DUTIES: Scale = Scale {
     duties: true,
@@ -21,7 +20,7 @@
 const ACTED: &str = "a duty acted on the cloud";
 
 /// Holders of duties crash, are refused by the store, cut off, or stand still.
-fn holders_in_trouble(w: &mut World, troubles: i64) {
+fn holders_in_trouble(w: &mut Simulation, troubles: i64) {
     pairs_of_all_kinds(w, troubles);
     for k in 0..8 {
         let at = 6_000 + 10_000 * k + w.draw(0..6_000);
@@ -93,7 +92,7 @@
     scenario("duties.duties_begin_when_the_last_controller_is_upgraded");
     let mut coverage = Coverage::new();
     for seed in 5_200..5_208 {
-        let mut w = World::sized(seed, DUTIES);
+        let mut w = Simulation::sized(seed, DUTIES);
         w.quiet_from = ms(150_000);
         w.start_with_old_version();
         for n in 0..40 {
--- a/crates/seamfront-core/tests/evidence.rs
+++ b/crates/seamfront-core/tests/evidence.rs
@@ -1,13 +1,8 @@
 //! What a report may prove, and to whom: copies that come late, workers that are heard but hear
 //! nothing, tokens of somebody newer. One share in the hand, no world round it.
 
-mod held;
 // Leases are not needed here.
-#[allow(dead_code)]
-#[path = "../../seamfront-lease/tests/stand_ins/store.rs"]
-mod store;
 
-use held::{heartbeat, job, s, settings, Held, CLAIM};
 use seamfront_core::job::Job;
 use seamfront_core::machine::{machine_key, DirectCommand, MachineRecord};
 use seamfront_core::port::*;
@@ -15,7 +10,8 @@
 use seamfront_core::shard::{ShardPhase, ShardWrite, StoredRecord};
 use seamfront_core::types::*;
 use seamfront_core::Engine;
-use store::Store;
+use seamfront_testing::shard_harness::{heartbeat, job, s, settings, Held, CLAIM};
+use seamfront_testing::store::Store;
 
 /// The attempt was ordered, exited and forgotten before, and runs anew by now: a copy of the old
 /// report must not free its number for a third place.
--- a/crates/seamfront-core/tests/failing_jobs.rs
+++ b/crates/seamfront-core/tests/failing_jobs.rs
@@ -1,13 +1,10 @@
 //! Jobs that were submitted with a mistake and fail on every machine until they are cancelled: they are tried on and
 //! cost others next to nothing. One shard in the hand.
 
-#[allow(dead_code)]
-mod held;
-
-use held::{job, s, Held, CLAIM};
 use seamfront_core::job::{Job, Phase};
 use seamfront_core::port::*;
 use seamfront_core::types::*;
+use seamfront_testing::shard_harness::{job, s, Held, CLAIM};
 use std::collections::BTreeMap;
 use std::rc::Rc;
 
@@ -57,7 +54,13 @@
                 .collect();
             let heartbeat = Heartbeat {
                 tasks,
-                ..held::heartbeat(&format!("i-{m}"), 1, self.sequence, CLAIM, &[])
+                ..seamfront_testing::shard_harness::heartbeat(
+                    &format!("i-{m}"),
+                    1,
+                    self.sequence,
+                    CLAIM,
+                    &[],
+                )
             };
             self.held.hello(now, &heartbeat);
         }
--- a/crates/seamfront-core/tests/fault_combinations.rs
+++ b/crates/seamfront-core/tests/fault_combinations.rs
@@ -1,19 +1,16 @@
 //! When troubles meet: each test brings one meeting about, in the seeded world, and asserts that it did.
 //! `docs/meetings.md` lists them with the code that holds each.
 
-#[allow(dead_code)]
-mod world;
-
 use seamfront_core::types::*;
-use world::recording::scenario;
-use world::script::{
+use seamfront_testing::simulation::recording::scenario;
+use seamfront_testing::simulation::script::{
     add_coverage, any_node, count, play, stream_of_small_jobs, teams_at_their_limits, Coverage,
     SHARDS,
 };
-use world::{ms, Fault, World, NODES};
+use seamfront_testing::simulation::{ms, Fault, Simulation, NODES};
 
 /// The seeded world's jobs, with something changed.
-fn submit(w: &mut World, n: u32, at: i64, change: impl Fn(&mut JobSpec)) {
+fn submit(w: &mut Simulation, n: u32, at: i64, change: impl Fn(&mut JobSpec)) {
     let mut spec = w.job(n);
     if spec.team == "b" {
         // Its limit is small: with more than the usual jobs it would not be through in the time.
@@ -645,7 +642,7 @@
 #[test]
 fn troubles_in_pairs() {
     scenario("fault_combinations.troubles_in_pairs");
-    play(1_400..1_440, world::script::pairs);
+    play(1_400..1_440, seamfront_testing::simulation::script::pairs);
 }
 
 /// A history in which a machine was returned with tasks that had been started after it was given up
@@ -653,7 +650,7 @@
 #[test]
 fn a_machine_that_comes_back_while_it_is_given_up() {
     scenario("fault_combinations.a_machine_that_comes_back_while_it_is_given_up");
-    play(41_407..41_408, world::script::pairs);
+    play(41_407..41_408, seamfront_testing::simulation::script::pairs);
 }
 
 #[test]
@@ -929,5 +926,8 @@
 #[test]
 fn all_kinds_of_troubles_in_pairs() {
     scenario("fault_combinations.all_kinds_of_troubles_in_pairs");
-    play(1_700..1_740, world::script::pairs_of_all_kinds);
+    play(
+        1_700..1_740,
+        seamfront_testing::simulation::script::pairs_of_all_kinds,
+    );
 }
--- a/crates/seamfront-core/tests/forms.rs
+++ b/crates/seamfront-core/tests/forms.rs
@@ -4,12 +4,6 @@
 //! The first half decodes and encodes single values. The second half runs an engine against a store and compares keys
 //! and values as they are written; then it hands the same texts to a new engine and looks at what it does with them.
 
-#[allow(dead_code)]
-mod held;
-#[path = "../../seamfront-lease/tests/stand_ins/store.rs"]
-#[allow(dead_code)]
-mod store;
-
 use seamfront_core::capacity::ProvisioningRecord;
 use seamfront_core::gang::Member;
 use seamfront_core::machine::{machine_key, MachineRecord};
@@ -19,11 +13,11 @@
 use seamfront_core::types::*;
 use seamfront_core::user_api::{end_key, job_key, EndRecord};
 use seamfront_core::Engine;
+use seamfront_testing::store::Store;
 use serde::de::DeserializeOwned;
 use serde::Serialize;
 use serde_json::Value;
 use std::collections::{BTreeMap, BTreeSet};
-use store::Store;
 
 // ---- single values ---------------------------------------------------------------------------
 
@@ -363,7 +357,7 @@
 
 impl Site {
     fn new(members: &[&str], entries: &[(&str, &str)]) -> Site {
-        let mut settings = held::settings();
+        let mut settings = seamfront_testing::shard_harness::settings();
         settings.members = members.iter().map(|m| (*m).to_owned()).collect();
         settings.value_bytes = VALUE;
         let mut store = Store::with_page(100);
@@ -695,7 +689,7 @@
         ("end/j-8", r#"{"cancelled":false,"tasks":1}"#),
     ];
     let mut site = Site::new(&["a"], &leftovers);
-    let mut settings = held::settings();
+    let mut settings = seamfront_testing::shard_harness::settings();
     settings.members = vec!["a".into()];
     settings.value_bytes = 4_096;
     settings.tuning.duties = true;
--- a/crates/seamfront-core/tests/on_call.rs
+++ b/crates/seamfront-core/tests/on_call.rs
@@ -2,13 +2,12 @@
 //! part of what they need, and jobs that fail on every machine. Each test brings it about in the seeded world, together
 //! with older troubles, and asserts that it did.
 
-#[allow(dead_code)]
-mod world;
-
 use seamfront_core::types::*;
-use world::recording::scenario;
-use world::script::{add_coverage, any_node, count, history, play, Coverage, SHARDS};
-use world::{ms, Fault, Scale, World, NODES, SMALL};
+use seamfront_testing::simulation::recording::scenario;
+use seamfront_testing::simulation::script::{
+    add_coverage, any_node, count, history, play, Coverage, SHARDS,
+};
+use seamfront_testing::simulation::{ms, Fault, Scale, Simulation, NODES, SMALL};
 
 /// Nothing that never comes up is paid for once the troubles are over, whoever has led since it was rented.
 #[test]
@@ -275,7 +274,7 @@
 fn machines_at_hand_are_adopted_while_others_are_being_rented() {
     scenario("on_call.machines_at_hand_are_adopted_while_others_are_being_rented");
     for seed in 2_120..2_124 {
-        let mut w = World::sized(
+        let mut w = Simulation::sized(
             seed,
             Scale {
                 machines: 60,
@@ -315,7 +314,7 @@
     scenario("on_call.a_sweep_of_many_short_tasks_beside_the_others_work");
     const TASKS: u32 = 4_000;
     for seed in 2_130..2_133 {
-        let mut w = World::sized(
+        let mut w = Simulation::sized(
             seed,
             Scale {
                 machines: 16,
--- a/crates/seamfront-core/tests/records.rs
+++ b/crates/seamfront-core/tests/records.rs
@@ -1,18 +1,17 @@
 //! Work records that take several keys, alone and in the seeded world, also beside the version in production.
 
-#[allow(dead_code)]
-mod world;
-
 use seamfront_core::ranges::Ranges;
 use seamfront_core::record::{
     decode, encode, parse_part_key, part_key, EncodedRecord, Layout, WorkRecord,
 };
 use seamfront_core::types::*;
+use seamfront_testing::simulation::recording::scenario;
+use seamfront_testing::simulation::script::{
+    add_coverage, count, log_if_chosen, pairs_of_all_kinds, Coverage,
+};
+use seamfront_testing::simulation::{ms, Fault, Scale, Simulation, NODES, SMALL};
 use serde_json::{json, Value};
 use std::collections::BTreeMap;
-use world::recording::scenario;
-use world::script::{add_coverage, count, log_if_chosen, pairs_of_all_kinds, Coverage};
-use world::{ms, Fault, Scale, World, NODES, SMALL};
 
 /// The limits that the state service comes to have.
 const VALUE: usize = 2_048;
@@ -158,7 +157,7 @@
     }
 }
 
-fn large_gang(w: &mut World, n: u32, members: u32) -> JobId {
+fn large_gang(w: &mut Simulation, n: u32, members: u32) -> JobId {
     let mut spec = w.job(n);
     (spec.kind, spec.class, spec.team, spec.tasks) =
         (JobKind::Gang, "large".into(), "a".into(), members);
@@ -179,7 +178,7 @@
     let mut coverage = Coverage::new();
     for seed in 3_000..3_003 {
         log_if_chosen(seed);
-        let mut w = World::sized(seed, small_values(210));
+        let mut w = Simulation::sized(seed, small_values(210));
         w.quiet_from = ms(90_000);
         let first = large_gang(&mut w, 1, 200);
         let shard = w.shard_key(&first);
@@ -228,7 +227,7 @@
     let mut coverage = Coverage::new();
     for seed in 3_100..3_116 {
         log_if_chosen(seed);
-        let mut w = World::sized(seed, small_values(110));
+        let mut w = Simulation::sized(seed, small_values(110));
         w.quiet_from = ms(150_000);
         w.start_with_old_version();
         for n in 0..40 {
--- a/crates/seamfront-core/tests/rules.rs
+++ b/crates/seamfront-core/tests/rules.rs
@@ -1,15 +1,12 @@
 //! Seeded runs of several engines in a hostile world; after each step every rule is checked on the
 //! workers' truth. Needs nothing but this repository.
 
-#[allow(dead_code)]
-mod world;
-
 use seamfront_core::types::*;
-use world::recording::scenario;
-use world::script::history;
-use world::{ms, Fault, World, NODES};
+use seamfront_testing::simulation::recording::scenario;
+use seamfront_testing::simulation::script::history;
+use seamfront_testing::simulation::{ms, Fault, Simulation, NODES};
 
-fn random_faults(w: &mut World, troubles: i64) {
+fn random_faults(w: &mut Simulation, troubles: i64) {
     for _ in 0..7 {
         let at = w.draw(5_000..troubles - 12_000);
         let lasts = w.draw(1_000..25_000);
@@ -375,7 +372,7 @@
 fn a_gang_as_large_as_its_teams_limit_gets_its_turn() {
     scenario("rules.a_gang_as_large_as_its_teams_limit_gets_its_turn");
     for seed in 850..854 {
-        let mut w = World::new(seed);
+        let mut w = Simulation::new(seed);
         w.quiet_from = ms(300_000);
         let mut gang = w.job(0);
         (gang.kind, gang.class, gang.team, gang.priority) =
@@ -405,7 +402,7 @@
     scenario("rules.nothing_starts_long_after_a_confirmed_cancellation");
     let mut late = 0;
     for seed in 800..806 {
-        let mut w = World::new(seed);
+        let mut w = Simulation::new(seed);
         w.quiet_from = ms(1_000);
         for n in 0..60 {
             let spec = w.job(n);
--- a/crates/seamfront-core/tests/size.rs
+++ b/crates/seamfront-core/tests/size.rs
@@ -2,12 +2,9 @@
 //! looked at, through a burst, a restart of all controllers and the loss of a tenth of the machines.
 //! Counted, never timed.
 
-#[allow(dead_code)]
-mod world;
-
 use seamfront_core::types::*;
-use world::recording::scenario;
-use world::{ms, Fault, Scale, World};
+use seamfront_testing::simulation::recording::scenario;
+use seamfront_testing::simulation::{ms, Fault, Scale, Simulation};
 
 fn fleet(nodes: usize, machines: usize, state_rps: i64, write_rps: i64) -> Scale {
     let most = machines + machines / 20;
@@ -20,12 +17,12 @@
         state_rps,
         write_rps,
         times: (5, 26, 46),
-        ..world::SMALL
+        ..seamfront_testing::simulation::SMALL
     }
 }
 
 /// Two hundred jobs, a third of them at once.
-fn jobs(w: &mut World) {
+fn jobs(w: &mut Simulation) {
     for n in 0..200 {
         let mut spec = w.job(n);
         spec.team = ["d", "e", "f", "g", "h", "i", "j"][n as usize % 7].into();
@@ -44,7 +41,7 @@
 }
 
 fn day(seed: u64, scale: Scale) {
-    let mut w = World::sized(seed, scale);
+    let mut w = Simulation::sized(seed, scale);
     w.quiet_from = ms(40_000);
     jobs(&mut w);
     w.fault(
@@ -124,7 +121,7 @@
 fn a_step_looks_at_no_more_in_a_fleet_twice_as_large() {
     scenario("size.a_step_looks_at_no_more_in_a_fleet_twice_as_large");
     let work_done = |machines: usize| {
-        let mut w = World::sized(902, fleet(3, machines, 1_000, 400));
+        let mut w = Simulation::sized(902, fleet(3, machines, 1_000, 400));
         w.quiet_from = ms(1_000);
         jobs(&mut w);
         w.run_until(ms(60_000));
--- a/crates/seamfront-core/tests/turns.rs
+++ b/crates/seamfront-core/tests/turns.rs
@@ -1,11 +1,9 @@
 //! Who gets room in a round, and who keeps it. One share in the hand.
 
 // Reports are sent elsewhere.
-#[allow(dead_code)]
-mod held;
 
-use held::{heartbeat, job, s, Held, CLAIM};
 use seamfront_core::types::*;
+use seamfront_testing::shard_harness::{heartbeat, job, s, Held, CLAIM};
 use std::rc::Rc;
 
 /// An array of tasks that take one of a machine's eight processors each.
--- a/crates/seamfront-lease/tests/forms.rs
+++ b/crates/seamfront-lease/tests/forms.rs
@@ -1,10 +1,6 @@
 //! Stored records of duties under their keys, to the letter: single values decoded and encoded again, and what a
 //! member writes as it runs against a store.
 
-#[path = "stand_ins/store.rs"]
-#[allow(dead_code)]
-mod store;
-
 use seamfront_lease::keys;
 use seamfront_lease::port::{Command, Effect, Outcome};
 use seamfront_lease::record::*;
@@ -12,10 +8,10 @@
 use seamfront_lease::store::{StoreReply, StoreRequest, Write};
 use seamfront_lease::time::Micros;
 use seamfront_lease::DutyManager;
+use seamfront_testing::store::Store;
 use serde::de::DeserializeOwned;
 use serde::Serialize;
 use serde_json::{json, Value};
-use store::Store;
 
 /// Reads a stored text and writes it again; each of the fields must be there.
 fn kept<T: Serialize + DeserializeOwned>(text: &str, required: &[&str]) {
--- a/crates/seamfront-lease/tests/hard_cases.rs
+++ b/crates/seamfront-lease/tests/hard_cases.rs
@@ -1,17 +1,13 @@
 //! One hard case each, step by step: a single member whose requests the test answers, beside others that the test plays.
 
-#[path = "stand_ins/store.rs"]
-#[allow(dead_code)]
-mod store;
-
 use seamfront_lease::port::*;
 use seamfront_lease::record::{self, MemberRecord, OperationName, Settlement, FORMAT};
 use seamfront_lease::settings::{LeaseSettings, StoreLimits};
 use seamfront_lease::store::{StoreReply, StoreRequest, Write};
 use seamfront_lease::time::Micros;
 use seamfront_lease::{keys, DutyManager};
+use seamfront_testing::store::Store;
 use serde_json::{json, Value};
-use store::Store;
 
 const LIMITS: StoreLimits = StoreLimits {
     value_bytes: 8_192,
--- a/crates/seamfront-lease/tests/histories/main.rs
+++ b/crates/seamfront-lease/tests/histories.rs
@@ -1,25 +1,16 @@
 //! Seeded histories of several members in which everything goes wrong that can; all rules are checked after each event.
 
-#[path = "../stand_ins/cloud.rs"]
-mod cloud;
-#[path = "../../examples/fleet/keeper.rs"]
-mod keeper;
-#[path = "../stand_ins/store.rs"]
-#[allow(dead_code)]
-mod store;
-mod world;
-
 use seamfront_lease::port::Command;
 use seamfront_lease::settings::{LeaseSettings, StoreLimits};
 use seamfront_lease::time::Micros;
-use world::{ms, Coverage, World};
+use seamfront_testing::member_simulation::{ms, Coverage, Simulation};
 
 const HISTORIES: u64 = 40;
 const TROUBLED: i64 = 240;
 const QUIET: i64 = 180;
 
 /// One thing goes wrong.
-fn trouble(world: &mut World) {
+fn trouble(world: &mut Simulation) {
     let node = world.draw(0, world.nodes.len() as i64 - 1) as usize;
     let short = ms(world.draw(50, 3_000));
     let long = ms(world.draw(1_000, 60_000));
@@ -30,7 +21,7 @@
         2 => world.freeze(node, short),
         3 => {
             // Most of all in the midst of a return.
-            if let Some(holder) = world.holder(keeper::RETURNING) {
+            if let Some(holder) = world.holder(seamfront_testing::fleet_keeper::RETURNING) {
                 world.freeze(holder, ms(60_000));
             }
         }
@@ -50,7 +41,7 @@
         15 => world.command(
             node,
             Command::HandOver {
-                duty: keeper::RETURNING.to_owned(),
+                duty: seamfront_testing::fleet_keeper::RETURNING.to_owned(),
                 to: None,
             },
         ),
@@ -59,7 +50,7 @@
             world.command(
                 node,
                 Command::HandOver {
-                    duty: keeper::RENTING.to_owned(),
+                    duty: seamfront_testing::fleet_keeper::RENTING.to_owned(),
                     to: Some(to),
                 },
             );
@@ -81,7 +72,7 @@
 }
 
 fn play(seed: u64) -> Coverage {
-    let mut world = World::new(seed, 3 + (seed % 3) as usize);
+    let mut world = Simulation::new(seed, 3 + (seed % 3) as usize);
     let end = ms(TROUBLED * 1_000);
     while world.now < end {
         let pause = ms(world.draw(500, 8_000));
@@ -154,9 +145,10 @@
 fn old_and_new_versions_never_act_beside_each_other() {
     for seed in 0..20 {
         let former = |settings: &mut LeaseSettings| {
-            settings.former_claim = Some(world::FORMER_CLAIM.to_owned())
+            settings.former_claim =
+                Some(seamfront_testing::member_simulation::FORMER_CLAIM.to_owned())
         };
-        let mut world = World::with(2_000 + seed, 3, former);
+        let mut world = Simulation::with(2_000 + seed, 3, former);
         for node in 0..3 {
             world.boot_old(node);
         }
@@ -200,7 +192,7 @@
 #[test]
 fn limits_that_shrink_never_make_a_value_too_large() {
     for seed in 0..8 {
-        let mut world = World::new(1_000 + seed, 3);
+        let mut world = Simulation::new(1_000 + seed, 3);
         world.run_for(ms(20_000));
         let small = StoreLimits {
             value_bytes: 1_024,
--- a/crates/seamfront-lease/tests/histories/world.rs
+++ b/crates/seamfront-testing/src/member_simulation.rs
@@ -1,7 +1,7 @@
 //! Several members with a store, a cloud and a network that delays, loses and holds back. One seed, one history.
 
 use crate::cloud::Cloud;
-use crate::keeper::{self, Keeper, Work};
+use crate::fleet_keeper::{self, Keeper, Work};
 use crate::store::Store;
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
@@ -19,9 +19,9 @@
 pub const TARGET: usize = 6;
 pub const FORMER_CLAIM: &str = "leader";
 const DUTIES: [&str; 4] = [
-    keeper::RENTING,
-    keeper::RETURNING,
-    keeper::CLEANING,
+    fleet_keeper::RENTING,
+    fleet_keeper::RETURNING,
+    fleet_keeper::CLEANING,
     "moving",
 ];
 const STEP: i64 = 50;
@@ -176,7 +176,7 @@
     attempt: u64,
 }
 
-pub struct World {
+pub struct Simulation {
     pub now: Micros,
     rng: StdRng,
     queue: BTreeMap<(Micros, u64), Event>,
@@ -199,17 +199,17 @@
     pub broken: Vec<String>,
 }
 
-impl World {
-    pub fn new(seed: u64, members: usize) -> World {
-        World::with(seed, members, |_| {})
+impl Simulation {
+    pub fn new(seed: u64, members: usize) -> Simulation {
+        Simulation::with(seed, members, |_| {})
     }
 
-    pub fn with(seed: u64, members: usize, adjust: impl Fn(&mut LeaseSettings)) -> World {
+    pub fn with(seed: u64, members: usize, adjust: impl Fn(&mut LeaseSettings)) -> Simulation {
         let names: Vec<String> = (0..members).map(|k| format!("n{k}")).collect();
         let names: Vec<&str> = names.iter().map(String::as_str).collect();
         let mut settings = LeaseSettings::new(names[0], &names, &DUTIES, LIMITS);
         adjust(&mut settings);
-        let mut world = World {
+        let mut world = Simulation {
             now: Micros::ZERO,
             rng: StdRng::seed_from_u64(seed),
             queue: BTreeMap::new(),
@@ -365,8 +365,10 @@
 
     fn carry_out(&mut self, node: usize, effect: Effect) {
         let orders = |operation: &Operation| {
-            self.cloud
-                .machines_of(&keeper::order_name(keeper::RENTING, operation.name))
+            self.cloud.machines_of(&fleet_keeper::order_name(
+                fleet_keeper::RENTING,
+                operation.name,
+            ))
         };
         self.nodes[node].keeper.told(&effect, orders);
         let life = self.nodes[node].life;
@@ -652,7 +654,7 @@
             return;
         }
         let machines = self.recorded_machines();
-        let log = self.store.keys.get(&keys::log(keeper::RENTING));
+        let log = self.store.keys.get(&keys::log(fleet_keeper::RENTING));
         let log = log
             .and_then(|entry| LogRecord::deserialize(&entry.0).ok())
             .unwrap_or_default();
@@ -664,7 +666,7 @@
     }
 
     pub fn recorded_machines(&self) -> BTreeSet<String> {
-        let prefix = keeper::MACHINE_PREFIX;
+        let prefix = fleet_keeper::MACHINE_PREFIX;
         let keys = self
             .store
             .keys
@@ -871,7 +873,7 @@
         let outcome = self.ask_cloud(&work, answered);
         let (lose_until, one_in) = self.trouble.lose_answers;
         if !answered {
-            self.coverage.late_rentals += u32::from(work.duty == keeper::RENTING);
+            self.coverage.late_rentals += u32::from(work.duty == fleet_keeper::RENTING);
             return;
         }
         let lost = self.now < lose_until && self.chance(one_in);
@@ -886,17 +888,17 @@
         }
         match Work::of(&work.operation) {
             Some(Work::Rent { count }) => {
-                let order = keeper::order_name(&work.duty, work.operation.name);
+                let order = fleet_keeper::order_name(&work.duty, work.operation.name);
                 let capacity = self.now >= self.trouble.no_capacity;
                 match self.cloud.rent(self.now, &order, count, capacity) {
-                    Some(machines) => keeper::rented(&machines),
+                    Some(machines) => fleet_keeper::rented(&machines),
                     None => Outcome::NotDone,
                 }
             }
             Some(Work::Return { machines }) => {
                 self.check_return(&work.operation, &machines);
                 self.cloud.delete(self.now, &machines);
-                keeper::returned(&machines)
+                fleet_keeper::returned(&machines)
             }
             None => Outcome::NotDone,
         }
--- a/crates/seamfront-core/tests/world/checks.rs
+++ b/crates/seamfront-testing/src/simulation/checks.rs
@@ -2,7 +2,7 @@
 
 use super::*;
 
-impl World {
+impl Simulation {
     /// What is still owed once everything has been quiet for long.
     pub fn owed(&self) -> Vec<String> {
         let mut owed = Vec::new();
--- a/crates/seamfront-core/tests/world/cloud.rs
+++ b/crates/seamfront-testing/src/simulation/cloud.rs
@@ -2,7 +2,7 @@
 
 use super::*;
 
-impl World {
+impl Simulation {
     pub(super) fn cloud(
         &mut self,
         node: usize,
--- a/crates/seamfront-core/tests/world/faults.rs
+++ b/crates/seamfront-testing/src/simulation/faults.rs
@@ -170,7 +170,7 @@
     },
 }
 
-impl World {
+impl Simulation {
     pub(super) fn some_machines(&mut self, count: usize) -> Vec<MachineId> {
         let up: Vec<MachineId> = self
             .truth
--- a/crates/seamfront-core/tests/world/mod.rs
+++ b/crates/seamfront-testing/src/simulation/mod.rs
@@ -9,20 +9,18 @@
 pub mod recording;
 pub mod script;
 mod state_service;
-#[path = "../../../seamfront-lease/tests/stand_ins/store.rs"]
-pub mod store;
 mod users;
 pub mod workers;
 
 pub use faults::Fault;
 
+use crate::store::{self, Store};
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
 use seamfront_core::port::*;
 use seamfront_core::types::*;
 use seamfront_core::Engine;
 use std::collections::{BTreeMap, BTreeSet, BinaryHeap};
-use store::Store;
 use workers::{Truth, Worker};
 
 pub const NODES: usize = 3;
@@ -169,7 +167,7 @@
     Impossible,
 }
 
-pub struct World {
+pub struct Simulation {
     pub now: Micros,
     seed: u64,
     scale: Scale,
@@ -336,9 +334,9 @@
     vec![one("small", 4.0, 1_000), one("large", 8.0, 1_900)]
 }
 
-impl World {
-    pub fn new(seed: u64) -> World {
-        World::sized(seed, SMALL)
+impl Simulation {
+    pub fn new(seed: u64) -> Simulation {
+        Simulation::sized(seed, SMALL)
     }
 
     /// A key that somebody has left in the store.
@@ -367,7 +365,7 @@
             .collect()
     }
 
-    pub fn sized(seed: u64, scale: Scale) -> World {
+    pub fn sized(seed: u64, scale: Scale) -> Simulation {
         let settings = settings(scale, 0);
         let truth = Truth {
             workers: BTreeMap::new(),
@@ -402,7 +400,7 @@
             old: false,
             called_cancelled: BTreeSet::new(),
         };
-        let mut w = World {
+        let mut w = Simulation {
             now: Micros::ZERO,
             seed,
             scale,
--- a/crates/seamfront-core/tests/world/network.rs
+++ b/crates/seamfront-testing/src/simulation/network.rs
@@ -2,7 +2,7 @@
 
 use super::*;
 
-impl World {
+impl Simulation {
     pub(super) fn report_answered(
         &mut self,
         node: usize,
@@ -257,7 +257,7 @@
         orders: Vec<Order>,
         late: bool,
     ) {
-        let unknown = |w: &mut World| {
+        let unknown = |w: &mut Simulation| {
             let command = Command::DirectResult {
                 call,
                 machine: id.clone(),
--- a/crates/seamfront-core/tests/world/old_version.rs
+++ b/crates/seamfront-testing/src/simulation/old_version.rs
@@ -15,7 +15,7 @@
     }
 }
 
-impl World {
+impl Simulation {
     /// All controllers run the version in production until they are upgraded.
     pub fn start_with_old_version(&mut self) {
         for node in &mut self.nodes {
--- a/crates/seamfront-core/tests/world/recording.rs
+++ b/crates/seamfront-testing/src/simulation/recording.rs
@@ -231,7 +231,7 @@
     }
 }
 
-impl World {
+impl Simulation {
     /// Records what a controller has put out, as soon as it has.
     pub(super) fn record_effect(&mut self, node: usize, life: u64, effect: &Effect) {
         if self.recorder.is_none() {
--- a/crates/seamfront-core/tests/world/script.rs
+++ b/crates/seamfront-testing/src/simulation/script.rs
@@ -6,11 +6,11 @@
 pub const SHARDS: [&str; NODES] = ["share/0", "share/1", "share/2"];
 
 /// Any controller.
-pub fn any_node(w: &mut World) -> usize {
+pub fn any_node(w: &mut Simulation) -> usize {
     w.draw(0..NODES as i64) as usize
 }
 
-impl World {
+impl Simulation {
     pub fn job(&mut self, n: u32) -> JobSpec {
         let kind = [
             JobKind::Array,
@@ -138,14 +138,14 @@
 }
 
 /// One history: a quiet start, then troubles, then time to get everything done.
-pub fn history(seed: u64, faults: impl Fn(&mut World, i64)) -> World {
+pub fn history(seed: u64, faults: impl Fn(&mut Simulation, i64)) -> Simulation {
     history_of(seed, SMALL, faults)
 }
 
 /// The same in a world of another size.
-pub fn history_of(seed: u64, scale: Scale, faults: impl Fn(&mut World, i64)) -> World {
+pub fn history_of(seed: u64, scale: Scale, faults: impl Fn(&mut Simulation, i64)) -> Simulation {
     log_if_chosen(seed);
-    let mut w = World::sized(seed, scale);
+    let mut w = Simulation::sized(seed, scale);
     let troubles = 90_000;
     w.quiet_from = ms(troubles);
     for n in 0..45 {
@@ -185,16 +185,16 @@
 }
 
 /// Troubles drawn in pairs that overlap.
-pub fn pairs(w: &mut World, troubles: i64) {
+pub fn pairs(w: &mut Simulation, troubles: i64) {
     draw_pairs(w, troubles, 18);
 }
 
 /// The same of all kinds of troubles.
-pub fn pairs_of_all_kinds(w: &mut World, troubles: i64) {
+pub fn pairs_of_all_kinds(w: &mut Simulation, troubles: i64) {
     draw_pairs(w, troubles, 23);
 }
 
-fn draw_pairs(w: &mut World, troubles: i64, kinds: i64) {
+fn draw_pairs(w: &mut Simulation, troubles: i64, kinds: i64) {
     w.fault(
         ms(3_000),
         Fault::CancelAtCompletion {
@@ -268,7 +268,7 @@
 pub type Coverage = BTreeMap<&'static str, u32>;
 
 /// Plays histories with several seeds; SOAK=20 plays twenty times as many.
-pub fn play(seeds: std::ops::Range<u64>, faults: impl Fn(&mut World, i64)) -> Coverage {
+pub fn play(seeds: std::ops::Range<u64>, faults: impl Fn(&mut Simulation, i64)) -> Coverage {
     let mut coverage = Coverage::new();
     let soak = std::env::var("SOAK")
         .ok()
@@ -293,9 +293,9 @@
 }
 
 /// One-task jobs at four a second for two minutes, a quarter of them called off, while controllers end.
-pub fn stream_of_small_jobs(seed: u64) -> World {
+pub fn stream_of_small_jobs(seed: u64) -> Simulation {
     log_if_chosen(seed);
-    let mut w = World::sized(
+    let mut w = Simulation::sized(
         seed,
         Scale {
             machines: 10,
@@ -331,9 +331,9 @@
 
 /// Every team has more small tasks than its limit lets run, all the time; some of its jobs are called off while
 /// their machines hang or are cut off, and controllers end.
-pub fn teams_at_their_limits(seed: u64) -> World {
+pub fn teams_at_their_limits(seed: u64) -> Simulation {
     log_if_chosen(seed);
-    let mut w = World::sized(
+    let mut w = Simulation::sized(
         seed,
         Scale {
             machines: 9,
--- a/crates/seamfront-core/tests/world/state_service.rs
+++ b/crates/seamfront-testing/src/simulation/state_service.rs
@@ -2,7 +2,7 @@
 
 use super::*;
 
-impl World {
+impl Simulation {
     pub(super) fn state(
         &mut self,
         node: usize,
@@ -11,7 +11,7 @@
         request: StoreRequest,
         late: bool,
     ) {
-        let unknown = |w: &mut World| {
+        let unknown = |w: &mut Simulation| {
             let command = Command::Store {
                 call,
                 reply: StoreReply::Unknown,
--- a/crates/seamfront-core/tests/world/users.rs
+++ b/crates/seamfront-testing/src/simulation/users.rs
@@ -6,7 +6,7 @@
 const USUAL_POLL_MS: i64 = 6_000;
 const STORM_STEP_MS: i64 = 200;
 
-impl World {
+impl Simulation {
     /// Controllers whose process runs.
     fn nodes_up(&self) -> Vec<usize> {
         (0..self.scale.nodes)
--- a/crates/seamfront/tests/stand_ins/mod.rs
+++ b/crates/seamfront-testing/src/store_service.rs
@@ -1,13 +1,6 @@
 //! Stand-ins of outside systems, served on loopback.
 
-#[allow(dead_code)]
-pub mod http;
-#[allow(dead_code)]
-pub mod process;
-#[path = "../../../seamfront-lease/tests/stand_ins/store.rs"]
-#[allow(dead_code)]
-pub mod store;
-
+use crate::{http, store};
 use seamfront_core::port::{Entry, StoreReply, StoreRequest, Write as Put};
 use seamfront_core::types::Micros;
 use serde_json::{json, Value};
@@ -73,7 +66,6 @@
     }
 }
 
-#[allow(dead_code)]
 pub fn state_service() -> SocketAddr {
     let service = StateService::new();
     http::serve(move |method, path, body| service.handle(method, path, &body))
--- a/crates/seamfront/examples/duty_holder/main.rs
+++ b/crates/seamfront/examples/duty_holder/main.rs
@@ -5,14 +5,10 @@
 //! duty_holder --member n0 --members n0,n1,n2 --state 127.0.0.1:7001 --cloud 127.0.0.1:7002
 //! ```
 
-#[path = "../../../seamfront-lease/examples/fleet/keeper.rs"]
-mod keeper;
-
 use async_channel::{Receiver, Sender};
 use async_io::Timer;
 use clap::Parser;
 use futures_lite::FutureExt;
-use keeper::{Keeper, Work};
 use seamfront::http::Client;
 use seamfront::{cloud_client, store_client};
 use seamfront_core::port::{CloudReply, CloudRequest, StoreReply, StoreRequest};
@@ -22,6 +18,7 @@
 use seamfront_lease::record::{self, LogRecord, Operation, OperationName};
 use seamfront_lease::settings::{LeaseSettings, StoreLimits};
 use seamfront_lease::{keys, DutyManager};
+use seamfront_testing::fleet_keeper::{self, Keeper, Work};
 use std::cell::RefCell;
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -82,7 +79,7 @@
 
 impl HttpCloud {
     async fn rent(&self, duty: &str, operation: &Operation, count: usize) -> Outcome {
-        let name = keeper::order_name(duty, operation.name);
+        let name = fleet_keeper::order_name(duty, operation.name);
         let (kind, zone) = ("small".to_owned(), "a".to_owned());
         let request = CloudRequest::Provision {
             name,
@@ -100,7 +97,7 @@
                 self.rented
                     .borrow_mut()
                     .insert(operation.name, machines.clone());
-                keeper::rented(&machines)
+                fleet_keeper::rented(&machines)
             }
             CloudReply::NoCapacity => Outcome::NotDone,
             _ => Outcome::Unknown,
@@ -119,7 +116,7 @@
         )
         .await
         {
-            CloudReply::Terminated => keeper::returned(machines),
+            CloudReply::Terminated => fleet_keeper::returned(machines),
             _ => Outcome::Unknown,
         }
     }
@@ -191,7 +188,7 @@
         let mut after = None;
         loop {
             let request = StoreRequest::List {
-                prefix: keeper::MACHINE_PREFIX.to_owned(),
+                prefix: fleet_keeper::MACHINE_PREFIX.to_owned(),
                 after,
             };
             let StoreReply::Page { entries, more, .. } =
@@ -202,7 +199,7 @@
             after = entries.last().map(|entry| entry.key.clone());
             let names = entries
                 .iter()
-                .filter_map(|entry| entry.key.strip_prefix(keeper::MACHINE_PREFIX));
+                .filter_map(|entry| entry.key.strip_prefix(fleet_keeper::MACHINE_PREFIX));
             machines.extend(names.map(str::to_owned));
             if !more {
                 return Some(machines);
@@ -211,7 +208,7 @@
     }
 
     async fn open_orders(&self) -> Option<BTreeSet<OperationName>> {
-        let key = keys::log(keeper::RENTING);
+        let key = keys::log(fleet_keeper::RENTING);
         match store_client::call(
             &self.client,
             self.state,
@@ -281,7 +278,11 @@
         transaction_changes: 48,
         changes_per_second: 100,
     };
-    let duties = [keeper::RENTING, keeper::RETURNING, keeper::CLEANING];
+    let duties = [
+        fleet_keeper::RENTING,
+        fleet_keeper::RETURNING,
+        fleet_keeper::CLEANING,
+    ];
     let mut settings = LeaseSettings::new(&args.member, &members, &duties, limits);
     settings.lease = Micros::from_millis(args.lease_ms);
     settings.store_answer = Micros::from_millis(args.answer_ms);
--- a/crates/seamfront/examples/measure_duties/main.rs
+++ b/crates/seamfront/examples/measure_duties/main.rs
@@ -5,26 +5,13 @@
 //! cargo run --release -p seamfront --example measure_duties -- record.jsonl
 //! ```
 
-#[path = "../../../seamfront-lease/tests/stand_ins/cloud.rs"]
-#[allow(dead_code)]
-mod cloud;
-#[path = "../../../seamfront-lease/examples/fleet/keeper.rs"]
-#[allow(dead_code)]
-mod keeper;
-#[path = "../../../seamfront-core/tests/world/mod.rs"]
-#[allow(dead_code)]
-mod scheduler;
-#[path = "../../../seamfront-lease/tests/histories/world.rs"]
-#[allow(dead_code)]
-mod world;
-
-use scheduler::{store, Fault, Scale, SMALL};
 use seamfront_core::types::Micros;
 use seamfront_lease::port::Command;
 use seamfront_report::{Recorder, ReportError};
+use seamfront_testing::member_simulation::{ms, Simulation};
+use seamfront_testing::simulation::{self, Fault, Scale, SMALL};
 use std::path::PathBuf;
 use std::process::ExitCode;
-use world::{ms, World};
 
 const ROUNDS: u64 = 60;
 const MEMBERS: [usize; 3] = [3, 7, 32];
@@ -54,9 +41,9 @@
 
 /// From the trouble until another member is active.
 fn duty_gap(seed: u64, members: usize, trouble: Trouble) -> Option<Micros> {
-    let mut world = World::new(seed, members);
+    let mut world = Simulation::new(seed, members);
     world.run_for(ms(25_000 + (seed as i64 * 137) % 1_000));
-    let holder = world.holder(keeper::RENTING)?;
+    let holder = world.holder(seamfront_testing::fleet_keeper::RENTING)?;
     let minute = ms(60_000);
     match trouble {
         Trouble::Crash => world.crash(holder, minute),
@@ -66,7 +53,7 @@
             world.command(
                 holder,
                 Command::HandOver {
-                    duty: keeper::RENTING.to_owned(),
+                    duty: seamfront_testing::fleet_keeper::RENTING.to_owned(),
                     to: None,
                 },
             );
@@ -76,7 +63,7 @@
     let last = world.now + ms(LONGEST);
     while world.now < last {
         world.run_for(ms(LOOK));
-        match world.holder(keeper::RENTING) {
+        match world.holder(seamfront_testing::fleet_keeper::RENTING) {
             // A handover begins when the holder stops; until then it is active. One that is frozen or cut off is not, though
             // its claim is still there.
             Some(now) if now == holder && matches!(trouble, Trouble::Handover) => since = world.now,
@@ -93,7 +80,7 @@
         nodes: members,
         ..SMALL
     };
-    let mut world = scheduler::World::sized(seed, scale);
+    let mut world = simulation::Simulation::sized(seed, scale);
     world.run_until(ms(25_000 + (seed as i64 * 137) % 1_000));
     let holder = world.holder("leader")?;
     let begin = world.now;
@@ -145,7 +132,7 @@
 /// Requests and changes at rest, and while a machine is returned and another rented all the time.
 fn record_load(recorder: &mut Recorder, members: usize) {
     for (churn, name) in [(false, "at rest"), (true, "while machines come and go")] {
-        let mut world = World::new(1, members);
+        let mut world = Simulation::new(1, members);
         world.churn = churn;
         world.run_for(ms(40_000));
         (world.requests, world.changes) = Default::default();
--- a/crates/seamfront/tests/duties.rs
+++ b/crates/seamfront/tests/duties.rs
@@ -1,13 +1,14 @@
 //! Two controllers with duties on: they clean up, show who holds what, and a duty is moved by hand.
 
-mod stand_ins;
-
+use seamfront_testing::controller_process::{eventually, free_port, Program};
+use seamfront_testing::{http, store_service::StateService};
 use serde_json::json;
-use stand_ins::process::{eventually, free_port, program, start};
-use stand_ins::{http, StateService};
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
 
+/// The program under test.
+const SEAMFRONT: Program = Program::at(env!("CARGO_BIN_EXE_seamfront"));
+
 struct Pair {
     dir: PathBuf,
     state: SocketAddr,
@@ -79,7 +80,8 @@
 }
 
 fn run(settings: &Path, args: &[&str]) -> (bool, String) {
-    let output = program()
+    let output = SEAMFRONT
+        .command()
         .args(args)
         .arg("--config")
         .arg(settings)
@@ -104,8 +106,8 @@
         pair.put(key);
     }
     let ((alpha, alpha_text), (beta, beta_text)) = (pair.settings(0), pair.settings(1));
-    let first = start(&alpha, &alpha_text, &["--duties"]);
-    let second = start(&beta, &beta_text, &["--duties"]);
+    let first = SEAMFRONT.start(&alpha, &alpha_text, &["--duties"]);
+    let second = SEAMFRONT.start(&beta, &beta_text, &["--duties"]);
     let settings = alpha.join("settings.toml");
     eventually("cleaned up", || {
         (!pair.has("needs/j-000007/00001") && !pair.has("part/0/j-000007/00000")).then_some(())
@@ -149,15 +151,15 @@
 fn the_way_back_to_one_leader() {
     let pair = Pair::new("duties-back");
     let ((alpha, alpha_text), (beta, beta_text)) = (pair.settings(0), pair.settings(1));
-    let first = start(&alpha, &alpha_text, &["--duties"]);
-    let second = start(&beta, &beta_text, &["--duties"]);
+    let first = SEAMFRONT.start(&alpha, &alpha_text, &["--duties"]);
+    let second = SEAMFRONT.start(&beta, &beta_text, &["--duties"]);
     let settings = alpha.join("settings.toml");
     eventually("duties in force", || pair.has("duty/switch").then_some(()));
     eventually("held", || pair.holder());
     let (worked, text) = run(&settings, &["--end-duties"]);
     assert!(!worked && text.contains("end-duties"), "{text}");
     drop((first, second));
-    let _first = start(&alpha, &alpha_text, &[]);
+    let _first = SEAMFRONT.start(&alpha, &alpha_text, &[]);
     eventually("ended", || {
         run(&settings, &["--end-duties"]).0.then_some(())
     });
--- a/crates/seamfront/tests/duty_freezes.rs
+++ b/crates/seamfront/tests/duty_freezes.rs
@@ -2,18 +2,14 @@
 //! carried out after their successors', and the cloud's ledger is read afterwards. Asserted are counts and order, never
 //! speed. `FREEZES=1000` plays a long run.
 
-#[path = "../../seamfront-lease/tests/stand_ins/cloud.rs"]
-#[allow(dead_code)]
-mod cloud;
-mod stand_ins;
-
-use cloud::Cloud;
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
 use rustix::process::{kill_process, Pid, Signal};
 use seamfront_core::types::Micros;
+use seamfront_testing::cloud::Cloud;
+use seamfront_testing::http;
+use seamfront_testing::store_service::StateService;
 use serde_json::{json, Value};
-use stand_ins::{http, StateService};
 use std::collections::{BTreeMap, BTreeSet};
 use std::path::PathBuf;
 use std::process::{Child, Command, Stdio};
@@ -61,7 +57,7 @@
     holders: BTreeMap<String, String>,
 }
 
-type World = Arc<Mutex<Shared>>;
+type Simulation = Arc<Mutex<Shared>>;
 
 /// What happens to a request that a member is frozen at.
 struct Freeze {
@@ -193,7 +189,7 @@
 
 /// Serves a member; it may be frozen at any request, before or after that is carried out.
 fn with_freezes(
-    world: &World,
+    world: &Simulation,
     member: &str,
     important: bool,
     carry_out: impl FnOnce() -> (u16, Value),
@@ -221,7 +217,7 @@
     path
 }
 
-fn start(world: &World, service: &StateService, name: &str, names: &str) {
+fn start(world: &Simulation, service: &StateService, name: &str, names: &str) {
     let (shared, member, states) = (world.clone(), name.to_owned(), service.clone());
     let state = http::serve(move |method, path, body| {
         let commit = path.starts_with("/commit");
@@ -274,7 +270,7 @@
 }
 
 /// Ends the processes, also when a check fails.
-struct Processes(World);
+struct Processes(Simulation);
 
 impl Drop for Processes {
     fn drop(&mut self) {
@@ -298,7 +294,7 @@
         .collect()
 }
 
-fn wait_until(world: &World, wanted: usize, what: &str, done: impl Fn(&Shared) -> bool) {
+fn wait_until(world: &Simulation, wanted: usize, what: &str, done: impl Fn(&Shared) -> bool) {
     let begin = Instant::now();
     loop {
         {
@@ -322,7 +318,7 @@
         .ok()
         .and_then(|count| count.parse().ok())
         .unwrap_or(FREEZES);
-    let world: World = Arc::new(Mutex::new(Shared {
+    let world: Simulation = Arc::new(Mutex::new(Shared {
         rng: StdRng::seed_from_u64(SEED),
         members: BTreeMap::new(),
         counts: Counts::default(),
--- a/crates/seamfront/tests/end_to_end.rs
+++ b/crates/seamfront/tests/end_to_end.rs
@@ -1,17 +1,18 @@
 //! The real binary on loopback against HTTP stand-ins: it accepts, runs, finishes and cancels, is
 //! killed and started again, and shows bad requests the door.
 
-mod stand_ins;
-
+use seamfront_testing::controller_process::{eventually, free_port, Program};
+use seamfront_testing::http::{call, call_with_retry_after, serve};
+use seamfront_testing::store_service::state_service;
 use serde_json::{json, Value};
-use stand_ins::http::{call, call_with_retry_after, serve};
-use stand_ins::process::{eventually, free_port, start};
-use stand_ins::state_service;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
 
+/// The program under test.
+const SEAMFRONT: Program = Program::at(env!("CARGO_BIN_EXE_seamfront"));
+
 // ---- stand-ins ---------------------------------------------------------------------------
 
 type Cloud = Arc<Mutex<BTreeMap<String, Arc<Mutex<Worker>>>>>;
@@ -202,7 +203,7 @@
         .replace("127.0.0.1:8091", &peer.to_string())
         .replace("127.0.0.1:8443", &nobody.to_string())
         .replace("127.0.0.1:2379", &nobody.to_string());
-    let controller = start(&dir, &text, &[]);
+    let controller = SEAMFRONT.start(&dir, &text, &[]);
     eventually("listening", || call(bind, "GET", "/up", ""));
     let asked = [
         (
@@ -244,7 +245,7 @@
         .replace("127.0.0.1:8091", &peer.to_string())
         .replace("127.0.0.1:8443", &cloud.to_string())
         .replace("127.0.0.1:2379", &state.to_string());
-    let controller = start(&dir, &text, &[]);
+    let controller = SEAMFRONT.start(&dir, &text, &[]);
     eventually("healthy", || {
         call(bind, "GET", "/up", "").filter(|r| r.0 == 200)
     });
@@ -362,7 +363,7 @@
     assert_eq!((s, body["ponto"].as_str()), (201, Some("withdrawn")));
 
     drop(controller);
-    let controller = start(&dir, &text, &[]);
+    let controller = SEAMFRONT.start(&dir, &text, &[]);
     eventually("service still known after a restart", || {
         is("j-900001", "running")
     });
--- a/crates/seamfront/tests/forms.rs
+++ b/crates/seamfront/tests/forms.rs
@@ -1,9 +1,6 @@
 //! HTTP bodies in both directions, the gRPC call between controllers and the settings files, to the letter: what
 //! adapters send is compared byte for byte as it arrives at a server, and what they read is given to them as text.
 
-#[allow(dead_code)]
-mod stand_ins;
-
 use bytes::Bytes;
 use hyper::body::{Body, Frame};
 use seamfront::http::{Client, Reply};
@@ -12,6 +9,7 @@
 };
 use seamfront_core::port::*;
 use seamfront_core::types::*;
+use seamfront_testing::controller_process::Program;
 use serde_json::Value;
 use std::future::Future;
 use std::io::{BufReader, Write as _};
@@ -20,6 +18,9 @@
 use std::sync::mpsc::{channel, Receiver};
 use std::task::{Context, Poll};
 
+/// The program under test.
+const SEAMFRONT: Program = Program::at(env!("CARGO_BIN_EXE_seamfront"));
+
 // ---- users -----------------------------------------------------------------------------------
 
 const SUBMISSION: &str = r#"{"id":"j-000031","fornada":"nightly","equipe":"sound","feitio":"group","vez":"urgent","paes":12,"cores":2.5,"accelerators":0.5,"ram_gb":12.25,"receita":"img-3","pull_gb":1.5,"modelos":["g4","g8"],"praca":"b","one_zone":true,"scatter":false,"emprestados":true,"assa_s":90.5,"vira_s":15.0,"guarda_s":2.5,"entrega_s":600.0,"espera":["j-7","j-8"]}"#;
@@ -338,7 +339,7 @@
         for stream in listener.incoming().flatten() {
             let mut out = stream.try_clone().unwrap();
             let mut reader = BufReader::new(stream);
-            while let Some((first, body)) = stand_ins::http::read_message(&mut reader) {
+            while let Some((first, body)) = seamfront_testing::http::read_message(&mut reader) {
                 let request = first.trim_end().trim_end_matches(" HTTP/1.1");
                 let text = format!("{request} {}", String::from_utf8(body).unwrap());
                 if sender.send(text.trim_end().to_owned()).is_err()
@@ -1019,7 +1020,7 @@
 fn a_message_as_it_is_taken_from_another_controller() {
     let ex: &'static Executor = Box::leak(Box::default());
     async_io::block_on(ex.run(async {
-        let bind = stand_ins::process::free_port();
+        let bind = seamfront_testing::controller_process::free_port();
         let (queue, commands) = async_channel::unbounded();
         ex.spawn(peer_transport::serve(
             ex,
@@ -1096,7 +1097,7 @@
         body.len()
     );
     stream.write_all(format!("{head}{body}").as_bytes()).ok()?;
-    let (first, body) = stand_ins::http::read_message(&mut BufReader::new(stream))?;
+    let (first, body) = seamfront_testing::http::read_message(&mut BufReader::new(stream))?;
     Some(format!(
         "{} {}",
         first.split(' ').nth(1)?,
@@ -1109,7 +1110,7 @@
     let types =
         r#"{"modelos":[{"name":"g4","cores":48,"accelerators":4,"ram_gb":384,"pracas":["b"]}]}"#;
     let (cloud, _requests) = server(200, types);
-    let at = stand_ins::process::free_port();
+    let at = seamfront_testing::controller_process::free_port();
     let dir = std::env::temp_dir().join(format!("seamfront-forms-{}", std::process::id()));
     std::fs::create_dir_all(&dir).unwrap();
     let members = PLATFORM.find("[[members]]").unwrap()..PLATFORM.find("[outside]").unwrap();
@@ -1118,15 +1119,18 @@
         .replace("127.0.0.1:7001", &at.to_string())
         .replace(
             "127.0.0.1:7002",
-            &stand_ins::process::free_port().to_string(),
+            &seamfront_testing::controller_process::free_port().to_string(),
         )
         .replace("127.0.0.1:7005", &cloud.to_string())
-        .replace("127.0.0.1:7006", &stand_ins::state_service().to_string());
-    let _controller = stand_ins::process::start(&dir, &text, &[]);
+        .replace(
+            "127.0.0.1:7006",
+            &seamfront_testing::store_service::state_service().to_string(),
+        );
+    let _controller = SEAMFRONT.start(&dir, &text, &[]);
     let submission = SUBMISSION
         .replace(r#","espera":["j-7","j-8"]"#, "")
         .replace("\"sound\"", "\"vision\"");
-    let accepted = stand_ins::process::eventually("the job is accepted", || {
+    let accepted = seamfront_testing::controller_process::eventually("the job is accepted", || {
         request(at, "POST", "/submissions", &submission).filter(|answer| !answer.starts_with("503"))
     });
     assert_eq!(
@@ -1220,7 +1224,7 @@
 
 #[test]
 fn commands_on_duties() {
-    let service = stand_ins::StateService::new();
+    let service = seamfront_testing::store_service::StateService::new();
     let put = |key: &str, value: &str| {
         let body = format!(r#"{{"when":[],"apply":[{{"write":"{key}","data":{value}}}]}}"#);
         assert_eq!(
@@ -1239,7 +1243,9 @@
             .collect()
     };
     let shared = service.clone();
-    let at = stand_ins::http::serve(move |method, path, body| shared.handle(method, path, &body));
+    let at = seamfront_testing::http::serve(move |method, path, body| {
+        shared.handle(method, path, &body)
+    });
     let settings =
         settings::parse(&PLATFORM.replace("127.0.0.1:7006", &at.to_string()), None).unwrap();
     assert_eq!(
