--- /dev/null
+++ b/crates/seamfront-core/src/types/machine_type.rs
@@ -0,0 +1,40 @@
+//! Machine types on offer, and which jobs may use them.
+
+use super::{Micros, Resources};
+use serde::{Deserialize, Serialize};
+
+/// A machine type on offer.
+#[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
+pub struct MachineType {
+    /// Name.
+    pub name: String,
+    /// What such a machine has.
+    pub size: Resources,
+    /// Room for images, in MB.
+    pub cache_mb: i64,
+    /// Rate of fetching images, in MB a second.
+    pub fetch_mb_s: i64,
+    /// Thousandths of the currency unit per hour.
+    pub price: i64,
+    /// Price of a spot machine.
+    pub spot_price: i64,
+    /// Usual time until it is up.
+    pub boot: Micros,
+    /// Zones in which there are any.
+    pub zones: Vec<String>,
+}
+
+/// See [`JobSpec::suits`].
+pub fn suits(
+    task_resources: Resources,
+    allowed: Option<&[String]>,
+    size: Resources,
+    types: &[MachineType],
+) -> bool {
+    let plain = |t: &MachineType| {
+        t.size.gpus == 0
+            && t.size.fits(task_resources) > 0
+            && allowed.is_none_or(|a| a.contains(&t.name))
+    };
+    task_resources.gpus > 0 || size.gpus == 0 || !types.iter().any(plain)
+}
--- /dev/null
+++ b/crates/seamfront-core/src/types/mod.rs
@@ -0,0 +1,18 @@
+//! Plain values shared by every module: time, identifiers, amounts, settings and what a user asks for.
+
+mod identifiers;
+mod job_spec;
+mod machine_type;
+mod objective;
+mod priority;
+mod resources;
+mod settings;
+
+pub use identifiers::{JobId, MachineId, TaskKey};
+pub use job_spec::{JobKind, JobSpec};
+pub use machine_type::{suits, MachineType};
+pub use objective::{Milestone, Objective, START_DEADLINE};
+pub use priority::{queue_rank, Priority};
+pub use resources::Resources;
+pub use seamfront_lease::time::Micros;
+pub use settings::{Settings, Team, Tuning};
--- a/crates/seamfront/src/settings.rs
+++ b/crates/seamfront/src/settings.rs
@@ -1,7 +1,7 @@
 //! The platform's TOML and the operators' INI, each field checked and named when it is wrong.
 
 use ini::Ini;
-use seamfront_core::types::{Micros, Objective, Resources, Settings, Team, Tuning};
+use seamfront_core::types::{Micros, Milestone, Objective, Resources, Settings, Team, Tuning};
 use serde::Deserialize;
 use std::net::SocketAddr;
 use std::path::Path;
@@ -271,15 +271,15 @@
     let mut objectives = Vec::new();
     for o in &p.objectives {
         // Other kinds may come; what names no class or no time tells a scheduler nothing here.
-        let started = match o.kind.as_str() {
-            "wait" => true,
-            "finished" => false,
+        let milestone = match o.kind.as_str() {
+            "wait" => Milestone::Started,
+            "finished" => Milestone::Finished,
             _ => continue,
         };
         if let (Some(class), Some(within)) = (&o.class, o.within_s) {
             objectives.push(Objective {
                 class: class.clone(),
-                started,
+                milestone,
                 within: secs("params.objectives.within_s", within)?,
             });
         }
--- a/crates/seamfront/tests/forms.rs
+++ b/crates/seamfront/tests/forms.rs
@@ -784,7 +784,9 @@
     for o in &c.objectives {
         lines.push(format!(
             "class {} started {} within {}",
-            o.class, o.started, o.within.0
+            o.class,
+            o.milestone == Milestone::Started,
+            o.within.0
         ));
     }
     let workers = [
