--- a/crates/seamfront-core/src/engine/peers.rs
+++ b/crates/seamfront-core/src/engine/peers.rs
@@ -24,7 +24,7 @@
         let heard_once = |s: &Shard| {
             s.machines
                 .values()
-                .any(|m| m.last_heartbeat.is_some() && m.record.shard.is_some())
+                .any(|m| m.agent.last_heartbeat.is_some() && m.record.shard.is_some())
         };
         let own = self.shards.iter().flatten().any(heard_once);
         match self.inbound_partition_since {
--- a/crates/seamfront-core/src/placement.rs
+++ b/crates/seamfront-core/src/placement.rs
@@ -173,7 +173,7 @@
             || self
                 .any_size
                 .is_some_and(|keep| m.accepts_cpu_only_work(self.now, keep)))
-            && (!self.cached || m.has_image(&self.spec.image))
+            && (!self.cached || m.image_cache.has_image(&self.spec.image))
             && self.avoid.get(&m.id).is_none_or(|until| *until <= self.now)
     }
 
@@ -234,7 +234,10 @@
             .iter()
             .find(|t| t.name == m.record.kind)
             .map_or(100, |t| t.fetch_mb_s);
-        m.to_fetch(&self.spec.image, self.spec.image_mb) * 1_000 / rate.max(1)
+        m.image_cache
+            .to_fetch_mb(&self.spec.image, self.spec.image_mb)
+            * 1_000
+            / rate.max(1)
     }
 
     /// Lower is better: a cached image, then the fullest machine, so that others become empty and
--- a/crates/seamfront-core/src/scheduling/machine_health.rs
+++ b/crates/seamfront-core/src/scheduling/machine_health.rs
@@ -13,12 +13,12 @@
         // What has reported, or what the former holder's records show tasks on, was up. Until it shows
         // our token, its worker may be content with that holder's answers for as long as these may come.
         let former = context.settings.verification_ttl().with_drift();
-        let was_up = |m: &Machine| m.last_heartbeat.is_some() || !m.tasks.is_empty();
+        let was_up = |m: &Machine| m.agent.last_heartbeat.is_some() || !m.tasks.is_empty();
         // Spot machines are taken without a notice far more often than networks fail: of them only one
         // lost report is forgiven, whose worker waits 4 s for the answer and 1 s to try elsewhere.
         let spot_limit = silent_limit
             .min(context.settings.heartbeat_interval.times(3).over(2) + Micros::from_secs(5));
-        let limit_of = |m: &Machine| match (m.last_acknowledged, m.record.spot) {
+        let limit_of = |m: &Machine| match (m.agent.last_acknowledged, m.record.spot) {
             (None, _) => silent_limit + former,
             (_, true) => spot_limit,
             (_, false) => silent_limit,
@@ -29,7 +29,7 @@
         for m in self.machines.values().filter(|m| was_up(m)) {
             up += 1;
             silent += usize::from(m.silent_for(context.now) > limit_of(m));
-            unacknowledging += usize::from(m.unacknowledged_for(context.now) > limit_of(m));
+            unacknowledging += usize::from(m.agent.unacknowledged_for(context.now) > limit_of(m));
         }
         let many = |n: usize| n * 3 > up && n > 2;
         let (many_silent, many_unacknowledging) = (many(silent), many(unacknowledging));
@@ -54,21 +54,22 @@
             let boot = kind.map_or(Micros::from_secs(60), |t| t.boot);
             let gone = if was_up(m) {
                 (quiet > limit_of(m) && !many_silent)
-                    || (m.unacknowledged_for(context.now) > limit_of(m) && !many_unacknowledging)
+                    || (m.agent.unacknowledged_for(context.now) > limit_of(m)
+                        && !many_unacknowledging)
                     || quiet > former + context.settings.lease.times(3).over(2)
             } else {
                 quiet > boot.times(4) + Micros::from_secs(30)
             };
-            let taken = m
-                .preemption_deadline
-                .is_some_and(|t| t + context.settings.heartbeat_interval.times(2) < context.now)
-                && quiet > context.settings.heartbeat_interval.times(2);
-            let condemned =
-                context.lease_valid && (gone || taken || due || (m.quarantined() && m.empty()));
-            if condemned && !m.condemned {
-                warn!(machine = %m.id, gone, taken, due, suspect = m.quarantined(), quiet_ms = quiet.0 / 1_000, unacknowledged_ms = m.unacknowledged_for(context.now).0 / 1_000, "machine given up");
+            let taken =
+                m.lifecycle.preemption_deadline.is_some_and(|t| {
+                    t + context.settings.heartbeat_interval.times(2) < context.now
+                }) && quiet > context.settings.heartbeat_interval.times(2);
+            let condemned = context.lease_valid
+                && (gone || taken || due || (m.health.quarantined() && m.empty()));
+            if condemned && !m.lifecycle.condemned {
+                warn!(machine = %m.id, gone, taken, due, suspect = m.health.quarantined(), quiet_ms = quiet.0 / 1_000, unacknowledged_ms = m.agent.unacknowledged_for(context.now).0 / 1_000, "machine given up");
             }
-            m.condemned = condemned;
+            m.lifecycle.condemned = condemned;
         }
     }
 
@@ -89,15 +90,19 @@
                     version: m.version,
                     // One that was moved here and has not shown our token yet is still on its way: it is not
                     // idle, and it will serve what waits here.
-                    up: m.highest_seen_token == m.fencing_token(self.version)
-                        && m.last_heartbeat.is_some()
+                    up: m.fencing.highest_seen_token == m.fencing_token(self.version)
+                        && m.agent.last_heartbeat.is_some()
                         && quiet < context.settings.heartbeat_interval.times(3),
                     used: m.used,
-                    idle: m.idle_since.filter(|_| m.empty()).map(|t| context.now - t),
-                    reserved_for_gang: m.reserved_for_gang,
-                    released: m.released_since.is_some() && m.empty(),
-                    bad: m.condemned,
-                    leaving: m.preemption_deadline.is_some(),
+                    idle: m
+                        .usage
+                        .idle_since
+                        .filter(|_| m.empty())
+                        .map(|t| context.now - t),
+                    reserved_for_gang: m.usage.reserved_for_gang,
+                    released: m.lifecycle.released_since.is_some() && m.empty(),
+                    bad: m.lifecycle.condemned,
+                    leaving: m.lifecycle.preemption_deadline.is_some(),
                 }
             })
             .collect()
@@ -152,13 +157,13 @@
                 continue;
             };
             if m.empty() {
-                if m.released_since.is_none() {
+                if m.lifecycle.released_since.is_none() {
                     debug!(machine = %id, "released for the leader");
-                    m.released_since = Some(context.now);
+                    m.lifecycle.released_since = Some(context.now);
                 }
                 continue;
             }
-            let Some(above) = above.filter(|_| m.draining_since.is_none()) else {
+            let Some(above) = above.filter(|_| m.lifecycle.draining_since.is_none()) else {
                 continue;
             };
             let tasks: Vec<TaskKey> = m.tasks.iter().cloned().collect();
@@ -175,7 +180,7 @@
             }
             info!(machine = %id, tasks = tasks.len(), ?above, "clearing machine for another shard");
             if let Some(m) = self.machines.get_mut(id) {
-                m.draining_since = Some(context.now);
+                m.lifecycle.draining_since = Some(context.now);
             }
             for t in tasks {
                 self.evict(context, &t, Cause::Preempted);
--- a/crates/seamfront-core/src/scheduling/mod.rs
+++ b/crates/seamfront-core/src/scheduling/mod.rs
@@ -185,12 +185,12 @@
         }
         for id in std::mem::replace(&mut self.gang_reservations, cycle.gang_reservations) {
             if let Some(m) = self.machines.get_mut(&id) {
-                m.reserved_for_gang = false;
+                m.usage.reserved_for_gang = false;
             }
         }
         for id in &self.gang_reservations {
             if let Some(m) = self.machines.get_mut(id) {
-                m.reserved_for_gang = true;
+                m.usage.reserved_for_gang = true;
             }
         }
         self.last_cycle_cost = cycle.capacity.work_done.get();
@@ -241,9 +241,10 @@
             s.free.fits(spec.task_resources) > 0
         });
         let here = |m: &Machine| {
-            m.images
+            m.image_cache
+                .images
                 .iter()
-                .filter(|i| images.contains(i.0.as_str()))
+                .filter(|i| images.contains(i.name.as_str()))
                 .count()
         };
         let mut best: Vec<(usize, usize)> = free
@@ -328,9 +329,13 @@
     }
 
     fn refresh_fetches(&mut self) {
-        for m in self.machines.values_mut().filter(|m| m.fetches_changed) {
-            m.fetches_changed = false;
-            m.fetching.clear();
+        for m in self
+            .machines
+            .values_mut()
+            .filter(|m| m.image_cache.fetches_changed)
+        {
+            m.image_cache.fetches_changed = false;
+            m.image_cache.fetching.clear();
             for t in &m.tasks {
                 let Some(j) = self.jobs.get(&t.job) else {
                     continue;
@@ -339,8 +344,10 @@
                     .tasks
                     .get(&t.index)
                     .is_some_and(|p| p.phase <= Phase::Fetching);
-                if blocked && !m.images.iter().any(|(i, _)| *i == j.spec.image) {
-                    m.fetching.insert(j.spec.image.clone(), j.spec.image_mb);
+                if blocked && !m.image_cache.has_image(&j.spec.image) {
+                    m.image_cache
+                        .fetching
+                        .insert(j.spec.image.clone(), j.spec.image_mb);
                 }
             }
         }
@@ -683,9 +690,9 @@
             self.quota.take(&spec.team, spec.task_resources);
             if let Some(m) = self.machines.get_mut(machine) {
                 m.used.add(spec.task_resources);
-                m.fetches_changed = true;
+                m.image_cache.fetches_changed = true;
                 m.tasks.insert(key);
-                m.idle_since = None;
+                m.usage.idle_since = None;
             }
         }
         if job.gang.is_some() {
--- a/crates/seamfront-core/src/shard/heartbeats.rs
+++ b/crates/seamfront-core/src/shard/heartbeats.rs
@@ -2,8 +2,8 @@
 
 use super::{
     debug, info, warn, BTreeMap, CallId, Cause, Context, DirectCommand, DirectOutcome, Effect,
-    Ending, Exit, Heartbeat, JobKind, Machine, MachineId, Micros, Order, Phase, Removal, Resources,
-    Shard, ShardPhase, TaskKey, TaskState, TaskStatus,
+    Ending, Exit, Heartbeat, JobKind, Machine, MachineId, Micros, Order, Phase, Removal, Shard,
+    ShardPhase, TaskKey, TaskState, TaskStatus,
 };
 
 impl Shard {
@@ -22,49 +22,54 @@
         let Some(m) = self.machines.get_mut(&id) else {
             return false;
         };
-        if (heartbeat.incarnation, heartbeat.sequence) <= (m.incarnation, m.sequence) {
+        if (heartbeat.incarnation, heartbeat.sequence) <= (m.agent.incarnation, m.agent.sequence) {
             return false;
         }
-        let new_incarnation = heartbeat.incarnation > m.incarnation && m.incarnation > 0;
+        let new_incarnation =
+            heartbeat.incarnation > m.agent.incarnation && m.agent.incarnation > 0;
         if new_incarnation {
             info!(machine = %id, incarnation = heartbeat.incarnation, "worker began a new session");
             // Answered all the time, and yet its lease ran out.
-            m.token_raise_due |= m
+            m.fencing.token_raise_due |= m
+                .agent
                 .last_reply
                 .is_some_and(|t| context.now - t < context.settings.lease);
         }
-        if heartbeat.incarnation > m.incarnation {
-            m.incarnation_seen_at = Some(context.now);
+        if heartbeat.incarnation > m.agent.incarnation {
+            m.agent.incarnation_seen_at = Some(context.now);
         }
-        (m.incarnation, m.sequence) = (heartbeat.incarnation, heartbeat.sequence);
-        m.highest_seen_token = m.highest_seen_token.max(heartbeat.fencing_token);
+        (m.agent.incarnation, m.agent.sequence) = (heartbeat.incarnation, heartbeat.sequence);
+        m.fencing.highest_seen_token = m.fencing.highest_seen_token.max(heartbeat.fencing_token);
         let fencing_token = m.fencing_token(self.version);
         let fresh = heartbeat.fencing_token == fencing_token;
         // An answer to a command renews no lease: a worker that reaches no controller may answer commands
         // until its lease ends, and after that in a new session, and must not be taken for one that reports.
         if hello {
-            m.addr = Some(heartbeat.addr.clone());
-            m.last_heartbeat = Some(context.now);
+            m.agent.address = Some(heartbeat.addr.clone());
+            m.agent.last_heartbeat = Some(context.now);
             if fresh {
-                (m.last_acknowledged, m.unacknowledged, m.lease_expired) =
-                    (Some(context.now), None, false);
+                (
+                    m.agent.last_acknowledged,
+                    m.agent.unacknowledged,
+                    m.agent.lease_expired,
+                ) = (Some(context.now), None, false);
             }
         }
-        let had_notice = m.preemption_deadline.is_some();
-        m.preemption_deadline = heartbeat.preemption_notice.map(|n| context.now + n);
-        if let Some(d) = &m.direct {
+        let had_notice = m.lifecycle.preemption_deadline.is_some();
+        m.lifecycle.preemption_deadline = heartbeat.preemption_notice.map(|n| context.now + n);
+        if let Some(d) = &m.fencing.direct_command {
             // An older session's commands are refused, and so are those below the highest token.
             if d.unknown
                 && (heartbeat.incarnation > d.incarnation
                     || heartbeat.fencing_token > d.fencing_token)
             {
                 debug!(machine = %id, fencing_token = d.fencing_token, "unanswered command can't arrive any more");
-                m.direct = None;
+                m.fencing.direct_command = None;
             }
         }
-        let settled = m.direct.is_none();
+        let settled = m.fencing.direct_command.is_none();
         let task_removal = hello && settled;
-        let first_notice = !had_notice && m.preemption_deadline.is_some();
+        let first_notice = !had_notice && m.lifecycle.preemption_deadline.is_some();
 
         let placed: Vec<TaskKey> = m.tasks.iter().cloned().collect();
         self.work_done
@@ -132,15 +137,15 @@
         };
         let m = self.machines.get_mut(machine);
         if let Some(m) = m {
-            p.incarnation = m.incarnation;
+            p.incarnation = m.agent.incarnation;
             if phase > Phase::Fetching && p.phase <= Phase::Fetching {
-                m.fetches_changed = true;
+                m.image_cache.fetches_changed = true;
                 let cache = context
                     .types
                     .iter()
                     .find(|t| t.name == m.record.kind)
                     .map_or(0, |t| t.cache_mb);
-                m.used_image(&spec.image, spec.image_mb, cache);
+                m.image_cache.use_image(&spec.image, spec.image_mb, cache);
             }
         }
         if phase == Phase::Running && p.running_since.is_none() {
@@ -174,7 +179,7 @@
             // The order got lost on its way, or was never sent: it goes with the next reply.
             if sent {
                 if let Some(m) = self.machines.get_mut(machine) {
-                    m.token_raise_due = true;
+                    m.fencing.token_raise_due = true;
                 }
             }
             return;
@@ -207,11 +212,9 @@
             }
             return;
         }
-        let task_resources = job.map_or(Resources::default(), |j| j.spec.task_resources);
         warn!(task = %t.task, machine = %machine, attempt = t.attempt, "task was not placed here; stopping it");
         if let Some(m) = self.machines.get_mut(machine) {
-            m.unexpected_tasks
-                .insert(t.task.clone(), (t.attempt, task_resources));
+            m.unexpected_tasks.insert(t.task.clone());
         }
     }
 
@@ -240,7 +243,7 @@
             return Vec::new();
         };
         let mut orders = Vec::new();
-        let unsettled = m.direct.is_some();
+        let unsettled = m.fencing.direct_command.is_some();
         // What a late copy shows may be long over: it stops what has no place here, nothing else.
         let fresh = heartbeat.fencing_token == m.fencing_token(self.version);
         for t in &heartbeat.tasks {
@@ -262,7 +265,7 @@
                         });
                     }
                 }
-                _ if m.unexpected_tasks.contains_key(key) => {
+                _ if m.unexpected_tasks.contains(key) => {
                     orders.push(Order::Stop {
                         task: key.clone(),
                         attempt: t.attempt,
@@ -273,8 +276,8 @@
             }
         }
         let tasks: Vec<TaskKey> = m.tasks.iter().cloned().collect();
-        let incarnation = m.incarnation;
-        let usable = m.record.shard.is_some() && !m.decommissioning();
+        let incarnation = m.agent.incarnation;
+        let usable = m.record.shard.is_some() && !m.lifecycle.decommissioning();
         for key in tasks {
             let Some(job) = self.jobs.get_mut(&key.job) else {
                 continue;
@@ -327,7 +330,7 @@
             let Some(m) = self.machines.get_mut(id).filter(|m| !m.tasks.is_empty()) else {
                 return false;
             };
-            if m.direct.is_some()
+            if m.fencing.direct_command.is_some()
                 || !m.usable(
                     context.now,
                     context.settings.heartbeat_interval,
@@ -337,7 +340,7 @@
                 return true;
             }
             let fencing_token = m.fencing_token(self.version);
-            let Some(addr) = m.addr.clone() else {
+            let Some(addr) = m.agent.address.clone() else {
                 return true;
             };
             let mut orders = Vec::new();
@@ -352,7 +355,7 @@
                 let fresh = p.phase == Phase::Ordered && p.incarnation == 0 && p.stop.is_none();
                 later |= fresh && p.not_before > context.now;
                 if fresh && p.not_before <= context.now {
-                    p.incarnation = m.incarnation;
+                    p.incarnation = m.agent.incarnation;
                     orders.push(Order::Start {
                         task: key.clone(),
                         attempt: p.attempt,
@@ -365,17 +368,17 @@
             debug!(machine = %id, fencing_token, orders = orders.len(), "starting tasks directly");
             let call = *context.calls;
             *context.calls += 1;
-            m.direct = Some(DirectCommand {
+            m.fencing.direct_command = Some(DirectCommand {
                 call,
                 fencing_token,
-                incarnation: m.incarnation,
+                incarnation: m.agent.incarnation,
                 unknown: false,
             });
             context.effects.push(Effect::SendDirect {
                 call,
                 machine: id.clone(),
                 addr,
-                incarnation: m.incarnation,
+                incarnation: m.agent.incarnation,
                 fencing_token,
                 orders,
             });
@@ -392,18 +395,23 @@
         id: &MachineId,
         outcome: DirectOutcome,
     ) {
-        let current = |m: &&mut Machine| m.direct.as_ref().is_some_and(|d| d.call == call);
+        let current = |m: &&mut Machine| {
+            m.fencing
+                .direct_command
+                .as_ref()
+                .is_some_and(|d| d.call == call)
+        };
         let Some(m) = self.machines.get_mut(id).filter(current) else {
             return;
         };
         match outcome {
             DirectOutcome::Settled { heartbeat } => {
-                m.direct = None;
+                m.fencing.direct_command = None;
                 self.apply_heartbeat(context, &heartbeat, false);
             }
-            DirectOutcome::NotSent => m.direct = None,
+            DirectOutcome::NotSent => m.fencing.direct_command = None,
             DirectOutcome::Unknown => {
-                if let Some(d) = &mut m.direct {
+                if let Some(d) = &mut m.fencing.direct_command {
                     warn!(machine = %id, fencing_token = d.fencing_token, "command unanswered; raising the token");
                     d.unknown = true;
                 }
--- a/crates/seamfront-core/src/shard/mod.rs
+++ b/crates/seamfront-core/src/shard/mod.rs
@@ -225,7 +225,7 @@
             }
             if let Some(m) = self.machines.get_mut(&p.machine) {
                 m.used.add(job.spec.task_resources);
-                m.fetches_changed = true;
+                m.image_cache.fetches_changed = true;
                 m.tasks.insert(TaskKey {
                     job: id.clone(),
                     index: *i,
@@ -353,8 +353,8 @@
                 if version > m.version {
                     m.version = version;
                     // Kept or given back by the leader, or fenced anew by ourselves.
-                    m.released_since = None;
-                    m.draining_since = None;
+                    m.lifecycle.released_since = None;
+                    m.lifecycle.draining_since = None;
                 }
                 // The engine's view may be behind what we wrote ourselves: one that we gave up a moment ago
                 // would be used again.
@@ -386,7 +386,7 @@
         let Some(m) = self.machines.get_mut(id) else {
             return;
         };
-        if m.tasks.is_empty() && m.direct.is_none() {
+        if m.tasks.is_empty() && m.fencing.direct_command.is_none() {
             self.machines.remove(id);
         } else {
             // Being returned with tasks on it: they are gone when the record is, or their lease.
@@ -430,7 +430,7 @@
             .machines
             .values()
             // One placed just before the end is looked at again.
-            .filter(|m| !m.lease_expired || !m.tasks.is_empty())
+            .filter(|m| !m.agent.lease_expired || !m.tasks.is_empty())
             .filter(|m| m.lease_expiry(version, context.settings.lease, lease_valid) < context.now)
             .map(|m| m.id.clone())
             .collect();
@@ -438,8 +438,8 @@
             let Some(m) = self.machines.get_mut(&id) else {
                 continue;
             };
-            m.lease_expired = true;
-            m.direct = None;
+            m.agent.lease_expired = true;
+            m.fencing.direct_command = None;
             m.unexpected_tasks.clear();
             let tasks: Vec<TaskKey> = m.tasks.iter().cloned().collect();
             if !tasks.is_empty() {
@@ -454,12 +454,12 @@
         for m in self.machines.values_mut() {
             let idle = m.empty() && m.record.shard.is_some();
             // Time to boot is not idle time, or a machine would be returned as soon as it is up.
-            let up = m.last_heartbeat.is_some();
-            if let Some(since) = m.draining_since {
-                if idle && m.released_since.is_none() {
-                    m.released_since = Some(context.now);
+            let up = m.agent.last_heartbeat.is_some();
+            if let Some(since) = m.lifecycle.draining_since {
+                if idle && m.lifecycle.released_since.is_none() {
+                    m.lifecycle.released_since = Some(context.now);
                 } else if !idle && context.now - since > CLEARING_KEPT {
-                    m.draining_since = None;
+                    m.lifecycle.draining_since = None;
                 }
             }
             let jobs = &self.jobs;
@@ -468,14 +468,14 @@
                     .is_some_and(|j| j.spec.task_resources.gpus > 0)
             };
             if m.size.gpus == 0 || !up || m.tasks.iter().any(uses) {
-                m.accelerators_unused_since = None;
-            } else if m.accelerators_unused_since.is_none() {
-                m.accelerators_unused_since = Some(context.now);
+                m.usage.accelerators_unused_since = None;
+            } else if m.usage.accelerators_unused_since.is_none() {
+                m.usage.accelerators_unused_since = Some(context.now);
             }
             if !idle || !up {
-                m.idle_since = None;
-            } else if m.idle_since.is_none() {
-                m.idle_since = Some(m.accelerators_unused_since.unwrap_or(context.now));
+                m.usage.idle_since = None;
+            } else if m.usage.idle_since.is_none() {
+                m.usage.idle_since = Some(m.usage.accelerators_unused_since.unwrap_or(context.now));
             }
         }
     }
--- a/crates/seamfront-core/src/shard/records.rs
+++ b/crates/seamfront-core/src/shard/records.rs
@@ -117,24 +117,28 @@
             if out.len() >= most {
                 break;
             }
-            if m.write_in_flight || m.record.shard.is_none() {
+            if m.lifecycle.write_in_flight || m.record.shard.is_none() {
                 continue;
             }
             let mut record = m.record.clone();
             let unsettled = m
-                .direct
+                .fencing
+                .direct_command
                 .as_ref()
                 .is_some_and(|d| d.unknown && d.fencing_token == m.version.max(self.version));
-            let unsettled = unsettled || m.token_raise_due;
+            let unsettled = unsettled || m.fencing.token_raise_due;
             // Released and not used by the leader: rewriting the record makes a late move of its fail.
-            let kept = m.released_since.is_some_and(|t| now - t > RELEASE_KEPT);
-            if m.condemned {
+            let kept = m
+                .lifecycle
+                .released_since
+                .is_some_and(|t| now - t > RELEASE_KEPT);
+            if m.lifecycle.condemned {
                 record.shard = None;
             } else if !unsettled && !kept {
                 continue;
             }
-            m.write_in_flight = true;
-            m.decommission_pending |= record.shard.is_none();
+            m.lifecycle.write_in_flight = true;
+            m.lifecycle.decommission_pending |= record.shard.is_none();
             out.push(ShardWrite::Machine {
                 machine: id.clone(),
                 version: m.version,
@@ -183,16 +187,17 @@
         let Some(m) = self.machines.get_mut(machine) else {
             return;
         };
-        m.write_in_flight = false;
+        m.lifecycle.write_in_flight = false;
         // Giving it up may be applied late, when it has long come back: rewriting the record makes that fail.
-        m.token_raise_due |= record.shard.is_none() && outcome == WriteOutcome::Unclear;
-        m.decommission_pending &= outcome != WriteOutcome::Refused || m.token_raise_due;
+        m.fencing.token_raise_due |= record.shard.is_none() && outcome == WriteOutcome::Unclear;
+        m.lifecycle.decommission_pending &=
+            outcome != WriteOutcome::Refused || m.fencing.token_raise_due;
         if let WriteOutcome::Done(v) = outcome {
             m.version = m.version.max(v);
-            m.token_raise_due = false;
-            m.decommission_pending = false;
-            m.released_since = None;
-            m.draining_since = None;
+            m.fencing.token_raise_due = false;
+            m.lifecycle.decommission_pending = false;
+            m.lifecycle.released_since = None;
+            m.lifecycle.draining_since = None;
             m.record = record.clone();
         }
     }
--- a/crates/seamfront-core/src/shard/task_removal.rs
+++ b/crates/seamfront-core/src/shard/task_removal.rs
@@ -42,7 +42,7 @@
             if m.tasks.remove(task) {
                 m.used.sub(job.spec.task_resources);
             }
-            m.fetches_changed = true;
+            m.image_cache.fetches_changed = true;
         }
         debug!(task = %task, machine = %p.machine, epoch = p.attempt, ?why, stop = ?p.stop.map(|s| s.cause), "task gone");
         job.record.touch();
@@ -55,7 +55,7 @@
             Removal::Exited(Exit::Done) => return self.take_completion(context, task, &p),
             Removal::Exited(Exit::NoRoom) => {
                 if let Some(m) = self.machines.get_mut(&p.machine) {
-                    m.full_until = context.now + FULL_FOR;
+                    m.health.full_until = context.now + FULL_FOR;
                 }
             }
             Removal::Exited(Exit::Busy | Exit::Unknown) => {
@@ -93,8 +93,8 @@
         let Some(m) = self.machines.get_mut(machine) else {
             return;
         };
-        m.failed_jobs.insert(task.job.clone());
-        if m.failing() {
+        m.health.failed_jobs.insert(task.job.clone());
+        if m.health.failing() {
             warn!(machine = %machine, "different jobs fail here: machine suspected");
         }
     }
@@ -107,7 +107,7 @@
         };
         for machine in std::mem::take(&mut job.avoided_machines).into_keys() {
             if let Some(m) = self.machines.get_mut(&machine) {
-                m.failed_jobs.remove(id);
+                m.health.failed_jobs.remove(id);
             }
         }
     }
@@ -128,13 +128,13 @@
             .filter(|_| job.spec.kind == JobKind::Array);
         if let Some(m) = self.machines.get_mut(&p.machine) {
             // What some tasks survive may still be faulty.
-            if !m.failing() {
-                m.failed_jobs.clear();
+            if !m.health.failing() {
+                m.health.failed_jobs.clear();
             }
             if let Some(ran) = ran.filter(|_| job.ran.0 >= RUNS_FOR_A_MEAN) {
-                let before = m.slow;
-                m.completed(ran, job.ran.1.over(job.ran.0));
-                if m.slow && !before {
+                let before = m.health.slow;
+                m.health.record_run(ran, job.ran.1.over(job.ran.0));
+                if m.health.slow && !before {
                     warn!(machine = %p.machine, "much slower than its kind: machine suspected");
                 }
             }
--- a/crates/seamfront-core/tests/evidence.rs
+++ b/crates/seamfront-core/tests/evidence.rs
@@ -265,11 +265,11 @@
     let newest = |h: &Held| {
         let m = &h.shard.machines[&MachineId::from("i-0")];
         (
-            m.incarnation,
-            m.sequence,
-            m.highest_seen_token,
-            m.last_heartbeat,
-            m.preemption_deadline,
+            m.agent.incarnation,
+            m.agent.sequence,
+            m.fencing.highest_seen_token,
+            m.agent.last_heartbeat,
+            m.lifecycle.preemption_deadline,
         )
     };
     let before = newest(&h);
@@ -595,7 +595,7 @@
     h.with(s(101), |s, context| {
         s.release(context, &["i-0".into()], None)
     });
-    assert!(h.shard.machines[&id].released_since.is_none());
+    assert!(h.shard.machines[&id].lifecycle.released_since.is_none());
     // Nor is one that has tasks shown as released, whatever came before.
     h.shard.phase = ShardPhase::Ready;
     let task = TaskKey {
@@ -604,7 +604,7 @@
     };
     let m = h.shard.machines.get_mut(&id).unwrap();
     m.tasks.insert(task);
-    m.released_since = Some(s(101));
+    m.lifecycle.released_since = Some(s(101));
     assert!(h
         .with(s(102), |s, context| s.views(context))
         .iter()
@@ -632,7 +632,7 @@
     h.hello(s(101), &heartbeat("i-0", 1, 88, CLAIM, &[]));
     let direct = |h: &mut Held, now, incarnation, sequence| {
         let m = h.shard.machines.get_mut(&id).unwrap();
-        m.direct = Some(DirectCommand {
+        m.fencing.direct_command = Some(DirectCommand {
             call: 7,
             fencing_token: CLAIM,
             incarnation,
@@ -663,7 +663,12 @@
 fn an_outcome_settles_only_its_own_command() {
     let mut h = Held::new(1, 0);
     let id = MachineId::from("i-0");
-    h.shard.machines.get_mut(&id).unwrap().direct = Some(DirectCommand {
+    h.shard
+        .machines
+        .get_mut(&id)
+        .unwrap()
+        .fencing
+        .direct_command = Some(DirectCommand {
         call: 9,
         fencing_token: CLAIM,
         incarnation: 1,
@@ -672,11 +677,11 @@
     h.with(s(101), |s, context| {
         s.direct_result(context, 8, &id, DirectOutcome::NotSent)
     });
-    assert!(h.shard.machines[&id].direct.is_some());
+    assert!(h.shard.machines[&id].fencing.direct_command.is_some());
     h.with(s(101), |s, context| {
         s.direct_result(context, 9, &id, DirectOutcome::NotSent)
     });
-    assert!(h.shard.machines[&id].direct.is_none());
+    assert!(h.shard.machines[&id].fencing.direct_command.is_none());
 }
 
 /// The worst case of a cancellation that the holder does not hear of: it is confirmed right after the sending of
--- a/crates/seamfront-core/tests/failing_jobs.rs
+++ b/crates/seamfront-core/tests/failing_jobs.rs
@@ -100,7 +100,7 @@
 
     fn quarantined(&self) -> Vec<usize> {
         (0..MACHINES)
-            .filter(|m| self.held.shard.machines[&machine(*m)].quarantined())
+            .filter(|m| self.held.shard.machines[&machine(*m)].health.quarantined())
             .collect()
     }
 }
--- a/crates/seamfront-core/tests/machines.rs
+++ b/crates/seamfront-core/tests/machines.rs
@@ -23,14 +23,15 @@
 fn a_machine_much_slower_than_its_jobs_elsewhere_is_suspected() {
     let (mut slow, mut fair) = (machine(), machine());
     for k in 0..PACE_TASKS {
-        slow.completed(Micros::from_secs(20), Micros::from_secs(10));
+        slow.health
+            .record_run(Micros::from_secs(20), Micros::from_secs(10));
         // One long task among ordinary ones tells nothing about the machine.
-        fair.completed(
+        fair.health.record_run(
             Micros::from_secs(if k == 0 { 35 } else { 11 }),
             Micros::from_secs(10),
         );
     }
-    assert!(slow.slow && !fair.slow);
+    assert!(slow.health.slow && !fair.health.slow);
 }
 
 /// Until the worker has shown the present token, a former holder may have kept its lease alive.
@@ -38,11 +39,11 @@
 fn a_lease_is_over_only_when_no_former_holder_can_have_renewed_it() {
     let (lease, lease_valid) = (Micros::from_secs(10), Micros::from_secs(20));
     let mut m = machine();
-    m.owned_since = Micros::from_secs(100);
+    m.lifecycle.owned_since = Micros::from_secs(100);
     assert!(m.lease_expiry(9, lease, lease_valid) >= Micros::from_secs(130));
-    m.last_reply = Some(Micros::from_secs(101));
+    m.agent.last_reply = Some(Micros::from_secs(101));
     assert!(m.lease_expiry(9, lease, lease_valid) >= Micros::from_secs(130));
-    m.highest_seen_token = 9;
+    m.fencing.highest_seen_token = 9;
     let over = m.lease_expiry(9, lease, lease_valid);
     assert!(over >= Micros::from_secs(111) && over < Micros::from_secs(112));
 }
--- a/crates/seamfront-core/tests/turns.rs
+++ b/crates/seamfront-core/tests/turns.rs
@@ -157,7 +157,8 @@
         .machines
         .get_mut(&busy)
         .unwrap()
-        .used_image("live", 100, 1_000);
+        .image_cache
+        .use_image("live", 100, 1_000);
     h.shard.add_job(
         Rc::new(array("j-1", 200, Priority::BestEffort, now)),
         5,
