--- /dev/null
+++ b/crates/seamfront/tests/documentation.rs
@@ -0,0 +1,122 @@
+//! The pages name what the sources have: modules, functions, files and log lines.
+
+use std::collections::BTreeSet;
+use std::fs;
+use std::path::{Path, PathBuf};
+
+/// The root of the repository.
+fn root() -> PathBuf {
+    Path::new(env!("CARGO_MANIFEST_DIR")).join("../..")
+}
+
+fn page(name: &str) -> String {
+    let path = root().join(name);
+    fs::read_to_string(&path).unwrap_or_else(|e| panic!("{}: {e}", path.display()))
+}
+
+fn rust_files(folder: &Path, found: &mut Vec<PathBuf>) {
+    for entry in fs::read_dir(folder).unwrap() {
+        let path = entry.unwrap().path();
+        if path.is_dir() && path.file_name().is_some_and(|name| name != "target") {
+            rust_files(&path, found);
+        } else if path.extension().is_some_and(|extension| extension == "rs") {
+            found.push(path);
+        }
+    }
+}
+
+/// The texts of all sources outside of tests.
+fn sources() -> String {
+    let mut files = Vec::new();
+    rust_files(&root().join("crates"), &mut files);
+    let sources = files.iter().filter(|path| path.components().any(|part| part.as_os_str() == "src"));
+    sources.map(|path| fs::read_to_string(path).unwrap()).collect()
+}
+
+/// What stands between single backticks, outside of code blocks.
+fn code_spans(text: &str) -> Vec<&str> {
+    let outside = text.split("```").step_by(2);
+    outside.flat_map(|part| part.split('`').skip(1).step_by(2)).collect()
+}
+
+/// The first column of a table's rows, from the line that begins with this header to the table's end.
+fn first_column<'a>(text: &'a str, header: &str) -> Vec<&'a str> {
+    let mut lines = text.lines().skip_while(|line| !line.starts_with(header));
+    assert!(lines.next().is_some(), "no table {header:?}");
+    let rows = lines.skip(1).take_while(|line| line.starts_with('|'));
+    rows.filter_map(|row| row.split('|').nth(1)).collect()
+}
+
+/// Whether a span names a module, type or function: `shard`, `Engine::step`.
+fn is_path(span: &str) -> bool {
+    let segment = |s: &str| !s.is_empty() && s.chars().all(|c| c.is_ascii_alphanumeric() || c == '_');
+    span.contains("::") && span.split("::").all(segment)
+}
+
+fn words(text: &str) -> BTreeSet<&str> {
+    text.split(|c: char| !c.is_ascii_alphanumeric() && c != '_').collect()
+}
+
+#[test]
+fn log_lines_that_operators_search_for_exist() {
+    let sources = sources();
+    let pages = [
+        ("docs/operating.md", "| search for |"),
+        ("docs/operating-duties.md", "| line |"),
+    ];
+    for (name, header) in pages {
+        let text = page(name);
+        for cell in first_column(&text, header) {
+            for line in code_spans(cell) {
+                let field = line.split_once('=').map(|(field, _)| field);
+                let exists = sources.contains(line) || field.is_some_and(|field| words(&sources).contains(field));
+                assert!(exists, "{name}: no log line {line:?}");
+            }
+        }
+    }
+}
+
+#[test]
+fn renamed_log_lines_exist_under_their_new_names() {
+    let sources = sources();
+    let text = page("docs/operating.md");
+    let mut rows = text.lines().skip_while(|line| !line.starts_with("| old line |")).skip(2);
+    let mut found = 0;
+    for row in rows.by_ref().take_while(|line| line.starts_with('|')) {
+        let new = row.split('|').nth(2).unwrap_or_default();
+        for line in code_spans(new).into_iter().filter(|line| !line.ends_with('=')) {
+            assert!(sources.contains(line), "no log line {line:?}");
+            found += 1;
+        }
+    }
+    assert!(found > 20, "only {found} renamed log lines");
+}
+
+#[test]
+fn names_in_the_architecture_page_exist() {
+    let sources = sources();
+    let known = words(&sources);
+    for name in ["docs/architecture.md", "docs/design.md"] {
+        let text = page(name);
+        for span in code_spans(&text).into_iter().filter(|span| is_path(span)) {
+            for segment in span.split("::") {
+                assert!(known.contains(segment), "{name}: `{span}` is not in the sources");
+            }
+        }
+    }
+}
+
+#[test]
+fn files_that_pages_name_exist() {
+    let pages = ["README.md", "CONTRIBUTING.md", "docs/architecture.md", "docs/glossary.md"];
+    for name in pages {
+        let text = page(name);
+        let paths = code_spans(&text).into_iter().filter(|span| {
+            let prefixes = ["crates/", "docs/", "scripts/", "deploy/", "tests/days", "journal/"];
+            prefixes.iter().any(|prefix| span.starts_with(prefix)) && !span.contains([' ', '<', '{'])
+        });
+        for path in paths {
+            assert!(root().join(path).exists(), "{name}: no file {path}");
+        }
+    }
+}
