--- a/crates/seamfront-core/tests/chains.rs
+++ b/crates/seamfront-core/tests/dependencies.rs
@@ -3,7 +3,7 @@
 
 use seamfront_core::types::*;
 use seamfront_testing::simulation::recording::scenario;
-use seamfront_testing::simulation::script::{
+use seamfront_testing::simulation::scenarios::{
     count, pairs, pairs_of_all_kinds, play as play_histories, Coverage,
 };
 use seamfront_testing::simulation::{ms, Fault, Scale, Simulation, SMALL};
--- a/crates/seamfront-core/tests/duties.rs
+++ b/crates/seamfront-core/tests/duties.rs
@@ -3,7 +3,7 @@
 
 use seamfront_core::types::*;
 use seamfront_testing::simulation::recording::scenario;
-use seamfront_testing::simulation::script::{
+use seamfront_testing::simulation::scenarios::{
     add_coverage, count, history_of, pairs_of_all_kinds, Coverage,
 };
 use seamfront_testing::simulation::{ms, Fault, Scale, Simulation, NODES, SMALL};
--- a/crates/seamfront-core/tests/fault_combinations.rs
+++ b/crates/seamfront-core/tests/fault_combinations.rs
@@ -1,9 +1,9 @@
-//! When troubles meet: each test brings one meeting about, in the seeded world, and asserts that it did.
-//! `docs/meetings.md` lists them with the code that holds each.
+//! Fault combinations: each test brings one about in the simulation, and asserts that it did.
+//! `docs/fault-combinations.md` lists them with the code that holds each.
 
 use seamfront_core::types::*;
 use seamfront_testing::simulation::recording::scenario;
-use seamfront_testing::simulation::script::{
+use seamfront_testing::simulation::scenarios::{
     add_coverage, any_node, count, play, stream_of_small_jobs, teams_at_their_limits, Coverage,
     SHARDS,
 };
@@ -642,7 +642,7 @@
 #[test]
 fn troubles_in_pairs() {
     scenario("fault_combinations.troubles_in_pairs");
-    play(1_400..1_440, seamfront_testing::simulation::script::pairs);
+    play(1_400..1_440, seamfront_testing::simulation::scenarios::pairs);
 }
 
 /// A history in which a machine was returned with tasks that had been started after it was given up
@@ -650,7 +650,7 @@
 #[test]
 fn a_machine_that_comes_back_while_it_is_given_up() {
     scenario("fault_combinations.a_machine_that_comes_back_while_it_is_given_up");
-    play(41_407..41_408, seamfront_testing::simulation::script::pairs);
+    play(41_407..41_408, seamfront_testing::simulation::scenarios::pairs);
 }
 
 #[test]
@@ -928,6 +928,6 @@
     scenario("fault_combinations.all_kinds_of_troubles_in_pairs");
     play(
         1_700..1_740,
-        seamfront_testing::simulation::script::pairs_of_all_kinds,
+        seamfront_testing::simulation::scenarios::pairs_of_all_kinds,
     );
 }
--- a/crates/seamfront-core/tests/cleaning.rs
+++ b/crates/seamfront-core/tests/garbage_collection.rs
@@ -2,7 +2,7 @@
 //! goes, and no rule is broken meanwhile.
 
 use seamfront_testing::simulation::recording::scenario;
-use seamfront_testing::simulation::script::{history_of, pairs_of_all_kinds};
+use seamfront_testing::simulation::scenarios::{history_of, pairs_of_all_kinds};
 use seamfront_testing::simulation::{ms, Scale, Simulation, SMALL};
 
 const DUTIES: Scale = Scale {
--- a/crates/seamfront-core/tests/on_call.rs
+++ b/crates/seamfront-core/tests/operational_faults.rs
@@ -4,7 +4,7 @@
 
 use seamfront_core::types::*;
 use seamfront_testing::simulation::recording::scenario;
-use seamfront_testing::simulation::script::{
+use seamfront_testing::simulation::scenarios::{
     add_coverage, any_node, count, history, play, Coverage, SHARDS,
 };
 use seamfront_testing::simulation::{ms, Fault, Scale, Simulation, NODES, SMALL};
--- a/crates/seamfront-core/tests/rules.rs
+++ b/crates/seamfront-core/tests/rules.rs
@@ -3,7 +3,7 @@
 
 use seamfront_core::types::*;
 use seamfront_testing::simulation::recording::scenario;
-use seamfront_testing::simulation::script::history;
+use seamfront_testing::simulation::scenarios::history;
 use seamfront_testing::simulation::{ms, Fault, Simulation, NODES};
 
 fn random_faults(w: &mut Simulation, troubles: i64) {
--- a/crates/seamfront-testing/src/simulation/mod.rs
+++ b/crates/seamfront-testing/src/simulation/mod.rs
@@ -1,13 +1,13 @@
 //! A small deterministic world round several engines: state service, cloud, workers, users and a
 //! network that delays, loses, holds back and repeats. One seed, one history.
 
-mod checks;
+mod invariants;
 mod cloud;
 mod faults;
 mod network;
 mod old_version;
 pub mod recording;
-pub mod script;
+pub mod scenarios;
 mod state_service;
 mod users;
 pub mod workers;
@@ -221,7 +221,7 @@
     /// When the first start of a job was ordered.
     first_orders: BTreeMap<JobId, Micros>,
     /// How often what the tests are for really happened.
-    pub coverage: script::Coverage,
+    pub coverage: scenarios::Coverage,
     /// By claim: its last version, and since when it is held or free.
     claims: BTreeMap<String, (Option<u64>, Micros)>,
     /// Since when a job waits though that machine has room for it.
