--- /dev/null
+++ b/crates/seamfront-core/src/engine/fleet.rs
@@ -0,0 +1,234 @@
+//! Dispatch to the fleet's duties, the leader and the garbage collector.
+
+use super::{Engine, Pending};
+use crate::fleet_duties::{Fence, FleetDuty, GARBAGE_COLLECTION, LEADER_CLAIM};
+use crate::garbage_collector::CollectionRequest;
+use crate::leader::Leader;
+use crate::outbox::Outbox;
+use crate::port::{CallId, StoreReply};
+use seamfront_lease::keys;
+use seamfront_lease::port::{
+    Command as DutyCommand, CommitOutcome, Effect as DutyEffect, RequestId,
+};
+use seamfront_lease::DutyManager;
+
+impl Engine {
+    /// Steps the duties, if they are on.
+    pub(crate) fn duties_tick(&mut self) {
+        if self.duties.is_none() {
+            return;
+        }
+        let former = self.leader.as_ref().and_then(|leader| leader.version);
+        let former = former.filter(|_| self.lease_valid(self.leader_slot()));
+        self.duty_step(vec![DutyCommand::FormerClaim(former)]);
+        self.former_claim_ends();
+        self.garbage_collection_tick();
+    }
+
+    /// Once duties are in force the leader's claim means nothing, whether its end has been seen here or not.
+    fn former_claim_ends(&mut self) {
+        let former = self
+            .leader
+            .as_ref()
+            .is_some_and(|leader| leader.version.is_some());
+        if !former || !self.duties_in_force() {
+            return;
+        }
+        let slot = self.leader_slot();
+        self.drop_claim(slot, "duties have claims of their own");
+        for duty in FleetDuty::ALL {
+            if self.duty_token(duty.name()).is_some() {
+                self.duty_begins(duty.name());
+            }
+        }
+    }
+
+    pub(crate) fn duty_reply(&mut self, call: CallId, reply: StoreReply) {
+        self.duty_step(vec![DutyCommand::Store { call, reply }]);
+    }
+
+    pub(crate) fn duty_step(&mut self, commands: Vec<DutyCommand>) {
+        let now = self.now;
+        let Some(duties) = self.duties.as_mut() else {
+            return;
+        };
+        for effect in duties.step(now, commands) {
+            self.duty_effect(effect);
+        }
+    }
+
+    fn duty_effect(&mut self, effect: DutyEffect) {
+        match effect {
+            DutyEffect::Store { call, request } => {
+                self.send_to_store(request, Pending::Duty { call })
+            }
+            DutyEffect::Active { duty, .. } => self.duty_begins(&duty),
+            DutyEffect::Lost { duty, .. } => self.duty_ends(&duty),
+            DutyEffect::Committed { request, outcome } => self.removal_done(request, &outcome),
+            DutyEffect::Rejected { request, .. } => {
+                self.removal_done(request, &CommitOutcome::Refused)
+            }
+            _ => {}
+        }
+    }
+
+    fn garbage_collection_tick(&mut self) {
+        if self.duty_token(GARBAGE_COLLECTION).is_none() {
+            return;
+        }
+        let mut outbox = Outbox::new();
+        self.garbage_collector.tick(self.now, &mut outbox);
+        self.flush(outbox);
+    }
+
+    /// Routes a reply of the store to the garbage collector.
+    pub(super) fn collection_reply(&mut self, request: CollectionRequest, reply: StoreReply) {
+        match request {
+            CollectionRequest::OrphanedRecords => {
+                let jobs = &self.jobs;
+                self.garbage_collector
+                    .page_reply(self.now, reply, |job| jobs.contains_key(job));
+            }
+            CollectionRequest::OwnerEnd => {
+                let removal =
+                    self.garbage_collector
+                        .owner_end_reply(&self.settings, self.now, reply);
+                if let Some(command) = removal {
+                    self.duty_step(vec![command]);
+                }
+            }
+        }
+    }
+
+    fn removal_done(&mut self, request: RequestId, outcome: &CommitOutcome) {
+        self.garbage_collector
+            .removal_done(&self.settings, self.now, request, outcome);
+    }
+
+    fn duty_begins(&mut self, duty: &str) {
+        let now = self.now;
+        if duty == GARBAGE_COLLECTION {
+            return self.garbage_collector.stop(now);
+        }
+        let members = self.settings.members.len();
+        let leader = self
+            .leader
+            .get_or_insert_with(|| Leader::new(None, now, members));
+        let fleet = FleetDuty::ALL
+            .into_iter()
+            .find(|fleet| fleet.name() == duty);
+        if let Some(fleet) = fleet {
+            leader.duty_begins(fleet);
+        }
+    }
+
+    fn duty_ends(&mut self, duty: &str) {
+        if duty == GARBAGE_COLLECTION {
+            let now = self.now;
+            return self.garbage_collector.stop(now);
+        }
+        let any = FleetDuty::ALL
+            .iter()
+            .any(|fleet| self.duty_token(fleet.name()).is_some());
+        if !any
+            && self
+                .leader
+                .as_ref()
+                .is_some_and(|leader| leader.version.is_none())
+        {
+            self.leader = None;
+        }
+    }
+
+    /// The token of a duty that may be performed here.
+    pub(crate) fn duty_token(&self, duty: &str) -> Option<u64> {
+        self.duties.as_ref()?.fencing_token(duty)
+    }
+
+    /// Whether duties have claims of their own by now.
+    pub(crate) fn duties_in_force(&self) -> bool {
+        self.duties
+            .as_ref()
+            .is_some_and(DutyManager::duties_in_force)
+    }
+
+    /// The token under which a duty is held here, be it the leader's claim.
+    pub(crate) fn fleet_token(&self, duty: FleetDuty) -> Option<u64> {
+        let leader = self.leader.as_ref()?;
+        leader.version.or_else(|| self.duty_token(duty.name()))
+    }
+
+    /// What an effect of a duty is fenced with, if it may begin now. Asks for a proof where there is none.
+    pub(crate) fn fence(&mut self, duty: FleetDuty) -> Option<Fence> {
+        if let Some(fencing_token) = self.leader.as_ref()?.version {
+            let lease_valid = self.lease_valid(self.leader_slot());
+            return lease_valid.then(|| Fence {
+                key: LEADER_CLAIM.to_owned(),
+                fencing_token,
+                until: None,
+            });
+        }
+        let fencing_token = self.duty_token(duty.name())?;
+        let duties = self.duties.as_mut()?;
+        duties.request_verification(duty.name());
+        let permit = duties.permit(duty.name())?;
+        Some(Fence {
+            key: keys::claim(duty.name()),
+            fencing_token,
+            until: Some(permit.until),
+        })
+    }
+
+    /// A change on this fence has failed on it: whoever else holds it, we don't.
+    pub(crate) fn fence_refused(&mut self, duty: FleetDuty, fencing_token: u64) {
+        if self
+            .leader
+            .as_ref()
+            .is_some_and(|leader| leader.version == Some(fencing_token))
+        {
+            let slot = self.leader_slot();
+            return self.drop_claim(slot, "claim proven lost");
+        }
+        self.duty_step(vec![DutyCommand::TokenRefused {
+            duty: duty.name().to_owned(),
+            fencing_token,
+        }]);
+    }
+
+    /// The key that fences a duty under this token.
+    pub(crate) fn fence_key(&self, duty: FleetDuty, fencing_token: u64) -> String {
+        if self
+            .leader
+            .as_ref()
+            .is_some_and(|leader| leader.version == Some(fencing_token))
+        {
+            return LEADER_CLAIM.to_owned();
+        }
+        keys::claim(duty.name())
+    }
+
+    /// Members that hold any of the leader's duties.
+    pub(crate) fn fleet_holders(&self) -> Vec<usize> {
+        if !self.duties_in_force() {
+            let claim = self.store.claims[self.leader_slot()].as_ref();
+            return claim.map(|claim| claim.member).into_iter().collect();
+        }
+        let duties = self.duties.iter();
+        let names = duties.flat_map(|duties| {
+            FleetDuty::ALL
+                .iter()
+                .filter_map(|duty| duties.holder(duty.name()))
+        });
+        let mut holders: Vec<usize> = names
+            .filter_map(|name| {
+                self.settings
+                    .members
+                    .iter()
+                    .position(|member| member == name)
+            })
+            .collect();
+        holders.sort_unstable();
+        holders.dedup();
+        holders
+    }
+}
--- a/crates/seamfront-core/src/engine/mod.rs
+++ b/crates/seamfront-core/src/engine/mod.rs
@@ -21,6 +21,7 @@
 use std::rc::Rc;
 use tracing::{info, trace, warn};
 
+mod fleet;
 mod machine_types;
 use machine_types::MachineTypesRequest;
 mod peers;
