--- a/crates/seamfront-core/src/capacity/provisioning.rs
+++ b/crates/seamfront-core/src/capacity/provisioning.rs
@@ -1,32 +1,32 @@
-//! What is rented for work that neither idle machines nor those on their way can serve.
+//! What is provisioned for requests that neither idle nor incoming machines can serve.
 
 use super::planner::{Demand, Planner};
-use super::{cheap, ClusterSnapshot, ProvisioningRecord};
+use super::{is_cheap, ClusterSnapshot, Offer, ProvisioningRecord};
 use crate::machine::MachineRecord;
 use crate::port::ResourceRequest;
 use crate::types::{MachineType, Micros, Resources};
 use std::collections::BTreeMap;
 
-/// Work that the machines at hand get through in time is not rented for. In time is until it must
-/// start, within these bounds; work without a time to keep can wait longer.
-const DRAIN_MIN: Micros = Micros::from_secs(20);
-const DRAIN_MAX: Micros = Micros::from_secs(60);
-const DRAIN_IDLE: Micros = Micros::from_secs(90);
-/// Shorter estimates are taken for this long.
+/// Nothing is provisioned for work that the shard's machines complete in time: until it must start, within these bounds.
+const BACKLOG_TIME_MIN: Micros = Micros::from_secs(20);
+const BACKLOG_TIME_MAX: Micros = Micros::from_secs(60);
+/// The time for work without a deadline, which can wait longer.
+const BACKLOG_TIME_NO_DEADLINE: Micros = Micros::from_secs(90);
+/// Shorter estimates of a task's run time count as this long.
 const ESTIMATE_MIN: Micros = Micros::from_secs(5);
-/// Machines asked for in one request.
+/// Machines provisioned in one request, at most.
 const MAX_MACHINES_PER_REQUEST: u32 = 20;
 
-/// Machines that a plan can't tell from each other: of one shard, kind, zone and price, with as much taken
-/// by services. A far larger fleet has hardly more of these than a small one.
+/// Machines that are alike to a plan: of one shard, type, zone and price, with as much used by services. A far larger
+/// cluster has hardly more pools than a small one.
 struct MachinePool<'a> {
     shard: usize,
     record: &'a MachineRecord,
     size: Resources,
-    /// Taken by services.
+    /// Used by services.
     pinned: Resources,
     count: i64,
-    /// Processors that work uses which ends by itself, in all of them.
+    /// Processors that batch work uses in all of them, in thousandths.
     busy: i64,
 }
 
@@ -58,14 +58,14 @@
     found.into_values().collect()
 }
 
-/// What is decided once for a whole plan.
+/// Sums over all machines and requests, kept for the whole plan.
 pub(super) struct PoolSummary<'a> {
     pools: Vec<MachinePool<'a>>,
     /// Machines in each zone.
     by_zone: BTreeMap<&'a str, i64>,
-    /// Waiting work so far, by shard and whether it needs accelerators, in thousandths of a processor
-    /// times microseconds.
-    work: BTreeMap<(usize, bool), i64>,
+    /// Work of the requests served so far, by shard and whether it needs accelerators, in thousandths of a processor
+    /// times seconds.
+    backlog: BTreeMap<(usize, bool), i64>,
 }
 
 impl<'a> PoolSummary<'a> {
@@ -77,20 +77,25 @@
         PoolSummary {
             pools: pools(snapshot),
             by_zone,
-            work: BTreeMap::new(),
+            backlog: BTreeMap::new(),
         }
     }
 }
 
 impl ClusterSnapshot<'_> {
+    /// Whether the cloud has lately refused such a machine.
     fn refuses(&self, kind: &str, zone: &str, spot: bool) -> bool {
-        let offer = (kind.to_owned(), zone.to_owned(), spot);
+        let offer = Offer {
+            kind: kind.to_owned(),
+            zone: zone.to_owned(),
+            spot,
+        };
         self.unavailable_offers
             .get(&offer)
-            .is_some_and(|(until, _)| *until > self.now)
+            .is_some_and(|refused| refused.until > self.now)
     }
 
-    /// Whether anything that may run the need can be asked for in this zone.
+    /// Whether any machine that may run the request can be provisioned in this zone.
     pub(super) fn on_offer(&self, request: &ResourceRequest, zone: &str) -> bool {
         let named = |t: &MachineType| {
             request
@@ -113,21 +118,21 @@
     }
 }
 
-/// Places in a shard's machines that could serve a need sooner or later.
+/// How many tasks of a request a shard's machines could run, now or later.
 #[derive(Default)]
 struct Slots<'a> {
     all: i64,
     by_zone: BTreeMap<&'a str, i64>,
-    /// Processors that work uses there which ends by itself.
+    /// Processors that batch work uses there, in thousandths.
     busy: i64,
 }
 
-/// A machine that could be rented.
+/// A machine that could be provisioned.
 struct Candidate<'a> {
     kind: &'a MachineType,
     zone: &'a str,
     spot: bool,
-    /// Tasks that it takes.
+    /// Tasks that fit on it.
     fit: i64,
 }
 
@@ -155,20 +160,20 @@
         slots
     }
 
-    /// For how many tasks the shard's machines lack room, as they get through what runs and waits until this must
-    /// start.
-    fn short_of(&mut self, demand: &Demand, slots: &Slots) -> i64 {
+    /// For how many tasks the shard's machines lack room, if they are to complete the running work and the backlog
+    /// before this request must start.
+    fn missing_slots(&mut self, demand: &Demand, slots: &Slots) -> i64 {
         let request = demand.request;
         let types = self.snapshot.types;
         let unit = request.task.cpus.max(1);
         let estimate = request.estimate.max(ESTIMATE_MIN).0 / 1_000;
         let sum = self
             .summary
-            .work
+            .backlog
             .entry((demand.shard, request.task.gpus > 0))
             .or_default();
         *sum += i64::from(request.count) * estimate * unit / 1_000;
-        // What runs is half through on average.
+        // Running work is half done on average.
         let todo = *sum + slots.busy * estimate / 2_000;
         let suitable = types
             .iter()
@@ -176,26 +181,28 @@
         let cheap = suitable
             .map(|t| t.price)
             .min()
-            .is_some_and(|price| cheap(types, price));
-        let time = request
-            .left
-            .map_or(DRAIN_IDLE, |l| l.clamp(DRAIN_MIN, DRAIN_MAX));
+            .is_some_and(|price| is_cheap(types, price));
+        let time = request.left.map_or(BACKLOG_TIME_NO_DEADLINE, |l| {
+            l.clamp(BACKLOG_TIME_MIN, BACKLOG_TIME_MAX)
+        });
         let time = time.over(if cheap { 2 } else { 1 }).0 / 1_000;
         (todo * 1_000 / time - slots.all * unit).max(0) / unit
     }
 
-    /// For how many tasks machines should be rented. Services are rented for in full.
+    /// For how many tasks machines should be provisioned. For services that is all of them.
     fn tasks_to_provision_for(&mut self, demand: &Demand) -> u32 {
         let request = demand.request;
         if request.service {
-            return demand.rest;
+            return demand.unplaced;
         }
         let slots = self.slots(demand);
-        let short = self.short_of(demand, &slots).min(i64::from(demand.rest)) as u32;
+        let short = self
+            .missing_slots(demand, &slots)
+            .min(i64::from(demand.unplaced)) as u32;
         if !request.together {
             return if slots.all == 0 { short.max(1) } else { short };
         }
-        // All of it must find room at once, so what it holds already counts neither way.
+        // All of a gang must find room at once, whether or not some of it is reserved already.
         let most = if request.one_zone {
             slots.by_zone.values().max().copied().unwrap_or(0)
         } else {
@@ -223,8 +230,7 @@
                     if !demand.allows(&t.name, zone, spot) || p.refuses(&t.name, zone, spot) {
                         continue;
                     }
-                    let price = if spot { t.spot_price } else { t.price };
-                    let each = price * 1_000 / fit.min(i64::from(tasks)).max(1);
+                    let each = t.hourly_price(spot) * 1_000 / fit.min(i64::from(tasks)).max(1);
                     let here = self
                         .summary
                         .by_zone
@@ -249,6 +255,7 @@
         best.map(|b| b.1)
     }
 
+    /// Plans provisioning for the tasks that machines should be provisioned for.
     pub(super) fn provision_for(&mut self, demand: &Demand) {
         let mut tasks = self.tasks_to_provision_for(demand);
         while tasks > 0 {
--- a/crates/seamfront-core/src/engine/fleet.rs
+++ b/crates/seamfront-core/src/engine/fleet.rs
@@ -1,24 +1,112 @@
 //! Dispatch to the fleet's duties, the leader and the garbage collector.
 
 use super::{Engine, Pending};
-use crate::fleet_duties::{Fence, FleetDuty, GARBAGE_COLLECTION, LEADER_CLAIM};
+use crate::fleet_duties::{
+    EffectPermit, Fence, FleetDuty, PerFleetDuty, GARBAGE_COLLECTION, LEADER_CLAIM,
+};
 use crate::garbage_collector::CollectionRequest;
-use crate::leader::Leader;
+use crate::leader::{FencedRequest, Leader, LeaderContext, LeaderEvent, LeaderOutbox};
 use crate::outbox::Outbox;
-use crate::port::{CallId, StoreReply};
+use crate::port::{CallId, CloudReply, MachineView, ResourceRequest, StoreReply};
 use seamfront_lease::keys;
 use seamfront_lease::port::{
     Command as DutyCommand, CommitOutcome, Effect as DutyEffect, RequestId,
 };
 use seamfront_lease::DutyManager;
 
+impl From<FencedRequest> for Pending {
+    fn from(request: FencedRequest) -> Self {
+        Pending::Leader(request)
+    }
+}
+
 impl Engine {
+    pub(super) fn leader_tick(&mut self) {
+        if self.leader.is_none() {
+            return;
+        }
+        let permits = PerFleetDuty::from_fn(|duty| self.effect_permit(duty));
+        self.with_leader(permits, |leader, context, outbox| {
+            leader.tick(context, outbox)
+        });
+    }
+
+    pub(super) fn leader_store_reply(&mut self, request: FencedRequest, reply: StoreReply) {
+        let event = self.with_leader(PerFleetDuty::default(), |leader, context, outbox| {
+            leader.store_reply(context, outbox, request, reply)
+        });
+        self.leader_event(event.flatten());
+    }
+
+    pub(super) fn leader_cloud_reply(&mut self, request: FencedRequest, reply: CloudReply) {
+        let event = self.with_leader(PerFleetDuty::default(), |leader, context, outbox| {
+            leader.cloud_reply(context, outbox, request, reply)
+        });
+        self.leader_event(event.flatten());
+    }
+
+    fn leader_event(&mut self, event: Option<LeaderEvent>) {
+        match event {
+            Some(LeaderEvent::MachineTypesListed(types)) => self.types_known(types),
+            Some(LeaderEvent::FenceRefused {
+                duty,
+                fencing_token,
+            }) => self.fence_refused(duty, fencing_token),
+            None => {}
+        }
+    }
+
+    /// Calls the leader, if it is here, and sends out what it puts into its outbox.
+    fn with_leader<T>(
+        &mut self,
+        permits: PerFleetDuty<Option<EffectPermit>>,
+        call: impl FnOnce(&mut Leader, &mut LeaderContext, &mut LeaderOutbox) -> T,
+    ) -> Option<T> {
+        let fences = PerFleetDuty::from_fn(|duty| self.fence(duty));
+        let write_rate = self.write_rate();
+        let leader = self.leader.as_mut()?;
+        let mut context = LeaderContext {
+            settings: &self.settings,
+            now: self.now,
+            machines: &self.machines,
+            machine_since: &self.machine_since,
+            machine_types: &self.types,
+            fences,
+            permits,
+            write_rate,
+            write_budget: &mut self.write_budget,
+            work_done: &mut self.leader_work_done,
+        };
+        let mut outbox = LeaderOutbox::new();
+        let result = call(leader, &mut context, &mut outbox);
+        self.flush(outbox);
+        Some(result)
+    }
+
+    /// A shard's owner has reported to the leader.
+    pub(super) fn shard_updated(
+        &mut self,
+        shard: usize,
+        requests: Vec<ResourceRequest>,
+        machines: Vec<MachineView>,
+    ) {
+        let now = self.now;
+        if let Some(leader) = self.leader.as_mut() {
+            leader.shard_updated(now, shard, requests, machines);
+        }
+    }
+
+    /// How many machine records wait for the leader to write them.
+    pub(super) fn leader_pending_writes(&self) -> usize {
+        self.leader.as_ref().map_or(0, Leader::pending_writes)
+    }
+
     /// Steps the duties, if they are on.
     pub(crate) fn duties_tick(&mut self) {
         if self.duties.is_none() {
             return;
         }
-        let former = self.leader.as_ref().and_then(|leader| leader.version);
+        let former = self.leader.as_ref().and_then(Leader::claim_version);
         let former = former.filter(|_| self.lease_valid(self.leader_slot()));
         self.duty_step(vec![DutyCommand::FormerClaim(former)]);
         self.former_claim_ends();
@@ -30,7 +118,7 @@
         let former = self
             .leader
             .as_ref()
-            .is_some_and(|leader| leader.version.is_some());
+            .is_some_and(|leader| leader.claim_version().is_some());
         if !former || !self.duties_in_force() {
             return;
         }
@@ -134,7 +222,7 @@
             && self
                 .leader
                 .as_ref()
-                .is_some_and(|leader| leader.version.is_none())
+                .is_some_and(|leader| leader.claim_version().is_none())
         {
             self.leader = None;
         }
@@ -152,39 +240,39 @@
             .is_some_and(DutyManager::duties_in_force)
     }
 
-    /// The token under which a duty is held here, be it the leader's claim.
-    pub(crate) fn fleet_token(&self, duty: FleetDuty) -> Option<u64> {
-        let leader = self.leader.as_ref()?;
-        leader.version.or_else(|| self.duty_token(duty.name()))
+    /// What fences a duty that is held here.
+    fn fence(&self, duty: FleetDuty) -> Option<Fence> {
+        let claim_version = self.leader.as_ref()?.claim_version();
+        if let Some(fencing_token) = claim_version {
+            let key = LEADER_CLAIM.to_owned();
+            return Some(Fence { key, fencing_token });
+        }
+        let fencing_token = self.duty_token(duty.name())?;
+        let key = keys::claim(duty.name());
+        Some(Fence { key, fencing_token })
     }
 
-    /// What an effect of a duty is fenced with, if it may begin now. Asks for a proof where there is none.
-    pub(crate) fn fence(&mut self, duty: FleetDuty) -> Option<Fence> {
-        if let Some(fencing_token) = self.leader.as_ref()?.version {
+    /// Whether a duty may act on the outside now. Requests a verification of its lease where there is none.
+    fn effect_permit(&mut self, duty: FleetDuty) -> Option<EffectPermit> {
+        if self.leader.as_ref()?.claim_version().is_some() {
             let lease_valid = self.lease_valid(self.leader_slot());
-            return lease_valid.then(|| Fence {
-                key: LEADER_CLAIM.to_owned(),
-                fencing_token,
-                until: None,
-            });
+            return lease_valid.then_some(EffectPermit { until: None });
         }
-        let fencing_token = self.duty_token(duty.name())?;
+        self.duty_token(duty.name())?;
         let duties = self.duties.as_mut()?;
         duties.request_verification(duty.name());
         let permit = duties.permit(duty.name())?;
-        Some(Fence {
-            key: keys::claim(duty.name()),
-            fencing_token,
+        Some(EffectPermit {
             until: Some(permit.until),
         })
     }
 
-    /// A change on this fence has failed on it: whoever else holds it, we don't.
-    pub(crate) fn fence_refused(&mut self, duty: FleetDuty, fencing_token: u64) {
+    /// A transaction has failed on this fence: the duty is not held here any more.
+    fn fence_refused(&mut self, duty: FleetDuty, fencing_token: u64) {
         if self
             .leader
             .as_ref()
-            .is_some_and(|leader| leader.version == Some(fencing_token))
+            .is_some_and(|leader| leader.claim_version() == Some(fencing_token))
         {
             let slot = self.leader_slot();
             return self.drop_claim(slot, "claim proven lost");
@@ -195,18 +283,6 @@
         }]);
     }
 
-    /// The key that fences a duty under this token.
-    pub(crate) fn fence_key(&self, duty: FleetDuty, fencing_token: u64) -> String {
-        if self
-            .leader
-            .as_ref()
-            .is_some_and(|leader| leader.version == Some(fencing_token))
-        {
-            return LEADER_CLAIM.to_owned();
-        }
-        keys::claim(duty.name())
-    }
-
     /// Members that hold any of the leader's duties.
     pub(crate) fn fleet_holders(&self) -> Vec<usize> {
         if !self.duties_in_force() {
--- a/crates/seamfront-core/src/engine/mod.rs
+++ b/crates/seamfront-core/src/engine/mod.rs
@@ -4,7 +4,7 @@
 use crate::dependencies::{DependencyGraph, DependencyRequest, JobDependencies};
 use crate::format_versions::{FormatRequest, FormatVersions};
 use crate::garbage_collector::{CollectionRequest, GarbageCollector};
-use crate::leader::{Leader, LeaderRequest};
+use crate::leader::{FencedRequest, Leader};
 use crate::machine::MachineRecord;
 use crate::outbox::{Outbox, Outgoing};
 use crate::port::{
@@ -67,10 +67,7 @@
         version: u64,
         shard_writes: Vec<ShardWrite>,
     },
-    Leader {
-        version: u64,
-        call: LeaderRequest,
-    },
+    Leader(FencedRequest),
     Duty {
         call: CallId,
     },
@@ -325,6 +322,7 @@
                     until,
                     pending,
                 } => self.send_to_cloud(request, until, pending),
+                Outgoing::ShardOwner { shard, message } => self.notify_holder(shard, message),
                 Outgoing::Effect(effect) => self.effects.push(effect),
             }
         }
@@ -406,16 +404,14 @@
                 version,
                 shard_writes,
             } => self.shard_reply(shard, version, &shard_writes, &reply),
-            Pending::Leader { version, call } => self.leader_store_reply(version, call, reply),
+            Pending::Leader(request) => self.leader_store_reply(request, reply),
             Pending::Duty { call } => self.duty_reply(call, reply),
         }
     }
 
     fn cloud_reply(&mut self, call: CallId, reply: CloudReply) {
         match self.calls.remove(&call) {
-            Some(Pending::Leader { version, call }) => {
-                self.leader_cloud_reply(version, call, reply)
-            }
+            Some(Pending::Leader(request)) => self.leader_cloud_reply(request, reply),
             Some(Pending::MachineTypes(MachineTypesRequest::FromCloud)) => {
                 self.types_busy = false;
                 if let CloudReply::MachineTypes(types) = reply {
--- a/crates/seamfront-core/src/fleet_duties.rs
+++ b/crates/seamfront-core/src/fleet_duties.rs
@@ -1,35 +1,37 @@
-//! Duties with a single holder: which there are, and with what each of the leader's effects is fenced.
+//! Duties with a single holder: which there are, and what fences each of the leader's effects.
 //!
-//! Where duties are off, and until every controller knows them, the leader's claim carries renting, returning and moving.
-//! Afterwards each has a claim and a token of its own. What they do on the outside is recorded first all the same:
-//! `rent/<name>` before the cloud is asked, `share: null` in a machine's record before it is returned.
+//! Where duties are off, and until every controller supports them, the leader's claim covers scaling out, scaling in and
+//! rebalancing. Afterwards each duty has a claim and a fencing token of its own. Their effects on the outside are
+//! recorded first in either case: `rent/<name>` before the cloud is asked to provision, `share: null` in a machine's
+//! record before the machine is terminated.
 
 use crate::types::{Micros, Settings};
 use seamfront_lease::settings::{LeaseSettings, StoreLimits};
 use seamfront_lease::DutyManager;
 use tracing::error;
 
-/// The duty of removing records that outlived their jobs.
+/// Name of the duty of removing records that outlived their jobs.
 pub const GARBAGE_COLLECTION: &str = "cleaning";
-/// The leader's claim, which carried all of this before.
+/// Key of the leader's claim, which covers the fleet's duties where these have no claims of their own.
 pub const LEADER_CLAIM: &str = "leader";
-/// The longest that the adapters wait for the state service.
-const STORE_ANSWER: Micros = Micros::from_millis(1_500);
-/// Duties may use one part in so many of the writes that the store takes.
-const WRITES_PART: i64 = 20;
+/// The longest time that the adapters wait for the state service.
+const STORE_REPLY_TIMEOUT: Micros = Micros::from_millis(1_500);
+/// Duties may use this fraction (one in so many) of the writes that the store takes.
+const WRITE_RATE_DIVISOR: i64 = 20;
 
-/// What the leader does, by duty.
+/// A duty of the fleet: what the leader does, in parts that may each be held by another controller.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum FleetDuty {
-    /// Renting machines, and taking in those that are listed.
+    /// Provisioning machines, and adopting those that the cloud lists without a record.
     ScaleOut,
-    /// Giving machines up and returning them.
+    /// Unassigning machines and terminating them.
     ScaleIn,
     /// Moving machines between shards.
     Rebalance,
 }
 
 impl FleetDuty {
+    /// All of them.
     pub(crate) const ALL: [FleetDuty; 3] = [
         FleetDuty::ScaleOut,
         FleetDuty::ScaleIn,
@@ -46,12 +48,47 @@
     }
 }
 
-/// The right to an effect: the key that fences it, its version, and until when the effect may begin.
+/// A value for each of the fleet's duties.
+#[derive(Clone, Debug, Default)]
+pub(crate) struct PerFleetDuty<T> {
+    scale_out: T,
+    scale_in: T,
+    rebalance: T,
+}
+
+impl<T> PerFleetDuty<T> {
+    /// The values that `value` gives, in the order of [`FleetDuty::ALL`].
+    pub(crate) fn from_fn(mut value: impl FnMut(FleetDuty) -> T) -> Self {
+        PerFleetDuty {
+            scale_out: value(FleetDuty::ScaleOut),
+            scale_in: value(FleetDuty::ScaleIn),
+            rebalance: value(FleetDuty::Rebalance),
+        }
+    }
+
+    /// The value of a duty.
+    pub(crate) fn get(&self, duty: FleetDuty) -> &T {
+        match duty {
+            FleetDuty::ScaleOut => &self.scale_out,
+            FleetDuty::ScaleIn => &self.scale_in,
+            FleetDuty::Rebalance => &self.rebalance,
+        }
+    }
+}
+
+/// What fences a duty's writes: they fail once the key has another version.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) struct Fence {
+    /// The key of the claim.
     pub(crate) key: String,
+    /// Its version under which the duty is held.
     pub(crate) fencing_token: u64,
-    /// None: the leader's claim, which sets no time for single effects.
+}
+
+/// The right to act on the outside now.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(crate) struct EffectPermit {
+    /// The effect must begin before this time. None under the leader's claim, which bounds no single effects.
     pub(crate) until: Option<Micros>,
 }
 
@@ -61,20 +98,20 @@
     let limits = StoreLimits {
         value_bytes: settings.value_bytes,
         transaction_changes: settings.txn_ops,
-        changes_per_second: (settings.write_rps / WRITES_PART).max(1),
+        changes_per_second: (settings.write_rps / WRITE_RATE_DIVISOR).max(1),
     };
     let fleet = FleetDuty::ALL.map(FleetDuty::name);
     let duties: Vec<&str> = [GARBAGE_COLLECTION].into_iter().chain(fleet).collect();
     let mut lease_settings =
         LeaseSettings::new(&settings.members[settings.me], &members, &duties, limits);
     lease_settings.lease = settings.tuning.claim_ttl;
-    lease_settings.store_answer = STORE_ANSWER;
+    lease_settings.store_answer = STORE_REPLY_TIMEOUT;
     lease_settings.together = fleet.map(str::to_owned).to_vec();
     lease_settings.former_claim = Some(LEADER_CLAIM.to_owned());
     lease_settings
 }
 
-/// None where duties are off.
+/// The manager of the duties; None where duties are off.
 pub(crate) fn manager(settings: &Settings) -> Option<DutyManager> {
     if !settings.tuning.duties {
         return None;
--- /dev/null
+++ b/crates/seamfront-core/src/leader/assignment.rs
@@ -0,0 +1,73 @@
+//! Assignment of machines to shards, or to none.
+
+use super::{Leader, LeaderContext, LeaderOutbox, LeaderRequest};
+use crate::fleet_duties::FleetDuty;
+use crate::machine::{machine_key, MachineRecord};
+use crate::shard::machine_write;
+use crate::types::MachineId;
+use tracing::info;
+
+/// A machine and the shard that it is to be assigned to; None terminates it.
+#[derive(Clone, Debug)]
+pub(super) struct Assignment {
+    pub(super) machine: MachineId,
+    pub(super) shard: Option<usize>,
+}
+
+impl Leader {
+    /// Moves machines between shards and unassigns those that are to be terminated. Under the leader's claim all of
+    /// that is one transaction, so a gang gets its machines together. Where duties have claims of their own, each duty
+    /// has a transaction.
+    pub(super) fn assign(
+        &mut self,
+        context: &mut LeaderContext,
+        outbox: &mut LeaderOutbox,
+        assignments: Vec<Assignment>,
+    ) {
+        if self.claim_version.is_some() {
+            return self.assign_under(context, outbox, FleetDuty::Rebalance, assignments);
+        }
+        let (moved, unassigned) = assignments
+            .into_iter()
+            .partition(|assignment| assignment.shard.is_some());
+        self.assign_under(context, outbox, FleetDuty::Rebalance, moved);
+        self.assign_under(context, outbox, FleetDuty::ScaleIn, unassigned);
+    }
+
+    fn assign_under(
+        &mut self,
+        context: &mut LeaderContext,
+        outbox: &mut LeaderOutbox,
+        duty: FleetDuty,
+        assignments: Vec<Assignment>,
+    ) {
+        if context.fence(duty).is_none() {
+            return;
+        }
+        let mut conditions = Vec::new();
+        let mut writes = Vec::new();
+        let mut ids = Vec::new();
+        for Assignment { machine, shard } in assignments {
+            let Some((record, version)) = context.machines.get(&machine) else {
+                continue;
+            };
+            let record = MachineRecord {
+                shard,
+                ..record.clone()
+            };
+            info!(machine = %machine, to = ?shard, "machine assigned");
+            conditions.push((machine_key(&machine), *version));
+            writes.push(machine_write(&machine, &record));
+            if shard.is_none() {
+                self.termination.unassigned_by_leader(machine.clone());
+            }
+            ids.push(machine);
+        }
+        if ids.is_empty() {
+            return;
+        }
+        self.writes_in_flight.extend(ids.iter().cloned());
+        let request = LeaderRequest::AssignMachines { duty, ids };
+        self.commit(context, outbox, conditions, writes, request);
+    }
+}
--- /dev/null
+++ b/crates/seamfront-core/src/leader/planning.rs
@@ -0,0 +1,243 @@
+//! Making a capacity plan and carrying it out.
+
+use super::{Assignment, Leader, LeaderContext, LeaderOutbox, ShardView};
+use crate::capacity::{
+    self, ClusterSnapshot, Drain, Draining, Move, Plan, ProvisioningRecord, ShardRequest, Supply,
+};
+use crate::fleet_duties::FleetDuty;
+use crate::port::PeerMessage;
+use crate::types::{MachineId, Micros};
+use std::collections::{BTreeMap, BTreeSet};
+
+/// What a shard's owner has reported counts for this long.
+const VIEW_TTL: Micros = Micros::from_secs(4);
+/// A drain that has not ended after this time is given up.
+const DRAIN_TIMEOUT: Micros = Micros::from_secs(20);
+/// A machine is examined about this often while a plan is made.
+const WORK_PER_MACHINE: usize = 4;
+
+/// Machines that are being moved between shards.
+#[derive(Debug)]
+pub(super) struct RebalanceState {
+    /// Machines that are being drained for another shard.
+    pub(super) draining: BTreeMap<MachineId, Draining>,
+    /// When the owners of shards may be asked to release machines again.
+    next_release_at: Micros,
+    /// Released machines that the last plan assigned to another shard or to none.
+    pub(super) pending_assignments: usize,
+}
+
+impl RebalanceState {
+    pub(super) fn new(now: Micros) -> Self {
+        RebalanceState {
+            draining: BTreeMap::new(),
+            next_release_at: now,
+            pending_assignments: 0,
+        }
+    }
+
+    /// Forgets drains that have ended: the machine was moved, or its owner refused, or it takes too long. A shard that
+    /// still needs the machine requests it again.
+    pub(super) fn forget_ended_drains(&mut self, context: &LeaderContext) {
+        self.draining.retain(|id, draining| {
+            let moved = context
+                .machines
+                .get(id)
+                .is_none_or(|(record, _)| record.shard == Some(draining.shard));
+            context.now - draining.since < DRAIN_TIMEOUT && !moved
+        });
+    }
+}
+
+/// A plan, and the machines that their owners had released when it was made.
+struct PlanRound {
+    plan: Plan,
+    released: BTreeSet<MachineId>,
+}
+
+impl Leader {
+    /// Makes a plan and carries out the parts whose duties may act now.
+    pub(super) fn execute_plan(&mut self, context: &mut LeaderContext, outbox: &mut LeaderOutbox) {
+        let PlanRound { mut plan, released } = self.make_plan(context);
+        if !self.all_views_current(context.now) {
+            // A shard whose owner does not report may need machines that seem idle.
+            plan.terminations.retain(|id| released.contains(id));
+        }
+        if !context.may(FleetDuty::Rebalance) {
+            plan.moves.clear();
+            plan.drains.clear();
+        }
+        if !context.may(FleetDuty::ScaleIn) {
+            plan.terminations.clear();
+        }
+        self.start_provisionings(context, outbox, plan.provisionings);
+        let (mut assignable, unreleased): (Vec<Assignment>, Vec<Assignment>) =
+            assignments(plan.moves, plan.terminations)
+                .partition(|assignment| released.contains(&assignment.machine));
+        self.request_releases(context, outbox, unreleased);
+        self.start_drains(context, outbox, plan.drains);
+        self.rebalancing.pending_assignments = assignable.len();
+        // Assignments that the store does not take now are planned again.
+        let room = context.settings.txn_ops.min(context.affordable_writes());
+        assignable.truncate(room);
+        self.assign(context, outbox, assignable);
+    }
+
+    fn make_plan(&self, context: &mut LeaderContext) -> PlanRound {
+        let snapshot = self.snapshot(context);
+        let work_done = snapshot.machines.len() * WORK_PER_MACHINE + snapshot.requests.len();
+        let plan = capacity::plan(&snapshot);
+        let released = snapshot
+            .machines
+            .iter()
+            .filter(|machine| machine.view.is_some_and(|view| view.released))
+            .map(|machine| machine.id.clone())
+            .collect();
+        *context.work_done += work_done as i64;
+        PlanRound { plan, released }
+    }
+
+    fn snapshot<'s>(&'s self, context: &'s LeaderContext) -> ClusterSnapshot<'s> {
+        ClusterSnapshot {
+            now: context.now,
+            requests: self.shard_requests(context.now),
+            machines: self.supply(context),
+            provisionings: self.provisioning.records().collect(),
+            types: context.machine_types,
+            unavailable_offers: &self.provisioning.unavailable_offers,
+            tuning: &context.settings.tuning,
+            boot_times: &self.boot_times,
+            draining: &self.rebalancing.draining,
+        }
+    }
+
+    /// What a shard's owner has reported, unless that is too old.
+    fn current_view(&self, shard: usize, now: Micros) -> Option<&ShardView> {
+        let view = self.views.get(shard)?.as_ref()?;
+        (now - view.received_at < VIEW_TTL).then_some(view)
+    }
+
+    fn all_views_current(&self, now: Micros) -> bool {
+        (0..self.views.len()).all(|shard| self.current_view(shard, now).is_some())
+    }
+
+    fn shard_requests(&self, now: Micros) -> Vec<ShardRequest<'_>> {
+        let mut requests = Vec::new();
+        for shard in 0..self.views.len() {
+            if let Some(view) = self.current_view(shard, now) {
+                let of_shard = view.requests.iter();
+                requests.extend(of_shard.map(|request| ShardRequest { shard, request }));
+            }
+        }
+        requests
+    }
+
+    /// Machines assigned to shards, without those whose assignment is being written.
+    fn supply<'s>(&'s self, context: &'s LeaderContext) -> Vec<Supply<'s>> {
+        let mut machines = Vec::new();
+        for (id, (record, version)) in context.machines {
+            let Some(shard) = record.shard else { continue };
+            if self.writes_in_flight.contains(id) {
+                continue;
+            }
+            let view = self
+                .current_view(shard, context.now)
+                .and_then(|view| view.machines.get(id))
+                .filter(|view| view.version == *version);
+            let since = context.machine_since.get(id).copied();
+            machines.push(Supply {
+                id,
+                shard,
+                record,
+                size: context.machine_size(&record.kind),
+                view,
+                age: context.now - since.unwrap_or(context.now),
+            });
+        }
+        machines
+    }
+
+    fn start_provisionings(
+        &mut self,
+        context: &mut LeaderContext,
+        outbox: &mut LeaderOutbox,
+        records: Vec<ProvisioningRecord>,
+    ) {
+        let at_limit = self.provisioning.at_limit();
+        if !context.may(FleetDuty::ScaleOut) || at_limit || context.machine_types.is_empty() {
+            return;
+        }
+        for record in records {
+            self.start_provisioning(context, outbox, record);
+        }
+    }
+
+    /// Asks the owners of shards to release machines.
+    fn request_releases(
+        &mut self,
+        context: &LeaderContext,
+        outbox: &mut LeaderOutbox,
+        unreleased: Vec<Assignment>,
+    ) {
+        if context.now < self.rebalancing.next_release_at {
+            return;
+        }
+        let mut by_shard: BTreeMap<usize, Vec<MachineId>> = BTreeMap::new();
+        for Assignment { machine, .. } in unreleased {
+            if let Some(shard) = context.shard_of(&machine) {
+                by_shard.entry(shard).or_default().push(machine);
+            }
+        }
+        if !by_shard.is_empty() {
+            self.rebalancing.next_release_at = context.now + context.settings.tuning.move_every;
+        }
+        for (shard, machines) in by_shard {
+            let message = PeerMessage::Release {
+                shard,
+                machines,
+                above: None,
+            };
+            outbox.shard_owner(shard, message);
+        }
+    }
+
+    /// Asks the owners of shards to release machines that run work of lower priority.
+    fn start_drains(
+        &mut self,
+        context: &LeaderContext,
+        outbox: &mut LeaderOutbox,
+        drains: Vec<Drain>,
+    ) {
+        for drain in drains {
+            let Some(shard) = context.shard_of(&drain.machine) else {
+                continue;
+            };
+            let draining = Draining {
+                shard: drain.to,
+                since: context.now,
+            };
+            self.rebalancing
+                .draining
+                .insert(drain.machine.clone(), draining);
+            let message = PeerMessage::Release {
+                shard,
+                machines: vec![drain.machine],
+                above: Some(drain.above),
+            };
+            outbox.shard_owner(shard, message);
+        }
+    }
+}
+
+/// The assignments that a plan's moves and terminations amount to, in that order.
+fn assignments(moves: Vec<Move>, terminations: Vec<MachineId>) -> impl Iterator<Item = Assignment> {
+    let moves = moves.into_iter().map(|planned| Assignment {
+        machine: planned.machine,
+        shard: Some(planned.to),
+    });
+    let terminations = terminations.into_iter().map(|machine| Assignment {
+        machine,
+        shard: None,
+    });
+    moves.chain(terminations)
+}
--- a/crates/seamfront-core/src/lib.rs
+++ b/crates/seamfront-core/src/lib.rs
@@ -12,7 +12,7 @@
 pub mod gang;
 mod garbage_collector;
 pub mod job;
-pub mod leader;
+mod leader;
 pub mod machine;
 mod outbox;
 pub mod placement;
--- a/crates/seamfront-core/src/outbox.rs
+++ b/crates/seamfront-core/src/outbox.rs
@@ -3,7 +3,7 @@
 //! Owners do not know the engine: they put requests into an [`Outbox`], each with a value of their own that says what
 //! the reply is for. The engine drains it right after the call and gives the requests their call ids in that order.
 
-use crate::port::{CloudRequest, Effect, StoreRequest};
+use crate::port::{CloudRequest, Effect, PeerMessage, StoreRequest};
 use crate::types::Micros;
 
 /// One thing to be sent.
@@ -24,6 +24,13 @@
         /// What its reply is for.
         pending: R,
     },
+    /// A message to the controller that owns a shard, be it this one.
+    ShardOwner {
+        /// The shard.
+        shard: usize,
+        /// The message.
+        message: PeerMessage,
+    },
     /// An effect without a reply.
     Effect(Effect),
 }
@@ -55,6 +62,11 @@
         });
     }
 
+    /// Sends a message to the controller that owns a shard.
+    pub(crate) fn shard_owner(&mut self, shard: usize, message: PeerMessage) {
+        self.outgoing.push(Outgoing::ShardOwner { shard, message });
+    }
+
     /// Sends an effect that has no reply.
     pub(crate) fn effect(&mut self, effect: Effect) {
         self.outgoing.push(Outgoing::Effect(effect));
--- a/crates/seamfront-core/src/store_session/claims.rs
+++ b/crates/seamfront-core/src/store_session/claims.rs
@@ -30,7 +30,7 @@
 
     pub(crate) fn held_token(&self, slot: usize) -> Option<u64> {
         if slot == self.leader_slot() {
-            self.leader.as_ref().and_then(|l| l.version)
+            self.leader.as_ref().and_then(Leader::claim_version)
         } else {
             self.shards[slot].as_ref().map(|s| s.version)
         }
@@ -44,7 +44,7 @@
         }
         if slot == self.leader_slot() {
             // Without a version it rests on duties, not on this claim.
-            self.leader = self.leader.take().filter(|l| l.version.is_none());
+            self.leader = self.leader.take().filter(|l| l.claim_version().is_none());
         } else {
             self.shards[slot] = None;
         }
--- a/crates/seamfront-core/src/types/machine_type.rs
+++ b/crates/seamfront-core/src/types/machine_type.rs
@@ -24,6 +24,17 @@
     pub zones: Vec<String>,
 }
 
+impl MachineType {
+    /// Price of an hour, in thousandths of the currency unit.
+    pub fn hourly_price(&self, spot: bool) -> i64 {
+        if spot {
+            self.spot_price
+        } else {
+            self.price
+        }
+    }
+}
+
 /// See [`JobSpec::suits`].
 pub fn suits(
     task_resources: Resources,
--- a/crates/seamfront-core/tests/capacity.rs
+++ b/crates/seamfront-core/tests/capacity.rs
@@ -1,7 +1,9 @@
 //! The leader's plan: whose machines may be cleared of lesser work, and for whom.
 
 use seamfront_core::boot_times::BootTimes;
-use seamfront_core::capacity::{plan, ClusterSnapshot, Plan, Supply};
+use seamfront_core::capacity::{
+    plan, ClusterSnapshot, Offer, Plan, ShardRequest, Supply, UnavailableOffer,
+};
 use seamfront_core::machine::MachineRecord;
 use seamfront_core::port::{MachineView, ResourceRequest};
 use seamfront_core::types::*;
@@ -77,7 +79,16 @@
         spot: false,
     };
     let (id, view) = (MachineId::from("i-0"), held("i-0"));
-    let refused = BTreeMap::from([(("big".to_owned(), "x".to_owned(), false), (s(900), 3))]);
+    let offer = Offer {
+        kind: "big".into(),
+        zone: "x".into(),
+        spot: false,
+    };
+    let refusal = UnavailableOffer {
+        until: s(900),
+        refusals: 3,
+    };
+    let refused = BTreeMap::from([(offer, refusal)]);
     let machine = Supply {
         id: &id,
         shard: 1,
@@ -90,7 +101,10 @@
         now: s(500),
         requests: requests
             .iter()
-            .map(|(shard, request)| (*shard, request))
+            .map(|(shard, request)| ShardRequest {
+                shard: *shard,
+                request,
+            })
             .collect(),
         machines: vec![machine],
         provisionings: vec![],
