--- a/crates/seamfront-core/src/engine/fleet.rs
+++ b/crates/seamfront-core/src/engine/fleet.rs
@@ -8,11 +8,9 @@
 use crate::leader::{FencedRequest, Leader, LeaderContext, LeaderEvent, LeaderOutbox};
 use crate::outbox::Outbox;
 use crate::port::{CallId, CloudReply, MachineView, ResourceRequest, StoreReply};
-use seamfront_lease::keys;
 use seamfront_lease::port::{
     Command as DutyCommand, CommitOutcome, Effect as DutyEffect, RequestId,
 };
-use seamfront_lease::DutyManager;
 
 impl From<FencedRequest> for Pending {
     fn from(request: FencedRequest) -> Self {
@@ -103,7 +101,7 @@
 
     /// Steps the duties, if they are on.
     pub(crate) fn duties_tick(&mut self) {
-        if self.duties.is_none() {
+        if !self.duties.enabled() {
             return;
         }
         let former = self.leader.as_ref().and_then(Leader::claim_version);
@@ -119,13 +117,13 @@
             .leader
             .as_ref()
             .is_some_and(|leader| leader.claim_version().is_some());
-        if !former || !self.duties_in_force() {
+        if !former || !self.duties.in_force() {
             return;
         }
         let slot = self.leader_slot();
         self.drop_claim(slot, "duties have claims of their own");
         for duty in FleetDuty::ALL {
-            if self.duty_token(duty.name()).is_some() {
+            if self.duties.fencing_token(duty.name()).is_some() {
                 self.duty_begins(duty.name());
             }
         }
@@ -136,11 +134,7 @@
     }
 
     pub(crate) fn duty_step(&mut self, commands: Vec<DutyCommand>) {
-        let now = self.now;
-        let Some(duties) = self.duties.as_mut() else {
-            return;
-        };
-        for effect in duties.step(now, commands) {
+        for effect in self.duties.step(self.now, commands) {
             self.duty_effect(effect);
         }
     }
@@ -161,7 +155,7 @@
     }
 
     fn garbage_collection_tick(&mut self) {
-        if self.duty_token(GARBAGE_COLLECTION).is_none() {
+        if self.duties.fencing_token(GARBAGE_COLLECTION).is_none() {
             return;
         }
         let mut outbox = Outbox::new();
@@ -215,56 +209,33 @@
             let now = self.now;
             return self.garbage_collector.stop(now);
         }
-        let any = FleetDuty::ALL
-            .iter()
-            .any(|fleet| self.duty_token(fleet.name()).is_some());
-        if !any
-            && self
-                .leader
-                .as_ref()
-                .is_some_and(|leader| leader.claim_version().is_none())
-        {
+        let rests_on_duties = self
+            .leader
+            .as_ref()
+            .is_some_and(|leader| leader.claim_version().is_none());
+        if rests_on_duties && !self.duties.holds_any_of_fleet() {
             self.leader = None;
         }
     }
 
-    /// The token of a duty that may be performed here.
-    pub(crate) fn duty_token(&self, duty: &str) -> Option<u64> {
-        self.duties.as_ref()?.fencing_token(duty)
-    }
-
-    /// Whether duties have claims of their own by now.
-    pub(crate) fn duties_in_force(&self) -> bool {
-        self.duties
-            .as_ref()
-            .is_some_and(DutyManager::duties_in_force)
-    }
-
-    /// What fences a duty that is held here.
+    /// What fences a duty that is held here, be it by the leader's claim.
     fn fence(&self, duty: FleetDuty) -> Option<Fence> {
-        let claim_version = self.leader.as_ref()?.claim_version();
-        if let Some(fencing_token) = claim_version {
-            let key = LEADER_CLAIM.to_owned();
-            return Some(Fence { key, fencing_token });
+        match self.leader.as_ref()?.claim_version() {
+            Some(fencing_token) => Some(Fence {
+                key: LEADER_CLAIM.to_owned(),
+                fencing_token,
+            }),
+            None => self.duties.fence(duty),
         }
-        let fencing_token = self.duty_token(duty.name())?;
-        let key = keys::claim(duty.name());
-        Some(Fence { key, fencing_token })
     }
 
-    /// Whether a duty may act on the outside now. Requests a verification of its lease where there is none.
+    /// Whether a duty may act on the outside now.
     fn effect_permit(&mut self, duty: FleetDuty) -> Option<EffectPermit> {
-        if self.leader.as_ref()?.claim_version().is_some() {
-            let lease_valid = self.lease_valid(self.leader_slot());
-            return lease_valid.then_some(EffectPermit { until: None });
+        if self.leader.as_ref()?.claim_version().is_none() {
+            return self.duties.effect_permit(duty);
         }
-        self.duty_token(duty.name())?;
-        let duties = self.duties.as_mut()?;
-        duties.request_verification(duty.name());
-        let permit = duties.permit(duty.name())?;
-        Some(EffectPermit {
-            until: Some(permit.until),
-        })
+        let lease_valid = self.lease_valid(self.leader_slot());
+        lease_valid.then_some(EffectPermit { until: None })
     }
 
     /// A transaction has failed on this fence: the duty is not held here any more.
@@ -285,26 +256,10 @@
 
     /// Members that hold any of the leader's duties.
     pub(crate) fn fleet_holders(&self) -> Vec<usize> {
-        if !self.duties_in_force() {
+        if !self.duties.in_force() {
             let claim = self.store.claims[self.leader_slot()].as_ref();
             return claim.map(|claim| claim.member).into_iter().collect();
         }
-        let duties = self.duties.iter();
-        let names = duties.flat_map(|duties| {
-            FleetDuty::ALL
-                .iter()
-                .filter_map(|duty| duties.holder(duty.name()))
-        });
-        let mut holders: Vec<usize> = names
-            .filter_map(|name| {
-                self.settings
-                    .members
-                    .iter()
-                    .position(|member| member == name)
-            })
-            .collect();
-        holders.sort_unstable();
-        holders.dedup();
-        holders
+        self.duties.fleet_holders(&self.settings.members)
     }
 }
--- a/crates/seamfront-core/src/engine/mod.rs
+++ b/crates/seamfront-core/src/engine/mod.rs
@@ -2,6 +2,7 @@
 //! given, never asked for. Same commands, same times, same effects.
 
 use crate::dependencies::{DependencyGraph, DependencyRequest, JobDependencies};
+use crate::fleet_duties::Duties;
 use crate::format_versions::{FormatRequest, FormatVersions};
 use crate::garbage_collector::{CollectionRequest, GarbageCollector};
 use crate::leader::{FencedRequest, Leader};
@@ -16,7 +17,6 @@
 use crate::store_session::{SessionRequest, StoreSession};
 use crate::types::{JobId, JobSpec, MachineId, MachineType, Micros, Resources, Settings};
 use crate::user_api::{EndRecord, UserRequest, Users};
-use seamfront_lease::DutyManager;
 use std::collections::BTreeMap;
 use std::rc::Rc;
 use tracing::{info, trace, warn};
@@ -130,8 +130,7 @@
     pub(crate) users: Users,
     pub(crate) dependencies: DependencyGraph,
     format_versions: FormatVersions,
-    /// Where duties are on.
-    pub(crate) duties: Option<DutyManager>,
+    pub(crate) duties: Duties,
     pub(crate) garbage_collector: GarbageCollector,
     pub(crate) types: Vec<MachineType>,
     types_busy: bool,
@@ -175,7 +174,7 @@
             users: Users::default(),
             dependencies: DependencyGraph::default(),
             format_versions: FormatVersions::default(),
-            duties: crate::fleet_duties::manager(&settings),
+            duties: Duties::new(&settings),
             garbage_collector: GarbageCollector::default(),
             types: Vec::new(),
             types_busy: false,
--- a/crates/seamfront-core/src/engine/peers.rs
+++ b/crates/seamfront-core/src/engine/peers.rs
@@ -138,7 +138,7 @@
         let me = self.settings.me;
         if self.leader.is_some() {
             self.peer_message(me, message.clone());
-            if !self.duties_in_force() {
+            if !self.duties.in_force() {
                 return;
             }
         }
--- a/crates/seamfront-core/src/fleet_duties.rs
+++ b/crates/seamfront-core/src/fleet_duties.rs
@@ -6,6 +6,8 @@
 //! record before the machine is terminated.
 
 use crate::types::{Micros, Settings};
+use seamfront_lease::keys;
+use seamfront_lease::port::{Command as DutyCommand, Effect as DutyEffect};
 use seamfront_lease::settings::{LeaseSettings, StoreLimits};
 use seamfront_lease::DutyManager;
 use tracing::error;
@@ -111,8 +113,88 @@
     lease_settings
 }
 
+/// The duties of this controller.
+pub(crate) struct Duties {
+    /// None where duties are off.
+    manager: Option<DutyManager>,
+}
+
+impl Duties {
+    /// The duties of a controller that has just started.
+    pub(crate) fn new(settings: &Settings) -> Duties {
+        Duties {
+            manager: manager(settings),
+        }
+    }
+
+    /// Whether duties are on.
+    pub(crate) fn enabled(&self) -> bool {
+        self.manager.is_some()
+    }
+
+    /// Whether duties have claims of their own by now.
+    pub(crate) fn in_force(&self) -> bool {
+        self.manager
+            .as_ref()
+            .is_some_and(DutyManager::duties_in_force)
+    }
+
+    /// Takes in commands and returns the effects, in order.
+    pub(crate) fn step(&mut self, now: Micros, commands: Vec<DutyCommand>) -> Vec<DutyEffect> {
+        self.manager
+            .as_mut()
+            .map_or_else(Vec::new, |manager| manager.step(now, commands))
+    }
+
+    /// The fencing token of a duty that may be performed here.
+    pub(crate) fn fencing_token(&self, duty: &str) -> Option<u64> {
+        self.manager.as_ref()?.fencing_token(duty)
+    }
+
+    /// Whether any of the fleet's duties may be performed here.
+    pub(crate) fn holds_any_of_fleet(&self) -> bool {
+        FleetDuty::ALL
+            .iter()
+            .any(|duty| self.fencing_token(duty.name()).is_some())
+    }
+
+    /// What fences a duty of the fleet that is held here.
+    pub(crate) fn fence(&self, duty: FleetDuty) -> Option<Fence> {
+        let fencing_token = self.fencing_token(duty.name())?;
+        let key = keys::claim(duty.name());
+        Some(Fence { key, fencing_token })
+    }
+
+    /// Whether a duty of the fleet may act on the outside now. Requests a verification of its lease where the last one is
+    /// too old.
+    pub(crate) fn effect_permit(&mut self, duty: FleetDuty) -> Option<EffectPermit> {
+        self.fencing_token(duty.name())?;
+        let manager = self.manager.as_mut()?;
+        manager.request_verification(duty.name());
+        let permit = manager.permit(duty.name())?;
+        Some(EffectPermit {
+            until: Some(permit.until),
+        })
+    }
+
+    /// The members that hold any of the fleet's duties, as indices in ascending order.
+    pub(crate) fn fleet_holders(&self, members: &[String]) -> Vec<usize> {
+        let Some(manager) = &self.manager else {
+            return Vec::new();
+        };
+        let mut holders: Vec<usize> = FleetDuty::ALL
+            .iter()
+            .filter_map(|duty| manager.holder(duty.name()))
+            .filter_map(|name| members.iter().position(|member| member == name))
+            .collect();
+        holders.sort_unstable();
+        holders.dedup();
+        holders
+    }
+}
+
 /// The manager of the duties; None where duties are off.
-pub(crate) fn manager(settings: &Settings) -> Option<DutyManager> {
+fn manager(settings: &Settings) -> Option<DutyManager> {
     if !settings.tuning.duties {
         return None;
     }
--- a/crates/seamfront-core/src/leader/mod.rs
+++ b/crates/seamfront-core/src/leader/mod.rs
@@ -18,6 +18,7 @@
 mod listing;
 mod planning;
 mod provisioning;
+mod provisioning_state;
 mod replies;
 mod requests;
 mod termination;
@@ -27,7 +28,7 @@
 pub(crate) use context::LeaderContext;
 use listing::ListingState;
 use planning::RebalanceState;
-use provisioning::ProvisioningState;
+use provisioning_state::ProvisioningState;
 pub(crate) use requests::{FencedRequest, LeaderEvent, LeaderRequest};
 use termination::TerminationState;
 
--- a/crates/seamfront-core/src/store_session/claims.rs
+++ b/crates/seamfront-core/src/store_session/claims.rs
@@ -64,7 +64,7 @@
                 continue;
             }
             // The leader's claim has ended for good.
-            if slot == n && self.duties_in_force() {
+            if slot == n && self.duties.in_force() {
                 continue;
             }
             let expected = match &self.store.claims[slot] {
