--- a/crates/seamfront-core/src/capacity/provisioning.rs
+++ b/crates/seamfront-core/src/capacity/provisioning.rs
@@ -58,14 +58,20 @@
     found.into_values().collect()
 }
 
+/// Work that competes for the same machines.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
+struct BacklogKey {
+    shard: usize,
+    needs_gpus: bool,
+}
+
 /// Sums over all machines and requests, kept for the whole plan.
 pub(super) struct PoolSummary<'a> {
     pools: Vec<MachinePool<'a>>,
     /// Machines in each zone.
     by_zone: BTreeMap<&'a str, i64>,
-    /// Work of the requests served so far, by shard and whether it needs accelerators, in thousandths of a processor
-    /// times seconds.
-    backlog: BTreeMap<(usize, bool), i64>,
+    /// Work of the requests served so far, in thousandths of a processor times seconds.
+    backlog: BTreeMap<BacklogKey, i64>,
 }
 
 impl<'a> PoolSummary<'a> {
@@ -167,14 +173,14 @@
         let types = self.snapshot.types;
         let unit = request.task.cpus.max(1);
         let estimate = request.estimate.max(ESTIMATE_MIN).0 / 1_000;
-        let sum = self
-            .summary
-            .backlog
-            .entry((demand.shard, request.task.gpus > 0))
-            .or_default();
-        *sum += i64::from(request.count) * estimate * unit / 1_000;
+        let key = BacklogKey {
+            shard: demand.shard,
+            needs_gpus: request.task.gpus > 0,
+        };
+        let backlog = self.summary.backlog.entry(key).or_default();
+        *backlog += i64::from(request.count) * estimate * unit / 1_000;
         // Running work is half done on average.
-        let todo = *sum + slots.busy * estimate / 2_000;
+        let todo = *backlog + slots.busy * estimate / 2_000;
         let suitable = types
             .iter()
             .filter(|t| t.size.fits(request.task) > 0 && demand.suits(t.size, types));
@@ -216,43 +222,46 @@
         }
     }
 
-    /// The cheapest for its tasks; of those, in the zone with fewer machines, so that a spread job finds both.
+    /// The candidate that is cheapest for these tasks; of equally cheap ones, in the zone with the fewest machines, so
+    /// that a job whose tasks must be spread finds both zones.
     fn best_candidate(&self, demand: &Demand, tasks: u32) -> Option<Candidate<'a>> {
-        let p = self.snapshot;
-        let mut best: Option<(i64, Candidate)> = None;
-        for t in p.types {
-            let fit = t.size.fits(demand.request.task);
-            if fit <= 0 || !demand.suits(t.size, p.types) {
+        self.candidates(demand)
+            .into_iter()
+            .min_by_key(|candidate| self.cost(candidate, tasks))
+    }
+
+    /// The machines that may be provisioned for a request.
+    fn candidates(&self, demand: &Demand) -> Vec<Candidate<'a>> {
+        let snapshot = self.snapshot;
+        let mut candidates = Vec::new();
+        for kind in snapshot.types {
+            let fit = kind.size.fits(demand.request.task);
+            if fit <= 0 || !demand.suits(kind.size, snapshot.types) {
                 continue;
             }
-            for zone in &t.zones {
+            for zone in &kind.zones {
                 for spot in [true, false] {
-                    if !demand.allows(&t.name, zone, spot) || p.refuses(&t.name, zone, spot) {
-                        continue;
-                    }
-                    let each = t.hourly_price(spot) * 1_000 / fit.min(i64::from(tasks)).max(1);
-                    let here = self
-                        .summary
-                        .by_zone
-                        .get(zone.as_str())
-                        .copied()
-                        .unwrap_or(0);
-                    let cost = each * 1_000 + here;
-                    if best.as_ref().is_none_or(|b| cost < b.0) {
-                        best = Some((
-                            cost,
-                            Candidate {
-                                kind: t,
-                                zone,
-                                spot,
-                                fit,
-                            },
-                        ));
+                    let available = !snapshot.refuses(&kind.name, zone, spot);
+                    if available && demand.allows(&kind.name, zone, spot) {
+                        candidates.push(Candidate {
+                            kind,
+                            zone,
+                            spot,
+                            fit,
+                        });
                     }
                 }
             }
         }
-        best.map(|b| b.1)
+        candidates
+    }
+
+    /// The price of a task in thousandths, and in its last digits the number of machines in the zone.
+    fn cost(&self, candidate: &Candidate, tasks: u32) -> i64 {
+        let tasks_placed = candidate.fit.min(i64::from(tasks)).max(1);
+        let price_per_task = candidate.kind.hourly_price(candidate.spot) * 1_000 / tasks_placed;
+        let in_zone = self.summary.by_zone.get(candidate.zone).copied();
+        price_per_task * 1_000 + in_zone.unwrap_or(0)
     }
 
     /// Plans provisioning for the tasks that machines should be provisioned for.
