--- a/crates/seamfront-core/src/fleet_duties.rs
+++ b/crates/seamfront-core/src/fleet_duties.rs
@@ -1,40 +1,39 @@
-//! Duties with a single holder: which there are, and with what each of the leader's effects is fenced.
+//! Duties with a single holder: which there are, and what fences each of the leader's effects.
 //!
-//! Where duties are off, and until every controller knows them, the leader's claim carries renting, returning and moving.
-//! Afterwards each has a claim and a token of its own. What they do on the outside is recorded first all the same:
-//! `rent/<name>` before the cloud is asked, `share: null` in a machine's record before it is returned.
+//! Where duties are off, and until every controller supports them, the leader's claim covers scaling out, scaling in and
+//! rebalancing. Afterwards each duty has a claim and a fencing token of its own. Their effects on the outside are
+//! recorded first in either case: `rent/<name>` before the cloud is asked to provision, `share: null` in a machine's
+//! record before the machine is terminated.
 
-use crate::engine::{Engine, Pending};
-use crate::leader::Leader;
-use crate::port::{CallId, StoreReply};
 use crate::types::{Micros, Settings};
 use seamfront_lease::keys;
-use seamfront_lease::port::{Command as DutyCommand, CommitOutcome, Effect as DutyEffect};
+use seamfront_lease::port::{Command as DutyCommand, Effect as DutyEffect};
 use seamfront_lease::settings::{LeaseSettings, StoreLimits};
 use seamfront_lease::DutyManager;
 use tracing::error;
 
-/// The duty of removing records that outlived their jobs.
+/// Name of the duty of removing records that outlived their jobs.
 pub const GARBAGE_COLLECTION: &str = "cleaning";
-/// The leader's claim, which carried all of this before.
+/// Key of the leader's claim, which covers the fleet's duties where these have no claims of their own.
 pub const LEADER_CLAIM: &str = "leader";
-/// The longest that the adapters wait for the state service.
-const STORE_ANSWER: Micros = Micros::from_millis(1_500);
-/// Duties may use one part in so many of the writes that the store takes.
-const WRITES_PART: i64 = 20;
+/// The longest time that the adapters wait for the state service.
+const STORE_REPLY_TIMEOUT: Micros = Micros::from_millis(1_500);
+/// Duties may use this fraction (one in so many) of the writes that the store takes.
+const WRITE_RATE_DIVISOR: i64 = 20;
 
-/// What the leader does, by duty.
+/// A duty of the fleet: what the leader does, in parts that may each be held by another controller.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum FleetDuty {
-    /// Renting machines, and taking in those that are listed.
+    /// Provisioning machines, and adopting those that the cloud lists without a record.
     ScaleOut,
-    /// Giving machines up and returning them.
+    /// Unassigning machines and terminating them.
     ScaleIn,
     /// Moving machines between shards.
     Rebalance,
 }
 
 impl FleetDuty {
+    /// All of them.
     pub(crate) const ALL: [FleetDuty; 3] = [
         FleetDuty::ScaleOut,
         FleetDuty::ScaleIn,
@@ -51,12 +50,47 @@
     }
 }
 
-/// The right to an effect: the key that fences it, its version, and until when the effect may begin.
+/// A value for each of the fleet's duties.
+#[derive(Clone, Debug, Default)]
+pub(crate) struct PerFleetDuty<T> {
+    scale_out: T,
+    scale_in: T,
+    rebalance: T,
+}
+
+impl<T> PerFleetDuty<T> {
+    /// The values that `value` gives, in the order of [`FleetDuty::ALL`].
+    pub(crate) fn from_fn(mut value: impl FnMut(FleetDuty) -> T) -> Self {
+        PerFleetDuty {
+            scale_out: value(FleetDuty::ScaleOut),
+            scale_in: value(FleetDuty::ScaleIn),
+            rebalance: value(FleetDuty::Rebalance),
+        }
+    }
+
+    /// The value of a duty.
+    pub(crate) fn get(&self, duty: FleetDuty) -> &T {
+        match duty {
+            FleetDuty::ScaleOut => &self.scale_out,
+            FleetDuty::ScaleIn => &self.scale_in,
+            FleetDuty::Rebalance => &self.rebalance,
+        }
+    }
+}
+
+/// What fences a duty's writes: they fail once the key has another version.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) struct Fence {
+    /// The key of the claim.
     pub(crate) key: String,
+    /// Its version under which the duty is held.
     pub(crate) fencing_token: u64,
-    /// None: the leader's claim, which sets no time for single effects.
+}
+
+/// The right to act on the outside now.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(crate) struct EffectPermit {
+    /// The effect must begin before this time. None under the leader's claim, which bounds no single effects.
     pub(crate) until: Option<Micros>,
 }
 
@@ -66,217 +100,109 @@
     let limits = StoreLimits {
         value_bytes: settings.value_bytes,
         transaction_changes: settings.txn_ops,
-        changes_per_second: (settings.write_rps / WRITES_PART).max(1),
+        changes_per_second: (settings.write_rps / WRITE_RATE_DIVISOR).max(1),
     };
     let fleet = FleetDuty::ALL.map(FleetDuty::name);
     let duties: Vec<&str> = [GARBAGE_COLLECTION].into_iter().chain(fleet).collect();
     let mut lease_settings =
         LeaseSettings::new(&settings.members[settings.me], &members, &duties, limits);
     lease_settings.lease = settings.tuning.claim_ttl;
-    lease_settings.store_answer = STORE_ANSWER;
+    lease_settings.store_answer = STORE_REPLY_TIMEOUT;
     lease_settings.together = fleet.map(str::to_owned).to_vec();
     lease_settings.former_claim = Some(LEADER_CLAIM.to_owned());
     lease_settings
 }
 
-/// None where duties are off.
-pub(crate) fn manager(settings: &Settings) -> Option<DutyManager> {
-    if !settings.tuning.duties {
-        return None;
-    }
-    match DutyManager::new(lease_settings(settings)) {
-        Ok(manager) => Some(manager),
-        Err(error) => {
-            error!(%error, "duties are off: their settings can't be used");
-            None
-        }
-    }
+/// The duties of this controller.
+pub(crate) struct Duties {
+    /// None where duties are off.
+    manager: Option<DutyManager>,
 }
 
-impl Engine {
-    /// Steps the duties, if they are on.
-    pub(crate) fn duties_tick(&mut self) {
-        if self.duties.is_none() {
-            return;
+impl Duties {
+    /// The duties of a controller that has just started.
+    pub(crate) fn new(settings: &Settings) -> Duties {
+        Duties {
+            manager: manager(settings),
         }
-        let former = self.leader.as_ref().and_then(|leader| leader.version);
-        let former = former.filter(|_| self.lease_valid(self.leader_slot()));
-        self.duty_step(vec![DutyCommand::FormerClaim(former)]);
-        self.former_claim_ends();
-        self.sweep_tick();
     }
 
-    /// Once duties are in force the leader's claim means nothing, whether its end has been seen here or not.
-    fn former_claim_ends(&mut self) {
-        let former = self
-            .leader
-            .as_ref()
-            .is_some_and(|leader| leader.version.is_some());
-        if !former || !self.duties_in_force() {
-            return;
-        }
-        let slot = self.leader_slot();
-        self.drop_claim(slot, "duties have claims of their own");
-        for duty in FleetDuty::ALL {
-            if self.duty_token(duty.name()).is_some() {
-                self.duty_begins(duty.name());
-            }
-        }
+    /// Whether duties are on.
+    pub(crate) fn enabled(&self) -> bool {
+        self.manager.is_some()
     }
 
-    pub(crate) fn duty_reply(&mut self, call: CallId, reply: StoreReply) {
-        self.duty_step(vec![DutyCommand::Store { call, reply }]);
-    }
-
-    pub(crate) fn duty_step(&mut self, commands: Vec<DutyCommand>) {
-        let now = self.now;
-        let Some(duties) = self.duties.as_mut() else {
-            return;
-        };
-        for effect in duties.step(now, commands) {
-            self.duty_effect(effect);
-        }
+    /// Whether duties have claims of their own by now.
+    pub(crate) fn in_force(&self) -> bool {
+        self.manager
+            .as_ref()
+            .is_some_and(DutyManager::duties_in_force)
     }
 
-    fn duty_effect(&mut self, effect: DutyEffect) {
-        match effect {
-            DutyEffect::Store { call, request } => {
-                self.send_to_store(request, Pending::Duty { call })
-            }
-            DutyEffect::Active { duty, .. } => self.duty_begins(&duty),
-            DutyEffect::Lost { duty, .. } => self.duty_ends(&duty),
-            DutyEffect::Committed { request, outcome } => self.removal_done(request, &outcome),
-            DutyEffect::Rejected { request, .. } => {
-                self.removal_done(request, &CommitOutcome::Refused)
-            }
-            _ => {}
-        }
+    /// Takes in commands and returns the effects, in order.
+    pub(crate) fn step(&mut self, now: Micros, commands: Vec<DutyCommand>) -> Vec<DutyEffect> {
+        self.manager
+            .as_mut()
+            .map_or_else(Vec::new, |manager| manager.step(now, commands))
     }
 
-    fn duty_begins(&mut self, duty: &str) {
-        let now = self.now;
-        if duty == GARBAGE_COLLECTION {
-            return self.garbage_collector.stop(now);
-        }
-        let members = self.settings.members.len();
-        let leader = self
-            .leader
-            .get_or_insert_with(|| Leader::new(None, now, members));
-        let fleet = FleetDuty::ALL
-            .into_iter()
-            .find(|fleet| fleet.name() == duty);
-        if let Some(fleet) = fleet {
-            leader.duty_begins(fleet);
-        }
+    /// The fencing token of a duty that may be performed here.
+    pub(crate) fn fencing_token(&self, duty: &str) -> Option<u64> {
+        self.manager.as_ref()?.fencing_token(duty)
     }
 
-    fn duty_ends(&mut self, duty: &str) {
-        if duty == GARBAGE_COLLECTION {
-            let now = self.now;
-            return self.garbage_collector.stop(now);
-        }
-        let any = FleetDuty::ALL
+    /// Whether any of the fleet's duties may be performed here.
+    pub(crate) fn holds_any_of_fleet(&self) -> bool {
+        FleetDuty::ALL
             .iter()
-            .any(|fleet| self.duty_token(fleet.name()).is_some());
-        if !any
-            && self
-                .leader
-                .as_ref()
-                .is_some_and(|leader| leader.version.is_none())
-        {
-            self.leader = None;
-        }
+            .any(|duty| self.fencing_token(duty.name()).is_some())
     }
 
-    /// The token of a duty that may be performed here.
-    pub(crate) fn duty_token(&self, duty: &str) -> Option<u64> {
-        self.duties.as_ref()?.fencing_token(duty)
+    /// What fences a duty of the fleet that is held here.
+    pub(crate) fn fence(&self, duty: FleetDuty) -> Option<Fence> {
+        let fencing_token = self.fencing_token(duty.name())?;
+        let key = keys::claim(duty.name());
+        Some(Fence { key, fencing_token })
     }
 
-    /// Whether duties have claims of their own by now.
-    pub(crate) fn duties_in_force(&self) -> bool {
-        self.duties
-            .as_ref()
-            .is_some_and(DutyManager::duties_in_force)
-    }
-
-    /// The token under which a duty is held here, be it the leader's claim.
-    pub(crate) fn fleet_token(&self, duty: FleetDuty) -> Option<u64> {
-        let leader = self.leader.as_ref()?;
-        leader.version.or_else(|| self.duty_token(duty.name()))
-    }
-
-    /// What an effect of a duty is fenced with, if it may begin now. Asks for a proof where there is none.
-    pub(crate) fn fence(&mut self, duty: FleetDuty) -> Option<Fence> {
-        if let Some(fencing_token) = self.leader.as_ref()?.version {
-            let lease_valid = self.lease_valid(self.leader_slot());
-            return lease_valid.then(|| Fence {
-                key: LEADER_CLAIM.to_owned(),
-                fencing_token,
-                until: None,
-            });
-        }
-        let fencing_token = self.duty_token(duty.name())?;
-        let duties = self.duties.as_mut()?;
-        duties.request_verification(duty.name());
-        let permit = duties.permit(duty.name())?;
-        Some(Fence {
-            key: keys::claim(duty.name()),
-            fencing_token,
+    /// Whether a duty of the fleet may act on the outside now. Requests a verification of its lease where the last one is
+    /// too old.
+    pub(crate) fn effect_permit(&mut self, duty: FleetDuty) -> Option<EffectPermit> {
+        self.fencing_token(duty.name())?;
+        let manager = self.manager.as_mut()?;
+        manager.request_verification(duty.name());
+        let permit = manager.permit(duty.name())?;
+        Some(EffectPermit {
             until: Some(permit.until),
         })
     }
 
-    /// A change on this fence has failed on it: whoever else holds it, we don't.
-    pub(crate) fn fence_refused(&mut self, duty: FleetDuty, fencing_token: u64) {
-        if self
-            .leader
-            .as_ref()
-            .is_some_and(|leader| leader.version == Some(fencing_token))
-        {
-            let slot = self.leader_slot();
-            return self.drop_claim(slot, "claim proven lost");
-        }
-        self.duty_step(vec![DutyCommand::TokenRefused {
-            duty: duty.name().to_owned(),
-            fencing_token,
-        }]);
-    }
-
-    /// The key that fences a duty under this token.
-    pub(crate) fn fence_key(&self, duty: FleetDuty, fencing_token: u64) -> String {
-        if self
-            .leader
-            .as_ref()
-            .is_some_and(|leader| leader.version == Some(fencing_token))
-        {
-            return LEADER_CLAIM.to_owned();
-        }
-        keys::claim(duty.name())
-    }
-
-    /// Members that hold any of the leader's duties.
-    pub(crate) fn fleet_holders(&self) -> Vec<usize> {
-        if !self.duties_in_force() {
-            let claim = self.store.claims[self.leader_slot()].as_ref();
-            return claim.map(|claim| claim.member).into_iter().collect();
-        }
-        let duties = self.duties.iter();
-        let names = duties.flat_map(|duties| {
-            FleetDuty::ALL
-                .iter()
-                .filter_map(|duty| duties.holder(duty.name()))
-        });
-        let mut holders: Vec<usize> = names
-            .filter_map(|name| {
-                self.settings
-                    .members
-                    .iter()
-                    .position(|member| member == name)
-            })
+    /// The members that hold any of the fleet's duties, as indices in ascending order.
+    pub(crate) fn fleet_holders(&self, members: &[String]) -> Vec<usize> {
+        let Some(manager) = &self.manager else {
+            return Vec::new();
+        };
+        let mut holders: Vec<usize> = FleetDuty::ALL
+            .iter()
+            .filter_map(|duty| manager.holder(duty.name()))
+            .filter_map(|name| members.iter().position(|member| member == name))
             .collect();
         holders.sort_unstable();
         holders.dedup();
         holders
     }
 }
+
+/// The manager of the duties; None where duties are off.
+fn manager(settings: &Settings) -> Option<DutyManager> {
+    if !settings.tuning.duties {
+        return None;
+    }
+    match DutyManager::new(lease_settings(settings)) {
+        Ok(manager) => Some(manager),
+        Err(error) => {
+            error!(%error, "duties are off: their settings can't be used");
+            None
+        }
+    }
+}
