--- a/crates/seamfront/src/cloud_client.rs
+++ b/crates/seamfront/src/cloud_client.rs
@@ -1,20 +1,26 @@
-//! The cloud's protocol.
+//! The client of the cloud: machine types, provisioning, termination and the list of machines.
 
-use crate::http::Client;
+use crate::http::{self, Client, Response};
 use http_types::Method;
 use seamfront_core::port::{CloudReply, CloudRequest, ListedMachine, ListedState};
 use seamfront_core::types::{MachineType, Micros, Resources};
-use serde::Deserialize;
-use serde_json::json;
+use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
 use std::time::Duration;
 use tracing::{info, warn};
 
-const CALL_TIME: Duration = Duration::from_secs(5);
+const CALL_TIMEOUT: Duration = Duration::from_secs(5);
+/// Machines on one page of the list.
+const PAGE_SIZE: u32 = 500;
+/// Bytes of an unexpected response that are logged.
+const LOGGED_BODY_MAX: usize = 200;
+/// What the cloud responds with status 503 when it is out of machines of a kind.
+const NO_CAPACITY: &str = "no capacity";
 
 #[derive(Deserialize)]
 struct WireTypes {
-    modelos: Vec<WireType>,
+    #[serde(rename = "modelos")]
+    types: Vec<WireType>,
 }
 
 #[derive(Deserialize)]
@@ -34,17 +40,20 @@
     spot_price: f64,
     #[serde(default)]
     boot_s: f64,
-    pracas: Vec<String>,
+    #[serde(rename = "pracas")]
+    zones: Vec<String>,
 }
 
 #[derive(Deserialize)]
-struct WireRented {
-    fornalhas: Vec<String>,
+struct WireProvisioned {
+    #[serde(rename = "fornalhas")]
+    machines: Vec<String>,
 }
 
 #[derive(Deserialize)]
 struct WireList {
-    fornalhas: Vec<WireMachine>,
+    #[serde(rename = "fornalhas")]
+    machines: Vec<WireMachine>,
     #[serde(default)]
     more: bool,
 }
@@ -52,17 +61,41 @@
 #[derive(Deserialize)]
 struct WireMachine {
     id: String,
-    modelo: String,
-    praca: String,
-    #[serde(default)]
-    emprestados: bool,
-    ponto: String,
-    #[serde(default)]
-    held_s: f64,
+    #[serde(rename = "modelo")]
+    kind: String,
+    #[serde(rename = "praca")]
+    zone: String,
+    #[serde(default, rename = "emprestados")]
+    spot: bool,
+    #[serde(rename = "ponto")]
+    state: String,
+    #[serde(default, rename = "held_s")]
+    age_s: f64,
 }
 
-fn milli(x: f64) -> i64 {
-    (x * 1e3).round().clamp(0.0, 1e15) as i64
+/// An order for machines; fields in the order of their names on the wire.
+#[derive(Serialize)]
+struct WireProvisionOrder<'a> {
+    count: u32,
+    #[serde(rename = "emprestados")]
+    spot: bool,
+    #[serde(rename = "encomenda")]
+    name: &'a str,
+    #[serde(rename = "modelo")]
+    kind: &'a str,
+    #[serde(rename = "praca")]
+    zone: &'a str,
+}
+
+#[derive(Serialize)]
+struct WireTermination<'a> {
+    #[serde(rename = "fornalhas")]
+    machines: Vec<&'a str>,
+}
+
+/// Thousandths of an amount, as the core counts.
+fn milli(amount: f64) -> i64 {
+    (amount * 1e3).round().clamp(0.0, 1e15) as i64
 }
 
 impl From<WireType> for MachineType {
@@ -75,13 +108,13 @@
             price: milli(t.hourly),
             spot_price: milli(t.spot_price),
             boot: Micros::from_secs_decimal(t.boot_s),
-            zones: t.pracas,
+            zones: t.zones,
         }
     }
 }
 
 fn listed(m: WireMachine) -> Option<ListedMachine> {
-    let state = match m.ponto.as_str() {
+    let state = match m.state.as_str() {
         "starting" => ListedState::Starting,
         "running" => ListedState::Running,
         "failed" => ListedState::Failed,
@@ -89,79 +122,120 @@
     };
     Some(ListedMachine {
         id: m.id.as_str().into(),
-        kind: m.modelo,
-        zone: m.praca,
-        spot: m.emprestados,
+        kind: m.kind,
+        zone: m.zone,
+        spot: m.spot,
         state,
-        age: Micros::from_secs_decimal(m.held_s),
+        age: Micros::from_secs_decimal(m.age_s),
     })
 }
 
-/// Carries out a request of the engine's to the cloud.
-pub async fn call(client: &Client, to: SocketAddr, request: &CloudRequest) -> CloudReply {
-    let (method, path, body) = match request {
-        CloudRequest::MachineTypes => (Method::Get, "/machine_types".to_owned(), None),
-        CloudRequest::Provision {
-            name,
-            kind,
-            zone,
-            spot,
-            count,
-        } => {
-            let body = json!({"encomenda": name, "modelo": kind, "praca": zone, "emprestados": spot, "count": count});
-            (Method::Post, "/hosts".to_owned(), Some(body))
+/// An HTTP request to the cloud.
+struct CloudCall {
+    method: Method,
+    path: String,
+    body: Option<String>,
+}
+
+impl CloudCall {
+    fn get(path: impl Into<String>) -> CloudCall {
+        CloudCall {
+            method: Method::Get,
+            path: path.into(),
+            body: None,
         }
-        CloudRequest::Terminate { machines } => {
-            let names: Vec<&str> = machines.iter().map(|m| m.as_str()).collect();
-            (
-                Method::Post,
-                "/hosts/delete".to_owned(),
-                Some(json!({ "fornalhas": names })),
-            )
+    }
+
+    fn post(path: impl Into<String>, body: &impl Serialize) -> CloudCall {
+        CloudCall {
+            method: Method::Post,
+            path: path.into(),
+            body: Some(http::json_text(body)),
         }
-        CloudRequest::ListMachines { after } => {
-            let after = after
-                .as_ref()
-                .map_or(String::new(), |a| format!("after={a}&"));
-            (Method::Get, format!("/hosts?{after}page=500"), None)
+    }
+}
+
+impl From<&CloudRequest> for CloudCall {
+    fn from(request: &CloudRequest) -> CloudCall {
+        match request {
+            CloudRequest::MachineTypes => CloudCall::get("/machine_types"),
+            CloudRequest::Provision {
+                name,
+                kind,
+                zone,
+                spot,
+                count,
+            } => {
+                let order = WireProvisionOrder {
+                    count: *count,
+                    spot: *spot,
+                    name,
+                    kind,
+                    zone,
+                };
+                CloudCall::post("/hosts", &order)
+            }
+            CloudRequest::Terminate { machines } => {
+                let machines = machines.iter().map(|machine| machine.as_str()).collect();
+                CloudCall::post("/hosts/delete", &WireTermination { machines })
+            }
+            CloudRequest::ListMachines { after } => {
+                let after = after
+                    .as_ref()
+                    .map_or(String::new(), |after| format!("after={after}&"));
+                CloudCall::get(format!("/hosts?{after}page={PAGE_SIZE}"))
+            }
         }
-    };
-    let body = body.map(|b| b.to_string().into_bytes());
-    let (status, bytes) = match client.call(to, method, &path, body, CALL_TIME).await {
-        Ok(r) => r,
+    }
+}
+
+/// Carries out a request of the engine's to the cloud.
+pub async fn call(client: &Client, to: SocketAddr, request: &CloudRequest) -> CloudReply {
+    let CloudCall { method, path, body } = CloudCall::from(request);
+    let body = body.map(String::into_bytes);
+    let response = match client.call(to, method, &path, body, CALL_TIMEOUT).await {
+        Ok(response) => response,
         Err(e) => {
-            info!(?e, ?request, "the cloud did not answer");
+            info!(?e, ?request, "no response of the cloud");
             return CloudReply::Failed;
         }
     };
-    let reply = match (request, status) {
+    reply(request, &response).unwrap_or_else(|| {
+        let shown = response.body.len().min(LOGGED_BODY_MAX);
+        let text = String::from_utf8_lossy(&response.body[..shown]).into_owned();
+        let status = response.status;
+        warn!(status, text, ?request, "unexpected response of the cloud");
+        CloudReply::Failed
+    })
+}
+
+/// What a response means for the request; none when it is not one of those the protocol knows.
+fn reply(request: &CloudRequest, response: &Response) -> Option<CloudReply> {
+    let body = &response.body;
+    match (request, response.status) {
         (CloudRequest::MachineTypes, 200) => {
-            serde_json::from_slice::<WireTypes>(&bytes).ok().map(|t| {
-                CloudReply::MachineTypes(t.modelos.into_iter().map(MachineType::from).collect())
-            })
+            let wire: WireTypes = serde_json::from_slice(body).ok()?;
+            let types = wire.types.into_iter().map(MachineType::from).collect();
+            Some(CloudReply::MachineTypes(types))
         }
         (CloudRequest::Provision { .. }, 200) => {
-            serde_json::from_slice::<WireRented>(&bytes).ok().map(|r| {
-                CloudReply::Provisioned(r.fornalhas.iter().map(|f| f.as_str().into()).collect())
-            })
+            let wire: WireProvisioned = serde_json::from_slice(body).ok()?;
+            let machines = wire.machines.iter().map(|id| id.as_str().into()).collect();
+            Some(CloudReply::Provisioned(machines))
         }
         (CloudRequest::Provision { .. }, 503)
-            if String::from_utf8_lossy(&bytes).contains("no capacity") =>
+            if String::from_utf8_lossy(body).contains(NO_CAPACITY) =>
         {
             Some(CloudReply::NoCapacity)
         }
         (CloudRequest::Terminate { .. }, 200) => Some(CloudReply::Terminated),
-        (CloudRequest::ListMachines { .. }, 200) => serde_json::from_slice::<WireList>(&bytes)
-            .ok()
-            .map(|l| CloudReply::Page {
-                machines: l.fornalhas.into_iter().filter_map(listed).collect(),
-                more: l.more,
-            }),
+        (CloudRequest::ListMachines { .. }, 200) => {
+            let wire: WireList = serde_json::from_slice(body).ok()?;
+            Some(CloudReply::Page {
+                machines: wire.machines.into_iter().filter_map(listed).collect(),
+                more: wire.more,
+            })
+        }
         _ => None,
-    };
-    reply.unwrap_or_else(|| {
-        let text = String::from_utf8_lossy(&bytes[..bytes.len().min(200)]).into_owned();
-        warn!(status, text, ?request, "the cloud refused");
-        CloudReply::Failed
-    })
+    }
 }
--- a/crates/seamfront/src/duty_admin.rs
+++ b/crates/seamfront/src/duty_admin.rs
@@ -1,10 +1,10 @@
-//! What operators see of duties, and how they move one by hand. Everything is read from the state service, so it works
-//! beside controllers that run, and without any.
+//! Commands by which operators see who holds which duty, and move one by hand. Everything is read from the key-value
+//! store, so they work beside controllers that run, and without any.
 
 use crate::http::Client;
 use crate::settings::Service;
 use crate::store_client;
-use seamfront_core::fleet_duties::LEADER_CLAIM;
+use seamfront_core::fleet_duties::{lease_settings, LEADER_CLAIM};
 use seamfront_core::port::{Entry, StoreReply, StoreRequest, Write};
 use seamfront_lease::keys;
 use seamfront_lease::record::{self, ClaimRecord, LogRecord, MemberRecord, MoveRecord, FORMAT};
@@ -15,16 +15,28 @@
 /// Why a command could not be carried out.
 #[derive(Debug, Error)]
 pub enum DutyCommandError {
-    /// The state service did not answer as it should.
-    #[error("state service: {0}")]
-    State(String),
-    /// What was asked for makes no sense.
-    #[error("{field}: {reason}")]
-    Invalid {
-        /// The argument.
-        field: &'static str,
-        /// What is wrong with it.
-        reason: String,
+    /// The key-value store could not be read.
+    #[error("state service: not read: {0:?}")]
+    NotRead(StoreReply),
+    /// The key-value store did not take a write.
+    #[error("state service: not written: {0:?}")]
+    NotWritten(StoreReply),
+    /// A duty cannot be moved to someone who is no member.
+    #[error("move-duty: {0:?} is no member")]
+    UnknownMember(String),
+    /// There is no such duty.
+    #[error("move-duty: {duty:?} is no duty; there is {}", known.join(", "))]
+    UnknownDuty {
+        /// What was asked for.
+        duty: String,
+        /// The duties that there are.
+        known: Vec<String>,
+    },
+    /// A member with duties on is up, or holds a duty.
+    #[error("end-duties: {key} is there: end all controllers that have duties on first")]
+    InUse {
+        /// The key in the store that shows it.
+        key: String,
     },
 }
 
@@ -37,11 +49,16 @@
     pub to: String,
 }
 
+/// The argument of a move is not `DUTY=MEMBER`.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
+#[error("must be DUTY=MEMBER")]
+pub struct MalformedMoveRequest;
+
 impl std::str::FromStr for MoveRequest {
-    type Err = String;
+    type Err = MalformedMoveRequest;
 
-    fn from_str(text: &str) -> Result<MoveRequest, String> {
-        let (duty, to) = text.split_once('=').ok_or("must be DUTY=MEMBER")?;
+    fn from_str(text: &str) -> Result<MoveRequest, MalformedMoveRequest> {
+        let (duty, to) = text.split_once('=').ok_or(MalformedMoveRequest)?;
         Ok(MoveRequest {
             duty: duty.to_owned(),
             to: to.to_owned(),
@@ -49,7 +66,7 @@
     }
 }
 
-/// Prints who holds what, who is up, and what is open.
+/// Describes who holds which duty, who is up, and which operations are open.
 pub fn show(settings: &Service) -> Result<String, DutyCommandError> {
     async_io::block_on(async {
         let client = Client::default();
@@ -61,22 +78,17 @@
 
 /// Asks the holder of a duty to hand it over.
 pub fn request_move(settings: &Service, request: &MoveRequest) -> Result<(), DutyCommandError> {
-    let invalid = |field, reason: String| Err(DutyCommandError::Invalid { field, reason });
     if !settings.core.members.contains(&request.to) {
-        return invalid("move-duty", format!("{:?} is no member", request.to));
+        return Err(DutyCommandError::UnknownMember(request.to.clone()));
     }
-    let lease = seamfront_core::fleet_duties::lease_settings(&settings.core);
+    let lease = lease_settings(&settings.core);
     if !lease.duties.contains(&request.duty) {
-        return invalid(
-            "move-duty",
-            format!(
-                "{:?} is no duty; there is {}",
-                request.duty,
-                lease.duties.join(", ")
-            ),
-        );
+        return Err(DutyCommandError::UnknownDuty {
+            duty: request.duty.clone(),
+            known: lease.duties,
+        });
     }
-    // What belongs together goes together.
+    // Duties of an affinity group always have the same holder.
     let group = if lease.together.contains(&request.duty) {
         lease.together
     } else {
@@ -91,83 +103,98 @@
         value: value.clone(),
         lease: None,
     };
-    let commit = StoreRequest::CompareAndSwap {
-        conditions: Vec::new(),
-        writes: group.iter().map(put).collect(),
-    };
-    async_io::block_on(async {
-        match store_client::call(&Client::default(), settings.state, &commit).await {
-            StoreReply::Committed { .. } => Ok(()),
-            other => Err(DutyCommandError::State(format!("not written: {other:?}"))),
-        }
-    })
+    let writes = group.iter().map(put).collect();
+    async_io::block_on(commit(&Client::default(), settings, Vec::new(), writes))
 }
 
 /// The way back: removes the switch and what stands in the leader's claim, so that controllers with duties off have a
 /// leader again. Refused while a member with duties on is up or holds a duty; the same is a condition of the removal.
 pub fn end(settings: &Service) -> Result<(), DutyCommandError> {
-    let lease = seamfront_core::fleet_duties::lease_settings(&settings.core);
     async_io::block_on(async {
         let client = Client::default();
         let control = list(&client, settings, keys::CONTROL_PREFIX).await?;
-        let in_use = |entry: &&Entry| {
-            entry.key.starts_with(keys::MEMBER_PREFIX) || entry.key.starts_with(keys::CLAIM_PREFIX)
-        };
-        if let Some(entry) = control.iter().find(in_use) {
-            let reason = format!(
-                "{} is there: end all controllers that have duties on first",
-                entry.key
-            );
-            return Err(DutyCommandError::Invalid {
-                field: "end-duties",
-                reason,
-            });
-        }
-        let leader = match store_client::call(
-            &client,
-            settings.state,
-            &StoreRequest::Get {
-                key: LEADER_CLAIM.to_owned(),
-            },
-        )
-        .await
-        {
-            StoreReply::Entry(entry) => Some(entry),
-            StoreReply::Missing => None,
-            other => return Err(DutyCommandError::State(format!("not read: {other:?}"))),
+        check_unused(&control)?;
+        let leader = leader_claim(&client, settings).await?;
+        let Some(switch) = control.iter().find(|entry| entry.key == keys::SWITCH) else {
+            return Ok(());
         };
-        let switch = control.iter().find(|entry| entry.key == keys::SWITCH);
-        let Some(switch) = switch else { return Ok(()) };
-        let mut conditions = vec![(keys::SWITCH.to_owned(), switch.version)];
-        conditions.extend(lease.duties.iter().map(|duty| (keys::claim(duty), 0)));
-        conditions.extend(lease.members.iter().map(|member| (keys::member(member), 0)));
-        let mut writes = vec![Write::Delete {
-            key: keys::SWITCH.to_owned(),
-        }];
-        if let Some(leader) = leader {
-            conditions.push((leader.key.clone(), leader.version));
-            writes.push(Write::Delete { key: leader.key });
-        }
-        // The next switch waits until all have begun with duties on again.
-        let versions = control
-            .iter()
-            .filter(|entry| entry.key.starts_with(keys::VERSION_PREFIX));
-        writes.extend(versions.map(|entry| Write::Delete {
-            key: entry.key.clone(),
-        }));
-        match store_client::call(
-            &client,
-            settings.state,
-            &StoreRequest::CompareAndSwap { conditions, writes },
-        )
-        .await
-        {
-            StoreReply::Committed { .. } => Ok(()),
-            other => Err(DutyCommandError::State(format!("not written: {other:?}"))),
-        }
+        let conditions = end_conditions(settings, switch, leader.as_ref());
+        let writes = end_writes(&control, leader);
+        commit(&client, settings, conditions, writes).await
     })
 }
 
+/// Refuses while a member with duties on is up or holds a duty.
+fn check_unused(control: &[Entry]) -> Result<(), DutyCommandError> {
+    let in_use = |entry: &&Entry| {
+        entry.key.starts_with(keys::MEMBER_PREFIX) || entry.key.starts_with(keys::CLAIM_PREFIX)
+    };
+    match control.iter().find(in_use) {
+        Some(entry) => Err(DutyCommandError::InUse {
+            key: entry.key.clone(),
+        }),
+        None => Ok(()),
+    }
+}
+
+async fn leader_claim(
+    client: &Client,
+    settings: &Service,
+) -> Result<Option<Entry>, DutyCommandError> {
+    let request = StoreRequest::Get {
+        key: LEADER_CLAIM.to_owned(),
+    };
+    match store_client::call(client, settings.state, &request).await {
+        StoreReply::Entry(entry) => Ok(Some(entry)),
+        StoreReply::Missing => Ok(None),
+        other => Err(DutyCommandError::NotRead(other)),
+    }
+}
+
+/// Nothing has changed since it was read: the switch, the leader's claim, no claim of a duty and no
+/// member.
+fn end_conditions(
+    settings: &Service,
+    switch: &Entry,
+    leader: Option<&Entry>,
+) -> Vec<(String, u64)> {
+    let lease = lease_settings(&settings.core);
+    let mut conditions = vec![(keys::SWITCH.to_owned(), switch.version)];
+    conditions.extend(lease.duties.iter().map(|duty| (keys::claim(duty), 0)));
+    conditions.extend(lease.members.iter().map(|member| (keys::member(member), 0)));
+    conditions.extend(leader.map(|leader| (leader.key.clone(), leader.version)));
+    conditions
+}
+
+/// Removes the switch, the leader's claim, and what members said of their versions: the next switch
+/// waits until all have started with duties on again.
+fn end_writes(control: &[Entry], leader: Option<Entry>) -> Vec<Write> {
+    let mut writes = vec![Write::Delete {
+        key: keys::SWITCH.to_owned(),
+    }];
+    writes.extend(leader.map(|leader| Write::Delete { key: leader.key }));
+    let versions = control
+        .iter()
+        .filter(|entry| entry.key.starts_with(keys::VERSION_PREFIX));
+    writes.extend(versions.map(|entry| Write::Delete {
+        key: entry.key.clone(),
+    }));
+    writes
+}
+
+async fn commit(
+    client: &Client,
+    settings: &Service,
+    conditions: Vec<(String, u64)>,
+    writes: Vec<Write>,
+) -> Result<(), DutyCommandError> {
+    let request = StoreRequest::CompareAndSwap { conditions, writes };
+    match store_client::call(client, settings.state, &request).await {
+        StoreReply::Committed { .. } => Ok(()),
+        other => Err(DutyCommandError::NotWritten(other)),
+    }
+}
+
 async fn list(
     client: &Client,
     settings: &Service,
@@ -187,7 +214,7 @@
                     return Ok(all);
                 }
             }
-            other => return Err(DutyCommandError::State(format!("not read: {other:?}"))),
+            other => return Err(DutyCommandError::NotRead(other)),
         }
     }
 }
--- a/crates/seamfront/src/lib.rs
+++ b/crates/seamfront/src/lib.rs
@@ -6,8 +6,10 @@
 pub mod cloud_client;
 pub mod driver;
 pub mod duty_admin;
+mod effects;
 pub mod http;
 pub mod peer_transport;
+mod router;
 pub mod settings;
 pub mod store_client;
 pub mod user_api;
--- a/crates/seamfront/src/main.rs
+++ b/crates/seamfront/src/main.rs
@@ -43,21 +43,24 @@
     let args = Args::parse();
     let level = std::env::var("LOG_LEVEL")
         .ok()
-        .and_then(|l| l.parse().ok())
+        .and_then(|level| level.parse().ok())
         .unwrap_or(tracing::Level::INFO);
-    // More than info is of use only about ourselves: libraries tell each frame of each connection.
-    let others = LevelFilter::from(level).min(LevelFilter::INFO);
-    let told = Targets::new()
+    // Libraries log each frame of each connection below info.
+    let libraries = LevelFilter::from(level).min(LevelFilter::INFO);
+    let filter = Targets::new()
         .with_target("seamfront", level)
-        .with_default(others);
-    let lines = tracing_subscriber::fmt::layer()
+        .with_default(libraries);
+    let format = tracing_subscriber::fmt::layer()
         .with_writer(std::io::stderr)
         .without_time()
         .with_ansi(false);
-    tracing_subscriber::registry().with(lines).with(told).init();
+    tracing_subscriber::registry()
+        .with(format)
+        .with(filter)
+        .init();
     let settings =
         match settings::load(&args.config).and_then(|settings| settings.with_duties(args.duties)) {
-            Ok(s) => s,
+            Ok(settings) => settings,
             Err(e) => {
                 let _ = writeln!(std::io::stderr(), "seamfront: {e}");
                 return ExitCode::from(2);
--- a/crates/seamfront/src/store_client.rs
+++ b/crates/seamfront/src/store_client.rs
@@ -1,31 +1,38 @@
-//! The state service's protocol.
+//! The client of the consensus-backed key-value store.
 
-use crate::http::{Client, Failure};
+use crate::http::{self, CallError, Client, Response};
 use http_types::Method;
 use seamfront_core::port::{Entry, StoreReply, StoreRequest, Write};
-use serde::Deserialize;
-use serde_json::{json, Value};
+use serde::{Deserialize, Serialize};
+use serde_json::Value;
 use std::net::SocketAddr;
 use std::time::Duration;
 use tracing::warn;
 
-const CALL_TIME: Duration = Duration::from_millis(1_500);
-const PAGE: u32 = 300;
+const CALL_TIMEOUT: Duration = Duration::from_millis(1_500);
+/// Entries on one page of a list.
+const PAGE_SIZE: u32 = 300;
+/// Bytes of an unexpected response that are logged.
+const LOGGED_BODY_MAX: usize = 300;
+/// What the store responds with status 400 to a write under a lease that expired.
+const NO_SUCH_LEASE: &str = "no such lease";
+const MICROS_PER_MILLI: i64 = 1_000;
 
 #[derive(Deserialize)]
 struct WirePair {
     key: String,
-    #[serde(default)]
-    data: Value,
-    rasura: u64,
+    #[serde(default, rename = "data")]
+    value: Value,
+    #[serde(rename = "rasura")]
+    version: u64,
 }
 
 impl From<WirePair> for Entry {
-    fn from(p: WirePair) -> Entry {
+    fn from(pair: WirePair) -> Entry {
         Entry {
-            key: p.key,
-            value: p.data,
-            version: p.rasura,
+            key: pair.key,
+            value: pair.value,
+            version: pair.version,
         }
     }
 }
@@ -35,12 +42,14 @@
     pairs: Vec<WirePair>,
     #[serde(default)]
     more: bool,
-    caderno: u64,
+    #[serde(rename = "caderno")]
+    revision: u64,
 }
 
 #[derive(Deserialize)]
 struct WireRevision {
-    caderno: u64,
+    #[serde(rename = "caderno")]
+    revision: u64,
 }
 
 #[derive(Deserialize)]
@@ -51,170 +60,248 @@
 
 #[derive(Deserialize)]
 struct WireLease {
-    vale: u64,
+    #[serde(rename = "vale")]
+    lease: u64,
 }
 
 #[derive(Deserialize)]
 struct WireChanges {
-    caderno: u64,
+    #[serde(rename = "caderno")]
+    revision: u64,
     #[serde(default)]
     events: Vec<WireEvent>,
 }
 
 #[derive(Deserialize)]
 struct WireEvent {
-    write: Option<String>,
-    remove: Option<String>,
-    #[serde(default)]
-    data: Value,
-    rasura: u64,
-}
-
-fn commit_body(conditions: &[(String, u64)], writes: &[Write]) -> Value {
-    let conditions: Vec<Value> = conditions
-        .iter()
-        .map(|(k, v)| json!({"key": k, "rasura": v}))
-        .collect();
-    let writes: Vec<Value> = writes
-        .iter()
-        .map(|w| match w {
-            Write::Put {
-                key,
-                value,
-                lease: Some(l),
-            } => json!({"write": key, "data": value, "vale": l}),
-            Write::Put {
-                key,
-                value,
-                lease: None,
-            } => json!({"write": key, "data": value}),
-            Write::Delete { key } => json!({"remove": key}),
-        })
-        .collect();
-    if writes.is_empty() {
-        json!({ "when": conditions })
-    } else {
-        json!({"when": conditions, "apply": writes})
+    #[serde(rename = "write")]
+    written: Option<String>,
+    #[serde(rename = "remove")]
+    removed: Option<String>,
+    #[serde(default, rename = "data")]
+    value: Value,
+    #[serde(rename = "rasura")]
+    version: u64,
+}
+
+#[derive(Serialize)]
+struct WireCondition<'a> {
+    key: &'a str,
+    #[serde(rename = "rasura")]
+    version: u64,
+}
+
+/// A write; fields in the order of their names on the wire.
+#[derive(Serialize)]
+#[serde(untagged)]
+enum WireWrite<'a> {
+    Put {
+        #[serde(rename = "data")]
+        value: &'a Value,
+        #[serde(rename = "vale", skip_serializing_if = "Option::is_none")]
+        lease: Option<u64>,
+        #[serde(rename = "write")]
+        key: &'a str,
+    },
+    Delete {
+        #[serde(rename = "remove")]
+        key: &'a str,
+    },
+}
+
+/// A transaction; fields in the order of their names on the wire.
+#[derive(Serialize)]
+struct WireCompareAndSwap<'a> {
+    #[serde(rename = "apply", skip_serializing_if = "Vec::is_empty")]
+    writes: Vec<WireWrite<'a>>,
+    #[serde(rename = "when")]
+    conditions: Vec<WireCondition<'a>>,
+}
+
+#[derive(Serialize)]
+struct WireGrant {
+    ttl_ms: i64,
+}
+
+fn compare_and_swap<'a>(
+    conditions: &'a [(String, u64)],
+    writes: &'a [Write],
+) -> WireCompareAndSwap<'a> {
+    let condition = |(key, version): &'a (String, u64)| WireCondition {
+        key,
+        version: *version,
+    };
+    let write = |write: &'a Write| match write {
+        Write::Put { key, value, lease } => WireWrite::Put {
+            value,
+            lease: *lease,
+            key,
+        },
+        Write::Delete { key } => WireWrite::Delete { key },
+    };
+    WireCompareAndSwap {
+        writes: writes.iter().map(write).collect(),
+        conditions: conditions.iter().map(condition).collect(),
     }
 }
 
-/// Carries out a request of the engine's to the state service.
-pub async fn call(client: &Client, to: SocketAddr, request: &StoreRequest) -> StoreReply {
-    let (method, path, body, limit) = match request {
-        StoreRequest::Get { key } => (Method::Get, format!("/kv/{key}"), None, CALL_TIME),
-        StoreRequest::List { prefix, after } => {
-            let after = after
-                .as_ref()
-                .map_or(String::new(), |a| format!("&after={a}"));
-            (
-                Method::Get,
-                format!("/kv?prefix={prefix}{after}&page={PAGE}"),
-                None,
-                CALL_TIME,
-            )
+/// An HTTP request to the key-value store.
+struct StoreCall {
+    method: Method,
+    path: String,
+    body: Option<String>,
+    timeout: Duration,
+}
+
+impl StoreCall {
+    fn get(path: String) -> StoreCall {
+        StoreCall {
+            method: Method::Get,
+            path,
+            body: None,
+            timeout: CALL_TIMEOUT,
         }
-        StoreRequest::CompareAndSwap { conditions, writes } => (
-            Method::Post,
-            "/commit".to_owned(),
-            Some(commit_body(conditions, writes)),
-            CALL_TIME,
-        ),
-        StoreRequest::GrantLease { ttl } => (
-            Method::Post,
-            "/grants".to_owned(),
-            Some(json!({"ttl_ms": ttl.0 / 1_000})),
-            CALL_TIME,
-        ),
-        StoreRequest::RenewLease { lease } => (
-            Method::Post,
-            format!("/grants/{lease}/renew"),
-            None,
-            CALL_TIME,
-        ),
-        StoreRequest::Watch {
-            prefix,
-            after,
-            wait,
-        } => {
-            let ms = wait.0 / 1_000;
-            let path = format!("/changes?prefix={prefix}&after={after}&hold_ms={ms}");
-            (
-                Method::Get,
-                path,
-                None,
-                CALL_TIME + Duration::from_millis(ms.max(0) as u64),
-            )
+    }
+
+    fn post(path: String, body: Option<String>) -> StoreCall {
+        StoreCall {
+            method: Method::Post,
+            path,
+            body,
+            timeout: CALL_TIMEOUT,
         }
-    };
-    let body = body.map(|b| b.to_string().into_bytes());
-    match client.call(to, method, &path, body, limit).await {
-        Err(Failure::NotSent) => StoreReply::Refused,
-        Err(Failure::Unknown) => StoreReply::Unknown,
-        Ok((429 | 503, _)) => StoreReply::Refused,
-        Ok((status, bytes)) => understand(request, status, &bytes).unwrap_or_else(|| {
-            let text = String::from_utf8_lossy(&bytes[..bytes.len().min(300)]).into_owned();
-            warn!(status, text, ?request, "odd answer of the state service");
-            // A refusal of the request as such was certainly not executed.
-            if status == 400 {
-                StoreReply::Refused
-            } else {
-                StoreReply::Unknown
+    }
+}
+
+impl From<&StoreRequest> for StoreCall {
+    fn from(request: &StoreRequest) -> StoreCall {
+        match request {
+            StoreRequest::Get { key } => StoreCall::get(format!("/kv/{key}")),
+            StoreRequest::List { prefix, after } => {
+                let after = after
+                    .as_ref()
+                    .map_or(String::new(), |after| format!("&after={after}"));
+                StoreCall::get(format!("/kv?prefix={prefix}{after}&page={PAGE_SIZE}"))
             }
-        }),
+            StoreRequest::CompareAndSwap { conditions, writes } => {
+                let body = http::json_text(&compare_and_swap(conditions, writes));
+                StoreCall::post("/commit".to_owned(), Some(body))
+            }
+            StoreRequest::GrantLease { ttl } => {
+                let ttl_ms = ttl.0 / MICROS_PER_MILLI;
+                let body = http::json_text(&WireGrant { ttl_ms });
+                StoreCall::post("/grants".to_owned(), Some(body))
+            }
+            StoreRequest::RenewLease { lease } => {
+                StoreCall::post(format!("/grants/{lease}/renew"), None)
+            }
+            StoreRequest::Watch {
+                prefix,
+                after,
+                wait,
+            } => {
+                let hold_ms = wait.0 / MICROS_PER_MILLI;
+                let path = format!("/changes?prefix={prefix}&after={after}&hold_ms={hold_ms}");
+                StoreCall {
+                    timeout: CALL_TIMEOUT + Duration::from_millis(hold_ms.max(0) as u64),
+                    ..StoreCall::get(path)
+                }
+            }
+        }
     }
 }
 
-fn understand(request: &StoreRequest, status: u16, bytes: &[u8]) -> Option<StoreReply> {
-    fn read<'a, T: Deserialize<'a>>(bytes: &'a [u8]) -> Option<T> {
-        serde_json::from_slice(bytes).ok()
+/// Carries out a request of the engine's to the key-value store.
+pub async fn call(client: &Client, to: SocketAddr, request: &StoreRequest) -> StoreReply {
+    let StoreCall {
+        method,
+        path,
+        body,
+        timeout,
+    } = StoreCall::from(request);
+    let body = body.map(String::into_bytes);
+    match client.call(to, method, &path, body, timeout).await {
+        Err(CallError::NotSent) => StoreReply::Refused,
+        Err(CallError::Unknown) => StoreReply::Unknown,
+        Ok(Response {
+            status: 429 | 503, ..
+        }) => StoreReply::Refused,
+        Ok(response) => reply(request, &response).unwrap_or_else(|| unexpected(request, &response)),
     }
-    Some(match (request, status) {
-        (StoreRequest::Get { .. }, 200) => StoreReply::Entry(read::<WirePair>(bytes)?.into()),
+}
+
+/// Logs a response that the protocol does not know, and says what is known of the outcome.
+fn unexpected(request: &StoreRequest, response: &Response) -> StoreReply {
+    let status = response.status;
+    let shown = response.body.len().min(LOGGED_BODY_MAX);
+    let text = String::from_utf8_lossy(&response.body[..shown]).into_owned();
+    warn!(
+        status,
+        text,
+        ?request,
+        "unexpected response of the key-value store"
+    );
+    // A request that is refused as malformed was certainly not executed.
+    if status == 400 {
+        StoreReply::Refused
+    } else {
+        StoreReply::Unknown
+    }
+}
+
+fn read<'a, T: Deserialize<'a>>(body: &'a [u8]) -> Option<T> {
+    serde_json::from_slice(body).ok()
+}
+
+/// What a response means for the request; none when it is not one of those the protocol knows.
+fn reply(request: &StoreRequest, response: &Response) -> Option<StoreReply> {
+    let body = response.body.as_slice();
+    Some(match (request, response.status) {
+        (StoreRequest::Get { .. }, 200) => StoreReply::Entry(read::<WirePair>(body)?.into()),
         (StoreRequest::Get { .. }, 404) => StoreReply::Missing,
         (StoreRequest::List { .. }, 200) => {
-            let p: WirePage = read(bytes)?;
-            let entries = p.pairs.into_iter().map(Entry::from).collect();
+            let page: WirePage = read(body)?;
             StoreReply::Page {
-                entries,
-                more: p.more,
-                revision: p.caderno,
+                entries: page.pairs.into_iter().map(Entry::from).collect(),
+                more: page.more,
+                revision: page.revision,
             }
         }
         (StoreRequest::CompareAndSwap { .. }, 200) => StoreReply::Committed {
-            revision: read::<WireRevision>(bytes)?.caderno,
+            revision: read::<WireRevision>(body)?.revision,
         },
         (StoreRequest::CompareAndSwap { .. }, 409) => StoreReply::Conflict {
-            failed: read::<WireFailed>(bytes)?.failed,
+            failed: read::<WireFailed>(body)?.failed,
         },
-        (StoreRequest::CompareAndSwap { .. }, 400) => {
-            let text = String::from_utf8_lossy(bytes);
-            if !text.contains("no such lease") {
-                return None;
-            }
+        (StoreRequest::CompareAndSwap { .. }, 400)
+            if String::from_utf8_lossy(body).contains(NO_SUCH_LEASE) =>
+        {
             StoreReply::NoSuchLease
         }
         (StoreRequest::GrantLease { .. }, 200) => StoreReply::Lease {
-            id: read::<WireLease>(bytes)?.vale,
+            id: read::<WireLease>(body)?.lease,
         },
         (StoreRequest::RenewLease { .. }, 200) => StoreReply::Renewed,
         (StoreRequest::RenewLease { .. }, 404) => StoreReply::NoSuchLease,
         (StoreRequest::Watch { .. }, 410) => StoreReply::TooOld,
-        (StoreRequest::Watch { .. }, 200) => {
-            let c: WireChanges = read(bytes)?;
-            let mut events = Vec::new();
-            for e in c.events {
-                match (e.write, e.remove) {
-                    (Some(k), _) => events.push((k, Some(e.data), e.rasura)),
-                    (None, Some(k)) => events.push((k, None, e.rasura)),
-                    _ => return None,
-                }
-            }
-            events.sort_by_key(|e| e.2);
-            StoreReply::Changes {
-                revision: c.caderno,
-                events,
-            }
-        }
+        (StoreRequest::Watch { .. }, 200) => changes(read(body)?)?,
         _ => return None,
     })
 }
+
+/// The events of a watch in the order of their versions; none when one neither writes nor removes.
+fn changes(wire: WireChanges) -> Option<StoreReply> {
+    let mut events = Vec::new();
+    for event in wire.events {
+        match (event.written, event.removed) {
+            (Some(key), _) => events.push((key, Some(event.value), event.version)),
+            (None, Some(key)) => events.push((key, None, event.version)),
+            (None, None) => return None,
+        }
+    }
+    events.sort_by_key(|(_, _, version)| *version);
+    Some(StoreReply::Changes {
+        revision: wire.revision,
+        events,
+    })
+}
--- a/crates/seamfront/src/user_api.rs
+++ b/crates/seamfront/src/user_api.rs
@@ -1,178 +1,295 @@
-//! The users' protocol: strict about what comes in, one JSON object for what goes out.
+//! The public API: submissions are checked field by field, each response is one JSON object.
 
-use crate::http::Reply;
+use crate::http::{self, Reply};
 use seamfront_core::port::{Answer, JobState};
 use seamfront_core::types::{JobId, JobKind, JobSpec, Micros, Priority, Resources};
-use serde_json::{json, Map, Value};
+use serde::Serialize;
+use serde_json::{Map, Value};
+use std::collections::BTreeSet;
+use thiserror::Error;
 
 /// Tasks of a job at the most.
 pub const TASKS_MAX: u64 = 100_000;
+/// Bytes of a name at the most.
 const NAME_MAX: usize = 200;
+/// Machine types that a job may list at the most.
 const TYPES_MAX: usize = 200;
+const AMOUNT_MAX: f64 = 1e9;
+const MB_PER_GB: f64 = 1e3;
+const MICROS_PER_SECOND: i64 = 1_000_000;
 
-/// Job ids are `j-` and digits.
+/// Whether a text is a job id: `j-` and 1 to 30 digits.
 pub fn valid_id(id: &str) -> bool {
-    id.strip_prefix("j-")
-        .is_some_and(|n| (1..=30).contains(&n.len()) && n.bytes().all(|b| b.is_ascii_digit()))
+    id.strip_prefix("j-").is_some_and(|digits| {
+        (1..=30).contains(&digits.len()) && digits.bytes().all(|b| b.is_ascii_digit())
+    })
+}
+
+/// What a field of a submission has to hold.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
+pub enum ExpectedValue {
+    /// A text that is neither empty nor too long.
+    #[error("must be a text of 1 to {NAME_MAX} bytes")]
+    Text,
+    /// An amount or a number of seconds.
+    #[error("must be a number from 0 to 1e9")]
+    Amount,
+    /// A flag.
+    #[error("must be true or false")]
+    Flag,
+    /// A number of tasks.
+    #[error("must be a whole number from 1 to {TASKS_MAX}")]
+    TaskCount,
+    /// A list of machine types, or none.
+    #[error("must be a list of texts or null")]
+    TypeList,
+    /// A machine type within the list.
+    #[error("must hold texts")]
+    TypeNames,
+    /// A list of jobs, or none.
+    #[error("must be a list of job ids or null")]
+    JobIdList,
+    /// A job within the list.
+    #[error("must hold job ids")]
+    JobIds,
+}
+
+/// Why a submission is refused; the text goes to the client.
+#[derive(Debug, Error)]
+pub enum MalformedSubmission {
+    /// The body is not JSON.
+    #[error("not JSON: {0}")]
+    Json(#[from] serde_json::Error),
+    /// The body is JSON of another kind.
+    #[error("not an object")]
+    NotAnObject,
+    /// A required field is absent or null.
+    #[error("{field}: missing")]
+    Missing {
+        /// The field's name on the wire.
+        field: &'static str,
+    },
+    /// A field holds something else than it has to.
+    #[error("{field}: {expected}")]
+    Invalid {
+        /// The field's name on the wire.
+        field: &'static str,
+        /// What it has to hold.
+        expected: ExpectedValue,
+    },
+    /// A field names none of the values it can have.
+    #[error("{field}: `{value}` is unknown")]
+    UnknownValue {
+        /// The field's name on the wire.
+        field: &'static str,
+        /// What it holds.
+        value: String,
+    },
+    /// The job's id is malformed.
+    #[error("id: `{id}` is not j- and digits")]
+    InvalidId {
+        /// The id.
+        id: String,
+    },
+    /// The job depends on itself.
+    #[error("espera: names the job itself")]
+    DependsOnItself,
 }
 
+/// A submission's fields by their names on the wire; null counts as absent.
 struct Fields<'a>(&'a Map<String, Value>);
 
 impl Fields<'_> {
-    fn get(&self, name: &str) -> Option<&Value> {
-        self.0.get(name).filter(|v| !v.is_null())
+    fn get(&self, field: &str) -> Option<&Value> {
+        self.0.get(field).filter(|value| !value.is_null())
+    }
+
+    fn required(&self, field: &'static str) -> Result<&Value, MalformedSubmission> {
+        self.get(field)
+            .ok_or(MalformedSubmission::Missing { field })
     }
 
-    fn text(&self, name: &str) -> Result<String, String> {
-        match self.get(name) {
-            Some(Value::String(s)) if !s.is_empty() && s.len() <= NAME_MAX => Ok(s.clone()),
-            Some(_) => Err(format!("{name}: must be a text of 1 to {NAME_MAX} bytes")),
-            None => Err(format!("{name}: missing")),
+    fn text(&self, field: &'static str) -> Result<String, MalformedSubmission> {
+        match self.required(field)? {
+            Value::String(text) if !text.is_empty() && text.len() <= NAME_MAX => Ok(text.clone()),
+            _ => Err(invalid(field, ExpectedValue::Text)),
         }
     }
 
-    fn optional_text(&self, name: &str) -> Result<Option<String>, String> {
-        self.get(name).map(|_| self.text(name)).transpose()
+    fn optional_text(&self, field: &'static str) -> Result<Option<String>, MalformedSubmission> {
+        self.get(field).map(|_| self.text(field)).transpose()
+    }
+
+    fn amount(&self, field: &'static str) -> Result<f64, MalformedSubmission> {
+        match self.required(field)?.as_f64() {
+            Some(amount) if amount.is_finite() && (0.0..=AMOUNT_MAX).contains(&amount) => {
+                Ok(amount)
+            }
+            _ => Err(invalid(field, ExpectedValue::Amount)),
+        }
+    }
+
+    fn duration(&self, field: &'static str) -> Result<Micros, MalformedSubmission> {
+        self.amount(field).map(Micros::from_secs_decimal)
+    }
+
+    fn optional_duration(
+        &self,
+        field: &'static str,
+    ) -> Result<Option<Micros>, MalformedSubmission> {
+        self.get(field).map(|_| self.duration(field)).transpose()
     }
 
-    fn amount(&self, name: &str) -> Result<f64, String> {
-        match self.get(name) {
-            Some(v) => match v.as_f64() {
-                Some(x) if x.is_finite() && (0.0..=1e9).contains(&x) => Ok(x),
-                _ => Err(format!("{name}: must be a number from 0 to 1e9")),
-            },
-            None => Err(format!("{name}: missing")),
+    fn flag(&self, field: &'static str) -> Result<bool, MalformedSubmission> {
+        match self.required(field)? {
+            Value::Bool(flag) => Ok(*flag),
+            _ => Err(invalid(field, ExpectedValue::Flag)),
         }
     }
 
-    fn span(&self, name: &str) -> Result<Micros, String> {
-        self.amount(name).map(Micros::from_secs_decimal)
+    fn one_of<T: Copy>(
+        &self,
+        field: &'static str,
+        choices: &[(&str, T)],
+    ) -> Result<T, MalformedSubmission> {
+        let value = self.text(field)?;
+        match choices.iter().find(|(name, _)| *name == value) {
+            Some((_, choice)) => Ok(*choice),
+            None => Err(MalformedSubmission::UnknownValue { field, value }),
+        }
     }
 
-    fn flag(&self, name: &str) -> Result<bool, String> {
-        match self.get(name) {
-            Some(Value::Bool(b)) => Ok(*b),
-            Some(_) => Err(format!("{name}: must be true or false")),
-            None => Err(format!("{name}: missing")),
+    fn task_count(&self, field: &'static str) -> Result<u32, MalformedSubmission> {
+        match self.required(field)?.as_u64() {
+            Some(count @ 1..=TASKS_MAX) => Ok(count as u32),
+            _ => Err(invalid(field, ExpectedValue::TaskCount)),
         }
     }
 
-    fn one_of<T: Copy>(&self, name: &str, choices: &[(&str, T)]) -> Result<T, String> {
-        let text = self.text(name)?;
-        choices
-            .iter()
-            .find(|c| c.0 == text)
-            .map(|c| c.1)
-            .ok_or_else(|| format!("{name}: `{text}` is unknown"))
+    fn machine_types(
+        &self,
+        field: &'static str,
+    ) -> Result<Option<Vec<String>>, MalformedSubmission> {
+        let list = match self.get(field) {
+            None => return Ok(None),
+            Some(Value::Array(list)) if list.len() <= TYPES_MAX => list,
+            Some(_) => return Err(invalid(field, ExpectedValue::TypeList)),
+        };
+        let name = |value: &Value| {
+            value
+                .as_str()
+                .filter(|name| name.len() <= NAME_MAX)
+                .map(str::to_owned)
+                .ok_or(invalid(field, ExpectedValue::TypeNames))
+        };
+        list.iter().map(name).collect::<Result<_, _>>().map(Some)
+    }
+
+    /// Jobs that have to be done first; each counts once.
+    fn dependencies(
+        &self,
+        field: &'static str,
+        own_id: &str,
+    ) -> Result<Vec<JobId>, MalformedSubmission> {
+        let Some(value) = self.get(field) else {
+            return Ok(Vec::new());
+        };
+        let list = value
+            .as_array()
+            .ok_or(invalid(field, ExpectedValue::JobIdList))?;
+        let mut dependencies = BTreeSet::new();
+        for value in list {
+            let id = value
+                .as_str()
+                .filter(|id| valid_id(id))
+                .ok_or(invalid(field, ExpectedValue::JobIds))?;
+            if id == own_id {
+                return Err(MalformedSubmission::DependsOnItself);
+            }
+            dependencies.insert(JobId::from(id));
+        }
+        Ok(dependencies.into_iter().collect())
     }
 }
 
+fn invalid(field: &'static str, expected: ExpectedValue) -> MalformedSubmission {
+    MalformedSubmission::Invalid { field, expected }
+}
+
+const JOB_KINDS: [(&str, JobKind); 3] = [
+    ("array", JobKind::Array),
+    ("group", JobKind::Gang),
+    ("service", JobKind::Service),
+];
+
+const PRIORITIES: [(&str, Priority); 4] = [
+    ("critical", Priority::Critical),
+    ("urgent", Priority::Urgent),
+    ("normal", Priority::Normal),
+    ("best_effort", Priority::BestEffort),
+];
+
 /// Reads a submission; the error names the field.
-pub fn parse_submission(body: &[u8]) -> Result<JobSpec, String> {
-    let value: Value = serde_json::from_slice(body).map_err(|e| format!("not JSON: {e}"))?;
-    let f = Fields(value.as_object().ok_or("not an object")?);
-    let id = f.text("id")?;
+pub fn parse_submission(body: &[u8]) -> Result<JobSpec, MalformedSubmission> {
+    let value: Value = serde_json::from_slice(body)?;
+    let fields = Fields(value.as_object().ok_or(MalformedSubmission::NotAnObject)?);
+    let id = fields.text("id")?;
     if !valid_id(&id) {
-        return Err(format!("id: `{id}` is not j- and digits"));
+        return Err(MalformedSubmission::InvalidId { id });
     }
-    let tasks = match f.get("paes") {
-        Some(v) => match v.as_u64() {
-            Some(n @ 1..=TASKS_MAX) => n as u32,
-            _ => {
-                return Err(format!(
-                    "paes: must be a whole number from 1 to {TASKS_MAX}"
-                ))
-            }
-        },
-        None => return Err("paes: missing".to_owned()),
-    };
-    let types = match f.get("modelos") {
-        None => None,
-        Some(Value::Array(a)) if a.len() <= TYPES_MAX => {
-            let names = a.iter().map(|v| {
-                v.as_str()
-                    .filter(|s| s.len() <= NAME_MAX)
-                    .map(str::to_owned)
-            });
-            Some(
-                names
-                    .collect::<Option<Vec<String>>>()
-                    .ok_or("modelos: must hold texts")?,
-            )
-        }
-        Some(_) => return Err("modelos: must be a list of texts or null".to_owned()),
-    };
+    // The response names the first wrong field in this order.
+    let tasks = fields.task_count("paes")?;
+    let types = fields.machine_types("modelos")?;
     let task_resources = Resources::needed(
-        f.amount("cores")?,
-        f.amount("accelerators")?,
-        f.amount("ram_gb")?,
+        fields.amount("cores")?,
+        fields.amount("accelerators")?,
+        fields.amount("ram_gb")?,
     );
     Ok(JobSpec {
         id: id.as_str().into(),
-        class: f.text("fornada")?,
-        team: f.text("equipe")?,
-        kind: f.one_of(
-            "feitio",
-            &[
-                ("array", JobKind::Array),
-                ("group", JobKind::Gang),
-                ("service", JobKind::Service),
-            ],
-        )?,
-        priority: f.one_of(
-            "vez",
-            &[
-                ("critical", Priority::Critical),
-                ("urgent", Priority::Urgent),
-                ("normal", Priority::Normal),
-                ("best_effort", Priority::BestEffort),
-            ],
-        )?,
+        class: fields.text("fornada")?,
+        team: fields.text("equipe")?,
+        kind: fields.one_of("feitio", &JOB_KINDS)?,
+        priority: fields.one_of("vez", &PRIORITIES)?,
         tasks,
         task_resources,
         types,
-        zone: f.optional_text("praca")?,
-        one_zone: f.flag("one_zone")?,
-        spread: f.flag("scatter")?,
-        spot: f.flag("emprestados")?,
-        image: f.text("receita")?,
-        image_mb: (f.amount("pull_gb")? * 1e3).ceil() as i64,
-        estimate: f.span("assa_s")?,
-        checkpoint: f.span("vira_s")?,
-        save: f.span("guarda_s")?,
-        deadline: f
-            .get("entrega_s")
-            .map(|_| f.span("entrega_s"))
-            .transpose()?,
+        zone: fields.optional_text("praca")?,
+        one_zone: fields.flag("one_zone")?,
+        spread: fields.flag("scatter")?,
+        spot: fields.flag("emprestados")?,
+        image: fields.text("receita")?,
+        image_mb: (fields.amount("pull_gb")? * MB_PER_GB).ceil() as i64,
+        estimate: fields.duration("assa_s")?,
+        checkpoint: fields.duration("vira_s")?,
+        save: fields.duration("guarda_s")?,
+        deadline: fields.optional_duration("entrega_s")?,
         submitted: Micros::ZERO,
-        dependencies: dependencies(&f, &id)?,
+        dependencies: fields.dependencies("espera", &id)?,
         dependency_parts: 0,
     })
 }
 
-/// Jobs that have to be done first; each counts once.
-fn dependencies(f: &Fields, own: &str) -> Result<Vec<JobId>, String> {
-    let Some(value) = f.get("espera") else {
-        return Ok(Vec::new());
-    };
-    let list = value
-        .as_array()
-        .ok_or("espera: must be a list of job ids or null")?;
-    let mut dependencies = std::collections::BTreeSet::new();
-    for v in list {
-        let id = v
-            .as_str()
-            .filter(|s| valid_id(s))
-            .ok_or("espera: must hold job ids")?;
-        if id == own {
-            return Err("espera: names the job itself".to_owned());
-        }
-        dependencies.insert(JobId::from(id));
+/// A job's state as users read it; fields in the order of their names on the wire.
+#[derive(Serialize)]
+struct WireStatus<'a> {
+    done: u32,
+    id: &'a str,
+    #[serde(rename = "ponto")]
+    state: &'static str,
+    running: u32,
+}
+
+fn state_name(state: JobState) -> &'static str {
+    match state {
+        JobState::Queued => "queued",
+        JobState::Running => "running",
+        JobState::Done => "done",
+        JobState::Cancelled => "withdrawn",
     }
-    Ok(dependencies.into_iter().collect())
 }
 
-/// What a user is told.
+/// The HTTP response to a user's request.
 pub fn reply(answer: &Answer) -> Reply {
     match answer {
         Answer::Status {
@@ -182,17 +299,18 @@
             done,
             running,
         } => {
-            let state = match state {
-                JobState::Queued => "queued",
-                JobState::Running => "running",
-                JobState::Done => "done",
-                JobState::Cancelled => "withdrawn",
+            let status = WireStatus {
+                done: *done,
+                id: id.as_str(),
+                state: state_name(*state),
+                running: *running,
             };
-            let body = json!({"id": id.as_str(), "ponto": state, "done": done, "running": running});
-            Reply::json(if *created { 201 } else { 200 }, body.to_string())
+            Reply::json(if *created { 201 } else { 200 }, http::json_text(&status))
         }
         Answer::NotFound => Reply::error(404, "no such job"),
         Answer::Rejected(why) => Reply::error(422, &why.to_string()),
-        Answer::RetryLater { after } => Reply::later((after.0 / 1_000_000).max(1) as u64),
+        Answer::RetryLater { after } => {
+            Reply::retry_later((after.0 / MICROS_PER_SECOND).max(1) as u64)
+        }
     }
 }
--- a/crates/seamfront/tests/forms.rs
+++ b/crates/seamfront/tests/forms.rs
@@ -172,7 +172,7 @@
 
 /// One line for a report: its fields in this order, each task as a line of its own.
 fn report_text(body: &str) -> Result<String, String> {
-    let r = worker_api::parse_heartbeat(body.as_bytes())?;
+    let r = worker_api::parse_heartbeat(body.as_bytes()).map_err(|e| e.to_string())?;
     let tasks: String = r
         .tasks
         .iter()
--- a/crates/seamfront/tests/parsing.rs
+++ b/crates/seamfront/tests/parsing.rs
@@ -12,7 +12,7 @@
 }
 
 fn parse(v: &Value) -> Result<seamfront_core::types::JobSpec, String> {
-    user_api::parse_submission(v.to_string().as_bytes())
+    user_api::parse_submission(v.to_string().as_bytes()).map_err(|e| e.to_string())
 }
 
 #[test]
@@ -209,7 +209,13 @@
         json!({"j-8": 1}),
         json!([null]),
     ] {
-        assert!(parse(bad.clone()).unwrap_err().contains("espera"), "{bad}");
+        assert!(
+            parse(bad.clone())
+                .unwrap_err()
+                .to_string()
+                .contains("espera"),
+            "{bad}"
+        );
     }
 }
 
