--- a/crates/seamfront-core/src/fleet_duties.rs
+++ b/crates/seamfront-core/src/fleet_duties.rs
@@ -74,7 +74,7 @@
         LeaseSettings::new(&settings.members[settings.me], &members, &duties, limits);
     lease_settings.lease = settings.tuning.claim_ttl;
     lease_settings.store_answer = STORE_ANSWER;
-    lease_settings.together = fleet.map(str::to_owned).to_vec();
+    lease_settings.affinity_group = fleet.map(str::to_owned).to_vec();
     lease_settings.former_claim = Some(LEADER_CLAIM.to_owned());
     lease_settings
 }
--- a/crates/seamfront-lease/src/spread.rs
+++ b/crates/seamfront-lease/src/balancing.rs
@@ -1,4 +1,4 @@
-//! Which member should hold which duty. Pure functions of what all members see.
+//! Balancing: which member should hold which duty. Pure functions of what all members see.
 
 use std::cmp::Reverse;
 use std::collections::BTreeMap;
@@ -17,15 +17,15 @@
 /// What holding one duty counts, in percent of load.
 const DUTY_SCORE: u64 = 100;
 /// Load beyond this does not count.
-const MOST_LOAD: u64 = 100;
+const LOAD_MAX: u64 = 100;
 
 impl MemberLoad {
     fn score(&self) -> u64 {
-        self.duties * DUTY_SCORE + self.load.min(MOST_LOAD)
+        self.duties * DUTY_SCORE + self.load.min(LOAD_MAX)
     }
 }
 
-/// A member's place in turn for a free duty: the least loaded first, different duties in different order.
+/// A member's rank for a free duty: the least loaded first, different duties in different order.
 pub fn rank(duty: &str, member: &str, members: &[MemberLoad]) -> usize {
     let Some(own) = members.iter().find(|m| m.member == member) else {
         return members.len();
@@ -37,17 +37,17 @@
         .count()
 }
 
-/// Who should hold the duties of a group that belong together: whoever holds most of them, by name where that is not
-/// decided. None: nobody holds any.
+/// Who should hold the duties of an affinity group: whoever holds most of them, the first by name among equals. None:
+/// nobody holds any.
 pub fn group_holder<'a>(holders: impl Iterator<Item = &'a str>) -> Option<&'a str> {
     let counts = count_by_holder(holders);
-    let most = counts
+    let (holder, _) = counts
         .into_iter()
         .max_by_key(|(member, count)| (*count, Reverse(*member)))?;
-    Some(most.0)
+    Some(holder)
 }
 
-/// The member that a duty should go to, if its holder has clearly more to do. Moving one and moving it back can't both
+/// The member that a duty should go to, if its holder has clearly more load. Moving one and moving it back can't both
 /// be right: the receiver must remain below what the holder has left.
 pub fn receiver<'a>(holder: &str, members: &'a [MemberLoad]) -> Option<&'a str> {
     let own = members.iter().find(|m| m.member == holder)?;
--- a/crates/seamfront-lease/src/driver.rs
+++ b/crates/seamfront-lease/src/driver.rs
@@ -1,4 +1,4 @@
-//! A thin loop round [`DutyManager`]: timers, calls with time-outs, and the last look at the clock before an effect.
+//! A thin loop round [`DutyManager`]: timers, requests with time limits, and the last look at the clock before an effect.
 //! It installs nothing in the process and ends only when its queue of commands is closed.
 
 use crate::manager::DutyManager;
@@ -19,10 +19,11 @@
 use tracing::warn;
 
 /// How often the manager is woken when nothing happens.
-const TICK: Duration = Duration::from_millis(50);
+const TICK_INTERVAL: Duration = Duration::from_millis(50);
 /// Commands that are taken in one step at the most.
-const BATCH: usize = 256;
-const QUEUE: usize = 1_024;
+const BATCH_MAX: usize = 256;
+/// Replies that can wait for the manager.
+const REPLY_QUEUE_MAX: usize = 1_024;
 
 /// A client of the store.
 pub trait StoreClient: 'static {
@@ -57,17 +58,18 @@
     pub performer: Rc<P>,
     /// Commands of the embedding program.
     pub commands: Receiver<Command>,
-    /// What the embedding program is told. What it does not read in time is dropped and counted.
+    /// Events for the embedding program. Those that it does not read in time are dropped and counted.
     pub events: Sender<Effect>,
     /// The longest that one attempt of an operation may take.
     pub perform_time: Duration,
 }
 
-struct Calls<S, P> {
+/// Carries out what the manager asks of the store and of the performer; each request is a task of its own.
+struct RequestRunner<S, P> {
     store: Rc<S>,
     performer: Rc<P>,
-    answers: Sender<Command>,
-    store_time: Duration,
+    replies: Sender<Command>,
+    store_timeout: Duration,
     perform_time: Duration,
 }
 
@@ -75,21 +77,21 @@
     /// Runs until the queue of commands is closed.
     pub async fn run(self, mut manager: DutyManager) {
         let executor = LocalExecutor::new();
-        let (answers, answered) = async_channel::bounded(QUEUE);
-        let store_time = Duration::from_micros(manager.settings().store_answer.0.max(0) as u64);
-        let calls = Rc::new(Calls {
+        let (replies, reply_queue) = async_channel::bounded(REPLY_QUEUE_MAX);
+        let store_timeout = Duration::from_micros(manager.settings().store_answer.0.max(0) as u64);
+        let runner = Rc::new(RequestRunner {
             store: self.store,
             performer: self.performer,
-            answers,
-            store_time,
+            replies,
+            store_timeout,
             perform_time: self.perform_time,
         });
         let (commands, events) = (self.commands, self.events);
         let dropped = Cell::new(0u64);
         let steps = async {
-            while let Some(batch) = next_batch(&commands, &answered).await {
+            while let Some(batch) = next_batch(&commands, &reply_queue).await {
                 for effect in manager.step(SteadyClock.now(), batch) {
-                    carry_out(&executor, &calls, &events, &dropped, effect);
+                    execute(&executor, &runner, &events, &dropped, effect);
                 }
             }
         };
@@ -97,21 +99,21 @@
     }
 }
 
-/// Waits for a command, an answer, or the next tick. None: the embedding program has gone.
+/// Waits for a command, a reply, or the next tick. None: the queue of commands is closed.
 async fn next_batch(
     commands: &Receiver<Command>,
-    answered: &Receiver<Command>,
+    replies: &Receiver<Command>,
 ) -> Option<Vec<Command>> {
     let command = async { commands.recv().await.ok().map(Some) };
-    let answer = async { answered.recv().await.ok().map(Some) };
+    let reply = async { replies.recv().await.ok().map(Some) };
     let tick = async {
-        Timer::after(TICK).await;
+        Timer::after(TICK_INTERVAL).await;
         Some(None)
     };
-    let first = command.or(answer).or(tick).await?;
+    let first = command.or(reply).or(tick).await?;
     let mut batch: Vec<Command> = first.into_iter().collect();
-    for queue in [commands, answered] {
-        while batch.len() < BATCH {
+    for queue in [commands, replies] {
+        while batch.len() < BATCH_MAX {
             let Ok(command) = queue.try_recv() else { break };
             batch.push(command);
         }
@@ -119,17 +121,17 @@
     Some(batch)
 }
 
-fn carry_out<S: StoreClient, P: Performer>(
+fn execute<S: StoreClient, P: Performer>(
     executor: &LocalExecutor<'_>,
-    calls: &Rc<Calls<S, P>>,
+    runner: &Rc<RequestRunner<S, P>>,
     events: &Sender<Effect>,
     dropped: &Cell<u64>,
     effect: Effect,
 ) {
-    let calls = calls.clone();
+    let runner = runner.clone();
     match effect {
         Effect::Store { call, request } => executor
-            .spawn(async move { calls.ask(call, request).await })
+            .spawn(async move { runner.send_to_store(call, request).await })
             .detach(),
         Effect::Perform {
             duty,
@@ -139,7 +141,7 @@
             settling: _,
         } => {
             executor
-                .spawn(async move { calls.perform(duty, operation, attempt, permit).await })
+                .spawn(async move { runner.perform(duty, operation, attempt, permit).await })
                 .detach();
         }
         event => {
@@ -147,27 +149,27 @@
                 dropped.set(dropped.get() + 1);
                 warn!(
                     dropped = dropped.get(),
-                    "an event was dropped: nobody reads them"
+                    "event dropped: the embedding program does not read them in time"
                 );
             }
         }
     }
 }
 
-impl<S: StoreClient, P: Performer> Calls<S, P> {
-    async fn ask(&self, call: u64, request: StoreRequest) {
+impl<S: StoreClient, P: Performer> RequestRunner<S, P> {
+    async fn send_to_store(&self, call: u64, request: StoreRequest) {
         let wait = match &request {
             StoreRequest::Watch { wait, .. } => Duration::from_micros(wait.0.max(0) as u64),
             _ => Duration::ZERO,
         };
-        let reply = within(self.store_time + wait, self.store.call(request)).await;
+        let reply = within(self.store_timeout + wait, self.store.call(request)).await;
         let reply = reply.unwrap_or(StoreReply::Unknown);
-        let _ = self.answers.send(Command::Store { call, reply }).await;
+        let _ = self.replies.send(Command::Store { call, reply }).await;
     }
 
     async fn perform(&self, duty: String, operation: Operation, attempt: u64, permit: Permit) {
         let name = operation.name;
-        // The process may have been stopped since the manager's step, for however long.
+        // The process may have been suspended since the manager's step, for however long.
         let outcome = if permit.valid(SteadyClock.now()) {
             within(self.perform_time, self.performer.perform(&duty, &operation))
                 .await
@@ -176,7 +178,7 @@
             Outcome::NotPermitted
         };
         let _ = self
-            .answers
+            .replies
             .send(Command::Performed {
                 duty,
                 operation: name,
--- a/crates/seamfront-lease/src/lib.rs
+++ b/crates/seamfront-lease/src/lib.rs
@@ -10,6 +10,7 @@
 #![forbid(unsafe_code)]
 #![deny(missing_docs)]
 
+pub mod balancing;
 pub mod driver;
 pub mod keys;
 pub mod log;
@@ -18,7 +19,6 @@
 pub mod port;
 pub mod record;
 pub mod settings;
-pub mod spread;
 pub mod store;
 pub mod time;
 pub mod view;
--- a/crates/seamfront-lease/src/manager/claims.rs
+++ b/crates/seamfront-lease/src/manager/claims.rs
@@ -1,13 +1,14 @@
-//! Taking claims on duties, proving them and losing them.
+//! Acquiring claims on duties, verifying them and losing them.
 
 use super::{
-    info, warn, ClaimVerification, CommitOutcome, Duty, DutyManager, Effect, Holding, LossReason,
-    Micros, OperationLog, Pending, Permit, Phase, Rejection, SeenClaim, StoreReply, StoreRequest,
-    Successor, Write, RETRY,
+    info, warn, CommitOutcome, Duty, DutyManager, Effect, HeldClaim, Holding, LossReason, Micros,
+    OperationLog, Pending, Permit, Phase, Rejection, SeenClaim, StoreReply, StoreRequest,
+    Successor, Verification, Write, RETRY_DELAY,
 };
+use crate::balancing;
 use crate::log::Unfinished;
+use crate::permit::permit;
 use crate::record::{self, ClaimRecord, FORMAT};
-use crate::spread;
 
 impl DutyManager {
     pub(super) fn claim_changed(&mut self, index: usize, claim: Option<SeenClaim>, version: u64) {
@@ -33,7 +34,7 @@
         self.notify_successor(index);
     }
 
-    /// Says once who holds what was lost here.
+    /// Notifies the embedding program, once for each token, of who holds what was lost here.
     fn notify_successor(&mut self, index: usize) {
         let duty = &mut self.duties[index];
         let (Some(fencing_token), Some(claim)) = (duty.lost, &duty.claim) else {
@@ -67,7 +68,7 @@
         duty.handover_wanted = None;
         let name = duty.name.clone();
         if reason == LossReason::HandedOver {
-            info!(duty = %name, fencing_token = holding.fencing_token, "duty given away");
+            info!(duty = %name, fencing_token = holding.fencing_token, "duty transferred");
         } else {
             warn!(duty = %name, fencing_token = holding.fencing_token, %reason, "duty lost");
         }
@@ -79,7 +80,7 @@
         });
     }
 
-    /// Tells what has become of requests under a token that is void.
+    /// Reports what has become of requests under a token that is void.
     fn end_requests(&mut self, unfinished: Unfinished) {
         for request in unfinished.unrecorded {
             self.effects.push(Effect::Rejected {
@@ -123,6 +124,16 @@
         true
     }
 
+    /// The embedding program's own write was refused for its token.
+    pub(super) fn refused_elsewhere(&mut self, duty: &str, fencing_token: u64) {
+        let index = self
+            .index(duty)
+            .filter(|index| self.held_token(*index) == Some(fencing_token));
+        if let Some(index) = index {
+            self.lose(index, LossReason::TokenRefused);
+        }
+    }
+
     pub(super) fn held_token(&self, index: usize) -> Option<u64> {
         self.duties[index]
             .holding
@@ -139,7 +150,7 @@
             return;
         }
         if self.settings_differ() {
-            return self.step_back();
+            return self.give_up_duties();
         }
         if !self.duties_in_force() {
             return;
@@ -153,8 +164,8 @@
         }
     }
 
-    /// Of two members that came together with different settings, this one gives way.
-    fn step_back(&mut self) {
+    /// Of two members that started at the same time with different settings, this one gives up its duties.
+    fn give_up_duties(&mut self) {
         for index in 0..self.duties.len() {
             self.lose(index, LossReason::SettingsDiffer);
         }
@@ -211,45 +222,39 @@
         );
     }
 
-    /// The member with least to do claims first, the others each a moment later.
+    /// The least loaded member claims first, the others one takeover step after another.
     fn claim_delay_elapsed(&mut self, index: usize) -> bool {
         let now = self.now;
         let since = *self.duties[index].free_since.get_or_insert(now);
-        if let Some(holder) = self.group_holder(index) {
-            let own = holder == self.settings.member;
-            let rank = if own {
-                0
-            } else {
-                1 + spread::rank(
-                    &self.duties[index].name,
-                    &self.settings.member,
-                    &self.loads(),
-                )
-            };
-            return now - since >= self.settings.takeover_step.times(rank as i64);
-        }
-        let rank = spread::rank(
-            &self.duties[index].name,
-            &self.settings.member,
-            &self.loads(),
-        );
+        let rank = self.takeover_rank(index);
         now - since >= self.settings.takeover_step.times(rank as i64)
     }
 
-    /// Who holds most of the duties that belong together with this one.
+    /// How many takeover steps this member waits: the holder of the affinity group comes before all others.
+    fn takeover_rank(&self, index: usize) -> usize {
+        let member = &self.settings.member;
+        let by_load = || balancing::rank(&self.duties[index].name, member, &self.loads());
+        match self.group_holder(index) {
+            Some(holder) if holder == *member => 0,
+            Some(_) => 1 + by_load(),
+            None => by_load(),
+        }
+    }
+
+    /// Who holds most of the duties of the affinity group that this one belongs to.
     pub(super) fn group_holder(&self, index: usize) -> Option<String> {
-        let together = &self.settings.together;
-        if !together.contains(&self.duties[index].name) {
+        let affinity_group = &self.settings.affinity_group;
+        if !affinity_group.contains(&self.duties[index].name) {
             return None;
         }
         let group = self
             .duties
             .iter()
-            .filter(|duty| together.contains(&duty.name));
+            .filter(|duty| affinity_group.contains(&duty.name));
         let holders = group
             .filter_map(|duty| duty.claim.as_ref())
             .map(|claim| claim.member.as_str());
-        spread::group_holder(holders.filter(|member| self.members.contains_key(*member)))
+        balancing::group_holder(holders.filter(|member| self.members.contains_key(*member)))
             .map(str::to_owned)
     }
 
@@ -272,16 +277,16 @@
                 }
             }
             StoreReply::NoSuchLease if self.membership.lease == Some(lease) => self.lease_ended(),
-            // The race is lost, or nobody knows: the view will tell.
-            _ => self.duties[index].claim_next = self.now + RETRY,
+            // The race is lost, or the outcome is unknown: the view will show it.
+            _ => self.duties[index].claim_next = self.now + RETRY_DELAY,
         }
     }
 
-    /// Begins holding a duty. Its claim is proven if it was taken by a request sent then.
+    /// Begins holding a duty. Its claim is verified if it was acquired by a request sent then.
     fn hold(&mut self, index: usize, fencing_token: u64, verified: Option<Micros>) {
-        let mut verification = ClaimVerification::default();
+        let mut verification = Verification::default();
         if let Some(sent) = verified {
-            verification.verified(sent);
+            verification.confirm(sent);
         }
         let duty = &mut self.duties[index];
         duty.lost = None;
@@ -297,20 +302,21 @@
             log_next: self.now,
         });
         let name = duty.name.clone();
-        info!(duty = %name, fencing_token, "duty taken");
+        info!(duty = %name, fencing_token, "duty acquired");
         self.effects.push(Effect::Taken {
             duty: name,
             fencing_token,
         });
     }
 
-    // ---- proofs --------------------------------------------------------------------------
+    // ---- verification --------------------------------------------------------------------------
 
     /// In the embedding program's time.
     pub(super) fn current_permit(&self, index: usize) -> Option<Permit> {
         let holding = self.duties[index].holding.as_ref()?;
-        let permit = holding.verification.permit(
+        let permit = permit(
             holding.fencing_token,
+            &holding.verification,
             &self.membership.verification,
             &self.settings,
         )?;
@@ -321,7 +327,7 @@
         })
     }
 
-    /// Proves all claims that need it with one transaction.
+    /// Verifies all held claims with one transaction, if one of them needs it.
     pub(super) fn verify_tick(&mut self) {
         if self.verify_busy || self.now < self.verify_next {
             return;
@@ -334,13 +340,18 @@
         if !self.duties.iter().any(wanted) {
             return;
         }
-        let held =
-            (0..self.duties.len()).filter_map(|index| Some((index, self.held_token(index)?)));
-        let claims: Vec<(usize, u64)> = held.collect();
+        let held = |duty| {
+            let fencing_token = self.held_token(duty)?;
+            Some(HeldClaim {
+                duty,
+                fencing_token,
+            })
+        };
+        let claims: Vec<HeldClaim> = (0..self.duties.len()).filter_map(held).collect();
         self.verify_busy = true;
         let conditions = claims
             .iter()
-            .map(|(index, fencing_token)| (self.claim_key(*index), *fencing_token))
+            .map(|claim| (self.claim_key(claim.duty), claim.fencing_token))
             .collect();
         let sent = self.now;
         self.store(
@@ -352,25 +363,20 @@
         );
     }
 
-    pub(super) fn verify_reply(
-        &mut self,
-        sent: Micros,
-        claims: &[(usize, u64)],
-        reply: &StoreReply,
-    ) {
+    pub(super) fn verify_reply(&mut self, sent: Micros, claims: &[HeldClaim], reply: &StoreReply) {
         self.verify_busy = false;
         match reply {
             StoreReply::Committed { .. } => {
-                for (index, fencing_token) in claims {
-                    self.claim_verified(*index, *fencing_token, sent);
+                for claim in claims {
+                    self.claim_verified(claim.duty, claim.fencing_token, sent);
                 }
             }
             StoreReply::Conflict { .. } => {
-                for (index, fencing_token) in claims {
-                    self.token_refused(*index, *fencing_token, reply);
+                for claim in claims {
+                    self.token_refused(claim.duty, claim.fencing_token, reply);
                 }
             }
-            _ => self.verify_next = self.now + RETRY,
+            _ => self.verify_next = self.now + RETRY_DELAY,
         }
     }
 
@@ -381,7 +387,7 @@
             .as_mut()
             .filter(|holding| holding.fencing_token == fencing_token);
         if let Some(holding) = holding {
-            holding.verification.verified(sent);
+            holding.verification.confirm(sent);
             holding.verification_due = false;
         }
     }
--- a/crates/seamfront-lease/src/manager/handover.rs
+++ b/crates/seamfront-lease/src/manager/handover.rs
@@ -1,19 +1,19 @@
-//! Handing duties over on purpose: for load, by an operator's hand, before the process ends.
+//! Handing duties over on purpose: to balance load, at an operator's request, before the process ends.
 
 use super::{
-    info, keys, warn, Duty, DutyManager, LossReason, Micros, Pending, Phase, SeenClaim, StoreReply,
-    StoreRequest, Write, RETRY,
+    info, keys, warn, Duty, DutyManager, HandoverTarget, LossReason, Micros, Pending, Phase,
+    SeenClaim, StoreReply, StoreRequest, Write, RETRY_DELAY,
 };
+use crate::balancing;
 use crate::record::{self, ClaimRecord, FORMAT};
-use crate::spread;
 
-/// A handover that can't begin within this time is given up.
-const PATIENCE: Micros = Micros::from_secs(10);
+/// A handover that can't be sent within this time is cancelled.
+const HANDOVER_TIMEOUT: Micros = Micros::from_secs(10);
 /// After a handover that failed, the duty stays for so long.
-const REST: Micros = Micros::from_secs(2);
+const HANDOVER_RETRY_DELAY: Micros = Micros::from_secs(2);
 
 impl DutyManager {
-    /// One duty at a time is handed over, and only once nothing of it is under way.
+    /// One duty at a time is handed over, and only once nothing of it is in flight.
     pub(super) fn handover_tick(&mut self) {
         let handing = |duty: &Duty| {
             matches!(
@@ -50,7 +50,7 @@
             let since = self.now;
             let duty = &mut self.duties[index];
             duty.handover_wanted = None;
-            info!(duty = %duty.name, %to, "handing duty over");
+            info!(duty = %duty.name, %to, "transferring duty");
             if let Some(holding) = duty.holding.as_mut() {
                 holding.phase = Phase::HandingOver {
                     to,
@@ -62,7 +62,7 @@
         }
     }
 
-    /// Who should have this duty instead of us: by an operator's hand, the program's wish, or load.
+    /// Who should hold this duty instead of us: by an operator's request, the embedding program's, or load.
     fn wanted_receiver(&mut self, index: usize) -> Option<String> {
         if let Some(to) = self.requested_receiver(index) {
             return Some(to);
@@ -73,12 +73,14 @@
         let others = || loads.iter().filter(|member| member.member != me);
         let least = || others().min_by_key(|member| (member.duties, member.load, &member.member));
         match &duty.handover_wanted {
-            Some(Some(to)) => {
+            Some(HandoverTarget::Member(to)) => {
                 return others()
                     .find(|member| member.member == *to)
                     .map(|member| member.member.clone())
             }
-            Some(None) => return least().map(|member| member.member.clone()),
+            Some(HandoverTarget::LeastLoaded) => {
+                return least().map(|member| member.member.clone())
+            }
             None if self.leaving => return least().map(|member| member.member.clone()),
             None => {}
         }
@@ -86,16 +88,16 @@
         if held_for < self.settings.rebalance_after {
             return None;
         }
-        if self.settings.together.contains(&duty.name) {
+        if self.settings.affinity_group.contains(&duty.name) {
             return self.group_holder(index).filter(|holder| holder != me);
         }
-        let receiver = spread::receiver(me, &loads)?;
+        let receiver = balancing::receiver(me, &loads)?;
         Some(receiver.to_owned())
     }
 
     fn requested_receiver(&mut self, index: usize) -> Option<String> {
         let name = self.duties[index].name.clone();
-        let to = self.moves.get(&name)?.0.to.clone();
+        let to = self.moves.get(&name)?.record.to.clone();
         if to == self.settings.member {
             return None;
         }
@@ -107,7 +109,7 @@
             return Some(to);
         }
         if self.first_report(format!("move {name} {to}")) {
-            warn!(duty = %name, %to, "asked to move a duty to a member that is not up; it stays until that one is");
+            warn!(duty = %name, %to, "move requested to a member that is down; the duty stays until it is up");
         }
         None
     }
@@ -122,20 +124,19 @@
         if sent {
             return;
         }
-        let busy =
-            holding.log.performing() || holding.log.writing() || holding.log.fenced_waiting();
+        let busy = holding.log.performing() || holding.log.writing() || holding.log.fenced_queued();
         if !busy {
             return self.transfer(index, &to);
         }
-        if self.now - since > PATIENCE {
-            info!(duty = %self.duties[index].name, "handover given up: an operation is still under way");
+        if self.now - since > HANDOVER_TIMEOUT {
+            info!(duty = %self.duties[index].name, "duty transfer cancelled: an operation is still in flight");
             self.keep(index);
         }
     }
 
     /// The duty stays here after all.
     fn keep(&mut self, index: usize) {
-        self.duties[index].claim_next = self.now + REST;
+        self.duties[index].claim_next = self.now + HANDOVER_RETRY_DELAY;
         if let Some(holding) = self.duties[index].holding.as_mut() {
             holding.phase = Phase::Active;
         }
@@ -176,11 +177,8 @@
             lease: Some(lease),
         }];
         let name = &self.duties[index].name;
-        if let Some((request, version)) =
-            self.moves.get(name).filter(|(request, _)| request.to == to)
-        {
-            debug_assert_eq!(request.to, to);
-            conditions.push((keys::move_request(name), *version));
+        if let Some(request) = self.moves.get(name).filter(|seen| seen.record.to == to) {
+            conditions.push((keys::move_request(name), request.version));
             writes.push(Write::Delete {
                 key: keys::move_request(name),
             });
@@ -252,7 +250,7 @@
     pub(super) fn released(&mut self, index: usize, reply: &StoreReply) {
         let duty = &mut self.duties[index];
         duty.claim_busy = false;
-        duty.claim_next = self.now + RETRY;
+        duty.claim_next = self.now + RETRY_DELAY;
         let ours = duty
             .claim
             .as_ref()
--- a/crates/seamfront-lease/src/manager/membership.rs
+++ b/crates/seamfront-lease/src/manager/membership.rs
@@ -2,15 +2,15 @@
 
 use super::{
     info, keys, warn, BTreeSet, DutyManager, Effect, LossReason, MemberRecord, Micros, Pending,
-    SeenMember, StoreReply, StoreRequest, Write, RETRY,
+    SeenMember, StoreReply, StoreRequest, Write, RETRY_DELAY,
 };
-use crate::permit::LeaseVerification;
+use crate::permit::Verification;
 use crate::record::{self, VersionRecord, FORMAT};
 
 /// How often the member's record may be rewritten as its load changes.
-const LOAD_EVERY: Micros = Micros::from_secs(5);
-/// A change of load that others should know of.
-const LOAD_STEP: u64 = 20;
+const LOAD_UPDATE_INTERVAL: Micros = Micros::from_secs(5);
+/// The smallest change of load, in percent, that others should know of.
+const LOAD_CHANGE_MIN: u64 = 20;
 
 /// A member's standing with the store.
 #[derive(Debug, Default)]
@@ -18,7 +18,7 @@
     pub(super) lease: Option<u64>,
     /// All leases that this process has had: their keys are no other process's.
     own_leases: BTreeSet<u64>,
-    pub(super) verification: LeaseVerification,
+    pub(super) verification: Verification,
     renew_busy: bool,
     pub(super) renew_next: Micros,
     /// Version of our record, once it is written under the present lease.
@@ -67,14 +67,14 @@
     pub(super) fn granted(&mut self, sent: Micros, reply: StoreReply) {
         self.membership.renew_busy = false;
         let StoreReply::Lease { id } = reply else {
-            self.membership.renew_next = self.now + RETRY;
+            self.membership.renew_next = self.now + RETRY_DELAY;
             return;
         };
         info!(lease = id, "lease granted");
         self.membership.renew_next = self.now + self.settings.renew_every();
         self.membership.lease = Some(id);
         self.membership.own_leases.insert(id);
-        self.membership.verification.renewed(sent);
+        self.membership.verification.confirm(sent);
     }
 
     pub(super) fn renewed(&mut self, sent: Micros, lease: u64, reply: StoreReply) {
@@ -84,17 +84,17 @@
         }
         match reply {
             StoreReply::Renewed => {
-                self.membership.verification.renewed(sent);
+                self.membership.verification.confirm(sent);
                 self.membership.renew_next = sent + self.settings.renew_every();
             }
             StoreReply::NoSuchLease => self.lease_ended(),
-            _ => self.membership.renew_next = self.now + RETRY,
+            _ => self.membership.renew_next = self.now + RETRY_DELAY,
         }
     }
 
-    /// Everything that hung on the lease is gone.
+    /// All keys that are attached to the lease are gone.
     pub(super) fn lease_ended(&mut self) {
-        warn!("lease ended; all duties are lost");
+        warn!("lease expired; all duties are lost");
         for index in 0..self.duties.len() {
             self.lose(index, LossReason::LeaseEnded);
         }
@@ -166,14 +166,14 @@
         let Some(written) = &self.membership.written else {
             return true;
         };
-        let load_changed = written.load.abs_diff(record.load) >= LOAD_STEP
+        let load_changed = written.load.abs_diff(record.load) >= LOAD_CHANGE_MIN
             && self.now >= self.membership.load_next;
         written.lease != record.lease || written.leaving != record.leaving || load_changed
     }
 
     pub(super) fn registered(&mut self, record: MemberRecord, reply: StoreReply) {
         self.membership.register_busy = false;
-        self.membership.register_next = self.now + RETRY;
+        self.membership.register_next = self.now + RETRY_DELAY;
         if self.membership.lease != Some(record.lease) {
             return;
         }
@@ -181,7 +181,7 @@
             StoreReply::Committed { revision } => {
                 self.membership.registered = Some(revision);
                 self.membership.registered_once = true;
-                self.membership.load_next = self.now + LOAD_EVERY;
+                self.membership.load_next = self.now + LOAD_UPDATE_INTERVAL;
                 let own = SeenMember {
                     record: record.clone(),
                     version: revision,
@@ -251,13 +251,13 @@
         if self.first_report(format!("settings differ: {member} {field}")) {
             warn!(
                 member,
-                field, "settings differ from another member's; no duty is taken"
+                field, "settings differ from another member's; no duty is acquired"
             );
         }
         true
     }
 
-    /// Says once and for good that this member knows duties.
+    /// Records once and for good that this member supports duties.
     fn version_tick(&mut self) {
         let known = self.versions.contains_key(&self.settings.member);
         if known
@@ -291,10 +291,10 @@
             StoreReply::Committed { .. } | StoreReply::Conflict { .. }
         );
         if !gone {
-            self.membership.register_next = self.now + RETRY;
+            self.membership.register_next = self.now + RETRY_DELAY;
             return;
         }
-        info!("left; all duties are handed over");
+        info!("left; all duties are transferred");
         self.left = true;
         self.effects.push(Effect::Left);
     }
--- a/crates/seamfront-lease/src/manager/mod.rs
+++ b/crates/seamfront-lease/src/manager/mod.rs
@@ -1,144 +1,40 @@
-//! The one owner of a member's duties. Commands come in batches, effects go out; time is given, never asked for. Same
-//! commands, same times, same effects.
+//! The one owner of a member's duties: a deterministic state machine. Commands come in batches, effects go out; time is an
+//! argument. The same commands at the same times give the same effects.
 
+use crate::balancing::{self, MemberLoad};
 use crate::keys;
 use crate::log::OperationLog;
-use crate::permit::{ClaimVerification, Permit};
+use crate::permit::{Permit, Verification};
 use crate::port::{
     CallId, Command, CommitOutcome, Effect, LossReason, Rejection, RequestId, Successor,
 };
 use crate::record::{MemberRecord, MoveRecord, RecordError, SwitchRecord};
 use crate::settings::{LeaseSettings, SettingsError, StoreLimits};
-use crate::spread::MemberLoad;
 use crate::store::{StoreReply, StoreRequest, Write};
 use crate::time::Micros;
 use crate::view::View;
 use std::collections::{BTreeMap, BTreeSet};
 use tracing::{info, warn};
 
+mod budget;
 mod claims;
 mod handover;
 mod membership;
 mod operations;
+mod state;
 mod switch;
 mod views;
 
+use budget::WriteBudget;
 use membership::Membership;
+use state::{
+    Duty, HandoverTarget, HeldClaim, Holding, Pending, Phase, SeenClaim, SeenMember, SeenMove,
+};
 
-/// How long a refused or unanswered request rests before it is made again.
-const RETRY: Micros = Micros::from_millis(250);
-/// Fenced changes that wait for the store's rate at the most.
-const FENCED_WAITING: usize = 64;
-
-/// A claim as the view shows it.
-#[derive(Clone, Debug, PartialEq, Eq)]
-struct SeenClaim {
-    version: u64,
-    member: String,
-    lease: u64,
-}
-
-/// How far a holder has come.
-#[derive(Clone, Debug, PartialEq, Eq)]
-enum Phase {
-    /// The log is being read.
-    Loading,
-    /// Operations of a predecessor are being settled.
-    Settling,
-    /// The duty is performed.
-    Active,
-    /// It goes to another member once nothing is under way.
-    HandingOver {
-        to: String,
-        since: Micros,
-        sent: bool,
-    },
-}
-
-/// A duty that is held here.
-#[derive(Debug)]
-struct Holding {
-    fencing_token: u64,
-    since: Micros,
-    phase: Phase,
-    verification: ClaimVerification,
-    /// A proof is needed before the next effect.
-    verification_due: bool,
-    log: OperationLog,
-    log_busy: bool,
-    log_next: Micros,
-}
-
-/// A duty, held here or not.
-#[derive(Debug)]
-struct Duty {
-    name: String,
-    claim: Option<SeenClaim>,
-    free_since: Option<Micros>,
-    claim_busy: bool,
-    claim_next: Micros,
-    /// The last token that was given up here. It is never acted on again, even if the store still has it as ours.
-    last_released_token: u64,
-    holding: Option<Holding>,
-    /// A token that was lost, until its successor has been told.
-    lost: Option<u64>,
-    /// Not claimed before, since its log could not be read.
-    unreadable_until: Micros,
-    /// Wanted by the embedding program: to be handed over, to whom.
-    handover_wanted: Option<Option<String>>,
-}
-
-/// Another member's record, or our own, with its version.
-#[derive(Clone, Debug)]
-struct SeenMember {
-    record: MemberRecord,
-    version: u64,
-}
-
-/// What a request to the store is for.
-#[derive(Debug)]
-enum Pending {
-    Grant {
-        sent: Micros,
-    },
-    Renew {
-        sent: Micros,
-        lease: u64,
-    },
-    View,
-    Register {
-        record: MemberRecord,
-    },
-    Unregister,
-    Version,
-    Claim {
-        duty: usize,
-        lease: u64,
-        sent: Micros,
-    },
-    Verify {
-        sent: Micros,
-        claims: Vec<(usize, u64)>,
-    },
-    LogRead {
-        duty: usize,
-        fencing_token: u64,
-    },
-    LogWrite {
-        duty: usize,
-        fencing_token: u64,
-        sent: Micros,
-    },
-    Transfer {
-        duty: usize,
-        fencing_token: u64,
-        to: String,
-    },
-    Release {
-        duty: usize,
-    },
-    Switch,
-}
+/// Delay after which a request is made again that was refused or got no reply.
+const RETRY_DELAY: Micros = Micros::from_millis(250);
+/// Fenced changes of one duty that are queued at the most.
+const FENCED_QUEUE_MAX: usize = 64;
 
 /// The duties of one member.
 #[derive(Debug)]
@@ -161,22 +57,20 @@
     former_claim: Option<u64>,
     switch_busy: bool,
     switch_next: Micros,
-    moves: BTreeMap<String, (MoveRecord, u64)>,
+    moves: BTreeMap<String, SeenMove>,
     duties: Vec<Duty>,
     verify_busy: bool,
     verify_next: Micros,
-    /// Changes that the store takes now, in thousandths.
-    budget: i64,
-    budget_filled: Micros,
+    budget: WriteBudget,
     load: u64,
     leaving: bool,
     left: bool,
-    /// What has been complained of; each is told once.
+    /// Conditions that were logged already; each is logged once.
     reported: BTreeSet<String>,
 }
 
 impl DutyManager {
-    /// A member that has just begun. Settings that could not work are refused.
+    /// A member that has just started. Settings that could not work are refused.
     pub fn new(settings: LeaseSettings) -> Result<DutyManager, SettingsError> {
         settings.validate()?;
         let duty = |name: &String| Duty {
@@ -213,8 +107,7 @@
             moves: BTreeMap::new(),
             verify_busy: false,
             verify_next: Micros::ZERO,
-            budget: 0,
-            budget_filled: Micros::ZERO,
+            budget: WriteBudget::default(),
             load: 0,
             leaving: false,
             left: false,
@@ -260,7 +153,7 @@
         (!claim.member.is_empty()).then_some(claim.member.as_str())
     }
 
-    /// Asks for a proof of a duty's claim where the permit has run out or soon will: an effect is about to begin.
+    /// Has a duty's claim verified where the permit has expired or soon will: an effect is about to begin.
     pub fn request_verification(&mut self, duty: &str) {
         let Some(index) = self.index(duty) else {
             return;
@@ -291,7 +184,7 @@
         &self.settings
     }
 
-    /// A clock that goes back is not the one that proofs were counted by: all of them are void.
+    /// A clock that goes back is not the one that verifications were counted by: all of them are void.
     fn advance(&mut self, now: Micros) {
         let shifted = now + self.clock_offset;
         if shifted >= self.now {
@@ -300,7 +193,7 @@
         }
         warn!(
             back_s = (self.now - shifted).as_secs_decimal(),
-            "the steady clock went back; proving everything anew"
+            "steady clock went back; verifying lease and claims anew"
         );
         self.clock_offset = self.now - now;
         self.membership.verification.clear();
@@ -333,31 +226,17 @@
                 operation,
                 attempt,
                 outcome,
-            } => {
-                let now = self.now;
-                let holding = self
-                    .index(&duty)
-                    .and_then(|index| self.duties[index].holding.as_mut());
-                if let Some(holding) = holding {
-                    holding.log.performed(operation, attempt, outcome, now);
-                }
-            }
+            } => self.performed(&duty, operation, attempt, outcome),
             Command::TokenRefused {
                 duty,
                 fencing_token,
-            } => {
-                let index = self
-                    .index(&duty)
-                    .filter(|index| self.held_token(*index) == Some(fencing_token));
-                if let Some(index) = index {
-                    self.lose(index, LossReason::TokenRefused);
-                }
-            }
+            } => self.refused_elsewhere(&duty, fencing_token),
             Command::SetLoad(load) => self.load = load,
             Command::SetLimits(limits) => self.set_limits(limits),
             Command::HandOver { duty, to } => {
                 if let Some(index) = self.index(&duty) {
-                    self.duties[index].handover_wanted = Some(to);
+                    let target = to.map_or(HandoverTarget::LeastLoaded, HandoverTarget::Member);
+                    self.duties[index].handover_wanted = Some(target);
                 }
             }
             Command::Leave => self.leaving = true,
@@ -366,7 +245,8 @@
     }
 
     fn tick(&mut self) {
-        self.fill_budget();
+        let rate = self.settings.limits.changes_per_second;
+        self.budget.fill(self.now, rate);
         self.membership_tick();
         self.view_tick();
         if self.left {
@@ -432,48 +312,29 @@
         self.next_call
     }
 
-    /// Whether this is said for the first time.
-    fn first_report(&mut self, what: String) -> bool {
-        self.reported.insert(what)
+    /// Whether a condition is logged for the first time.
+    fn first_report(&mut self, condition: String) -> bool {
+        self.reported.insert(condition)
     }
 
-    fn complain(&mut self, error: &RecordError) {
+    fn report_unreadable(&mut self, error: &RecordError) {
         if self.first_report(error.to_string()) {
-            warn!(%error, "stored value set aside");
+            warn!(%error, "unreadable stored value ignored");
         }
     }
 
     fn set_limits(&mut self, limits: StoreLimits) {
-        info!(?limits, "limits of the store");
+        info!(?limits, "limits of the store changed");
         self.settings.limits = limits;
     }
 
-    fn fill_budget(&mut self) {
-        const MICROS_PER_SECOND: i64 = 1_000_000;
-        let rate = self.settings.limits.changes_per_second * 1_000;
-        let passed = (self.now - self.budget_filled)
-            .0
-            .clamp(0, MICROS_PER_SECOND);
-        self.budget_filled = self.now;
-        self.budget = (self.budget + rate * passed / MICROS_PER_SECOND).min(rate);
-    }
-
-    fn spend(&mut self, changes: usize) {
-        self.budget -= changes as i64 * 1_000;
-    }
-
-    /// Whether the store takes another change now.
-    fn has_budget(&self) -> bool {
-        self.budget > 0
-    }
-
     /// All members that are up, with what they hold.
     fn loads(&self) -> Vec<MemberLoad> {
         let holders = self
             .duties
             .iter()
             .filter_map(|duty| duty.claim.as_ref().map(|claim| claim.member.as_str()));
-        let counts = crate::spread::count_by_holder(holders);
+        let counts = balancing::count_by_holder(holders);
         let load = |(name, seen): (&String, &SeenMember)| MemberLoad {
             member: name.clone(),
             duties: counts.get(name.as_str()).copied().unwrap_or(0),
--- a/crates/seamfront-lease/src/manager/operations.rs
+++ b/crates/seamfront-lease/src/manager/operations.rs
@@ -2,14 +2,15 @@
 
 use super::{
     info, keys, DutyManager, Effect, Holding, LossReason, Micros, OperationLog, Pending, Phase,
-    Rejection, RequestId, StoreReply, StoreRequest, Write, FENCED_WAITING, RETRY,
+    Rejection, RequestId, StoreReply, StoreRequest, Write, FENCED_QUEUE_MAX, RETRY_DELAY,
 };
 use crate::log::{FencedCommit, LogProgress, Reread};
+use crate::port::Outcome;
 use crate::record::{self, LogRecord, RecordError};
 use serde_json::Value;
 
-/// After a log that could not be read, the duty is left alone for so long.
-const UNREADABLE_REST: Micros = Micros::from_secs(10);
+/// After its log could not be read, a duty is not claimed for so long.
+const UNREADABLE_RETRY_DELAY: Micros = Micros::from_secs(10);
 
 impl DutyManager {
     pub(super) fn begin(&mut self, request: RequestId, duty: &str, payload: Value) {
@@ -45,7 +46,7 @@
 
     // ---- the log -------------------------------------------------------------------------
 
-    /// The log is read after the claim was taken, when whatever a predecessor may still have under way fails.
+    /// The log is read after the claim was taken, when whatever a predecessor may still have in flight fails.
     fn log_read_tick(&mut self, index: usize) {
         let now = self.now;
         let duty = &mut self.duties[index];
@@ -81,7 +82,7 @@
                 let now = self.now;
                 if let Some(holding) = self.duties[index].holding.as_mut() {
                     holding.log_busy = false;
-                    holding.log_next = now + RETRY;
+                    holding.log_next = now + RETRY_DELAY;
                 }
                 return;
             }
@@ -116,17 +117,17 @@
 
     /// Nothing is guessed and nothing deleted. The duty is given up, perhaps to a member that can read its log.
     fn log_unreadable(&mut self, index: usize, error: &RecordError) {
-        self.complain(error);
+        self.report_unreadable(error);
         let fencing_token = self.held_token(index);
         self.lose(index, LossReason::UnreadableLog);
-        self.duties[index].unreadable_until = self.now + UNREADABLE_REST;
+        self.duties[index].unreadable_until = self.now + UNREADABLE_RETRY_DELAY;
         if let Some(fencing_token) = fencing_token {
             self.remove_claim(index, fencing_token);
         }
     }
 
     fn log_write_tick(&mut self, index: usize) {
-        let budget = self.has_budget();
+        let budget = self.budget.available();
         let (now, limits) = (self.now, self.settings.limits);
         let duty = &mut self.duties[index];
         let Some(holding) = duty.holding.as_mut() else {
@@ -153,7 +154,7 @@
             lease: None,
         }];
         writes.extend(write.writes);
-        self.spend(writes.len());
+        self.budget.spend(writes.len());
         let sent = self.now;
         self.store(
             StoreRequest::CompareAndSwap { conditions, writes },
@@ -189,13 +190,13 @@
                 progress
             }
             StoreReply::Refused => {
-                holding.log_next = now + RETRY;
+                holding.log_next = now + RETRY_DELAY;
                 holding.log.refused()
             }
             StoreReply::Conflict { failed } if !failed.contains(&log_key) => {
                 holding.log.conflicted(failed.clone())
             }
-            // A copy that came late has changed the log, or nobody knows.
+            // A copy that came late has changed the log, or the outcome is unknown.
             _ => {
                 holding.log.write_unclear();
                 LogProgress::default()
@@ -206,28 +207,31 @@
 
     fn log_progress(&mut self, index: usize, progress: LogProgress) {
         let duty = self.duties[index].name.clone();
-        for (request, operation) in progress.began {
+        for begun in progress.began {
             self.effects.push(Effect::Began {
-                request,
+                request: begun.request,
                 duty: duty.clone(),
-                operation,
+                operation: begun.operation,
             });
         }
-        for (operation, settlement) in progress.settled {
+        for ended in progress.settled {
             self.effects.push(Effect::Settled {
                 duty: duty.clone(),
-                operation,
-                settlement,
+                operation: ended.operation,
+                settlement: ended.settlement,
             });
         }
-        if let Some((request, outcome)) = progress.fenced {
-            self.effects.push(Effect::Committed { request, outcome });
+        if let Some(fenced) = progress.fenced {
+            self.effects.push(Effect::Committed {
+                request: fenced.request,
+                outcome: fenced.outcome,
+            });
         }
     }
 
     // ---- performing ----------------------------------------------------------------------
 
-    /// The duty is active once all that a predecessor left open has been settled and the claim is proven.
+    /// The duty is active once all operations of predecessors are settled and the claim is verified.
     fn phase_tick(&mut self, index: usize) {
         let permitted = self.current_permit(index).is_some();
         let duty = &mut self.duties[index];
@@ -250,6 +254,23 @@
         });
     }
 
+    /// Takes the outcome of an attempt.
+    pub(super) fn performed(
+        &mut self,
+        duty: &str,
+        operation: record::OperationName,
+        attempt: u64,
+        outcome: Outcome,
+    ) {
+        let now = self.now;
+        let holding = self
+            .index(duty)
+            .and_then(|index| self.duties[index].holding.as_mut());
+        if let Some(holding) = holding {
+            holding.log.performed(operation, attempt, outcome, now);
+        }
+    }
+
     fn perform_tick(&mut self, index: usize) {
         while let Some(name) = self.due_operation(index) {
             let permit = self.current_permit(index);
@@ -301,7 +322,7 @@
             writes,
         };
         let accepted = match self.ready_holding(duty) {
-            Ok(holding) => holding.log.commit(commit, FENCED_WAITING, &limits),
+            Ok(holding) => holding.log.commit(commit, FENCED_QUEUE_MAX, &limits),
             Err(rejection) => Err(rejection),
         };
         if let Err(rejection) = accepted {
--- a/crates/seamfront-lease/src/manager/switch.rs
+++ b/crates/seamfront-lease/src/manager/switch.rs
@@ -1,10 +1,10 @@
-//! From one claim that carries all duties to a claim for each.
+//! The switch from one claim that carries all duties to a claim for each.
 //!
 //! While a member may still run a version that knows no duties, the former claim carries them all. Once every member has
 //! said that it knows duties, the holder of the former claim ends it for good and records the switch, in one
 //! transaction. What then stands in the former claim's key can't be taken over by an old process that comes back.
 
-use super::{info, keys, DutyManager, Pending, StoreReply, StoreRequest, Write, RETRY};
+use super::{info, keys, DutyManager, Pending, StoreReply, StoreRequest, Write, RETRY_DELAY};
 use crate::record::{self, FormerClaimRecord, SwitchRecord, FORMAT};
 
 impl DutyManager {
@@ -66,9 +66,9 @@
 
     pub(super) fn switched(&mut self, reply: &StoreReply) {
         self.switch_busy = false;
-        self.switch_next = self.now + RETRY;
+        self.switch_next = self.now + RETRY_DELAY;
         if matches!(reply, StoreReply::Committed { .. }) {
-            info!("all members know duties; the former claim has ended");
+            info!("all members support duties; the former claim has ended");
         }
     }
 }
--- a/crates/seamfront-lease/src/manager/views.rs
+++ b/crates/seamfront-lease/src/manager/views.rs
@@ -2,15 +2,16 @@
 
 use super::{
     keys, warn, BTreeSet, DutyManager, MemberRecord, Micros, MoveRecord, Pending, SeenClaim,
-    SeenMember, StoreReply, RETRY,
+    SeenMember, SeenMove, StoreReply, RETRY_DELAY,
 };
 use crate::record::{self, ClaimRecord, VersionRecord};
 use crate::view::{Change, ViewUpdate};
 use serde::de::DeserializeOwned;
 
-const HOLD: Micros = Micros::from_secs(20);
-/// Changes are gathered for so long before the next request for more.
-const PAUSE: Micros = Micros::from_millis(50);
+/// How long the store may hold a request for changes.
+const WATCH_WAIT: Micros = Micros::from_secs(20);
+/// Changes are collected for so long before the next request for more.
+const WATCH_INTERVAL: Micros = Micros::from_millis(50);
 
 impl DutyManager {
     pub(super) fn view_tick(&mut self) {
@@ -18,15 +19,15 @@
             return;
         }
         self.view_busy = true;
-        let request = self.view.request(keys::CONTROL_PREFIX, HOLD);
+        let request = self.view.request(keys::CONTROL_PREFIX, WATCH_WAIT);
         self.store(request, Pending::View);
     }
 
     pub(super) fn view_reply(&mut self, reply: StoreReply) {
         self.view_busy = false;
-        self.view_next = self.now + PAUSE;
+        self.view_next = self.now + WATCH_INTERVAL;
         match self.view.take(reply) {
-            ViewUpdate::Failed => self.view_next = self.now + RETRY,
+            ViewUpdate::Failed => self.view_next = self.now + RETRY_DELAY,
             ViewUpdate::Partial | ViewUpdate::TooOld => self.view_next = self.now,
             ViewUpdate::Changed { changes, revision } => {
                 for change in changes {
@@ -82,12 +83,12 @@
         }
     }
 
-    /// None: gone, or set aside.
+    /// None: gone, or unreadable.
     fn parse<T: DeserializeOwned>(&mut self, change: &Change) -> Option<T> {
         match record::read(&change.key, change.value.as_ref()?) {
             Ok(value) => Some(value),
             Err(error) => {
-                self.complain(&error);
+                self.report_unreadable(&error);
                 None
             }
         }
@@ -96,7 +97,7 @@
     fn claim_key_changed(&mut self, duty: &str, change: &Change) {
         let Some(index) = self.index(duty) else {
             if self.first_report(format!("unknown duty {duty}")) {
-                warn!(duty, "a claim on a duty that the settings do not name");
+                warn!(duty, "claim on a duty that is not in the settings");
             }
             return;
         };
@@ -137,7 +138,7 @@
             if self.first_report(format!("unknown member {member}")) {
                 warn!(
                     member,
-                    "a member that the settings do not name; it gets no duty from here"
+                    "member that is not in the settings; no duty is transferred to it"
                 );
             }
             return;
@@ -160,9 +161,13 @@
     fn move_changed(&mut self, duty: &str, change: &Change) {
         let request: Option<MoveRecord> = self.parse(change);
         match request {
-            Some(request) => self
-                .moves
-                .insert(duty.to_owned(), (request, change.version)),
+            Some(record) => {
+                let seen = SeenMove {
+                    record,
+                    version: change.version,
+                };
+                self.moves.insert(duty.to_owned(), seen)
+            }
             None => self.moves.remove(duty),
         };
     }
--- a/crates/seamfront-lease/src/permit.rs
+++ b/crates/seamfront-lease/src/permit.rs
@@ -1,4 +1,5 @@
-//! When a holder may act: proofs count from their sending, and every effect has a time until which it may begin.
+//! When a holder may act: verifications count from the sending of the request, and every effect has a time until which
+//! it may begin.
 
 use crate::settings::LeaseSettings;
 use crate::time::Micros;
@@ -19,58 +20,42 @@
     }
 }
 
-/// When the lease was last renewed, counted from the sending of the request.
+/// When a lease or a claim was last confirmed by the store, counted from the sending of the request. It only ever moves
+/// forward, until it is cleared.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct LeaseVerification {
-    renewed: Option<Micros>,
+pub struct Verification {
+    confirmed: Option<Micros>,
 }
 
-impl LeaseVerification {
-    /// A renewal that was sent then has been confirmed.
-    pub fn renewed(&mut self, sent: Micros) {
-        self.renewed = self.renewed.max(Some(sent));
+impl Verification {
+    /// A request that was sent then has succeeded: a renewal of the lease, or a transaction with the claim among its
+    /// conditions.
+    pub fn confirm(&mut self, sent: Micros) {
+        self.confirmed = self.confirmed.max(Some(sent));
     }
 
-    /// Nothing is known of the lease any more.
+    /// Nothing is known any more.
     pub fn clear(&mut self) {
-        self.renewed = None;
+        self.confirmed = None;
     }
 
-    /// Until when a claim attached to the lease can be relied on.
-    pub fn until(&self, settings: &LeaseSettings) -> Option<Micros> {
-        self.renewed.map(|sent| sent + settings.acting_time())
+    /// Until when it can be relied on, if it can for so long after its confirmation.
+    fn until(&self, ttl: Micros) -> Option<Micros> {
+        self.confirmed.map(|sent| sent + ttl)
     }
 }
 
-/// When a claim was last proven, counted from the sending of the request.
-#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct ClaimVerification {
-    last_verified: Option<Micros>,
-}
-
-impl ClaimVerification {
-    /// A transaction with the claim among its conditions was sent then and has succeeded.
-    pub fn verified(&mut self, sent: Micros) {
-        self.last_verified = self.last_verified.max(Some(sent));
-    }
-
-    /// Nothing is known of the claim any more.
-    pub fn clear(&mut self) {
-        self.last_verified = None;
-    }
-
-    /// Until when an effect may begin, if at all: the lease must hold, and the proof must be recent.
-    pub fn permit(
-        &self,
-        fencing_token: u64,
-        lease: &LeaseVerification,
-        settings: &LeaseSettings,
-    ) -> Option<Permit> {
-        let last_verified = self.last_verified? + settings.verification_ttl();
-        let until = last_verified.min(lease.until(settings)?);
-        Some(Permit {
-            fencing_token,
-            until,
-        })
-    }
+/// The right to act under a claim, if there is one: the lease must hold, and the claim's verification must be recent.
+pub fn permit(
+    fencing_token: u64,
+    claim: &Verification,
+    lease: &Verification,
+    settings: &LeaseSettings,
+) -> Option<Permit> {
+    let claim_until = claim.until(settings.verification_ttl())?;
+    let lease_until = lease.until(settings.acting_time())?;
+    Some(Permit {
+        fencing_token,
+        until: claim_until.min(lease_until),
+    })
 }
--- a/crates/seamfront-lease/src/settings.rs
+++ b/crates/seamfront-lease/src/settings.rs
@@ -37,9 +37,9 @@
     pub open_operations: usize,
     /// What the store takes.
     pub limits: StoreLimits,
-    /// Duties that had better be held by one member, since they work on one picture. They follow whoever holds most of
-    /// them, instead of being spread.
-    pub together: Vec<String>,
+    /// Duties that had better be held by one member, since they work on the same data. They follow whoever holds most of
+    /// them, instead of being balanced.
+    pub affinity_group: Vec<String>,
     /// Key of the claim that carried all duties in a version that knew none of them.
     pub former_claim: Option<String>,
 }
@@ -57,9 +57,9 @@
 /// A lease is renewed so many times while it lasts.
 pub const RENEWALS_PER_LEASE: i64 = 4;
 /// One part in so many of a lease is left unused at its end, whatever the clocks say.
-const SPARE_PART: i64 = 8;
-const LONGEST_LEASE: Micros = Micros::from_secs(600);
-const LONGEST_NAME: usize = 100;
+const SAFETY_PART: i64 = 8;
+const LEASE_MAX: Micros = Micros::from_secs(600);
+const NAME_LENGTH_MAX: usize = 100;
 
 impl LeaseSettings {
     /// Settings with the usual times, for a store with these limits.
@@ -79,7 +79,7 @@
             rebalance_after: Micros::from_secs(20),
             open_operations: 32,
             limits,
-            together: Vec::new(),
+            affinity_group: Vec::new(),
             former_claim: None,
         }
     }
@@ -88,7 +88,7 @@
     /// a part that is never used.
     pub fn acting_time(&self) -> Micros {
         let drift = self.lease.with_drift() - self.lease;
-        self.lease - drift - self.lease.over(SPARE_PART)
+        self.lease - drift - self.lease.over(SAFETY_PART)
     }
 
     /// How old a proof of a claim may be when an effect begins.
@@ -118,7 +118,7 @@
             format!("{:?} is not among the members", self.member)
         })?;
         let unknown = self
-            .together
+            .affinity_group
             .iter()
             .find(|name| !self.duties.contains(name));
         require(unknown.is_none(), "together", || {
@@ -127,7 +127,7 @@
         require(self.store_answer > Micros::ZERO, "store_answer", || {
             "must be more than 0".to_owned()
         })?;
-        require(self.lease <= LONGEST_LEASE, "lease", || {
+        require(self.lease <= LEASE_MAX, "lease", || {
             "must be at most 600 s".to_owned()
         })?;
         // A renewal whose answer is lost must leave time for another before the holder stops.
@@ -187,7 +187,7 @@
         let characters = name
             .chars()
             .all(|c| c.is_ascii_alphanumeric() || "-_.".contains(c));
-        let fits = !name.is_empty() && name.len() <= LONGEST_NAME && characters;
+        let fits = !name.is_empty() && name.len() <= NAME_LENGTH_MAX && characters;
         require(fits, field, || {
             format!("{name:?} is no name: letters, digits, '-', '_' and '.' only")
         })?;
--- a/crates/seamfront-lease/src/view.rs
+++ b/crates/seamfront-lease/src/view.rs
@@ -16,7 +16,7 @@
     pub version: u64,
 }
 
-/// What became of an answer.
+/// What a reply means for the view.
 #[derive(Clone, Debug, PartialEq)]
 pub enum ViewUpdate {
     /// Nothing new is known; ask again after a pause.
@@ -46,7 +46,15 @@
 pub struct View {
     loaded: bool,
     seen: u64,
-    listing: Option<(u64, BTreeMap<String, Entry>)>,
+    listing: Option<Listing>,
+}
+
+/// A reading of all keys, page by page.
+#[derive(Debug, Default)]
+struct Listing {
+    /// Revision of the first page.
+    revision: u64,
+    entries: BTreeMap<String, Entry>,
 }
 
 impl View {
@@ -73,7 +81,7 @@
         let after = self
             .listing
             .as_ref()
-            .and_then(|l| l.1.keys().next_back().cloned());
+            .and_then(|listing| listing.entries.keys().next_back().cloned());
         StoreRequest::List { prefix, after }
     }
 
@@ -111,29 +119,27 @@
     }
 
     fn take_page(&mut self, entries: Vec<Entry>, more: bool, revision: u64) -> ViewUpdate {
-        let listing = self
-            .listing
-            .get_or_insert_with(|| (revision, BTreeMap::new()));
+        let listing = self.listing.get_or_insert_with(|| Listing {
+            revision,
+            entries: BTreeMap::new(),
+        });
         listing
-            .1
+            .entries
             .extend(entries.into_iter().map(|entry| (entry.key.clone(), entry)));
         if more {
             return ViewUpdate::Partial;
         }
-        let (first, entries) = self.listing.take().unwrap_or_default();
+        let Listing { revision, entries } = self.listing.take().unwrap_or_default();
         self.loaded = true;
-        self.seen = self.seen.max(first);
-        let entries = entries.into_values();
-        let entries = entries
-            .map(|e| Change {
-                key: e.key,
-                value: Some(e.value),
-                version: e.version,
-            })
-            .collect();
+        self.seen = self.seen.max(revision);
+        let changes = entries.into_values().map(|entry| Change {
+            key: entry.key,
+            value: Some(entry.value),
+            version: entry.version,
+        });
         ViewUpdate::Read {
-            entries,
-            revision: first,
+            entries: changes.collect(),
+            revision,
         }
     }
 }
--- a/crates/seamfront/src/duty_admin.rs
+++ b/crates/seamfront/src/duty_admin.rs
@@ -89,8 +89,8 @@
         });
     }
     // Duties of an affinity group always have the same holder.
-    let group = if lease.together.contains(&request.duty) {
-        lease.together
+    let group = if lease.affinity_group.contains(&request.duty) {
+        lease.affinity_group
     } else {
         vec![request.duty.clone()]
     };
