--- /dev/null
+++ b/crates/seamfront-core/src/engine/fleet.rs
@@ -0,0 +1,265 @@
+//! Dispatch to the fleet's duties, the leader and the garbage collector.
+
+use super::{Engine, Pending};
+use crate::fleet_duties::{
+    EffectPermit, Fence, FleetDuty, PerFleetDuty, GARBAGE_COLLECTION, LEADER_CLAIM,
+};
+use crate::garbage_collector::CollectionRequest;
+use crate::leader::{FencedRequest, Leader, LeaderContext, LeaderEvent, LeaderOutbox};
+use crate::outbox::Outbox;
+use crate::port::{CallId, CloudReply, MachineView, ResourceRequest, StoreReply};
+use seamfront_lease::port::{
+    Command as DutyCommand, CommitOutcome, Effect as DutyEffect, RequestId,
+};
+
+impl From<FencedRequest> for Pending {
+    fn from(request: FencedRequest) -> Self {
+        Pending::Leader(request)
+    }
+}
+
+impl Engine {
+    pub(super) fn leader_tick(&mut self) {
+        if self.leader.is_none() {
+            return;
+        }
+        let permits = PerFleetDuty::from_fn(|duty| self.effect_permit(duty));
+        self.with_leader(permits, |leader, context, outbox| {
+            leader.tick(context, outbox)
+        });
+    }
+
+    pub(super) fn leader_store_reply(&mut self, request: FencedRequest, reply: StoreReply) {
+        let event = self.with_leader(PerFleetDuty::default(), |leader, context, outbox| {
+            leader.store_reply(context, outbox, request, reply)
+        });
+        self.leader_event(event.flatten());
+    }
+
+    pub(super) fn leader_cloud_reply(&mut self, request: FencedRequest, reply: CloudReply) {
+        let event = self.with_leader(PerFleetDuty::default(), |leader, context, outbox| {
+            leader.cloud_reply(context, outbox, request, reply)
+        });
+        self.leader_event(event.flatten());
+    }
+
+    fn leader_event(&mut self, event: Option<LeaderEvent>) {
+        match event {
+            Some(LeaderEvent::MachineTypesListed(types)) => self.types_known(types),
+            Some(LeaderEvent::FenceRefused {
+                duty,
+                fencing_token,
+            }) => self.fence_refused(duty, fencing_token),
+            None => {}
+        }
+    }
+
+    /// Calls the leader, if it is here, and sends out what it puts into its outbox.
+    fn with_leader<T>(
+        &mut self,
+        permits: PerFleetDuty<Option<EffectPermit>>,
+        call: impl FnOnce(&mut Leader, &mut LeaderContext, &mut LeaderOutbox) -> T,
+    ) -> Option<T> {
+        let fences = PerFleetDuty::from_fn(|duty| self.fence(duty));
+        let write_rate = self.write_rate();
+        let leader = self.leader.as_mut()?;
+        let mut context = LeaderContext {
+            settings: &self.settings,
+            now: self.now,
+            machines: &self.machines,
+            machine_since: &self.machine_since,
+            machine_types: &self.types,
+            fences,
+            permits,
+            write_rate,
+            write_budget: &mut self.write_budget,
+            work_done: &mut self.leader_work_done,
+        };
+        let mut outbox = LeaderOutbox::new();
+        let result = call(leader, &mut context, &mut outbox);
+        self.flush(outbox);
+        Some(result)
+    }
+
+    /// A shard's owner has reported to the leader.
+    pub(super) fn shard_updated(
+        &mut self,
+        shard: usize,
+        requests: Vec<ResourceRequest>,
+        machines: Vec<MachineView>,
+    ) {
+        let now = self.now;
+        if let Some(leader) = self.leader.as_mut() {
+            leader.shard_updated(now, shard, requests, machines);
+        }
+    }
+
+    /// How many machine records wait for the leader to write them.
+    pub(super) fn leader_pending_writes(&self) -> usize {
+        self.leader.as_ref().map_or(0, Leader::pending_writes)
+    }
+
+    /// Steps the duties, if they are on.
+    pub(crate) fn duties_tick(&mut self) {
+        if !self.duties.enabled() {
+            return;
+        }
+        let former = self.leader.as_ref().and_then(Leader::claim_version);
+        let former = former.filter(|_| self.lease_valid(self.leader_slot()));
+        self.duty_step(vec![DutyCommand::FormerClaim(former)]);
+        self.former_claim_ends();
+        self.garbage_collection_tick();
+    }
+
+    /// Once duties are in force the leader's claim means nothing, whether its end has been seen here or not.
+    fn former_claim_ends(&mut self) {
+        let former = self
+            .leader
+            .as_ref()
+            .is_some_and(|leader| leader.claim_version().is_some());
+        if !former || !self.duties.in_force() {
+            return;
+        }
+        let slot = self.leader_slot();
+        self.drop_claim(slot, "duties have claims of their own");
+        for duty in FleetDuty::ALL {
+            if self.duties.fencing_token(duty.name()).is_some() {
+                self.duty_begins(duty.name());
+            }
+        }
+    }
+
+    pub(crate) fn duty_reply(&mut self, call: CallId, reply: StoreReply) {
+        self.duty_step(vec![DutyCommand::Store { call, reply }]);
+    }
+
+    pub(crate) fn duty_step(&mut self, commands: Vec<DutyCommand>) {
+        for effect in self.duties.step(self.now, commands) {
+            self.duty_effect(effect);
+        }
+    }
+
+    fn duty_effect(&mut self, effect: DutyEffect) {
+        match effect {
+            DutyEffect::Store { call, request } => {
+                self.send_to_store(request, Pending::Duty { call })
+            }
+            DutyEffect::Active { duty, .. } => self.duty_begins(&duty),
+            DutyEffect::Lost { duty, .. } => self.duty_ends(&duty),
+            DutyEffect::Committed { request, outcome } => self.removal_done(request, &outcome),
+            DutyEffect::Rejected { request, .. } => {
+                self.removal_done(request, &CommitOutcome::Refused)
+            }
+            _ => {}
+        }
+    }
+
+    fn garbage_collection_tick(&mut self) {
+        if self.duties.fencing_token(GARBAGE_COLLECTION).is_none() {
+            return;
+        }
+        let mut outbox = Outbox::new();
+        self.garbage_collector.tick(self.now, &mut outbox);
+        self.flush(outbox);
+    }
+
+    /// Routes a reply of the store to the garbage collector.
+    pub(super) fn collection_reply(&mut self, request: CollectionRequest, reply: StoreReply) {
+        match request {
+            CollectionRequest::OrphanedRecords => {
+                let jobs = &self.jobs;
+                self.garbage_collector
+                    .page_reply(self.now, reply, |job| jobs.contains_key(job));
+            }
+            CollectionRequest::OwnerEnd => {
+                let removal =
+                    self.garbage_collector
+                        .owner_end_reply(&self.settings, self.now, reply);
+                if let Some(command) = removal {
+                    self.duty_step(vec![command]);
+                }
+            }
+        }
+    }
+
+    fn removal_done(&mut self, request: RequestId, outcome: &CommitOutcome) {
+        self.garbage_collector
+            .removal_done(&self.settings, self.now, request, outcome);
+    }
+
+    fn duty_begins(&mut self, duty: &str) {
+        let now = self.now;
+        if duty == GARBAGE_COLLECTION {
+            return self.garbage_collector.stop(now);
+        }
+        let members = self.settings.members.len();
+        let leader = self
+            .leader
+            .get_or_insert_with(|| Leader::new(None, now, members));
+        let fleet = FleetDuty::ALL
+            .into_iter()
+            .find(|fleet| fleet.name() == duty);
+        if let Some(fleet) = fleet {
+            leader.duty_begins(fleet);
+        }
+    }
+
+    fn duty_ends(&mut self, duty: &str) {
+        if duty == GARBAGE_COLLECTION {
+            let now = self.now;
+            return self.garbage_collector.stop(now);
+        }
+        let rests_on_duties = self
+            .leader
+            .as_ref()
+            .is_some_and(|leader| leader.claim_version().is_none());
+        if rests_on_duties && !self.duties.holds_any_of_fleet() {
+            self.leader = None;
+        }
+    }
+
+    /// What fences a duty that is held here, be it by the leader's claim.
+    fn fence(&self, duty: FleetDuty) -> Option<Fence> {
+        match self.leader.as_ref()?.claim_version() {
+            Some(fencing_token) => Some(Fence {
+                key: LEADER_CLAIM.to_owned(),
+                fencing_token,
+            }),
+            None => self.duties.fence(duty),
+        }
+    }
+
+    /// Whether a duty may act on the outside now.
+    fn effect_permit(&mut self, duty: FleetDuty) -> Option<EffectPermit> {
+        if self.leader.as_ref()?.claim_version().is_none() {
+            return self.duties.effect_permit(duty);
+        }
+        let lease_valid = self.lease_valid(self.leader_slot());
+        lease_valid.then_some(EffectPermit { until: None })
+    }
+
+    /// A transaction has failed on this fence: the duty is not held here any more.
+    fn fence_refused(&mut self, duty: FleetDuty, fencing_token: u64) {
+        if self
+            .leader
+            .as_ref()
+            .is_some_and(|leader| leader.claim_version() == Some(fencing_token))
+        {
+            let slot = self.leader_slot();
+            return self.drop_claim(slot, "claim proven lost");
+        }
+        self.duty_step(vec![DutyCommand::TokenRefused {
+            duty: duty.name().to_owned(),
+            fencing_token,
+        }]);
+    }
+
+    /// Members that hold any of the leader's duties.
+    pub(crate) fn fleet_holders(&self) -> Vec<usize> {
+        if !self.duties.in_force() {
+            let claim = self.store.claims[self.leader_slot()].as_ref();
+            return claim.map(|claim| claim.member).into_iter().collect();
+        }
+        self.duties.fleet_holders(&self.settings.members)
+    }
+}
--- a/crates/seamfront-core/src/engine/mod.rs
+++ b/crates/seamfront-core/src/engine/mod.rs
@@ -2,9 +2,10 @@
 //! given, never asked for. Same commands, same times, same effects.
 
 use crate::dependencies::{DependencyGraph, DependencyRequest, JobDependencies};
+use crate::fleet_duties::Duties;
 use crate::format_versions::{FormatRequest, FormatVersions};
 use crate::garbage_collector::{CollectionRequest, GarbageCollector};
-use crate::leader::{Leader, LeaderRequest};
+use crate::leader::{FencedRequest, Leader};
 use crate::machine::MachineRecord;
 use crate::outbox::{Outbox, Outgoing};
 use crate::port::{
@@ -16,11 +17,11 @@
 use crate::store_session::{SessionRequest, StoreSession};
 use crate::types::{JobId, JobSpec, MachineId, MachineType, Micros, Resources, Settings};
 use crate::user_api::{EndRecord, UserRequest, Users};
-use seamfront_lease::DutyManager;
 use std::collections::BTreeMap;
 use std::rc::Rc;
 use tracing::{info, trace, warn};
 
+mod fleet;
 mod machine_types;
 use machine_types::MachineTypesRequest;
 mod peers;
@@ -66,10 +67,7 @@
         version: u64,
         shard_writes: Vec<ShardWrite>,
     },
-    Leader {
-        version: u64,
-        call: LeaderRequest,
-    },
+    Leader(FencedRequest),
     Duty {
         call: CallId,
     },
@@ -132,8 +130,7 @@
     pub(crate) users: Users,
     pub(crate) dependencies: DependencyGraph,
     format_versions: FormatVersions,
-    /// Where duties are on.
-    pub(crate) duties: Option<DutyManager>,
+    pub(crate) duties: Duties,
     pub(crate) garbage_collector: GarbageCollector,
     pub(crate) types: Vec<MachineType>,
     types_busy: bool,
@@ -177,7 +174,7 @@
             users: Users::default(),
             dependencies: DependencyGraph::default(),
             format_versions: FormatVersions::default(),
-            duties: crate::fleet_duties::manager(&settings),
+            duties: Duties::new(&settings),
             garbage_collector: GarbageCollector::default(),
             types: Vec::new(),
             types_busy: false,
@@ -324,6 +321,7 @@
                     until,
                     pending,
                 } => self.send_to_cloud(request, until, pending),
+                Outgoing::ShardOwner { shard, message } => self.notify_holder(shard, message),
                 Outgoing::Effect(effect) => self.effects.push(effect),
             }
         }
@@ -405,16 +403,14 @@
                 version,
                 shard_writes,
             } => self.shard_reply(shard, version, &shard_writes, &reply),
-            Pending::Leader { version, call } => self.leader_store_reply(version, call, reply),
+            Pending::Leader(request) => self.leader_store_reply(request, reply),
             Pending::Duty { call } => self.duty_reply(call, reply),
         }
     }
 
     fn cloud_reply(&mut self, call: CallId, reply: CloudReply) {
         match self.calls.remove(&call) {
-            Some(Pending::Leader { version, call }) => {
-                self.leader_cloud_reply(version, call, reply)
-            }
+            Some(Pending::Leader(request)) => self.leader_cloud_reply(request, reply),
             Some(Pending::MachineTypes(MachineTypesRequest::FromCloud)) => {
                 self.types_busy = false;
                 if let CloudReply::MachineTypes(types) = reply {
