--- a/crates/seamfront-lease/src/lib.rs
+++ b/crates/seamfront-lease/src/lib.rs
@@ -7,6 +7,26 @@
 //!
 //! [`DutyManager`] is the deterministic core: commands go in, effects come out, time is an argument. [`driver`] is a
 //! thin loop round it. `docs/duties.md` holds the safety argument.
+//!
+//! ```
+//! use seamfront_lease::port::Effect;
+//! use seamfront_lease::settings::{LeaseSettings, StoreLimits};
+//! use seamfront_lease::time::Micros;
+//! use seamfront_lease::DutyManager;
+//!
+//! let limits = StoreLimits {
+//!     value_bytes: 32 * 1024,
+//!     transaction_changes: 48,
+//!     changes_per_second: 100,
+//! };
+//! let settings = LeaseSettings::new("a", &["a", "b"], &["cleaning"], limits);
+//! let mut manager = DutyManager::new(settings)?;
+//! // The first step requests a lease and reads the present claims.
+//! let effects = manager.step(Micros::ZERO, Vec::new());
+//! assert!(effects.iter().all(|effect| matches!(effect, Effect::Store { .. })));
+//! assert_eq!(manager.fencing_token("cleaning"), None);
+//! # Ok::<(), seamfront_lease::settings::SettingsError>(())
+//! ```
 #![forbid(unsafe_code)]
 #![deny(missing_docs)]
 
--- a/crates/seamfront-lease/src/manager/claims.rs
+++ b/crates/seamfront-lease/src/manager/claims.rs
@@ -1,14 +1,15 @@
 //! Acquiring claims on duties, verifying them and losing them.
 
-use super::{
-    info, warn, CommitOutcome, Duty, DutyManager, Effect, HeldClaim, Holding, LossReason, Micros,
-    OperationLog, Pending, Permit, Phase, Rejection, SeenClaim, StoreReply, StoreRequest,
-    Successor, Verification, Write, RETRY_DELAY,
-};
+use super::state::{Duty, HeldClaim, Holding, Pending, Phase, SeenClaim};
+use super::{DutyManager, RETRY_DELAY};
 use crate::balancing;
-use crate::log::Unfinished;
-use crate::permit::permit;
+use crate::log::{OperationLog, Unfinished};
+use crate::permit::{permit, Permit, Verification};
+use crate::port::{CommitOutcome, Effect, LossReason, Rejection, Successor};
 use crate::record::{self, ClaimRecord, FORMAT};
+use crate::store::{StoreReply, StoreRequest, Write};
+use crate::time::Micros;
+use tracing::{info, warn};
 
 impl DutyManager {
     pub(super) fn claim_changed(&mut self, index: usize, claim: Option<SeenClaim>, version: u64) {
--- a/crates/seamfront-lease/src/manager/handover.rs
+++ b/crates/seamfront-lease/src/manager/handover.rs
@@ -1,11 +1,14 @@
 //! Handing duties over on purpose: to balance load, at an operator's request, before the process ends.
 
-use super::{
-    info, keys, warn, Duty, DutyManager, HandoverTarget, LossReason, Micros, Pending, Phase,
-    SeenClaim, StoreReply, StoreRequest, Write, RETRY_DELAY,
-};
+use super::state::{Duty, HandoverTarget, Pending, Phase, SeenClaim};
+use super::{DutyManager, RETRY_DELAY};
 use crate::balancing;
+use crate::keys;
+use crate::port::LossReason;
 use crate::record::{self, ClaimRecord, FORMAT};
+use crate::store::{StoreReply, StoreRequest, Write};
+use crate::time::Micros;
+use tracing::{info, warn};
 
 /// A handover that can't be sent within this time is cancelled.
 const HANDOVER_TIMEOUT: Micros = Micros::from_secs(10);
--- a/crates/seamfront-lease/src/manager/membership.rs
+++ b/crates/seamfront-lease/src/manager/membership.rs
@@ -1,11 +1,15 @@
 //! The member's lease and its record in the store.
 
-use super::{
-    info, keys, warn, BTreeSet, DutyManager, Effect, LossReason, MemberRecord, Micros, Pending,
-    SeenMember, StoreReply, StoreRequest, Write, RETRY_DELAY,
-};
+use super::state::{Pending, SeenMember};
+use super::{DutyManager, RETRY_DELAY};
+use crate::keys;
 use crate::permit::Verification;
-use crate::record::{self, VersionRecord, FORMAT};
+use crate::port::{Effect, LossReason};
+use crate::record::{self, MemberRecord, VersionRecord, FORMAT};
+use crate::store::{StoreReply, StoreRequest, Write};
+use crate::time::Micros;
+use std::collections::BTreeSet;
+use tracing::{info, warn};
 
 /// How often the member's record may be rewritten as its load changes.
 const LOAD_UPDATE_INTERVAL: Micros = Micros::from_secs(5);
--- a/crates/seamfront-lease/src/manager/mod.rs
+++ b/crates/seamfront-lease/src/manager/mod.rs
@@ -3,14 +3,11 @@
 
 use crate::balancing::{self, MemberLoad};
 use crate::keys;
-use crate::log::OperationLog;
-use crate::permit::{Permit, Verification};
-use crate::port::{
-    CallId, Command, CommitOutcome, Effect, LossReason, Rejection, RequestId, Successor,
-};
-use crate::record::{MemberRecord, MoveRecord, RecordError, SwitchRecord};
+use crate::permit::Permit;
+use crate::port::{CallId, Command, Effect};
+use crate::record::{RecordError, SwitchRecord};
 use crate::settings::{LeaseSettings, SettingsError, StoreLimits};
-use crate::store::{StoreReply, StoreRequest, Write};
+use crate::store::{StoreReply, StoreRequest};
 use crate::time::Micros;
 use crate::view::View;
 use std::collections::{BTreeMap, BTreeSet};
@@ -27,9 +24,7 @@
 
 use budget::WriteBudget;
 use membership::Membership;
-use state::{
-    Duty, HandoverTarget, HeldClaim, Holding, Pending, Phase, SeenClaim, SeenMember, SeenMove,
-};
+use state::{Duty, HandoverTarget, Pending, Phase, SeenMember, SeenMove};
 
 /// Delay after which a request is made again that was refused or got no reply.
 const RETRY_DELAY: Micros = Micros::from_millis(250);
--- a/crates/seamfront-lease/src/manager/operations.rs
+++ b/crates/seamfront-lease/src/manager/operations.rs
@@ -1,13 +1,15 @@
 //! Operations of the duties that are held: recording, performing, settling.
 
-use super::{
-    info, keys, DutyManager, Effect, Holding, LossReason, Micros, OperationLog, Pending, Phase,
-    Rejection, RequestId, StoreReply, StoreRequest, Write, FENCED_QUEUE_MAX, RETRY_DELAY,
-};
-use crate::log::{FencedCommit, LogProgress, Reread};
-use crate::port::Outcome;
+use super::state::{Holding, Pending, Phase};
+use super::{DutyManager, FENCED_QUEUE_MAX, RETRY_DELAY};
+use crate::keys;
+use crate::log::{FencedCommit, LogProgress, OperationLog, Reread};
+use crate::port::{Effect, LossReason, Outcome, Rejection, RequestId};
 use crate::record::{self, LogRecord, RecordError};
+use crate::store::{StoreReply, StoreRequest, Write};
+use crate::time::Micros;
 use serde_json::Value;
+use tracing::info;
 
 /// After its log could not be read, a duty is not claimed for so long.
 const UNREADABLE_RETRY_DELAY: Micros = Micros::from_secs(10);
--- a/crates/seamfront-lease/src/manager/switch.rs
+++ b/crates/seamfront-lease/src/manager/switch.rs
@@ -4,8 +4,12 @@
 //! said that it knows duties, the holder of the former claim ends it for good and records the switch, in one
 //! transaction. What then stands in the former claim's key can't be taken over by an old process that comes back.
 
-use super::{info, keys, DutyManager, Pending, StoreReply, StoreRequest, Write, RETRY_DELAY};
+use super::state::Pending;
+use super::{DutyManager, RETRY_DELAY};
+use crate::keys;
 use crate::record::{self, FormerClaimRecord, SwitchRecord, FORMAT};
+use crate::store::{StoreReply, StoreRequest, Write};
+use tracing::info;
 
 impl DutyManager {
     /// Whether duties have their own claims.
--- a/crates/seamfront-lease/src/manager/views.rs
+++ b/crates/seamfront-lease/src/manager/views.rs
@@ -1,12 +1,15 @@
 //! The view of claims, members, requests to move duties, and the switch.
 
-use super::{
-    keys, warn, BTreeSet, DutyManager, MemberRecord, Micros, MoveRecord, Pending, SeenClaim,
-    SeenMember, SeenMove, StoreReply, RETRY_DELAY,
-};
-use crate::record::{self, ClaimRecord, VersionRecord};
+use super::state::{Pending, SeenClaim, SeenMember, SeenMove};
+use super::{DutyManager, RETRY_DELAY};
+use crate::keys;
+use crate::record::{self, ClaimRecord, MemberRecord, MoveRecord, VersionRecord};
+use crate::store::StoreReply;
+use crate::time::Micros;
 use crate::view::{Change, ViewUpdate};
 use serde::de::DeserializeOwned;
+use std::collections::BTreeSet;
+use tracing::warn;
 
 /// How long the store may hold a request for changes.
 const WATCH_WAIT: Micros = Micros::from_secs(20);
--- a/crates/seamfront-report/src/main.rs
+++ b/crates/seamfront-report/src/main.rs
@@ -18,8 +18,8 @@
 
 fn convert(record: &Path, target: &Path) -> Result<(), ReportError> {
     let file = |path: &Path| {
-        let path = path.display().to_string();
-        move |error| ReportError::File { path, error }
+        let path = path.to_owned();
+        move |source| ReportError::File { path, source }
     };
     let text = std::fs::read_to_string(record).map_err(file(record))?;
     let html = page(&read(&text)?)?;
--- a/crates/seamfront-report/src/page.rs
+++ b/crates/seamfront-report/src/page.rs
@@ -19,8 +19,8 @@
          <style>{STYLE}</style></head><body>\n<h1>{title}</h1>\n"
     );
     let mut series: BTreeMap<&str, Vec<&Series>> = BTreeMap::new();
-    for one in &run.series {
-        series.entry(&one.group).or_default().push(one);
+    for member in &run.series {
+        series.entry(&member.group).or_default().push(member);
     }
     for (group, series) in series {
         let plot = plot::durations(group, &series)?;
--- a/crates/seamfront-report/src/plot.rs
+++ b/crates/seamfront-report/src/plot.rs
@@ -1,26 +1,29 @@
 //! Plots as SVG.
 
-use crate::record::{made, Count, ReportError, Series};
+use crate::record::{Count, ReportError, Series};
 use plotters::coord::types::RangedCoordf64;
 use plotters::coord::Shift;
 use plotters::drawing::DrawingAreaErrorKind;
 use plotters::prelude::*;
 use std::collections::BTreeMap;
 
+/// Width and height of a plot in pixels.
 const SIZE: (u32, u32) = (760, 380);
 const MARGIN: u32 = 12;
-const LABELS: u32 = 56;
+/// Pixels beside the axes for their labels.
+const LABEL_AREA: u32 = 56;
 const MICROS_PER_SECOND: f64 = 1e6;
 /// The percentiles that a curve is drawn through.
-const STEPS: u32 = 200;
-const DOT: i32 = 4;
+const PERCENTILE_STEPS: u32 = 200;
+/// Radius of a point in pixels.
+const POINT_RADIUS: i32 = 4;
 
-/// What share of the durations lies below which time, a curve for each series.
+/// The distribution of durations: a cumulative curve for each series.
 pub fn durations(title: &str, series: &[&Series]) -> Result<String, ReportError> {
     let longest =
         series.iter().map(|s| s.durations.max()).max().unwrap_or(0) as f64 / MICROS_PER_SECOND;
     let mut svg = String::new();
-    draw_durations(&mut svg, title, series, longest).map_err(|error| made(title, &error))?;
+    draw_durations(&mut svg, title, series, longest).map_err(|source| plot_error(title, source))?;
     Ok(svg)
 }
 
@@ -30,8 +33,8 @@
     let mut builder = ChartBuilder::on(&area);
     builder
         .margin(MARGIN)
-        .x_label_area_size(LABELS)
-        .y_label_area_size(LABELS);
+        .x_label_area_size(LABEL_AREA)
+        .y_label_area_size(LABEL_AREA);
     let mut chart = builder.build_cartesian_2d(range, 0.0..100.0)?;
     chart
         .configure_mesh()
@@ -41,14 +44,16 @@
     for (index, one) in series.iter().enumerate() {
         let color = Palette99::pick(index).to_rgba();
         let at = |step: u32| {
-            let percent = f64::from(step) * 100.0 / f64::from(STEPS);
+            let percent = f64::from(step) * 100.0 / f64::from(PERCENTILE_STEPS);
             (
                 one.durations.value_at_percentile(percent) as f64 / MICROS_PER_SECOND,
                 percent,
             )
         };
-        let drawn =
-            chart.draw_series(LineSeries::new((0..=STEPS).map(at), color.stroke_width(2)))?;
+        let drawn = chart.draw_series(LineSeries::new(
+            (0..=PERCENTILE_STEPS).map(at),
+            color.stroke_width(2),
+        ))?;
         drawn
             .label(&one.name)
             .legend(move |(x, y)| PathElement::new([(x, y), (x + 18, y)], color.stroke_width(2)));
@@ -61,7 +66,7 @@
 /// Counts over sizes, a line for each series.
 pub fn counts(title: &str, counts: &[&Count]) -> Result<String, ReportError> {
     let mut svg = String::new();
-    draw_counts(&mut svg, title, counts).map_err(|error| made(title, &error))?;
+    draw_counts(&mut svg, title, counts).map_err(|source| plot_error(title, source))?;
     Ok(svg)
 }
 
@@ -79,8 +84,8 @@
     let mut builder = ChartBuilder::on(&area);
     builder
         .margin(MARGIN)
-        .x_label_area_size(LABELS)
-        .y_label_area_size(LABELS);
+        .x_label_area_size(LABEL_AREA)
+        .y_label_area_size(LABEL_AREA);
     let mut chart = builder.build_cartesian_2d(0.0..largest * 1.05, 0.0..(most * 1.1).max(1.0))?;
     chart.configure_mesh().x_desc("size").draw()?;
     for (index, (name, points)) in lines.into_iter().enumerate() {
@@ -92,7 +97,7 @@
         chart.draw_series(
             points
                 .into_iter()
-                .map(|point| Circle::new(point, DOT, color.filled())),
+                .map(|point| Circle::new(point, POINT_RADIUS, color.filled())),
         )?;
     }
     legend(&mut chart)?;
@@ -100,7 +105,9 @@
     Ok(())
 }
 
-type Drawn<T> = Result<T, DrawingAreaErrorKind<std::io::Error>>;
+/// Why a plot can't be drawn.
+pub type DrawingError = DrawingAreaErrorKind<std::io::Error>;
+type Drawn<T> = Result<T, DrawingError>;
 type Area<'a> = DrawingArea<SVGBackend<'a>, Shift>;
 
 fn area<'a>(svg: &'a mut String, title: &str) -> Drawn<Area<'a>> {
@@ -119,3 +126,10 @@
         .position(SeriesLabelPosition::LowerRight);
     labels.draw()
 }
+
+fn plot_error(title: &str, source: DrawingError) -> ReportError {
+    ReportError::Plot {
+        title: title.to_owned(),
+        source,
+    }
+}
--- a/crates/seamfront-report/src/record.rs
+++ b/crates/seamfront-report/src/record.rs
@@ -1,32 +1,35 @@
-//! The record of a run.
+//! The record of a run: a text file with one JSON object a line.
 
+use crate::plot::DrawingError;
 use base64::engine::general_purpose::STANDARD;
 use base64::Engine;
-use hdrhistogram::serialization::{Deserializer, Serializer, V2DeflateSerializer};
-use hdrhistogram::Histogram;
+use hdrhistogram::serialization::{
+    DeserializeError, Deserializer, Serializer, V2DeflateSerializeError, V2DeflateSerializer,
+};
+use hdrhistogram::{CreationError, Histogram};
 use serde::{Deserialize, Serialize};
-use std::collections::BTreeMap;
+use std::collections::btree_map::{BTreeMap, Entry};
 use std::io::Write;
-use std::path::Path;
+use std::path::{Path, PathBuf};
 use thiserror::Error;
 
 /// The format that this version writes.
 const FORMAT: u32 = 1;
-/// Digits that a histogram keeps of each value.
-const DIGITS: u8 = 3;
+/// Significant digits that a histogram keeps of each value.
+const SIGNIFICANT_DIGITS: u8 = 3;
 /// Durations longer than this are recorded as this: an hour, in microseconds.
-const LONGEST: u64 = 3_600_000_000;
+const DURATION_MAX_MICROS: u64 = 3_600_000_000;
 
-/// Why a record can't be read or written.
+/// Why a record can't be read or written, or its page not made.
 #[derive(Debug, Error)]
 pub enum ReportError {
     /// The file can't be read or written.
-    #[error("{path}: {error}")]
+    #[error("{}: {source}", path.display())]
     File {
         /// The file.
-        path: String,
+        path: PathBuf,
         /// What went wrong.
-        error: std::io::Error,
+        source: std::io::Error,
     },
     /// A line can't be used.
     #[error("line {line}: {reason}")]
@@ -34,16 +37,49 @@
         /// Number of the line, from 1.
         line: usize,
         /// What is wrong with it.
-        reason: String,
+        #[source]
+        reason: LineError,
     },
-    /// A histogram or a plot can't be made.
-    #[error("{what}: {reason}")]
-    Made {
-        /// What was to be made.
-        what: String,
+    /// A line can't be written.
+    #[error("a line: {0}")]
+    EncodeLine(#[source] serde_json::Error),
+    /// A histogram can't be created.
+    #[error("a histogram: {0}")]
+    CreateHistogram(#[source] CreationError),
+    /// A histogram can't be written.
+    #[error("a histogram: {0}")]
+    EncodeHistogram(#[source] V2DeflateSerializeError),
+    /// A plot can't be drawn.
+    #[error("{title}: {source}")]
+    Plot {
+        /// Its title.
+        title: String,
         /// What went wrong.
-        reason: String,
+        source: DrawingError,
+    },
+}
+
+/// What is wrong with a line of a record.
+#[derive(Debug, Error)]
+pub enum LineError {
+    /// It is not JSON, or not of a kind that this version knows.
+    #[error(transparent)]
+    Malformed(#[from] serde_json::Error),
+    /// A newer version wrote it.
+    #[error("format {format} is newer than {FORMAT}")]
+    NewerFormat {
+        /// Its format.
+        format: u32,
     },
+    /// A histogram is not base64.
+    #[error("histogram: {0}")]
+    HistogramText(#[from] base64::DecodeError),
+    /// A histogram is damaged.
+    #[error("histogram: {0}")]
+    Histogram(#[from] DeserializeError),
+    /// A count is not a finite number.
+    #[error("value: not a number")]
+    NotFinite,
 }
 
 #[derive(Serialize, Deserialize)]
@@ -101,11 +137,18 @@
     pub counts: Vec<Count>,
 }
 
-/// Gathers the record of a run.
+/// Names a series within a run.
+#[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
+struct SeriesKey {
+    group: String,
+    name: String,
+}
+
+/// Collects the record of a run.
 #[derive(Clone, Debug, Default)]
 pub struct Recorder {
     title: String,
-    durations: BTreeMap<(String, String), Histogram<u64>>,
+    durations: BTreeMap<SeriesKey, Histogram<u64>>,
     counts: Vec<Count>,
 }
 
@@ -120,12 +163,15 @@
 
     /// Records a duration.
     pub fn duration(&mut self, group: &str, series: &str, micros: u64) -> Result<(), ReportError> {
-        let key = (group.to_owned(), series.to_owned());
+        let key = SeriesKey {
+            group: group.to_owned(),
+            name: series.to_owned(),
+        };
         let histogram = match self.durations.entry(key) {
-            std::collections::btree_map::Entry::Occupied(entry) => entry.into_mut(),
-            std::collections::btree_map::Entry::Vacant(entry) => entry.insert(empty_histogram()?),
+            Entry::Occupied(entry) => entry.into_mut(),
+            Entry::Vacant(entry) => entry.insert(empty_histogram()?),
         };
-        histogram.saturating_record(micros.min(LONGEST));
+        histogram.saturating_record(micros.min(DURATION_MAX_MICROS));
         Ok(())
     }
 
@@ -146,23 +192,22 @@
             format: FORMAT,
             title: self.title.clone(),
         }];
-        for ((group, series), histogram) in &self.durations {
-            let histogram = encode(histogram)?;
+        for (key, histogram) in &self.durations {
             lines.push(Line::Durations {
-                group: group.clone(),
-                series: series.clone(),
-                histogram,
+                group: key.group.clone(),
+                series: key.name.clone(),
+                histogram: encode(histogram)?,
             });
         }
         let counts = self.counts.iter().cloned();
-        lines.extend(counts.map(|c| Line::Count {
-            group: c.group,
-            series: c.series,
-            size: c.size,
-            value: c.value,
+        lines.extend(counts.map(|count| Line::Count {
+            group: count.group,
+            series: count.series,
+            size: count.size,
+            value: count.value,
         }));
         for line in &lines {
-            let line = serde_json::to_string(line).map_err(|error| made("a line", &error))?;
+            let line = serde_json::to_string(line).map_err(ReportError::EncodeLine)?;
             writeln!(text, "{line}").map_err(|error| file(path, error))?;
         }
         std::fs::write(path, text).map_err(|error| file(path, error))
@@ -172,78 +217,66 @@
 /// Reads the record of a run. A line that can't be read is refused by its number, a newer format as such.
 pub fn read(text: &str) -> Result<Run, ReportError> {
     let mut run = Run::default();
-    for (index, text) in text.lines().enumerate() {
-        let refused = |reason: String| ReportError::Line {
+    for (index, line) in text.lines().enumerate() {
+        read_line(line, &mut run).map_err(|reason| ReportError::Line {
             line: index + 1,
             reason,
-        };
-        let line: Line = serde_json::from_str(text).map_err(|error| refused(error.to_string()))?;
-        match line {
-            Line::Run { format, .. } if format > FORMAT => {
-                return Err(refused(format!("format {format} is newer than {FORMAT}")));
-            }
-            Line::Run { title, .. } => run.title = title,
-            Line::Durations {
-                group,
-                series,
-                histogram,
-            } => {
-                let durations = decode(&histogram).map_err(refused)?;
-                run.series.push(Series {
-                    group,
-                    name: series,
-                    durations,
-                });
-            }
-            Line::Count {
-                group,
-                series,
-                size,
-                value,
-            } if value.is_finite() => {
-                run.counts.push(Count {
-                    group,
-                    series,
-                    size,
-                    value,
-                });
-            }
-            Line::Count { .. } => return Err(refused("value: not a number".to_owned())),
-        }
+        })?;
     }
     Ok(run)
 }
 
+fn read_line(text: &str, run: &mut Run) -> Result<(), LineError> {
+    match serde_json::from_str(text)? {
+        Line::Run { format, .. } if format > FORMAT => {
+            return Err(LineError::NewerFormat { format });
+        }
+        Line::Run { title, .. } => run.title = title,
+        Line::Durations {
+            group,
+            series,
+            histogram,
+        } => run.series.push(Series {
+            group,
+            name: series,
+            durations: decode(&histogram)?,
+        }),
+        Line::Count { value, .. } if !value.is_finite() => return Err(LineError::NotFinite),
+        Line::Count {
+            group,
+            series,
+            size,
+            value,
+        } => run.counts.push(Count {
+            group,
+            series,
+            size,
+            value,
+        }),
+    }
+    Ok(())
+}
+
 fn empty_histogram() -> Result<Histogram<u64>, ReportError> {
-    Histogram::new_with_bounds(1, LONGEST, DIGITS).map_err(|error| made("a histogram", &error))
+    Histogram::new_with_bounds(1, DURATION_MAX_MICROS, SIGNIFICANT_DIGITS)
+        .map_err(ReportError::CreateHistogram)
 }
 
 fn encode(histogram: &Histogram<u64>) -> Result<String, ReportError> {
     let mut bytes = Vec::new();
     let written = V2DeflateSerializer::new().serialize(histogram, &mut bytes);
-    written.map_err(|error| made("a histogram", &error))?;
+    written.map_err(ReportError::EncodeHistogram)?;
     Ok(STANDARD.encode(bytes))
 }
 
-fn decode(text: &str) -> Result<Histogram<u64>, String> {
-    let bytes = STANDARD
-        .decode(text)
-        .map_err(|error| format!("histogram: {error}"))?;
-    Deserializer::new()
-        .deserialize(&mut bytes.as_slice())
-        .map_err(|error| format!("histogram: {error}"))
-}
-
-pub(crate) fn made(what: &str, reason: &dyn std::fmt::Display) -> ReportError {
-    ReportError::Made {
-        what: what.to_owned(),
-        reason: reason.to_string(),
-    }
+fn decode(text: &str) -> Result<Histogram<u64>, LineError> {
+    let bytes = STANDARD.decode(text)?;
+    Ok(Deserializer::new().deserialize(&mut bytes.as_slice())?)
 }
 
-fn file(path: &Path, error: std::io::Error) -> ReportError {
+fn file(path: &Path, source: std::io::Error) -> ReportError {
     ReportError::File {
-        path: path.display().to_string(),
-        error,
+        path: path.to_owned(),
+        source,
     }
 }
--- a/crates/seamfront/examples/duty_holder/main.rs
+++ b/crates/seamfront/examples/duty_holder/main.rs
@@ -26,13 +26,13 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-const TICK: Duration = Duration::from_millis(50);
-const LIST_EVERY: Micros = Micros::from_millis(300);
+const TICK_INTERVAL: Duration = Duration::from_millis(50);
+const LIST_INTERVAL: Micros = Micros::from_millis(300);
 /// One in so many ticks a machine is returned, so that there is always something to do.
-const RETURN_EVERY: u64 = 6;
+const TICKS_PER_RETURN: u64 = 6;
 /// One in so many ticks the cloud's list is read.
-const LOOK_EVERY: u64 = 40;
-const PERFORM_TIME: Duration = Duration::from_secs(2);
+const TICKS_PER_CLOUD_LIST: u64 = 40;
+const PERFORM_TIMEOUT: Duration = Duration::from_secs(2);
 
 #[derive(Parser)]
 struct Args {
@@ -42,16 +42,16 @@
     /// Names of all members.
     #[arg(long, value_delimiter = ',')]
     members: Vec<String>,
-    /// The state service.
+    /// Address of the key-value store.
     #[arg(long)]
     state: SocketAddr,
-    /// The cloud.
+    /// Address of the cloud.
     #[arg(long)]
     cloud: SocketAddr,
     /// Length of the lease in milliseconds.
     #[arg(long, default_value_t = 4_000)]
     lease_ms: i64,
-    /// The longest that the state service may take to answer, in milliseconds.
+    /// The longest that the key-value store may take to respond, in milliseconds.
     #[arg(long, default_value_t = 1_500)]
     answer_ms: i64,
     /// Machines to keep.
@@ -78,7 +78,7 @@
 }
 
 impl HttpCloud {
-    async fn rent(&self, duty: &str, operation: &Operation, count: usize) -> Outcome {
+    async fn provision(&self, duty: &str, operation: &Operation, count: usize) -> Outcome {
         let name = fleet_keeper::order_name(duty, operation.name);
         let (kind, zone) = ("small".to_owned(), "a".to_owned());
         let request = CloudRequest::Provision {
@@ -104,7 +104,7 @@
         }
     }
 
-    async fn give_back(&self, machines: &[String]) -> Outcome {
+    async fn terminate(&self, machines: &[String]) -> Outcome {
         let ids = machines
             .iter()
             .map(|name| MachineId::from(name.as_str()))
@@ -125,8 +125,8 @@
 impl Performer for HttpCloud {
     async fn perform(&self, duty: &str, operation: &Operation) -> Outcome {
         match Work::of(operation) {
-            Some(Work::Rent { count }) => self.rent(duty, operation, count).await,
-            Some(Work::Return { machines }) => self.give_back(&machines).await,
+            Some(Work::Rent { count }) => self.provision(duty, operation, count).await,
+            Some(Work::Return { machines }) => self.terminate(&machines).await,
             None => Outcome::NotDone,
         }
     }
@@ -147,7 +147,7 @@
 impl Program {
     async fn run(mut self) {
         loop {
-            Timer::after(TICK).await;
+            Timer::after(TICK_INTERVAL).await;
             self.take_events();
             self.read_lists().await;
             self.take_events();
@@ -173,7 +173,7 @@
         if !self.keeper.wants_list() || now < self.list_next {
             return;
         }
-        self.list_next = now + LIST_EVERY;
+        self.list_next = now + LIST_INTERVAL;
         let number = self.keeper.list_begins();
         let (Some(machines), Some(open)) = (self.recorded().await, self.open_orders().await) else {
             return;
@@ -233,10 +233,10 @@
     async fn decide(&mut self) -> Vec<Command> {
         self.ticks += 1;
         let mut commands: Vec<Command> = self.keeper.rent().into_iter().collect();
-        if self.ticks.is_multiple_of(RETURN_EVERY) {
+        if self.ticks.is_multiple_of(TICKS_PER_RETURN) {
             commands.extend(self.keeper.give_back(self.ticks as usize));
         }
-        if self.ticks.is_multiple_of(LOOK_EVERY) {
+        if self.ticks.is_multiple_of(TICKS_PER_CLOUD_LIST) {
             if let Some(listed) = self.listed_by_cloud().await {
                 commands.extend(self.keeper.take_in(SteadyClock.now(), &listed));
             }
@@ -309,7 +309,7 @@
         performer: cloud.clone(),
         commands: command_queue,
         events: event_queue,
-        perform_time: PERFORM_TIME,
+        perform_time: PERFORM_TIMEOUT,
     };
     let program = Program {
         keeper: Keeper::new(args.target),
--- a/crates/seamfront/examples/measure_duties/main.rs
+++ b/crates/seamfront/examples/measure_duties/main.rs
@@ -8,16 +8,29 @@
 use seamfront_core::types::Micros;
 use seamfront_lease::port::Command;
 use seamfront_report::{Recorder, ReportError};
+use seamfront_testing::fleet_keeper::RENTING;
 use seamfront_testing::member_simulation::{ms, Simulation};
 use seamfront_testing::simulation::{self, Fault, Scale, SMALL};
 use std::path::PathBuf;
 use std::process::ExitCode;
 
+/// Seeds that each fault is measured with.
 const ROUNDS: u64 = 60;
+/// Sizes of the cluster.
 const MEMBERS: [usize; 3] = [3, 7, 32];
-const LONGEST: i64 = 120_000;
-const LOOK: i64 = 10;
-const AT_REST: i64 = 300;
+/// Clusters of this size and larger are measured without the leader's claim.
+const LEADER_MEMBERS_LIMIT: usize = 32;
+/// A gap longer than this is not recorded.
+const GAP_MAX_MS: i64 = 120_000;
+/// How often the holder is looked up.
+const POLL_INTERVAL_MS: i64 = 10;
+/// When faults begin; each seed adds up to a second.
+const WARM_UP_MS: i64 = 25_000;
+/// How long a fault lasts.
+const FAULT_MS: i64 = 60_000;
+const LOAD_WARM_UP_MS: i64 = 40_000;
+/// How long requests are counted.
+const LOAD_SECONDS: i64 = 300;
 const GAPS: &str = "time without an active holder";
 const REQUESTS: &str = "requests to the store a minute, by members";
 const CHANGES: &str = "changes in the store a minute, by members";
@@ -25,48 +38,55 @@
 
 /// What happens to the holder.
 #[derive(Clone, Copy)]
-enum Trouble {
+enum HolderFault {
     Crash,
     Freeze,
     Cut,
     Handover,
 }
 
-const TROUBLES: [(Trouble, &str); 4] = [
-    (Trouble::Crash, "crash, back after 60 s"),
-    (Trouble::Freeze, "frozen for 60 s"),
-    (Trouble::Cut, "cut off from the store for 60 s"),
-    (Trouble::Handover, "handed over"),
+const HOLDER_FAULTS: [(HolderFault, &str); 4] = [
+    (HolderFault::Crash, "crash, back after 60 s"),
+    (HolderFault::Freeze, "frozen for 60 s"),
+    (HolderFault::Cut, "cut off from the store for 60 s"),
+    (HolderFault::Handover, "handed over"),
 ];
 
-/// From the trouble until another member is active.
-fn duty_gap(seed: u64, members: usize, trouble: Trouble) -> Option<Micros> {
+/// When the fault of a seed begins: seeds meet different phases of the timers.
+fn fault_time(seed: u64) -> Micros {
+    ms(WARM_UP_MS + (seed as i64 * 137) % 1_000)
+}
+
+/// The time from the fault until another member is active.
+fn duty_gap(seed: u64, members: usize, fault: HolderFault) -> Option<Micros> {
     let mut world = Simulation::new(seed, members);
-    world.run_for(ms(25_000 + (seed as i64 * 137) % 1_000));
-    let holder = world.holder(seamfront_testing::fleet_keeper::RENTING)?;
-    let minute = ms(60_000);
-    match trouble {
-        Trouble::Crash => world.crash(holder, minute),
-        Trouble::Freeze => world.freeze(holder, minute),
-        Trouble::Cut => world.nodes[holder].refused = world.now + minute,
-        Trouble::Handover => {
+    world.run_for(fault_time(seed));
+    let holder = world.holder(RENTING)?;
+    let duration = ms(FAULT_MS);
+    match fault {
+        HolderFault::Crash => world.crash(holder, duration),
+        HolderFault::Freeze => world.freeze(holder, duration),
+        HolderFault::Cut => world.nodes[holder].refused = world.now + duration,
+        HolderFault::Handover => {
             world.command(
                 holder,
                 Command::HandOver {
-                    duty: seamfront_testing::fleet_keeper::RENTING.to_owned(),
+                    duty: RENTING.to_owned(),
                     to: None,
                 },
             );
         }
     }
     let mut since = world.now;
-    let last = world.now + ms(LONGEST);
+    let last = world.now + ms(GAP_MAX_MS);
     while world.now < last {
-        world.run_for(ms(LOOK));
-        match world.holder(seamfront_testing::fleet_keeper::RENTING) {
+        world.run_for(ms(POLL_INTERVAL_MS));
+        match world.holder(RENTING) {
             // A handover begins when the holder stops; until then it is active. One that is frozen or cut off is not, though
             // its claim is still there.
-            Some(now) if now == holder && matches!(trouble, Trouble::Handover) => since = world.now,
+            Some(now) if now == holder && matches!(fault, HolderFault::Handover) => {
+                since = world.now
+            }
             Some(now) if now != holder => return Some(world.now - since),
             _ => {}
         }
@@ -81,18 +101,18 @@
         ..SMALL
     };
     let mut world = simulation::Simulation::sized(seed, scale);
-    world.run_until(ms(25_000 + (seed as i64 * 137) % 1_000));
+    world.run_until(fault_time(seed));
     let holder = world.holder("leader")?;
     let begin = world.now;
     world.fault(
         world.now,
         Fault::Crash {
             nodes: vec![holder],
-            back: ms(60_000),
+            back: ms(FAULT_MS),
         },
     );
-    while world.now < begin + ms(LONGEST) {
-        let next = world.now + ms(LOOK);
+    while world.now < begin + ms(GAP_MAX_MS) {
+        let next = world.now + ms(POLL_INTERVAL_MS);
         world.run_until(next);
         if world.holder("leader").is_some_and(|now| now != holder) {
             return Some(world.now - begin);
@@ -102,9 +122,9 @@
 }
 
 fn record_gaps(recorder: &mut Recorder, members: usize) -> Result<(), ReportError> {
-    for (trouble, name) in TROUBLES {
+    for (fault, name) in HOLDER_FAULTS {
         for seed in 0..ROUNDS {
-            let Some(gap) = duty_gap(seed, members, trouble) else {
+            let Some(gap) = duty_gap(seed, members, fault) else {
                 continue;
             };
             recorder.duration(
@@ -114,7 +134,7 @@
             )?;
         }
     }
-    if members < 32 {
+    if members < LEADER_MEMBERS_LIMIT {
         for seed in 0..ROUNDS {
             let Some(gap) = leader_gap(seed, members) else {
                 continue;
@@ -134,11 +154,11 @@
     for (churn, name) in [(false, "at rest"), (true, "while machines come and go")] {
         let mut world = Simulation::new(1, members);
         world.churn = churn;
-        world.run_for(ms(40_000));
+        world.run_for(ms(LOAD_WARM_UP_MS));
         (world.requests, world.changes) = Default::default();
         let rented = world.cloud.ledger.len();
-        world.run_for(ms(AT_REST * 1_000));
-        let minutes = AT_REST as f64 / 60.0;
+        world.run_for(ms(LOAD_SECONDS * 1_000));
+        let minutes = LOAD_SECONDS as f64 / 60.0;
         let requests: u64 = world.requests.values().sum();
         let size = members as u64;
         recorder.count(
