--- a/crates/seamfront-lease/src/driver.rs
+++ b/crates/seamfront-lease/src/driver.rs
@@ -1,4 +1,4 @@
-//! A thin loop round [`DutyManager`]: timers, requests with time limits, and the last look at the clock before an effect.
+//! A thin loop that runs [`DutyManager`]: timers, requests with time limits, and the last look at the clock before an effect.
 //! It installs nothing in the process and ends only when its queue of commands is closed.
 
 use crate::manager::DutyManager;
@@ -27,7 +27,7 @@
 
 /// A client of the store.
 pub trait StoreClient: 'static {
-    /// Carries out a request. A request without an answer is [`StoreReply::Unknown`].
+    /// Carries out a request. A request without a reply is [`StoreReply::Unknown`].
     fn call(&self, request: StoreRequest) -> impl Future<Output = StoreReply>;
 }
 
--- a/crates/seamfront-lease/src/keys.rs
+++ b/crates/seamfront-lease/src/keys.rs
@@ -25,7 +25,7 @@
     format!("{MEMBER_PREFIX}{member}")
 }
 
-/// Key that tells that a member knows duties.
+/// Key that shows that a member supports duties.
 pub fn version(member: &str) -> String {
     format!("{VERSION_PREFIX}{member}")
 }
--- a/crates/seamfront-lease/src/lib.rs
+++ b/crates/seamfront-lease/src/lib.rs
@@ -6,7 +6,7 @@
 //! open operations of its predecessor before it begins its own.
 //!
 //! [`DutyManager`] is the deterministic core: commands go in, effects come out, time is an argument. [`driver`] is a
-//! thin loop round it. `docs/duties.md` holds the safety argument.
+//! thin loop that runs it. `docs/duties.md` holds the safety argument.
 //!
 //! ```
 //! use seamfront_lease::port::Effect;
--- a/crates/seamfront-lease/src/manager/claims.rs
+++ b/crates/seamfront-lease/src/manager/claims.rs
@@ -177,7 +177,7 @@
         let expected = match &duty.claim {
             Some(claim) if claim.member == self.settings.member => {
                 if claim.lease == lease && claim.version > duty.last_released_token {
-                    // Handed to us, or claimed by us and the answer was lost.
+                    // Transferred to us, or claimed by us and the reply was lost.
                     let version = claim.version;
                     return self.hold(index, version, None);
                 }
@@ -185,8 +185,8 @@
                     let version = claim.version;
                     return self.remove_claim(index, version);
                 }
-                // A former incarnation's, which can't come back, or one that we have given up. Answers to what was asked
-                // under it may still come; a new version tells them apart.
+                // A former incarnation's, which can't come back, or one that we have given up. Replies to requests made
+                // under it may still come; a new version distinguishes them.
                 claim.version
             }
             Some(_) => return,
--- a/crates/seamfront-lease/src/manager/handover.rs
+++ b/crates/seamfront-lease/src/manager/handover.rs
@@ -217,7 +217,7 @@
                 };
                 self.claim_changed(index, Some(claim), *revision);
             }
-            // Certainly not made: the receiver has gone, or the store refused.
+            // Certainly not made: the receiver is not a member any more, or the store refused.
             StoreReply::Conflict { .. } | StoreReply::NoSuchLease | StoreReply::Refused => {
                 self.keep(index)
             }
@@ -227,7 +227,7 @@
         }
     }
 
-    /// Gives a duty up with nobody there to take it.
+    /// Gives a duty up when there is no other member to take it.
     fn release(&mut self, index: usize) {
         let Some(fencing_token) = self.held_token(index) else {
             return;
--- a/crates/seamfront-lease/src/manager/membership.rs
+++ b/crates/seamfront-lease/src/manager/membership.rs
@@ -96,7 +96,7 @@
         }
     }
 
-    /// All keys that are attached to the lease are gone.
+    /// All keys that are attached to the lease were deleted with it.
     pub(super) fn lease_ended(&mut self) {
         warn!("lease expired; all duties are lost");
         for index in 0..self.duties.len() {
--- a/crates/seamfront-lease/src/manager/views.rs
+++ b/crates/seamfront-lease/src/manager/views.rs
@@ -86,7 +86,7 @@
         }
     }
 
-    /// None: gone, or unreadable.
+    /// None: deleted, or unreadable.
     fn parse<T: DeserializeOwned>(&mut self, change: &Change) -> Option<T> {
         match record::read(&change.key, change.value.as_ref()?) {
             Ok(value) => Some(value),
--- a/crates/seamfront-lease/src/port.rs
+++ b/crates/seamfront-lease/src/port.rs
@@ -16,11 +16,11 @@
 /// What goes in.
 #[derive(Clone, Debug)]
 pub enum Command {
-    /// The store has answered.
+    /// The store has replied.
     Store {
-        /// The request that it answers.
+        /// The request that it replies to.
         call: CallId,
-        /// The answer.
+        /// The reply.
         reply: StoreReply,
     },
     /// Begin an operation: record it, then perform it.
@@ -123,7 +123,7 @@
     Conflict(Vec<String>),
     /// Not carried out.
     Refused,
-    /// The duty was lost before there was an answer: it may have been carried out.
+    /// The duty was lost before there was a reply: it may have been carried out.
     Unknown,
     /// The duty was lost: not carried out.
     Lost,
@@ -208,7 +208,7 @@
         /// The request that began it.
         request: RequestId,
     },
-    /// A fenced change was answered.
+    /// The outcome of a fenced change.
     Committed {
         /// The request.
         request: RequestId,
@@ -247,7 +247,7 @@
         /// Why.
         reason: LossReason,
     },
-    /// Who holds a duty that was lost here; told once for each token.
+    /// Who holds a duty that was lost here; sent once for each token.
     Replaced {
         /// The duty.
         duty: String,
--- a/crates/seamfront-lease/src/record.rs
+++ b/crates/seamfront-lease/src/record.rs
@@ -49,7 +49,7 @@
     serde_json::to_value(record).unwrap_or_default()
 }
 
-/// Value of a claim. The lease tells one incarnation of a member from the next.
+/// Value of a claim. The lease distinguishes one incarnation of a member from the next.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ClaimRecord {
     /// Format of this value.
--- a/crates/seamfront-lease/src/settings.rs
+++ b/crates/seamfront-lease/src/settings.rs
@@ -27,7 +27,7 @@
     pub duties: Vec<String>,
     /// How long a member's lease lasts without being renewed.
     pub lease: Micros,
-    /// The longest that a request to the store may go unanswered before its outcome counts as unknown.
+    /// The longest that a request to the store may go without a reply before its outcome counts as unknown.
     pub store_answer: Micros,
     /// How long the next member in turn waits before it claims a duty that has become free.
     pub takeover_step: Micros,
@@ -37,7 +37,7 @@
     pub open_operations: usize,
     /// What the store takes.
     pub limits: StoreLimits,
-    /// Duties that had better be held by one member, since they work on the same data. They follow whoever holds most of
+    /// Duties that are best held by one member, since they work on the same data. They follow whoever holds most of
     /// them, instead of being balanced.
     pub affinity_group: Vec<String>,
     /// Key of the claim that carried all duties in a version that knew none of them.
@@ -91,7 +91,7 @@
         self.lease - drift - self.lease.over(SAFETY_PART)
     }
 
-    /// How old a proof of a claim may be when an effect begins.
+    /// How old the verification of a claim may be when an effect begins.
     pub fn verification_ttl(&self) -> Micros {
         self.acting_time().over(2)
     }
@@ -130,7 +130,7 @@
         require(self.lease <= LEASE_MAX, "lease", || {
             "must be at most 600 s".to_owned()
         })?;
-        // A renewal whose answer is lost must leave time for another before the holder stops.
+        // A renewal whose reply is lost must leave time for another before the holder stops.
         let least = self.renew_every() + self.store_answer;
         require(self.acting_time() > least, "lease", || {
             let (lease, answer) = (
--- a/crates/seamfront-lease/src/store.rs
+++ b/crates/seamfront-lease/src/store.rs
@@ -1,4 +1,4 @@
-//! The key-value store that leases, claims and logs are kept in: requests and answers.
+//! The key-value store that leases, claims and logs are kept in: requests and replies.
 
 use crate::time::Micros;
 use serde_json::Value;
@@ -89,7 +89,7 @@
         entries: Vec<Entry>,
         /// Whether there are more after the last.
         more: bool,
-        /// The state service's revision.
+        /// The store's revision.
         revision: u64,
     },
     /// The transaction was carried out.
@@ -122,6 +122,6 @@
     NoSuchLease,
     /// 429 or 503, or the connection was never made: certainly not executed.
     Refused,
-    /// No answer: may have been executed, or may be later.
+    /// No reply: may have been executed, or may be later.
     Unknown,
 }
--- a/crates/seamfront-lease/src/view.rs
+++ b/crates/seamfront-lease/src/view.rs
@@ -23,7 +23,7 @@
     Failed,
     /// A page of a reading; there are more.
     Partial,
-    /// A whole reading. What is known and not in it is gone.
+    /// A complete listing. Keys that are known and not in it were deleted.
     Read {
         /// All keys.
         entries: Vec<Change>,
@@ -90,7 +90,7 @@
         self.seen = self.seen.max(revision);
     }
 
-    /// Takes the answer to a request.
+    /// Takes the reply to a request.
     pub fn take(&mut self, reply: StoreReply) -> ViewUpdate {
         match reply {
             StoreReply::Page {
@@ -99,7 +99,7 @@
                 revision,
             } => self.take_page(entries, more, revision),
             StoreReply::Changes { revision, events } => {
-                // Two answers may hold the same change; the older must not undo the newer.
+                // Two replies may hold the same change; the older must not undo the newer.
                 let new = events.into_iter().filter(|event| event.2 > self.seen);
                 let changes = new
                     .map(|(key, value, version)| Change {
--- a/crates/seamfront-report/src/plot.rs
+++ b/crates/seamfront-report/src/plot.rs
@@ -4,7 +4,10 @@
 use plotters::coord::types::RangedCoordf64;
 use plotters::coord::Shift;
 use plotters::drawing::DrawingAreaErrorKind;
-use plotters::prelude::*;
+use plotters::prelude::{
+    Cartesian2d, ChartBuilder, ChartContext, Circle, Color, DrawingArea, IntoDrawingArea,
+    LineSeries, Palette, Palette99, PathElement, SVGBackend, SeriesLabelPosition, BLACK, WHITE,
+};
 use std::collections::BTreeMap;
 
 /// Width and height of a plot in pixels.
--- a/crates/seamfront/src/driver.rs
+++ b/crates/seamfront/src/driver.rs
@@ -1,4 +1,4 @@
-//! The process round the core. One task owns the engine and works through a bounded queue of
+//! Runs the engine. One task owns the engine and works through a bounded queue of
 //! commands in batches; sockets and timers are small tasks of the same single-threaded executor.
 //!
 //! | task | reads | writes | ends |
--- a/crates/seamfront/src/lib.rs
+++ b/crates/seamfront/src/lib.rs
@@ -1,4 +1,4 @@
-//! The process round the scheduler's core: sockets, timers and settings.
+//! The process that runs the scheduler's core: sockets, timers and settings.
 //!
 //! Each adapter owns the names of its protocol and maps them to the core's terms: [`user_api`] the
 //! public API, [`worker_api`] the machines' agents, [`store_client`] the key-value store,
--- a/crates/seamfront/src/settings/mod.rs
+++ b/crates/seamfront/src/settings/mod.rs
@@ -57,7 +57,7 @@
     }
 }
 
-/// Everything a process needs: the core's settings and the addresses round it.
+/// Everything a process needs: the core's settings and the addresses that it connects to and serves.
 #[derive(Clone, Debug)]
 pub struct Service {
     /// Settings of the core.
@@ -70,7 +70,7 @@
     pub peers: Vec<SocketAddr>,
     /// Address of the cloud.
     pub cloud: SocketAddr,
-    /// Address of the state service.
+    /// Address of the key-value store.
     pub state: SocketAddr,
     /// Sockets that the process may have open.
     pub sockets: usize,
--- a/crates/seamfront/src/settings/platform_file.rs
+++ b/crates/seamfront/src/settings/platform_file.rs
@@ -21,7 +21,7 @@
     pub peer_addr: String,
 }
 
-/// Addresses of the services round the cluster.
+/// Addresses of the services that the cluster depends on.
 #[derive(Deserialize)]
 pub(super) struct FileOutside {
     pub cloud: String,
@@ -78,7 +78,7 @@
     pub write_rps: f64,
     pub value_kb: f64,
     pub txn_ops: i64,
-    /// Limits that the state service will have from some moment on, without notice.
+    /// Limits that the key-value store will have from some moment on, without notice.
     #[serde(default)]
     pub next: FileStateNext,
 }
