--- a/crates/seamfront-core/src/capacity/planner.rs
+++ b/crates/seamfront-core/src/capacity/planner.rs
@@ -88,8 +88,12 @@
                 .is_none_or(|types| types.iter().any(|t| t == kind))
     }
 
-    fn allows_machine(&self, m: &Supply) -> bool {
-        self.allows(&m.record.kind, &m.record.zone, m.record.spot)
+    fn allows_machine(&self, machine: &Supply) -> bool {
+        self.allows(
+            &machine.record.kind,
+            &machine.record.zone,
+            machine.record.spot,
+        )
     }
 
     /// Whether it may use a machine of that size, by the rules for machine types.
@@ -133,18 +137,30 @@
 
 impl<'p, 'a> Planner<'p, 'a> {
     pub(super) fn new(snapshot: &'p ClusterSnapshot<'a>) -> Self {
-        let not_draining = |m: &&Supply| m.up() && !snapshot.draining.contains_key(m.id);
+        let not_draining =
+            |machine: &&Supply| machine.up() && !snapshot.draining.contains_key(machine.id);
         let up: Vec<&Supply> = snapshot.machines.iter().filter(not_draining).collect();
         let mut preemptible: Vec<&Supply> = up
             .iter()
-            .filter(|m| m.view.is_some_and(|v| v.highest_priority.is_some()))
+            .filter(|machine| {
+                machine
+                    .view
+                    .is_some_and(|view| view.highest_priority.is_some())
+            })
             .copied()
             .collect();
-        preemptible.sort_by_key(|m| (m.view.map(|v| v.loss), m.id));
-        let mut idle: Vec<&Supply> = up.into_iter().filter(|m| m.idle().is_some()).collect();
-        idle.sort_by_key(|m| (!m.view.is_some_and(|v| v.released), m.id));
+        preemptible.sort_by_key(|machine| (machine.view.map(|view| view.loss), machine.id));
+        let mut idle: Vec<&Supply> = up
+            .into_iter()
+            .filter(|machine| machine.idle().is_some())
+            .collect();
+        idle.sort_by_key(|machine| (!machine.view.is_some_and(|view| view.released), machine.id));
         let mut unserved_gangs: BTreeMap<usize, u32> = BTreeMap::new();
-        for gang in snapshot.requests.iter().filter(|r| r.request.together) {
+        for gang in snapshot
+            .requests
+            .iter()
+            .filter(|shard_request| shard_request.request.together)
+        {
             *unserved_gangs.entry(gang.shard).or_default() += 1;
         }
         let mut planner = Planner {
@@ -155,7 +171,7 @@
             reserved_for_gang: snapshot
                 .machines
                 .iter()
-                .filter(|m| m.reserved_for_gang())
+                .filter(|machine| machine.reserved_for_gang())
                 .collect(),
             preemptible,
             incoming: Vec::new(),
@@ -167,7 +183,7 @@
         snapshot
             .machines
             .iter()
-            .for_each(|m| planner.count_machine(m));
+            .for_each(|machine| planner.count_machine(machine));
         planner
     }
 
@@ -177,54 +193,62 @@
     }
 
     fn count_provisionings(&mut self) {
-        for r in &self.snapshot.provisionings {
-            let Some(t) = self.snapshot.types.iter().find(|t| t.name == r.kind) else {
+        for record in &self.snapshot.provisionings {
+            let Some(machine_type) = self
+                .snapshot
+                .types
+                .iter()
+                .find(|machine_type| machine_type.name == record.kind)
+            else {
                 continue;
             };
-            for _ in 0..r.count {
-                let (kind, zone) = (r.kind.as_str(), r.zone.as_str());
+            for _ in 0..record.count {
                 self.incoming.push(IncomingMachine {
-                    shard: r.shard,
-                    kind,
-                    zone,
-                    spot: r.spot,
-                    room: t.size,
+                    shard: record.shard,
+                    kind: &record.kind,
+                    zone: &record.zone,
+                    spot: record.spot,
+                    room: machine_type.size,
                 });
             }
         }
     }
 
     /// A machine that is drained for a shard, or that boots and is not late, is incoming there.
-    fn count_machine(&mut self, m: &'p Supply<'a>) {
-        let p = self.snapshot;
-        let r = m.record;
+    fn count_machine(&mut self, machine: &'p Supply<'a>) {
+        let snapshot = self.snapshot;
+        let record = machine.record;
         let incoming = |shard: usize| IncomingMachine {
             shard,
-            kind: r.kind.as_str(),
-            zone: r.zone.as_str(),
-            spot: r.spot,
-            room: m.size,
+            kind: record.kind.as_str(),
+            zone: record.zone.as_str(),
+            spot: record.spot,
+            room: machine.size,
         };
-        if let Some(draining) = p.draining.get(m.id) {
+        if let Some(draining) = snapshot.draining.get(machine.id) {
             self.incoming.push(incoming(draining.shard));
-            if m.view.is_some_and(|v| v.released) {
+            if machine.view.is_some_and(|view| view.released) {
                 self.plan.moves.push(Move {
-                    machine: m.id.clone(),
+                    machine: machine.id.clone(),
                     to: draining.shard,
                 });
             }
             return;
         }
-        let boot = p
+        let boot = snapshot
             .types
             .iter()
-            .find(|t| t.name == r.kind)
-            .map_or(UNLISTED_TYPE_BOOT_TIME, |t| t.boot);
-        let not_up = m.view.is_none_or(|v| !v.up) && !m.bad();
-        if m.view.is_some_and(|v| !v.up) && p.boot_times.presumed_failed(m.id, boot, p.now) {
-            self.plan.terminations.push(m.id.clone());
-        } else if not_up && m.age < p.boot_times.late_after(&r.kind, boot) {
-            self.incoming.push(incoming(m.shard));
+            .find(|machine_type| machine_type.name == record.kind)
+            .map_or(UNLISTED_TYPE_BOOT_TIME, |machine_type| machine_type.boot);
+        let not_up = machine.view.is_none_or(|view| !view.up) && !machine.bad();
+        if machine.view.is_some_and(|view| !view.up)
+            && snapshot
+                .boot_times
+                .presumed_failed(machine.id, boot, snapshot.now)
+        {
+            self.plan.terminations.push(machine.id.clone());
+        } else if not_up && machine.age < snapshot.boot_times.late_after(&record.kind, boot) {
+            self.incoming.push(incoming(machine.shard));
         }
     }
 
@@ -265,14 +289,20 @@
         } else {
             0
         };
-        for m in self
+        for machine in self
             .reserved_for_gang
             .iter()
-            .filter(|m| m.shard == demand.shard)
+            .filter(|machine| machine.shard == demand.shard)
         {
-            if reserved_tasks > 0 && m.size.fits(request.task) > 0 && demand.allows_machine(m) {
-                self.claimed.insert(m.id);
-                let fit = m.size.fits(request.task).min(i64::from(reserved_tasks));
+            if reserved_tasks > 0
+                && machine.size.fits(request.task) > 0
+                && demand.allows_machine(machine)
+            {
+                self.claimed.insert(machine.id);
+                let fit = machine
+                    .size
+                    .fits(request.task)
+                    .min(i64::from(reserved_tasks));
                 reserved_tasks = reserved_tasks.saturating_sub(fit as u32);
             }
         }
@@ -282,35 +312,46 @@
     fn rebalance_idle(&mut self, demand: &mut Demand) {
         let request = demand.request;
         let mut zone_pick: Option<&str> = None;
-        for m in &self.idle {
-            if demand.unplaced == 0 || self.claimed.contains(m.id) || m.shard == demand.shard {
+        for machine in &self.idle {
+            if demand.unplaced == 0
+                || self.claimed.contains(machine.id)
+                || machine.shard == demand.shard
+            {
                 continue;
             }
-            let fits = m.size.fits(request.task) > 0 && demand.suits(m.size, self.snapshot.types);
-            if !fits || !demand.allows_machine(m) {
+            let fits = machine.size.fits(request.task) > 0
+                && demand.suits(machine.size, self.snapshot.types);
+            if !fits || !demand.allows_machine(machine) {
                 continue;
             }
-            if request.one_zone && zone_pick.is_some_and(|z| z != m.record.zone) {
+            if request.one_zone && zone_pick.is_some_and(|zone| zone != machine.record.zone) {
                 continue;
             }
-            zone_pick = Some(&m.record.zone);
-            self.claimed.insert(m.id);
+            zone_pick = Some(&machine.record.zone);
+            self.claimed.insert(machine.id);
             self.plan.moves.push(Move {
-                machine: m.id.clone(),
+                machine: machine.id.clone(),
                 to: demand.shard,
             });
-            demand.take(m.size);
+            demand.take(machine.size);
         }
     }
 
     /// Places tasks on machines that are going to join this shard.
     fn count_incoming(&mut self, demand: &mut Demand) {
         let shard = demand.shard;
-        for c in self.incoming.iter_mut().filter(|c| c.shard == shard) {
-            let suits = demand.suits(c.room, self.snapshot.types);
-            if demand.unplaced > 0 && suits && demand.allows(c.kind, c.zone, c.spot) {
-                let taken = demand.take(c.room);
-                c.room.sub(demand.request.task.times(taken));
+        for incoming in self
+            .incoming
+            .iter_mut()
+            .filter(|incoming| incoming.shard == shard)
+        {
+            let suits = demand.suits(incoming.room, self.snapshot.types);
+            if demand.unplaced > 0
+                && suits
+                && demand.allows(incoming.kind, incoming.zone, incoming.spot)
+            {
+                let taken = demand.take(incoming.room);
+                incoming.room.sub(demand.request.task.times(taken));
             }
         }
     }
@@ -319,53 +360,58 @@
     /// lower priority uses the rest of the machine, nor while such work is preempted for that gang. Unless the gang's
     /// request comes after this one, the machine is the gang's: gangs of several shards would otherwise drain it from
     /// each other without end.
-    fn held_for_earlier(&self, m: &Supply) -> bool {
-        let unserved_gang = self.unserved_gangs.get(&m.shard).is_some_and(|n| *n > 0);
-        self.claimed.contains(m.id) || (m.reserved_for_gang() && !unserved_gang)
+    fn held_for_earlier(&self, machine: &Supply) -> bool {
+        let unserved_gang = self
+            .unserved_gangs
+            .get(&machine.shard)
+            .is_some_and(|gangs| *gangs > 0);
+        self.claimed.contains(machine.id) || (machine.reserved_for_gang() && !unserved_gang)
     }
 
     /// Drains machines of work with lower priority.
     fn drain_preemptible(&mut self, demand: &mut Demand) {
         let request = demand.request;
-        for m in &self.preemptible {
+        for machine in &self.preemptible {
             if demand.unplaced == 0 || self.drained.len() >= MAX_DRAINS {
                 break;
             }
-            let helps = m.shard != demand.shard
-                && m.view
-                    .is_some_and(|v| v.highest_priority.is_some_and(|l| l > request.priority))
-                && m.size.fits(request.task) > 0
-                && demand.allows_machine(m)
-                && demand.suits(m.size, self.snapshot.types);
-            if !helps || self.drained.contains(m.id) || self.held_for_earlier(m) {
+            let helps = machine.shard != demand.shard
+                && machine.view.is_some_and(|view| {
+                    view.highest_priority
+                        .is_some_and(|priority| priority > request.priority)
+                })
+                && machine.size.fits(request.task) > 0
+                && demand.allows_machine(machine)
+                && demand.suits(machine.size, self.snapshot.types);
+            if !helps || self.drained.contains(machine.id) || self.held_for_earlier(machine) {
                 continue;
             }
-            self.drained.insert(m.id);
+            self.drained.insert(machine.id);
             self.plan.drains.push(Drain {
-                machine: m.id.clone(),
+                machine: machine.id.clone(),
                 to: demand.shard,
                 above: request.priority,
             });
-            demand.take(m.size);
+            demand.take(machine.size);
         }
     }
 
     /// Terminates machines that no request has claimed and that have been idle for long.
     pub(super) fn scale_in_idle(&mut self) {
-        let p = self.snapshot;
-        for m in &self.idle {
-            let price = hourly_price(p.types, &m.record.kind, m.record.spot);
-            let factor = if is_cheap(p.types, price) {
+        let snapshot = self.snapshot;
+        for machine in &self.idle {
+            let price = hourly_price(snapshot.types, &machine.record.kind, machine.record.spot);
+            let factor = if is_cheap(snapshot.types, price) {
                 CHEAP_IDLE_FACTOR
             } else {
                 1
             };
-            let keep = p.tuning.idle_keep.times(factor);
-            let spare = m.idle().is_some_and(|idle| idle > keep)
-                && !m.reserved_for_gang()
-                && !self.claimed.contains(m.id);
+            let keep = snapshot.tuning.idle_keep.times(factor);
+            let spare = machine.idle().is_some_and(|idle| idle > keep)
+                && !machine.reserved_for_gang()
+                && !self.claimed.contains(machine.id);
             if spare {
-                self.plan.terminations.push(m.id.clone());
+                self.plan.terminations.push(machine.id.clone());
             }
         }
     }
--- a/crates/seamfront-core/src/capacity/provisioning.rs
+++ b/crates/seamfront-core/src/capacity/provisioning.rs
@@ -30,30 +30,34 @@
     busy: i64,
 }
 
-fn pools<'a>(p: &ClusterSnapshot<'a>) -> Vec<MachinePool<'a>> {
+fn pools<'a>(snapshot: &ClusterSnapshot<'a>) -> Vec<MachinePool<'a>> {
     let mut found: BTreeMap<_, MachinePool> = BTreeMap::new();
-    for m in p.machines.iter().filter(|m| !m.bad()) {
-        let pinned = m.view.map_or(Resources::default(), |v| v.pinned);
-        let r = m.record;
+    for machine in snapshot.machines.iter().filter(|machine| !machine.bad()) {
+        let pinned = machine
+            .view
+            .map_or(Resources::default(), |view| view.pinned);
+        let record = machine.record;
         let key = (
-            m.shard,
-            r.kind.as_str(),
-            r.zone.as_str(),
-            r.spot,
+            machine.shard,
+            record.kind.as_str(),
+            record.zone.as_str(),
+            record.spot,
             pinned.cpus,
             pinned.gpus,
             pinned.ram,
         );
         let pool = found.entry(key).or_insert(MachinePool {
-            shard: m.shard,
-            record: r,
-            size: m.size,
+            shard: machine.shard,
+            record,
+            size: machine.size,
             pinned,
             count: 0,
             busy: 0,
         });
         pool.count += 1;
-        pool.busy += m.view.map_or(0, |v| v.used.cpus - v.pinned.cpus);
+        pool.busy += machine
+            .view
+            .map_or(0, |view| view.used.cpus - view.pinned.cpus);
     }
     found.into_values().collect()
 }
@@ -143,24 +147,26 @@
 }
 
 impl<'a> Planner<'_, 'a> {
+    /// Room for a request's tasks on the shard's machines.
     fn slots(&self, demand: &Demand) -> Slots<'a> {
         let mut slots = Slots::default();
-        for s in self
+        for pool in self
             .summary
             .pools
             .iter()
-            .filter(|s| s.shard == demand.shard)
+            .filter(|pool| pool.shard == demand.shard)
         {
-            let mut size = s.size;
-            size.sub(s.pinned);
-            let (fit, r) = (size.fits(demand.request.task), s.record);
+            let mut size = pool.size;
+            size.sub(pool.pinned);
+            let fit = size.fits(demand.request.task);
+            let record = pool.record;
             if fit > 0
-                && demand.suits(s.size, self.snapshot.types)
-                && demand.allows(&r.kind, &r.zone, r.spot)
+                && demand.suits(pool.size, self.snapshot.types)
+                && demand.allows(&record.kind, &record.zone, record.spot)
             {
-                slots.busy += s.busy;
-                slots.all += fit * s.count;
-                *slots.by_zone.entry(r.zone.as_str()).or_default() += fit * s.count;
+                slots.busy += pool.busy;
+                slots.all += fit * pool.count;
+                *slots.by_zone.entry(record.zone.as_str()).or_default() += fit * pool.count;
             }
         }
         slots
@@ -170,29 +176,38 @@
     /// before this request must start.
     fn missing_slots(&mut self, demand: &Demand, slots: &Slots) -> i64 {
         let request = demand.request;
-        let types = self.snapshot.types;
-        let unit = request.task.cpus.max(1);
-        let estimate = request.estimate.max(ESTIMATE_MIN).0 / 1_000;
+        let cpus_per_task = request.task.cpus.max(1);
+        let estimate_ms = request.estimate.max(ESTIMATE_MIN).0 / 1_000;
         let key = BacklogKey {
             shard: demand.shard,
             needs_gpus: request.task.gpus > 0,
         };
         let backlog = self.summary.backlog.entry(key).or_default();
-        *backlog += i64::from(request.count) * estimate * unit / 1_000;
+        *backlog += i64::from(request.count) * estimate_ms * cpus_per_task / 1_000;
         // Running work is half done on average.
-        let todo = *backlog + slots.busy * estimate / 2_000;
-        let suitable = types
+        let remaining_work = *backlog + slots.busy * estimate_ms / 2_000;
+        let time_ms = self.backlog_time(demand).0 / 1_000;
+        let missing_cpus = remaining_work * 1_000 / time_ms - slots.all * cpus_per_task;
+        missing_cpus.max(0) / cpus_per_task
+    }
+
+    /// The time in which the shard's machines must complete the backlog, or more are provisioned. Half as long where
+    /// suitable machines are cheap.
+    fn backlog_time(&self, demand: &Demand) -> Micros {
+        let request = demand.request;
+        let types = self.snapshot.types;
+        let time = request.left.map_or(BACKLOG_TIME_NO_DEADLINE, |left| {
+            left.clamp(BACKLOG_TIME_MIN, BACKLOG_TIME_MAX)
+        });
+        let lowest_price = types
             .iter()
-            .filter(|t| t.size.fits(request.task) > 0 && demand.suits(t.size, types));
-        let cheap = suitable
+            .filter(|t| t.size.fits(request.task) > 0 && demand.suits(t.size, types))
             .map(|t| t.price)
-            .min()
-            .is_some_and(|price| is_cheap(types, price));
-        let time = request.left.map_or(BACKLOG_TIME_NO_DEADLINE, |l| {
-            l.clamp(BACKLOG_TIME_MIN, BACKLOG_TIME_MAX)
-        });
-        let time = time.over(if cheap { 2 } else { 1 }).0 / 1_000;
-        (todo * 1_000 / time - slots.all * unit).max(0) / unit
+            .min();
+        if lowest_price.is_some_and(|price| is_cheap(types, price)) {
+            return time.over(2);
+        }
+        time
     }
 
     /// For how many tasks machines should be provisioned. For services that is all of them.
@@ -268,11 +283,13 @@
     pub(super) fn provision_for(&mut self, demand: &Demand) {
         let mut tasks = self.tasks_to_provision_for(demand);
         while tasks > 0 {
-            let Some(c) = self.best_candidate(demand, tasks) else {
+            let Some(candidate) = self.best_candidate(demand, tasks) else {
                 return;
             };
-            let same = |r: &ProvisioningRecord| {
-                r.kind == c.kind.name && r.zone == c.zone && r.spot == c.spot
+            let same = |record: &ProvisioningRecord| {
+                record.kind == candidate.kind.name
+                    && record.zone == candidate.zone
+                    && record.spot == candidate.spot
             };
             if self.plan.provisionings.iter().any(same) {
                 // One request per offer and round; the rest follows when the answer is known.
@@ -283,16 +300,15 @@
             } else {
                 MAX_MACHINES_PER_REQUEST
             };
-            let count = (((i64::from(tasks) + c.fit - 1) / c.fit) as u32).min(most);
-            let (kind, zone) = (c.kind.name.clone(), c.zone.to_owned());
+            let count = (((i64::from(tasks) + candidate.fit - 1) / candidate.fit) as u32).min(most);
             self.plan.provisionings.push(ProvisioningRecord {
                 shard: demand.shard,
-                kind,
-                zone,
-                spot: c.spot,
+                kind: candidate.kind.name.clone(),
+                zone: candidate.zone.to_owned(),
+                spot: candidate.spot,
                 count,
             });
-            tasks = tasks.saturating_sub(count * c.fit as u32);
+            tasks = tasks.saturating_sub(count * candidate.fit as u32);
         }
     }
 }
