--- a/crates/seamfront-core/src/capacity/mod.rs
+++ b/crates/seamfront-core/src/capacity/mod.rs
@@ -9,6 +9,7 @@
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
+mod demand;
 mod planner;
 mod provisioning;
 
--- a/crates/seamfront-core/src/capacity/planner.rs
+++ b/crates/seamfront-core/src/capacity/planner.rs
@@ -1,13 +1,14 @@
 //! Serving pending requests in order of priority: from idle machines, from incoming ones, from machines that can be
 //! provisioned, and last from those that work of lower priority uses.
 
+use super::demand::Demand;
 use super::provisioning::PoolSummary;
 use super::{
     hourly_price, is_cheap, ClusterSnapshot, Drain, Move, Plan, ShardRequest, Supply,
     CHEAP_IDLE_FACTOR,
 };
 use crate::port::ResourceRequest;
-use crate::types::{queue_rank, suits, MachineId, MachineType, Micros, Resources};
+use crate::types::{queue_rank, MachineId, Micros, Resources};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// How long ordinary work waits before work of lower priority is preempted in other shards for it.
@@ -40,80 +41,6 @@
     room: Resources,
 }
 
-/// One request, and what may serve it: it may be bound to one zone by now.
-pub(super) struct Demand<'a> {
-    pub(super) shard: usize,
-    pub(super) request: &'a ResourceRequest,
-    zone: Option<&'a str>,
-    /// Tasks that the plan has no room for yet.
-    pub(super) unplaced: u32,
-}
-
-impl<'a> Demand<'a> {
-    /// If nothing can be provisioned any more in the zone that a gang gathers in, another zone must hold all of it.
-    fn new(
-        snapshot: &ClusterSnapshot,
-        ShardRequest { shard, request }: ShardRequest<'a>,
-    ) -> Demand<'a> {
-        let zone = request.zone.as_deref().or(request.reserved_zone.as_deref());
-        if request.zone.is_none() && zone.is_some_and(|z| !snapshot.on_offer(request, z)) {
-            let unplaced = if request.together {
-                request.total
-            } else {
-                request.count
-            };
-            return Demand {
-                shard,
-                request,
-                zone: None,
-                unplaced,
-            };
-        }
-        Demand {
-            shard,
-            request,
-            zone,
-            unplaced: request.count,
-        }
-    }
-
-    /// Whether a machine of this type and zone may run it.
-    pub(super) fn allows(&self, kind: &str, zone: &str, spot: bool) -> bool {
-        (self.request.spot || !spot)
-            && self.zone.is_none_or(|want| want == zone)
-            && self
-                .request
-                .types
-                .as_ref()
-                .is_none_or(|types| types.iter().any(|t| t == kind))
-    }
-
-    fn allows_machine(&self, machine: &Supply) -> bool {
-        self.allows(
-            &machine.record.kind,
-            &machine.record.zone,
-            machine.record.spot,
-        )
-    }
-
-    /// Whether it may use a machine of that size, by the rules for machine types.
-    pub(super) fn suits(&self, size: Resources, types: &[MachineType]) -> bool {
-        suits(
-            self.request.task,
-            self.request.types.as_deref(),
-            size,
-            types,
-        )
-    }
-
-    /// Places as many unplaced tasks as fit into that room; returns how many.
-    fn take(&mut self, room: Resources) -> i64 {
-        let taken = room.fits(self.request.task).min(i64::from(self.unplaced));
-        self.unplaced -= taken as u32;
-        taken
-    }
-}
-
 /// A plan in the making.
 pub(super) struct Planner<'p, 'a> {
     pub(super) snapshot: &'p ClusterSnapshot<'a>,
--- a/crates/seamfront-core/src/capacity/provisioning.rs
+++ b/crates/seamfront-core/src/capacity/provisioning.rs
@@ -1,6 +1,7 @@
 //! What is provisioned for requests that neither idle nor incoming machines can serve.
 
-use super::planner::{Demand, Planner};
+use super::demand::Demand;
+use super::planner::Planner;
 use super::{is_cheap, ClusterSnapshot, Offer, ProvisioningRecord};
 use crate::machine::MachineRecord;
 use crate::port::ResourceRequest;
@@ -81,8 +82,8 @@
 impl<'a> PoolSummary<'a> {
     pub(super) fn of(snapshot: &ClusterSnapshot<'a>) -> PoolSummary<'a> {
         let mut by_zone: BTreeMap<&str, i64> = BTreeMap::new();
-        for m in &snapshot.machines {
-            *by_zone.entry(m.record.zone.as_str()).or_default() += 1;
+        for machine in &snapshot.machines {
+            *by_zone.entry(machine.record.zone.as_str()).or_default() += 1;
         }
         PoolSummary {
             pools: pools(snapshot),
