--- a/crates/seamfront-core/src/dependencies/answers.rs
+++ b/crates/seamfront-core/src/dependencies/answers.rs
@@ -1,9 +1,10 @@
 //! Answers to users about jobs that wait for others.
 
 use super::{
-    BTreeSet, DependencyRequest, Engine, JobId, Micros, StatusQuery, StoreReply, StoreRequest,
+    BTreeSet, DependencyRequest, Engine, JobId, Micros, StatusQuery, StoreReply,
     UNDETERMINED_TIMEOUT,
 };
+use crate::store_session::Topic;
 
 impl Engine {
     /// Nobody may be told that a job waits once one that it needs has been cancelled. The view is made as new as the
@@ -12,14 +13,9 @@
         if polls.is_empty() {
             return;
         }
-        let view = &self.store.watches[0];
-        if view.loaded() && view.seen() < revision {
+        if self.store.view_loaded(Topic::Jobs) && self.store.revision(Topic::Jobs) < revision {
             self.users.in_flight += polls.len();
-            let request = StoreRequest::Watch {
-                prefix: "job/".to_owned(),
-                after: view.seen(),
-                wait: Micros::ZERO,
-            };
+            let request = self.store.changes_request(Topic::Jobs);
             return self.send_to_store(request, DependencyRequest::Refresh { polls, revision });
         }
         let until = self.now + UNDETERMINED_TIMEOUT;
@@ -46,8 +42,8 @@
         reply: StoreReply,
     ) {
         self.users.in_flight -= polls.len();
-        let new = self.apply_changes(0, reply);
-        if new && self.store.watches[0].loaded() && self.store.watches[0].seen() >= revision {
+        let new = self.apply_changes(Topic::Jobs, reply);
+        if new && self.store.view_reaches(Topic::Jobs, revision) {
             return self.answer_blocked(polls, revision);
         }
         for q in polls {
--- a/crates/seamfront-core/src/engine/mod.rs
+++ b/crates/seamfront-core/src/engine/mod.rs
@@ -13,7 +13,7 @@
 };
 use crate::record::Layout;
 use crate::shard::{machine_write, work_key, Context, Shard, ShardPhase, ShardWrite, WriteOutcome};
-use crate::store_session::{SessionRequest, StoreSession};
+use crate::store_session::{ClaimId, SessionRequest, StoreSession};
 use crate::types::{JobId, JobSpec, MachineId, MachineType, Micros, Resources, Settings};
 use crate::user_api::{EndRecord, UserRequest, Users};
 use seamfront_lease::DutyManager;
@@ -24,6 +24,7 @@
 mod machine_types;
 use machine_types::MachineTypesRequest;
 mod peers;
+mod session;
 mod writes;
 
 /// A live job in this controller's view.
@@ -126,9 +127,6 @@
     pub(crate) machine_since: BTreeMap<MachineId, Micros>,
     pub(crate) shards: Vec<Option<Shard>>,
     pub(crate) leader: Option<Leader>,
-    /// By slot: sending time of the last state request that proved the claim with a view of
-    /// cancellations as new.
-    pub(crate) last_verified: Vec<Option<Micros>>,
     pub(crate) users: Users,
     pub(crate) dependencies: DependencyGraph,
     format_versions: FormatVersions,
@@ -173,7 +171,6 @@
             machine_since: BTreeMap::new(),
             shards: (0..n).map(|_| None).collect(),
             leader: None,
-            last_verified: vec![None; n + 1],
             users: Users::default(),
             dependencies: DependencyGraph::default(),
             format_versions: FormatVersions::default(),
@@ -279,16 +276,12 @@
 
     // ---- plumbing ------------------------------------------------------------------------
 
-    pub(crate) fn lease_valid(&self, slot: usize) -> bool {
-        self.last_verified[slot].is_some_and(|t| self.now - t < self.settings.verification_ttl())
-    }
-
     pub(crate) fn with_shard<R>(
         &mut self,
         k: usize,
         f: impl FnOnce(&mut Shard, &mut Context) -> R,
     ) -> Option<R> {
-        let (lease_valid, layout) = (self.lease_valid(k), self.layout());
+        let (lease_valid, layout) = (self.lease_valid(ClaimId::Shard(k)), self.layout());
         let settings = self.settings.clone();
         let shard = self.shards.get_mut(k)?.as_mut()?;
         let calls = &mut self.next_call;
@@ -391,7 +384,7 @@
         };
         trace!(call, ?reply, "store replied");
         if !matches!(reply, StoreReply::Refused | StoreReply::Unknown) {
-            self.store.last_reply = self.now;
+            self.store.store_replied(self.now);
         }
         match pending {
             Pending::Session(request) => self.session_reply(request, reply),
@@ -465,10 +458,11 @@
         let Some(k) = owner else {
             return self.effects.push(Effect::Redirect { to, member: None });
         };
-        let lease_valid = self.lease_valid(k);
+        let lease_valid = self.lease_valid(ClaimId::Shard(k));
         if self.shards[k].is_none() {
-            let member = self.store.claims[k]
-                .as_ref()
+            let member = self
+                .store
+                .claim(ClaimId::Shard(k))
                 .map(|c| c.member)
                 .filter(|m| *m != self.settings.me);
             return self.effects.push(Effect::Redirect { to, member });
@@ -484,9 +478,12 @@
         if let Some((_, claimed_at)) = known.filter(|k| k.0 < heartbeat.fencing_token) {
             // Somebody newer commands it, and would wait for its lease to end if we held it here. Where
             // our claim was not proven for as long as it could last alone, that is lost as a whole.
-            let last_verified = self.last_verified[k].unwrap_or(claimed_at);
+            let last_verified = self
+                .store
+                .last_verified(ClaimId::Shard(k))
+                .unwrap_or(claimed_at);
             if now - last_verified > self.settings.tuning.claim_ttl {
-                self.drop_claim(k, "a worker has seen a newer token");
+                self.drop_claim(ClaimId::Shard(k), "a worker has seen a newer token");
             }
             return self.effects.push(Effect::Redirect { to, member: None });
         }
--- a/crates/seamfront-core/src/engine/peers.rs
+++ b/crates/seamfront-core/src/engine/peers.rs
@@ -3,6 +3,7 @@
 use super::{
     warn, Effect, EndRecord, Engine, Micros, Peer, PeerMessage, Shard, ShardPhase, NEEDS_MAX,
 };
+use crate::store_session::ClaimId;
 
 /// How often the others are told that this controller is alive.
 const ALIVE_INTERVAL: Micros = Micros::from_millis(500);
@@ -49,11 +50,24 @@
             })
     }
 
+    /// By member: it has been ready for long enough to get its shard back.
+    pub(super) fn peers_ready_for_transfer(&self) -> Vec<bool> {
+        self.peers
+            .iter()
+            .map(|peer| {
+                let settled = peer
+                    .ready_since
+                    .is_some_and(|since| self.now - since > Micros::from_secs(3));
+                settled && self.now - peer.heard < Micros::from_secs(2)
+            })
+            .collect()
+    }
+
     pub(super) fn ready(&self) -> bool {
         self.store.loaded()
-            && self.store.lease.is_some()
+            && self.store.has_lease()
             && !self.types.is_empty()
-            && self.now - self.store.last_reply < Micros::from_millis(2_500)
+            && self.now - self.store.last_reply() < Micros::from_millis(2_500)
     }
 
     /// Can this node really take requests? When the store answers nobody, being taken out helps
@@ -97,8 +111,10 @@
 
     /// That this controller is alive, which claims it holds and how many writes wait here.
     fn announce(&mut self) {
-        let claims: Vec<(String, u64)> = (0..=self.leader_slot())
-            .filter_map(|s| self.held_token(s).map(|v| (self.claim_key(s), v)))
+        let claims = self
+            .store
+            .held_claims()
+            .map(|(claim, token)| (claim.to_string(), token))
             .collect();
         let ready = self.ready() && !self.inbound_partitioned();
         let pending_writes = self.pending_write_count();
@@ -177,7 +193,7 @@
         if self.shards[shard].is_some() {
             let me = self.settings.me;
             self.peer_message(me, message);
-        } else if let Some(to) = self.store.claims[shard].as_ref().map(|c| c.member) {
+        } else if let Some(to) = self.store.claim(ClaimId::Shard(shard)).map(|c| c.member) {
             if to != self.settings.me {
                 self.effects.push(Effect::SendToPeer { to, message });
             }
@@ -203,21 +219,7 @@
                     (true, Some(t)) if !gap => Some(t),
                     (true, _) => Some(now),
                 };
-                for (key, version) in claims {
-                    for slot in 0..=self.leader_slot() {
-                        // Told of a newer claim: ours is lost, whatever the store lets us know.
-                        if self.claim_key(slot) == key
-                            && self.held_token(slot).is_some_and(|v| v < version)
-                        {
-                            self.drop_claim(slot, "a peer holds a newer claim");
-                            self.store.claims[slot] = Some(crate::store_session::Claim {
-                                version,
-                                member: from,
-                                lease: 0,
-                            });
-                        }
-                    }
-                }
+                self.with_session(|session, context| session.peer_claims(context, from, claims));
             }
             PeerMessage::Shard {
                 shard,
@@ -227,12 +229,8 @@
             } => {
                 // Held back by the network, a former holder's word may come after its shard has passed
                 // on: it must not count, least of all its opinion of machines.
-                if self
-                    .store
-                    .claims
-                    .get(shard)
-                    .is_some_and(|c| c.as_ref().is_some_and(|c| c.version == version))
-                {
+                let holder = self.store.claim_on_shard(shard);
+                if holder.is_some_and(|claim| claim.version == version) {
                     self.shard_updated(shard, requests, machines);
                 }
             }
--- a/crates/seamfront-core/src/engine/writes.rs
+++ b/crates/seamfront-core/src/engine/writes.rs
@@ -5,6 +5,7 @@
     ShardWrite, StoreReply, StoreRequest, Write, WriteOutcome,
 };
 use crate::record::part_key;
+use crate::store_session::ClaimId;
 use crate::user_api::{end_conditions, end_writes};
 
 /// Bytes of records in one transaction, well below what the state service takes.
@@ -39,13 +40,7 @@
             } else if self.now - p.heard < Micros::from_secs(2) && p.heard > Micros::ZERO {
                 all += p.pending_writes as i64 + 1;
             } else {
-                let holds = |c: &&Option<crate::store_session::Claim>| {
-                    c.as_ref().is_some_and(|c| c.member == k)
-                };
-                unheard += self.store.claims[..self.leader_slot()]
-                    .iter()
-                    .filter(holds)
-                    .count() as i64;
+                unheard += self.store.shards_of(k) as i64;
             }
         }
         (total * (n - unheard) / n * own / all.max(1)).max(total / (4 * n))
@@ -70,7 +65,7 @@
         for k in (0..shards).map(|k| (k + first) % shards) {
             let budget = (self.write_budget / 1_000).max(0) as usize;
             let most = (self.settings.txn_ops / 3).clamp(1, 12);
-            if budget == 0 || !self.lease_valid(k) {
+            if budget == 0 || !self.lease_valid(ClaimId::Shard(k)) {
                 continue;
             }
             let now = self.now;
@@ -136,7 +131,7 @@
         version: u64,
         shard_writes: Vec<ShardWrite>,
     ) {
-        let mut conditions = vec![(self.claim_key(k), version)];
+        let mut conditions = vec![(ClaimId::Shard(k).to_string(), version)];
         let mut writes = Vec::new();
         for w in &shard_writes {
             let key = self.write_key(k, w);
@@ -244,12 +239,12 @@
         shard_writes: &[ShardWrite],
         reply: &StoreReply,
     ) {
-        if self.held_token(k) != Some(version) {
+        if self.store.held_token(ClaimId::Shard(k)) != Some(version) {
             return;
         }
         if let StoreReply::Conflict { failed } = reply {
-            if failed.contains(&self.claim_key(k)) {
-                return self.drop_claim(k, "claim proven lost");
+            if failed.contains(&ClaimId::Shard(k).to_string()) {
+                return self.drop_claim(ClaimId::Shard(k), "claim proven lost");
             }
         }
         if matches!(reply, StoreReply::Refused) {
--- a/crates/seamfront-core/src/fleet_duties.rs
+++ b/crates/seamfront-core/src/fleet_duties.rs
@@ -7,6 +7,7 @@
 use crate::engine::{Engine, Pending};
 use crate::leader::Leader;
 use crate::port::{CallId, StoreReply};
+use crate::store_session::ClaimId;
 use crate::types::{Micros, Settings};
 use seamfront_lease::keys;
 use seamfront_lease::port::{Command as DutyCommand, CommitOutcome, Effect as DutyEffect};
@@ -100,7 +101,7 @@
             return;
         }
         let former = self.leader.as_ref().and_then(|leader| leader.version);
-        let former = former.filter(|_| self.lease_valid(self.leader_slot()));
+        let former = former.filter(|_| self.lease_valid(ClaimId::Leader));
         self.duty_step(vec![DutyCommand::FormerClaim(former)]);
         self.former_claim_ends();
         self.sweep_tick();
@@ -115,8 +116,7 @@
         if !former || !self.duties_in_force() {
             return;
         }
-        let slot = self.leader_slot();
-        self.drop_claim(slot, "duties have claims of their own");
+        self.drop_claim(ClaimId::Leader, "duties have claims of their own");
         for duty in FleetDuty::ALL {
             if self.duty_token(duty.name()).is_some() {
                 self.duty_begins(duty.name());
@@ -209,7 +209,7 @@
     /// What an effect of a duty is fenced with, if it may begin now. Asks for a proof where there is none.
     pub(crate) fn fence(&mut self, duty: FleetDuty) -> Option<Fence> {
         if let Some(fencing_token) = self.leader.as_ref()?.version {
-            let lease_valid = self.lease_valid(self.leader_slot());
+            let lease_valid = self.lease_valid(ClaimId::Leader);
             return lease_valid.then(|| Fence {
                 key: LEADER_CLAIM.to_owned(),
                 fencing_token,
@@ -234,8 +234,7 @@
             .as_ref()
             .is_some_and(|leader| leader.version == Some(fencing_token))
         {
-            let slot = self.leader_slot();
-            return self.drop_claim(slot, "claim proven lost");
+            return self.drop_claim(ClaimId::Leader, "claim proven lost");
         }
         self.duty_step(vec![DutyCommand::TokenRefused {
             duty: duty.name().to_owned(),
@@ -258,7 +257,7 @@
     /// Members that hold any of the leader's duties.
     pub(crate) fn fleet_holders(&self) -> Vec<usize> {
         if !self.duties_in_force() {
-            let claim = self.store.claims[self.leader_slot()].as_ref();
+            let claim = self.store.claim(ClaimId::Leader);
             return claim.map(|claim| claim.member).into_iter().collect();
         }
         let duties = self.duties.iter();
--- a/crates/seamfront-core/src/store_session/claims.rs
+++ b/crates/seamfront-core/src/store_session/claims.rs
@@ -1,332 +1,249 @@
-//! Claims on shards and on leadership: taking, proving, giving back.
+//! Acquiring and losing claims.
 
+use super::claim::{Claim, ClaimId, ClaimValue, HeldClaim};
 use super::{
-    info, warn, Claim, ClaimValue, Engine, Leader, Load, Micros, SessionRequest, Shard, ShardPhase,
-    StoreReply, StoreRequest, Topic, Write, RETRY, VERIFY_INTERVAL,
+    SessionContext, SessionEvent, SessionRequest, StoreSession, TickInputs, RETRY_INTERVAL,
 };
+use crate::port::{StoreReply, StoreRequest, Write};
+use crate::types::Micros;
+use tracing::{info, warn};
 
-impl Engine {
-    pub(super) fn claim_changed(&mut self, slot: usize, claim: Option<Claim>, version: u64) {
-        if self.store.claims[slot]
-            .as_ref()
-            .is_some_and(|c| c.version > version)
-        {
+/// How long each further member waits before it claims what is free. The home member is the first.
+const DELAY_PER_RANK: Micros = Micros::from_millis(400);
+/// How much longer a controller waits that no worker reaches: it comes last, but it comes, as perhaps there is no
+/// other.
+const INBOUND_PARTITION_DELAY: Micros = Micros::from_secs(5);
+
+/// What is to be done about a claim that is not held here.
+enum NextStep {
+    /// It is another's, or free but not our turn yet.
+    Wait,
+    /// It is ours already, though the reply to the request was lost.
+    Adopt { version: u64 },
+    /// It is to be written, if its key still has this version.
+    Acquire { expected_version: u64 },
+}
+
+impl StoreSession {
+    /// The view shows a claim, or that it is free.
+    pub(super) fn claim_changed(
+        &mut self,
+        context: &mut SessionContext,
+        claim: ClaimId,
+        seen: Option<Claim>,
+        version: u64,
+    ) {
+        let state = self.state(claim);
+        if state.seen_newer_than(version) {
             return;
         }
-        let mine = claim
-            .as_ref()
-            .is_some_and(|c| c.member == self.settings.me && Some(c.lease) == self.store.lease);
-        if self
-            .held_token(slot)
-            .is_some_and(|v| v < version || (v == version && !mine))
+        let ours = seen.as_ref().is_some_and(|seen| {
+            seen.member == context.settings.me && Some(seen.lease) == self.lease.id
+        });
+        if state
+            .token()
+            .is_some_and(|token| token < version || (token == version && !ours))
         {
-            self.drop_claim(slot, "claim is another's");
+            self.lose_claim(context, claim, "another member holds the claim");
         }
-        if claim.is_none() {
-            self.store.free_since[slot] = Some(self.now);
+        let state = self.state_mut(claim);
+        if seen.is_none() {
+            state.free_since = Some(context.now);
         }
-        self.store.claims[slot] = claim;
+        state.seen = seen;
     }
 
-    pub(crate) fn held_token(&self, slot: usize) -> Option<u64> {
-        if slot == self.leader_slot() {
-            self.leader.as_ref().and_then(|l| l.version)
-        } else {
-            self.shards[slot].as_ref().map(|s| s.version)
-        }
+    /// Ends acting under a claim at once. True if it was held.
+    pub(crate) fn release(&mut self, claim: ClaimId, why: &str) -> bool {
+        let state = self.state_mut(claim);
+        let Some(held) = state.held.take() else {
+            return false;
+        };
+        state.last_released_token = held.token;
+        warn!(%claim, fencing_token = held.token, why, "claim released");
+        true
     }
 
-    /// Ends acting for a claim at once.
-    pub(crate) fn drop_claim(&mut self, slot: usize, why: &str) {
-        if let Some(version) = self.held_token(slot) {
-            warn!(slot = %self.claim_key(slot), fencing_token = version, why, "claim dropped");
-            self.store.last_released_token[slot] = version;
-        }
-        if slot == self.leader_slot() {
-            // Without a version it rests on duties, not on this claim.
-            self.leader = self.leader.take().filter(|l| l.version.is_none());
-        } else {
-            self.shards[slot] = None;
+    pub(super) fn lose_claim(&mut self, context: &mut SessionContext, claim: ClaimId, why: &str) {
+        if self.release(claim, why) {
+            context.events.push(SessionEvent::ClaimLost(claim));
         }
-        self.last_verified[slot] = None;
     }
 
-    pub(super) fn claims_tick(&mut self) {
-        let Some(lease) = self.store.lease else {
-            return;
-        };
-        if !self.store.loaded() || self.now < self.store.claim_next {
-            return;
-        }
-        let n = self.settings.members.len();
-        for slot in 0..=n {
-            if self.store.claiming[slot] || self.held_token(slot).is_some() {
-                continue;
-            }
-            // The leader's claim has ended for good.
-            if slot == n && self.duties_in_force() {
+    /// A peer says that it holds these claims, by key and version. Where they are newer, ours are lost, whatever the
+    /// store lets us know.
+    pub(crate) fn peer_claims(
+        &mut self,
+        context: &mut SessionContext,
+        peer: usize,
+        claims: Vec<(String, u64)>,
+    ) {
+        for (key, version) in claims {
+            let claim = self.claim_ids().find(|claim| claim.to_string() == key);
+            let Some(claim) = claim else { continue };
+            if self.held_token(claim).is_none_or(|token| token >= version) {
                 continue;
             }
-            let expected = match &self.store.claims[slot] {
-                Some(c)
-                    if c.member == self.settings.me
-                        && c.lease == lease
-                        && c.version > self.store.last_released_token[slot] =>
-                {
-                    // Ours, though the answer to the claim was lost.
-                    let version = c.version;
-                    self.claim_acquired(slot, version);
-                    continue;
-                }
-                // A former incarnation's, which can't come back, so there is nothing to wait for; or one that
-                // we gave up ourselves, though it could not be removed. Answers, reports and requests for
-                // rentals of that time may still come, and would be taken for those of the new one if both
-                // had the same version.
-                Some(c) if c.member == self.settings.me => c.version,
-                Some(_) => {
-                    self.store.free_since[slot] = None;
-                    continue;
-                }
-                None => {
-                    // The home member first, then the next in turn.
-                    let rank = (self.settings.me + n - slot % n) % n;
-                    let since = *self.store.free_since[slot].get_or_insert(self.now);
-                    // One that no worker reaches comes last, but it comes: perhaps there is nobody else.
-                    let inbound_partitioned = if self.inbound_partitioned() {
-                        Micros::from_secs(5)
-                    } else {
-                        Micros::ZERO
-                    };
-                    if self.now - since
-                        < Micros::from_millis(400).times(rank as i64) + inbound_partitioned
-                    {
-                        continue;
-                    }
-                    0
-                }
-            };
-            self.store.claiming[slot] = true;
-            let key = self.claim_key(slot);
-            let value = ClaimValue {
-                member: self.settings.members[self.settings.me].clone(),
-                lease,
-            };
-            let value = serde_json::to_value(value).unwrap_or_default();
-            let request = StoreRequest::CompareAndSwap {
-                conditions: vec![(key.clone(), expected)],
-                writes: vec![Write::Put {
-                    key,
-                    value,
-                    lease: Some(lease),
-                }],
-            };
-            self.send_to_store(request, SessionRequest::Claim { slot, lease });
-        }
-        self.transfer_shards();
-    }
-
-    pub(crate) fn claim_reply(&mut self, slot: usize, lease: u64, reply: StoreReply) {
-        self.store.claiming[slot] = false;
-        match reply {
-            StoreReply::Committed { revision } if self.store.lease == Some(lease) => {
-                let newer = self.store.claims[slot]
-                    .as_ref()
-                    .is_some_and(|c| c.version > revision);
-                if !newer && self.held_token(slot).is_none() {
-                    self.store.claims[slot] = Some(Claim {
-                        version: revision,
-                        member: self.settings.me,
-                        lease,
-                    });
-                    self.claim_acquired(slot, revision);
-                }
-            }
-            StoreReply::NoSuchLease => self.lease_reply(StoreReply::NoSuchLease),
-            _ => {
-                // Lost the race, or unknown: the view will tell.
-                self.store.free_since[slot] = Some(self.now);
-                self.store.claim_next = self.now + RETRY;
-            }
+            self.lose_claim(context, claim, "a peer holds a newer claim");
+            self.state_mut(claim).seen = Some(Claim {
+                version,
+                member: peer,
+                lease: 0,
+            });
         }
     }
 
-    pub(super) fn claim_acquired(&mut self, slot: usize, version: u64) {
-        info!(slot = %self.claim_key(slot), fencing_token = version, "claim taken");
-        self.last_verified[slot] = None;
-        self.store.verify_next = self.now;
-        if slot == self.leader_slot() {
-            self.leader = Some(Leader::new(
-                Some(version),
-                self.now,
-                self.settings.members.len(),
-            ));
+    pub(super) fn claims_tick(&mut self, context: &mut SessionContext, inputs: &TickInputs) {
+        let Some(lease) = self.lease.id else {
+            return;
+        };
+        if !self.loaded() || context.now < self.next_claim {
             return;
         }
-        let mut shard = Shard::new(slot, version, self.now);
-        for (id, (record, v)) in &self.machines {
-            if record.shard == Some(slot) {
-                let size = self.type_size(&record.kind);
-                shard.add_machine(id.clone(), record.clone(), *v, size, self.now);
+        for claim in self.claim_ids() {
+            match self.next_step(context, inputs, claim, lease) {
+                NextStep::Wait => {}
+                NextStep::Adopt { version } => self.claim_acquired(context, claim, version),
+                NextStep::Acquire { expected_version } => {
+                    self.acquire(context, claim, lease, expected_version)
+                }
             }
         }
-        self.shards[slot] = Some(shard);
+        self.transfer_shards(context, inputs);
     }
 
-    /// A shard goes back to its home member once that is healthy again, and any shard is given away
-    /// by one that no worker reaches while a peer hears them. Tasks notice nothing: the new holder
-    /// finds all of it recorded.
-    pub(super) fn transfer_shards(&mut self) {
-        let leave = self.inbound_partitioned() && self.peer_ready();
-        for slot in 0..self.settings.members.len() {
-            if self.store.claiming[slot] || (slot == self.settings.me && !leave) {
-                continue;
+    fn next_step(
+        &mut self,
+        context: &SessionContext,
+        inputs: &TickInputs,
+        claim: ClaimId,
+        lease: u64,
+    ) -> NextStep {
+        let me = context.settings.me;
+        let state = self.state_mut(claim);
+        if state.request_in_flight || state.held.is_some() {
+            return NextStep::Wait;
+        }
+        // Once duties are in force, the claim to leadership has ended for good.
+        if claim == ClaimId::Leader && inputs.duties_in_force {
+            return NextStep::Wait;
+        }
+        match &state.seen {
+            Some(seen)
+                if seen.member == me
+                    && seen.lease == lease
+                    && seen.version > state.last_released_token =>
+            {
+                NextStep::Adopt {
+                    version: seen.version,
+                }
             }
-            let Some(shard) = self.shards[slot]
-                .as_ref()
-                .filter(|s| s.phase == ShardPhase::Ready)
-            else {
-                continue;
-            };
-            let peer = &self.peers[slot];
-            let healthy = peer
-                .ready_since
-                .is_some_and(|t| self.now - t > Micros::from_secs(3));
-            let fresh = self.now - peer.heard < Micros::from_secs(2);
-            let settled = self.now - shard.claimed_at > Micros::from_secs(4);
-            if !settled || !(leave || (healthy && fresh)) {
-                continue;
+            // Of a former incarnation, which can't come back, so there is nothing to wait for; or one that was released
+            // here, though it could not be deleted. Replies, heartbeats and requests for machines of that time may
+            // still come, and would be taken for those of the new one if both had the same version.
+            Some(seen) if seen.member == me => NextStep::Acquire {
+                expected_version: seen.version,
+            },
+            Some(_) => {
+                state.free_since = None;
+                NextStep::Wait
+            }
+            None => {
+                let since = *state.free_since.get_or_insert(context.now);
+                if context.now - since < claim_delay(context, inputs, claim) {
+                    return NextStep::Wait;
+                }
+                NextStep::Acquire {
+                    expected_version: 0,
+                }
             }
-            let version = shard.version;
-            info!(shard = slot, to = %self.settings.members[slot], leave, "handing shard back");
-            self.drop_claim(slot, "handed back");
-            self.store.claiming[slot] = true;
-            let key = self.claim_key(slot);
-            let request = StoreRequest::CompareAndSwap {
-                conditions: vec![(key.clone(), version)],
-                writes: vec![Write::Delete { key }],
-            };
-            self.send_to_store(request, SessionRequest::TransferShard { slot, version });
-        }
-    }
-
-    pub(crate) fn transfer_reply(&mut self, slot: usize, version: u64, reply: &StoreReply) {
-        self.store.claiming[slot] = false;
-        let still = self.store.claims[slot]
-            .as_ref()
-            .is_some_and(|c| c.version == version);
-        if still && matches!(reply, StoreReply::Committed { .. }) {
-            // Before the view shows it, or it would be taken for a claim whose answer was lost.
-            self.store.claims[slot] = None;
-            self.store.free_since[slot] = Some(self.now);
         }
     }
 
-    pub(super) fn verify_tick(&mut self) {
-        if self.store.verify_busy || self.now < self.store.verify_next {
-            return;
-        }
-        let claims: Vec<(usize, u64)> = (0..=self.leader_slot())
-            .filter_map(|s| self.held_token(s).map(|v| (s, v)))
-            .collect();
-        if claims.is_empty() {
-            return;
-        }
-        self.store.verify_busy = true;
-        self.store.verify_next = self.now + VERIFY_INTERVAL;
-        let conditions = claims
-            .iter()
-            .map(|(s, v)| (self.claim_key(*s), *v))
-            .collect();
-        let sent = self.now;
-        self.send_to_store(
-            StoreRequest::CompareAndSwap {
-                conditions,
-                writes: vec![],
-            },
-            SessionRequest::Verify { sent, claims },
-        );
+    fn acquire(
+        &mut self,
+        context: &mut SessionContext,
+        claim: ClaimId,
+        lease: u64,
+        expected_version: u64,
+    ) {
+        self.state_mut(claim).request_in_flight = true;
+        let key = claim.to_string();
+        let value = ClaimValue {
+            member: context.settings.members[context.settings.me].clone(),
+            lease,
+        };
+        let value = serde_json::to_value(value).unwrap_or_default();
+        let request = StoreRequest::CompareAndSwap {
+            conditions: vec![(key.clone(), expected_version)],
+            writes: vec![Write::Put {
+                key,
+                value,
+                lease: Some(lease),
+            }],
+        };
+        let pending = SessionRequest::AcquireClaim { claim, lease };
+        context.outbox.store(request, pending);
     }
 
-    pub(crate) fn verify_reply(
+    pub(super) fn acquire_reply(
         &mut self,
-        sent: Micros,
-        claims: Vec<(usize, u64)>,
+        context: &mut SessionContext,
+        claim: ClaimId,
+        lease: u64,
         reply: StoreReply,
     ) {
+        let lease_current = self.lease.id == Some(lease);
+        let state = self.state_mut(claim);
+        state.request_in_flight = false;
         match reply {
-            StoreReply::Committed { revision } => {
-                if self.store.watches[0].loaded() && self.store.watches[0].seen() >= revision {
-                    return self.verified(sent, &claims);
-                }
-                let after = self.store.watches[0].seen();
-                let request = StoreRequest::Watch {
-                    prefix: Topic::Jobs.prefix().to_owned(),
-                    after,
-                    wait: Micros::ZERO,
-                };
-                self.send_to_store(
-                    request,
-                    SessionRequest::VerifyView {
-                        sent,
-                        claims,
-                        revision,
-                    },
-                );
-            }
-            StoreReply::Conflict { failed } => {
-                self.store.verify_busy = false;
-                for (slot, version) in claims {
-                    if failed.contains(&self.claim_key(slot))
-                        && self.held_token(slot) == Some(version)
-                    {
-                        self.drop_claim(slot, "claim proven lost");
-                    }
+            StoreReply::Committed { revision } if lease_current => {
+                if !state.seen_newer_than(revision) && state.held.is_none() {
+                    state.seen = Some(Claim {
+                        version: revision,
+                        member: context.settings.me,
+                        lease,
+                    });
+                    self.claim_acquired(context, claim, revision);
                 }
             }
+            StoreReply::NoSuchLease => self.lease_reply(context, StoreReply::NoSuchLease),
             _ => {
-                self.store.verify_busy = false;
-                self.store.verify_next = self.now + RETRY;
+                // Lost the race, or unknown: the view will show which.
+                state.free_since = Some(context.now);
+                self.next_claim = context.now + RETRY_INTERVAL;
             }
         }
     }
 
-    pub(crate) fn verify_view_reply(
-        &mut self,
-        sent: Micros,
-        claims: Vec<(usize, u64)>,
-        revision: u64,
-        reply: StoreReply,
-    ) {
-        if self.apply_changes(0, reply)
-            && self.store.watches[0].loaded()
-            && self.store.watches[0].seen() >= revision
-        {
-            self.verified(sent, &claims);
-        } else {
-            self.store.verify_busy = false;
-            self.store.verify_next = self.now + RETRY;
-        }
+    fn claim_acquired(&mut self, context: &mut SessionContext, claim: ClaimId, version: u64) {
+        info!(%claim, fencing_token = version, "claim acquired");
+        self.state_mut(claim).held = Some(HeldClaim {
+            token: version,
+            acquired_at: context.now,
+            last_verified: None,
+            records_read: false,
+        });
+        self.verification.request_now(context.now);
+        context.events.push(SessionEvent::ClaimAcquired {
+            claim,
+            token: version,
+        });
     }
+}
 
-    pub(super) fn verified(&mut self, sent: Micros, claims: &[(usize, u64)]) {
-        self.store.verify_busy = false;
-        for (slot, version) in claims {
-            if self.held_token(*slot) != Some(*version) {
-                continue;
-            }
-            self.last_verified[*slot] = self.last_verified[*slot].max(Some(sent));
-            let shard = self.shards.get_mut(*slot).and_then(|s| s.as_mut());
-            if let Some(s) = shard.filter(|s| s.phase == ShardPhase::Verifying) {
-                s.phase = ShardPhase::Loading;
-                let load = Load {
-                    version: *version,
-                    entries: Vec::new(),
-                    parts: None,
-                    busy: false,
-                    retry_at: Micros::ZERO,
-                };
-                self.store.loads.insert(*slot, load);
-            }
-        }
-    }
+/// How long a claim must have been free before this member takes it: the home member first, then the next in turn.
+fn claim_delay(context: &SessionContext, inputs: &TickInputs, claim: ClaimId) -> Micros {
+    let members = context.settings.members.len();
+    let home = match claim {
+        ClaimId::Shard(shard) => shard,
+        ClaimId::Leader => 0,
+    };
+    let rank = (context.settings.me + members - home) % members;
+    let partition_delay = if inputs.inbound_partitioned {
+        INBOUND_PARTITION_DELAY
+    } else {
+        Micros::ZERO
+    };
+    DELAY_PER_RANK.times(rank as i64) + partition_delay
 }
--- a/crates/seamfront-core/src/store_session/failover.rs
+++ b/crates/seamfront-core/src/store_session/failover.rs
@@ -1,183 +1,178 @@
-//! Reading the former holder's records before a shard goes on.
+//! Reading the former owner's records before a shard goes on where that one stopped.
 
+use super::claim::ClaimId;
 use super::{
-    debug, warn, work_prefix, BTreeMap, Engine, Entry, JobId, Load, Micros, SessionRequest,
-    StoreReply, StoreRequest, Topic, MACHINES, RETRY,
+    ReadRecords, SessionContext, SessionEvent, SessionRequest, StoreSession, Topic, RETRY_INTERVAL,
 };
-use crate::record::{decode, parse_part_key, parts_prefix};
-use crate::shard::StoredRecord;
+use crate::port::{Entry, StoreReply, StoreRequest};
+use crate::record::parts_prefix;
+use crate::shard::work_prefix;
+use crate::types::Micros;
 
-impl Engine {
-    pub(super) fn loads_tick(&mut self) {
+/// The reading of one shard's records. All that the former owner recorded is older than our claim, machines before the
+/// tasks on them. So the view of machines must reach the claim: a placement on a machine that is not in it would be
+/// taken for lost and placed again, while it runs on a machine that was provisioned a moment ago.
+#[derive(Debug)]
+pub(super) struct RecordRead {
+    /// Version of the claim under which it is made.
+    token: u64,
+    records: Vec<Entry>,
+    /// The records' parts, once all records have been read.
+    parts: Option<Vec<Entry>>,
+    request_in_flight: bool,
+    retry_at: Micros,
+}
+
+impl RecordRead {
+    fn new(token: u64) -> Self {
+        RecordRead {
+            token,
+            records: Vec::new(),
+            parts: None,
+            request_in_flight: false,
+            retry_at: Micros::ZERO,
+        }
+    }
+
+    fn due(&self, now: Micros) -> bool {
+        !self.request_in_flight && self.retry_at <= now
+    }
+
+    /// The request for the next page.
+    fn next_page(&self, shard: usize) -> StoreRequest {
+        let (prefix, read) = match &self.parts {
+            Some(parts) => (parts_prefix(shard), parts),
+            None => (work_prefix(shard), &self.records),
+        };
+        let after = read.last().map(|entry| entry.key.clone());
+        StoreRequest::List { prefix, after }
+    }
+
+    /// Takes in a page. True if all has been read.
+    fn take_page(&mut self, entries: Vec<Entry>, more: bool) -> bool {
+        match &mut self.parts {
+            Some(parts) => {
+                parts.extend(entries);
+                !more
+            }
+            None => {
+                self.records.extend(entries);
+                if !more {
+                    self.parts = Some(Vec::new());
+                }
+                false
+            }
+        }
+    }
+}
+
+impl StoreSession {
+    pub(super) fn start_record_read(
+        &mut self,
+        context: &mut SessionContext,
+        shard: usize,
+        token: u64,
+    ) {
+        self.record_reads.insert(shard, RecordRead::new(token));
+        context
+            .events
+            .push(SessionEvent::RecordReadStarted { shard });
+    }
+
+    pub(super) fn record_reads_tick(&mut self, context: &mut SessionContext) {
         let due: Vec<usize> = self
-            .store
-            .loads
+            .record_reads
             .iter()
-            .filter(|(_, l)| !l.busy && l.retry_at <= self.now)
-            .map(|l| *l.0)
+            .filter(|(_, read)| read.due(context.now))
+            .map(|(shard, _)| *shard)
             .collect();
-        for slot in due {
-            let Some(load) = self.store.loads.get_mut(&slot) else {
-                continue;
-            };
-            let version = load.version;
-            let last = if load.parts.is_some() {
-                load.parts.as_ref().and_then(|p| p.last())
-            } else {
-                load.entries.last()
-            };
-            let after = last.map(|e| e.key.clone());
-            let reads_parts = load.parts.is_some();
-            load.busy = true;
-            if self.held_token(slot) != Some(version) {
-                self.store.loads.remove(&slot);
-                continue;
-            }
-            let fleet = &self.store.watches[MACHINES];
-            if fleet.loaded() && fleet.seen() >= version {
-                let prefix = if reads_parts {
-                    parts_prefix(slot)
-                } else {
-                    work_prefix(slot)
-                };
-                let request = StoreRequest::List { prefix, after };
-                self.send_to_store(
-                    request,
-                    SessionRequest::Records {
-                        shard: slot,
-                        version,
-                    },
-                );
-            } else {
-                let (prefix, after) = (Topic::Machines.prefix().to_owned(), fleet.seen());
-                let request = StoreRequest::Watch {
-                    prefix,
-                    after,
-                    wait: Micros::ZERO,
-                };
-                self.send_to_store(
-                    request,
-                    SessionRequest::Fleet {
-                        shard: slot,
-                        version,
-                    },
-                );
-            }
+        for shard in due {
+            self.continue_record_read(context, shard);
         }
     }
 
-    /// The load that an answer is for, if that still counts.
-    pub(super) fn load(&mut self, slot: usize, version: u64) -> Option<&mut Load> {
-        self.store
-            .loads
-            .get_mut(&slot)
-            .filter(|l| l.version == version)
+    fn continue_record_read(&mut self, context: &mut SessionContext, shard: usize) {
+        let held = self.held_token(ClaimId::Shard(shard));
+        let Some(read) = self.record_reads.get_mut(&shard) else {
+            return;
+        };
+        let token = read.token;
+        if held != Some(token) {
+            self.record_reads.remove(&shard);
+            return;
+        }
+        read.request_in_flight = true;
+        let next_page = read.next_page(shard);
+        if self.watch(Topic::Machines).reaches(token) {
+            let pending = SessionRequest::Records { shard, token };
+            context.outbox.store(next_page, pending);
+        } else {
+            let request = self.changes_request(Topic::Machines);
+            let pending = SessionRequest::MachineChanges { shard, token };
+            context.outbox.store(request, pending);
+        }
     }
 
-    pub(crate) fn fleet_reply(&mut self, slot: usize, version: u64, reply: StoreReply) {
-        let new = self.store.watches[MACHINES].loaded() && self.apply_changes(MACHINES, reply);
-        let again = self.now + RETRY;
-        let Some(load) = self.load(slot, version) else {
+    /// The reading that a reply is for, if that still counts.
+    fn record_read(&mut self, shard: usize, token: u64) -> Option<&mut RecordRead> {
+        self.record_reads
+            .get_mut(&shard)
+            .filter(|read| read.token == token)
+    }
+
+    pub(super) fn machine_changes_reply(
+        &mut self,
+        context: &mut SessionContext,
+        shard: usize,
+        token: u64,
+        reply: StoreReply,
+    ) {
+        let usable = self.watch(Topic::Machines).loaded()
+            && self.apply_changes(context, Topic::Machines, reply);
+        let Some(read) = self.record_read(shard, token) else {
             return;
         };
-        load.busy = false;
-        if !new {
-            load.retry_at = again;
+        read.request_in_flight = false;
+        if !usable {
+            read.retry_at = context.now + RETRY_INTERVAL;
         }
     }
 
-    pub(crate) fn records_reply(&mut self, slot: usize, version: u64, reply: StoreReply) {
-        let again = self.now + RETRY;
-        let Some(load) = self.load(slot, version) else {
+    pub(super) fn records_reply(
+        &mut self,
+        context: &mut SessionContext,
+        shard: usize,
+        token: u64,
+        reply: StoreReply,
+    ) {
+        let Some(read) = self.record_read(shard, token) else {
             return;
         };
-        load.busy = false;
+        read.request_in_flight = false;
         match reply {
             StoreReply::Page { entries, more, .. } => {
-                let first_part = load.parts.is_none() && !more;
-                load.parts
-                    .as_mut()
-                    .unwrap_or(&mut load.entries)
-                    .extend(entries);
-                if first_part {
-                    load.parts = Some(Vec::new());
-                }
-                if more || first_part {
-                    return;
+                if read.take_page(entries, more) {
+                    self.record_read_completed(context, shard, token);
                 }
             }
-            _ => {
-                // Not at once: a store that refuses would be asked in a tight loop.
-                load.retry_at = again;
-                return;
-            }
-        }
-        let Some(load) = self.store.loads.remove(&slot) else {
-            return;
-        };
-        if self.held_token(slot) == Some(version) {
-            self.take_over(slot, load.entries, load.parts.unwrap_or_default());
+            // Not at once: a store that refuses would be asked in a tight loop.
+            _ => read.retry_at = context.now + RETRY_INTERVAL,
         }
     }
 
-    pub(super) fn take_over(&mut self, slot: usize, entries: Vec<Entry>, parts: Vec<Entry>) {
-        let prefix = work_prefix(slot);
-        let now = self.now;
-        let Some(shard) = self.shards[slot].as_mut() else {
+    fn record_read_completed(&mut self, context: &mut SessionContext, shard: usize, token: u64) {
+        let Some(read) = self.record_reads.remove(&shard) else {
             return;
         };
-        let mut parts_of: BTreeMap<JobId, BTreeMap<u32, serde_json::Value>> = BTreeMap::new();
-        for e in parts {
-            if let Some((id, number)) = parse_part_key(slot, &e.key) {
-                parts_of.entry(id).or_default().insert(number, e.value);
-            }
-        }
-        let mut unreadable = Vec::new();
-        for e in entries {
-            let id = JobId::from(e.key.strip_prefix(&prefix).unwrap_or(&e.key));
-            let live = self.jobs.get(&id).map(|j| (j.spec.clone(), j.version));
-            let parts = parts_of.remove(&id).unwrap_or_default();
-            let parts_end = parts.keys().next_back().map_or(0, |number| number + 1);
-            match decode(e.value, &parts) {
-                Ok(record) => {
-                    let stored = StoredRecord {
-                        record,
-                        version: e.version,
-                        parts_end,
-                    };
-                    shard.adopt_record(id, live, stored, now);
-                }
-                Err(err) => {
-                    warn!(job = %id, %err, "unreadable work record");
-                    unreadable.push(id);
-                }
-            }
-        }
-        for (id, j) in self.jobs.iter().filter(|j| j.1.shard == slot) {
-            shard.add_job(j.spec.clone(), j.version, now);
-            shard.update_dependencies(id, j.effective_spec(), j.dependencies.blocked(), now);
-        }
-        let over = now
-            + self.settings.verification_ttl().with_drift()
-            + self.settings.lease.with_drift()
-            + Micros::from_secs(1);
-        for id in unreadable {
-            shard.hold_unreadable(&id, over);
-        }
-        // A machine that is being returned is there until its record is removed, and so is what the
-        // former holder placed on it. One that is another shard's by now was let go empty.
-        for id in shard.placed_elsewhere() {
-            if let Some((record, v)) = self.machines.get(&id).filter(|m| m.0.shard.is_none()) {
-                let size = self
-                    .types
-                    .iter()
-                    .find(|t| t.name == record.kind)
-                    .map(|t| t.size)
-                    .unwrap_or_default();
-                shard.add_machine(id, record.clone(), *v, size, now);
-            }
-        }
-        self.with_shard(slot, |s, context| s.loaded(context));
-        debug!(shard = slot, "records read");
+        let state = self.state_mut(ClaimId::Shard(shard));
+        let Some(held) = state.held.as_mut().filter(|held| held.token == token) else {
+            return;
+        };
+        held.records_read = true;
+        context.events.push(SessionEvent::RecordsRead(ReadRecords {
+            shard,
+            records: read.records,
+            parts: read.parts.unwrap_or_default(),
+        }));
     }
 }
--- a/crates/seamfront-core/src/store_session/mod.rs
+++ b/crates/seamfront-core/src/store_session/mod.rs
@@ -1,385 +1,300 @@
-//! The node's standing with the state service: its lease, its views of what others wrote, the
-//! claims on shards and on leadership, and the proof that these still hold.
+//! A controller's session with the key-value store: its lease, its views of what is stored, the claims on shards and on
+//! leadership, and the verification that these still stand.
+//!
+//! The session owns its state. In each step it puts its requests into an outbox and tells the engine by
+//! [`SessionEvent`]s, in order, what others must know.
 
-use crate::engine::Engine;
-use crate::leader::Leader;
 use crate::machine::MachineRecord;
-use crate::port::{Entry, StoreReply, StoreRequest, Write};
-use crate::shard::{work_prefix, Shard, ShardPhase};
-use crate::types::{JobId, JobSpec, MachineId, Micros};
-use seamfront_lease::view::{View, ViewUpdate};
-use serde::{Deserialize, Serialize};
+use crate::outbox::Outbox;
+use crate::port::{Entry, StoreReply};
+use crate::types::{JobId, JobSpec, MachineId, Micros, Settings};
 use std::collections::{BTreeMap, BTreeSet};
 use std::rc::Rc;
-use tracing::{debug, info, warn};
 
+mod claim;
 mod claims;
 mod failover;
+mod lease;
+mod transfer;
+mod verification;
+mod watches;
 
-/// Value of a claim's key. The lease tells one incarnation of a member from the next.
-#[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct ClaimValue {
-    /// Name of the member that holds it.
-    pub member: String,
-    /// The lease that the key is attached to.
-    pub lease: u64,
-}
+pub use claim::ClaimValue;
+pub(crate) use claim::{Claim, ClaimId};
+pub(crate) use watches::Topic;
 
-/// A claim as the view shows it.
-#[derive(Clone, Debug)]
-pub struct Claim {
-    /// Version of its key.
-    pub version: u64,
-    /// Index of the member that holds it.
-    pub member: usize,
-    /// The lease that the key is attached to.
-    pub lease: u64,
-}
+use claim::ClaimState;
+use failover::RecordRead;
+use lease::Lease;
+use verification::{Verification, VerifiedClaim};
+use watches::Watch;
 
-/// What a view is of.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Topic {
-    /// Live jobs.
-    Jobs,
-    /// Machines.
-    Machines,
-    /// Claims on shards.
-    Shards,
-    /// The claim to leadership.
-    Leader,
-}
+/// Pause after a request that failed.
+const RETRY_INTERVAL: Micros = Micros::from_millis(250);
 
-/// All views, in the order of their watches.
-pub const TOPICS: [Topic; 4] = [Topic::Jobs, Topic::Machines, Topic::Shards, Topic::Leader];
-const MACHINES: usize = 1;
+/// An outstanding request of the session.
+pub(crate) enum SessionRequest {
+    /// A lease is to be granted.
+    GrantLease,
+    /// The lease is to be renewed.
+    RenewLease,
+    /// The request that keeps up a view.
+    Watch(Topic),
+    /// A claim is to be written.
+    AcquireClaim { claim: ClaimId, lease: u64 },
+    /// The claim on a shard is to be deleted, for its home member.
+    TransferShard { shard: usize, version: u64 },
+    /// The claims held here are to be confirmed.
+    Verify {
+        sent: Micros,
+        claims: Vec<VerifiedClaim>,
+    },
+    /// The view of jobs is to be made as new as a confirmation of claims.
+    VerifyView {
+        sent: Micros,
+        claims: Vec<VerifiedClaim>,
+        revision: u64,
+    },
+    /// The view of machines is to be made as new as the claim on a shard.
+    MachineChanges { shard: usize, token: u64 },
+    /// A page of the records of a shard's former owner.
+    Records { shard: usize, token: u64 },
+}
 
-impl Topic {
-    fn prefix(self) -> &'static str {
-        match self {
-            Topic::Jobs => "job/",
-            Topic::Machines => "machine/",
-            Topic::Shards => "share/",
-            Topic::Leader => "leader",
-        }
-    }
+/// What others must know of a step of the session.
+pub(crate) enum SessionEvent {
+    /// The view of jobs was read as a whole; all others are gone. Those read follow.
+    JobsRead { present: BTreeSet<JobId> },
+    /// A job is in the view.
+    JobChanged { spec: Rc<JobSpec>, version: u64 },
+    /// A job was deleted.
+    JobRemoved(JobId),
+    /// The view of machines was read as a whole; all others are gone. Those read follow.
+    MachinesRead { present: BTreeSet<MachineId> },
+    /// A machine's record is in the view.
+    MachineChanged {
+        id: MachineId,
+        record: MachineRecord,
+        version: u64,
+    },
+    /// A machine's record was deleted.
+    MachineRemoved(MachineId),
+    /// This controller acts under a claim from now on.
+    ClaimAcquired { claim: ClaimId, token: u64 },
+    /// This controller must not act under a claim any more.
+    ClaimLost(ClaimId),
+    /// A shard's claim was verified for the first time; the reading of its records starts.
+    RecordReadStarted { shard: usize },
+    /// A shard can go on where its former owner stopped.
+    RecordsRead(ReadRecords),
 }
 
-/// A view of all keys with one prefix, and the request that keeps it up.
-#[derive(Debug, Default)]
-pub struct Watch {
-    view: View,
-    busy: bool,
-    retry_at: Micros,
+/// All that the former owner of a shard has recorded.
+pub(crate) struct ReadRecords {
+    /// The shard.
+    pub(crate) shard: usize,
+    /// Work records.
+    pub(crate) records: Vec<Entry>,
+    /// Parts of the work records.
+    pub(crate) parts: Vec<Entry>,
 }
 
-impl Watch {
-    /// Whether all keys have been read once.
-    pub fn loaded(&self) -> bool {
-        self.view.loaded()
-    }
+/// What the session needs in a step, and what comes out of it.
+pub(crate) struct SessionContext<'a> {
+    /// Settings.
+    pub(crate) settings: &'a Settings,
+    /// Now, by the steady clock.
+    pub(crate) now: Micros,
+    /// Requests, in order.
+    pub(crate) outbox: Outbox<SessionRequest>,
+    /// Events, in order.
+    pub(crate) events: Vec<SessionEvent>,
+}
 
-    /// The revision up to which all is in.
-    pub fn seen(&self) -> u64 {
-        self.view.seen()
+impl<'a> SessionContext<'a> {
+    /// The context of a step, without requests or events so far.
+    pub(crate) fn new(settings: &'a Settings, now: Micros) -> Self {
+        SessionContext {
+            settings,
+            now,
+            outbox: Outbox::new(),
+            events: Vec::new(),
+        }
     }
 }
 
-/// A controller's standing with the state service.
-#[derive(Debug)]
-pub struct StoreSession {
-    /// Its lease, while it has one.
-    pub lease: Option<u64>,
-    lease_busy: bool,
-    lease_next: Micros,
-    /// Its views, in the order of [`TOPICS`].
-    pub watches: [Watch; 4],
-    /// By slot: the shards, then leadership.
-    pub claims: Vec<Option<Claim>>,
-    free_since: Vec<Option<Micros>>,
-    claiming: Vec<bool>,
-    /// By slot: the version of the last claim that was given up here. It is never acted on again.
-    last_released_token: Vec<u64>,
-    claim_next: Micros,
-    verify_busy: bool,
-    verify_next: Micros,
-    /// Shares whose former holder's records are being read, by slot.
-    loads: BTreeMap<usize, Load>,
-    /// When the state service last answered a request.
-    pub last_reply: Micros,
+/// What a tick depends on beyond the session.
+pub(crate) struct TickInputs {
+    /// Duties have claims of their own, so that the claim to leadership has ended.
+    pub(crate) duties_in_force: bool,
+    /// No worker reaches this controller.
+    pub(crate) inbound_partitioned: bool,
+    /// Another controller is ready.
+    pub(crate) any_peer_ready: bool,
+    /// By shard: its home member has been ready for a while.
+    pub(crate) home_ready: Vec<bool>,
 }
 
-/// What is read before a shard can go on where its former holder stopped. All that that one recorded
-/// is older than our claim, machines before the tasks on them. So the view of machines must reach the
-/// claim: a placement on a machine that is not in it would be taken for lost and placed again, while it
-/// runs on a machine that was rented a moment ago.
+/// A controller's session with the key-value store.
 #[derive(Debug)]
-struct Load {
-    version: u64,
-    /// Work records, then their parts, from when the former are read.
-    entries: Vec<Entry>,
-    parts: Option<Vec<Entry>>,
-    busy: bool,
-    retry_at: Micros,
+pub(crate) struct StoreSession {
+    lease: Lease,
+    /// By [`Topic`].
+    watches: [Watch; 4],
+    shard_claims: Vec<ClaimState>,
+    leader_claim: ClaimState,
+    next_claim: Micros,
+    verification: Verification,
+    /// Readings of the records of shards' former owners, by shard.
+    record_reads: BTreeMap<usize, RecordRead>,
+    last_reply: Micros,
 }
 
 impl StoreSession {
-    /// No lease, no view, no claim.
-    pub fn new(shards: usize) -> StoreSession {
+    /// A session without lease, views or claims.
+    pub(crate) fn new(shards: usize) -> StoreSession {
         StoreSession {
-            lease: None,
-            lease_busy: false,
-            lease_next: Micros::ZERO,
+            lease: Lease::default(),
             watches: Default::default(),
-            claims: vec![None; shards + 1],
-            free_since: vec![None; shards + 1],
-            claiming: vec![false; shards + 1],
-            last_released_token: vec![0; shards + 1],
-            claim_next: Micros::ZERO,
-            verify_busy: false,
-            verify_next: Micros::ZERO,
-            loads: BTreeMap::new(),
+            shard_claims: vec![ClaimState::default(); shards],
+            leader_claim: ClaimState::default(),
+            next_claim: Micros::ZERO,
+            verification: Verification::default(),
+            record_reads: BTreeMap::new(),
             last_reply: Micros::ZERO,
         }
     }
 
-    /// Whether all views are loaded.
-    pub fn loaded(&self) -> bool {
-        self.watches.iter().all(Watch::loaded)
+    /// Sends what is due.
+    pub(crate) fn tick(&mut self, context: &mut SessionContext, inputs: &TickInputs) {
+        self.lease_tick(context);
+        for topic in Topic::ALL {
+            self.watch_tick(context, topic);
+        }
+        self.claims_tick(context, inputs);
+        self.verification_tick(context);
+        self.record_reads_tick(context);
     }
-}
-
-const VERIFY_INTERVAL: Micros = Micros::from_millis(1_000);
-const RETRY: Micros = Micros::from_millis(250);
-const HOLD: Micros = Micros::from_secs(20);
-
-/// An outstanding request of the store session.
-pub(crate) enum SessionRequest {
-    Grant,
-    Renew,
-    Watch(usize),
-    Claim {
-        slot: usize,
-        lease: u64,
-    },
-    TransferShard {
-        slot: usize,
-        version: u64,
-    },
-    Verify {
-        sent: Micros,
-        claims: Vec<(usize, u64)>,
-    },
-    VerifyView {
-        sent: Micros,
-        claims: Vec<(usize, u64)>,
-        revision: u64,
-    },
-    Fleet {
-        shard: usize,
-        version: u64,
-    },
-    Records {
-        shard: usize,
-        version: u64,
-    },
-}
 
-impl Engine {
-    /// Routes a reply of the store to what asked for it.
-    pub(crate) fn session_reply(&mut self, request: SessionRequest, reply: StoreReply) {
+    /// Takes in a reply of the store to a request of the session.
+    pub(crate) fn reply(
+        &mut self,
+        context: &mut SessionContext,
+        request: SessionRequest,
+        reply: StoreReply,
+    ) {
         match request {
-            SessionRequest::Grant | SessionRequest::Renew => self.lease_reply(reply),
-            SessionRequest::Watch(k) => self.watch_reply(k, reply),
-            SessionRequest::Claim { slot, lease } => self.claim_reply(slot, lease, reply),
-            SessionRequest::TransferShard { slot, version } => {
-                self.transfer_reply(slot, version, &reply)
+            SessionRequest::GrantLease | SessionRequest::RenewLease => {
+                self.lease_reply(context, reply)
+            }
+            SessionRequest::Watch(topic) => self.watch_reply(context, topic, reply),
+            SessionRequest::AcquireClaim { claim, lease } => {
+                self.acquire_reply(context, claim, lease, reply)
+            }
+            SessionRequest::TransferShard { shard, version } => {
+                self.transfer_reply(context, shard, version, &reply)
+            }
+            SessionRequest::Verify { sent, claims } => {
+                self.verify_reply(context, sent, claims, reply)
             }
-            SessionRequest::Verify { sent, claims } => self.verify_reply(sent, claims, reply),
             SessionRequest::VerifyView {
                 sent,
                 claims,
                 revision,
-            } => self.verify_view_reply(sent, claims, revision, reply),
-            SessionRequest::Fleet { shard, version } => self.fleet_reply(shard, version, reply),
-            SessionRequest::Records { shard, version } => self.records_reply(shard, version, reply),
+            } => self.verify_view_reply(context, sent, &claims, revision, reply),
+            SessionRequest::MachineChanges { shard, token } => {
+                self.machine_changes_reply(context, shard, token, reply)
+            }
+            SessionRequest::Records { shard, token } => {
+                self.records_reply(context, shard, token, reply)
+            }
         }
     }
 
-    pub(crate) fn claim_key(&self, slot: usize) -> String {
-        if slot == self.leader_slot() {
-            "leader".to_owned()
-        } else {
-            format!("share/{slot}")
-        }
+    /// The store has replied to some request.
+    pub(crate) fn store_replied(&mut self, now: Micros) {
+        self.last_reply = now;
     }
 
-    pub(crate) fn leader_slot(&self) -> usize {
-        self.settings.members.len()
+    /// When the store last replied to a request.
+    pub(crate) fn last_reply(&self) -> Micros {
+        self.last_reply
     }
 
-    pub(crate) fn store_session_tick(&mut self) {
-        self.lease_tick();
-        for k in 0..TOPICS.len() {
-            self.watch_tick(k);
-        }
-        self.claims_tick();
-        self.verify_tick();
-        self.loads_tick();
+    /// Whether all views are loaded.
+    pub(crate) fn loaded(&self) -> bool {
+        self.watches.iter().all(Watch::loaded)
     }
 
-    // ---- lease ---------------------------------------------------------------------------
+    /// Whether the controller has a lease.
+    pub(crate) fn has_lease(&self) -> bool {
+        self.lease.id.is_some()
+    }
 
-    fn lease_tick(&mut self) {
-        if self.store.lease_busy || self.now < self.store.lease_next {
-            return;
-        }
-        self.store.lease_busy = true;
-        let ttl = self.settings.tuning.claim_ttl;
-        match self.store.lease {
-            None => self.send_to_store(StoreRequest::GrantLease { ttl }, SessionRequest::Grant),
-            Some(lease) => {
-                self.send_to_store(StoreRequest::RenewLease { lease }, SessionRequest::Renew)
-            }
-        }
+    /// The revision up to which all changes are in a view.
+    pub(crate) fn revision(&self, topic: Topic) -> u64 {
+        self.watch(topic).revision()
     }
 
-    pub(crate) fn lease_reply(&mut self, reply: StoreReply) {
-        self.store.lease_busy = false;
-        let every = self.settings.tuning.claim_ttl.over(4);
-        self.store.lease_next = self.now + every;
-        match reply {
-            StoreReply::Lease { id } => {
-                info!(lease = id, "lease granted");
-                self.store.lease = Some(id);
-            }
-            StoreReply::Renewed => {}
-            StoreReply::NoSuchLease => {
-                warn!("lease ended; all claims are lost");
-                self.store.lease = None;
-                self.store.lease_next = self.now;
-                for slot in 0..=self.leader_slot() {
-                    self.drop_claim(slot, "lease ended");
-                }
-            }
-            _ => self.store.lease_next = self.now + RETRY,
-        }
+    /// Whether a view has been read once.
+    pub(crate) fn view_loaded(&self, topic: Topic) -> bool {
+        self.watch(topic).loaded()
     }
 
-    // ---- views ---------------------------------------------------------------------------
+    /// Whether a view has been read once and is as new as this revision.
+    pub(crate) fn view_reaches(&self, topic: Topic, revision: u64) -> bool {
+        self.watch(topic).reaches(revision)
+    }
 
-    fn watch_tick(&mut self, k: usize) {
-        let w = &mut self.store.watches[k];
-        if w.busy || self.now < w.retry_at {
-            return;
-        }
-        w.busy = true;
-        let request = w.view.request(TOPICS[k].prefix(), HOLD);
-        self.send_to_store(request, SessionRequest::Watch(k));
+    /// The claim as last seen, whoever holds it.
+    pub(crate) fn claim(&self, claim: ClaimId) -> Option<&Claim> {
+        self.state(claim).seen.as_ref()
     }
 
-    pub(crate) fn watch_reply(&mut self, k: usize, reply: StoreReply) {
-        let now = self.now;
-        let pause = self.settings.ask_every();
-        let w = &mut self.store.watches[k];
-        w.busy = false;
-        let update = w.view.take(reply);
-        w.retry_at = match &update {
-            ViewUpdate::Failed => now + RETRY,
-            // Not reopened at once: every change would cost each controller a request.
-            ViewUpdate::Changed { .. } | ViewUpdate::TooOld => now + pause,
-            ViewUpdate::Partial | ViewUpdate::Read { .. } => now,
-        };
-        self.view_updated(k, update);
+    /// The claim on a shard as last seen; None also where there is no such shard.
+    pub(crate) fn claim_on_shard(&self, shard: usize) -> Option<&Claim> {
+        self.shard_claims.get(shard)?.seen.as_ref()
     }
 
-    /// True if the view is now as new as the answer.
-    pub(crate) fn apply_changes(&mut self, k: usize, reply: StoreReply) -> bool {
-        let update = self.store.watches[k].view.take(reply);
-        let new = matches!(update, ViewUpdate::Changed { .. } | ViewUpdate::TooOld);
-        self.view_updated(k, update);
-        new
+    /// How many shards this member is seen to hold.
+    pub(crate) fn shards_of(&self, member: usize) -> usize {
+        let seen = self.shard_claims.iter().flat_map(|state| &state.seen);
+        seen.filter(|claim| claim.member == member).count()
     }
 
-    fn view_updated(&mut self, k: usize, update: ViewUpdate) {
-        match update {
-            ViewUpdate::Changed { changes, revision } => {
-                for change in changes {
-                    self.changed(TOPICS[k], &change.key, change.value, change.version);
-                }
-                self.store.watches[k].view.reached(revision);
-            }
-            ViewUpdate::Read { entries, revision } => {
-                let present: BTreeSet<&String> = entries.iter().map(|e| &e.key).collect();
-                let viewed = self.viewed_keys(TOPICS[k]);
-                for key in viewed
-                    .into_iter()
-                    .filter(|key| !present.contains(key))
-                    .collect::<Vec<_>>()
-                {
-                    self.changed(TOPICS[k], &key, None, revision);
-                }
-                for e in entries {
-                    self.changed(TOPICS[k], &e.key, e.value, e.version);
-                }
-            }
-            ViewUpdate::TooOld => warn!(prefix = TOPICS[k].prefix(), "view too old; reading anew"),
-            ViewUpdate::Failed | ViewUpdate::Partial => {}
-        }
+    /// The claims under which this controller acts, with their fencing tokens: shards, then leadership.
+    pub(crate) fn held_claims(&self) -> impl Iterator<Item = (ClaimId, u64)> + '_ {
+        self.claim_ids()
+            .filter_map(|claim| self.held_token(claim).map(|token| (claim, token)))
     }
 
-    fn viewed_keys(&self, topic: Topic) -> Vec<String> {
-        match topic {
-            Topic::Jobs => self.jobs.keys().map(|j| format!("job/{j}")).collect(),
-            Topic::Machines => self
-                .machines
-                .keys()
-                .map(crate::machine::machine_key)
-                .collect(),
-            Topic::Shards => (0..self.leader_slot()).map(|s| self.claim_key(s)).collect(),
-            Topic::Leader => vec!["leader".to_owned()],
+    /// The fencing token of a claim under which this controller acts.
+    pub(crate) fn held_token(&self, claim: ClaimId) -> Option<u64> {
+        self.state(claim).token()
+    }
+
+    /// Sending time of the last request by which a claim that is held here was verified.
+    pub(crate) fn last_verified(&self, claim: ClaimId) -> Option<Micros> {
+        self.state(claim).held?.last_verified
+    }
+
+    /// All claims: those on shards, then the one to leadership.
+    fn claim_ids(&self) -> impl Iterator<Item = ClaimId> + 'static {
+        let shards = (0..self.shard_claims.len()).map(ClaimId::Shard);
+        shards.chain([ClaimId::Leader])
+    }
+
+    fn state(&self, claim: ClaimId) -> &ClaimState {
+        match claim {
+            ClaimId::Shard(shard) => &self.shard_claims[shard],
+            ClaimId::Leader => &self.leader_claim,
         }
     }
 
-    fn changed(&mut self, topic: Topic, key: &str, value: Option<serde_json::Value>, version: u64) {
-        let name = key.strip_prefix(topic.prefix()).unwrap_or(key);
-        match topic {
-            Topic::Jobs => {
-                let id = JobId::from(name);
-                match value.map(serde_json::from_value::<JobSpec>) {
-                    Some(Ok(spec)) => self.job_appeared(Rc::new(spec), version),
-                    Some(Err(e)) => warn!(job = name, %e, "unreadable job record"),
-                    None => self.job_vanished(&id),
-                }
-            }
-            Topic::Machines => {
-                let id = MachineId::from(name);
-                match value.map(serde_json::from_value::<MachineRecord>) {
-                    Some(Ok(record)) => self.machine_changed(id, record, version),
-                    Some(Err(e)) => warn!(machine = name, %e, "unreadable machine record"),
-                    None => self.machine_vanished(&id),
-                }
-            }
-            Topic::Shards | Topic::Leader => {
-                let slot = if topic == Topic::Leader {
-                    Some(self.leader_slot())
-                } else {
-                    name.parse().ok()
-                };
-                let Some(slot) = slot.filter(|s| *s <= self.leader_slot()) else {
-                    return;
-                };
-                let claim = value
-                    .and_then(|v| serde_json::from_value::<ClaimValue>(v).ok())
-                    .and_then(|c| {
-                        let member = self.settings.members.iter().position(|m| *m == c.member)?;
-                        Some(Claim {
-                            version,
-                            member,
-                            lease: c.lease,
-                        })
-                    });
-                self.claim_changed(slot, claim, version);
-            }
+    fn state_mut(&mut self, claim: ClaimId) -> &mut ClaimState {
+        match claim {
+            ClaimId::Shard(shard) => &mut self.shard_claims[shard],
+            ClaimId::Leader => &mut self.leader_claim,
         }
     }
 }
--- /dev/null
+++ b/crates/seamfront-core/src/store_session/verification.rs
@@ -0,0 +1,128 @@
+//! Verification of the claims held here: the store confirms that all of them still stand, and the view of jobs is then
+//! made at least as new as that confirmation, so that no job is acted on whose cancellation was confirmed before.
+
+use super::claim::ClaimId;
+use super::{SessionContext, SessionRequest, StoreSession, Topic, RETRY_INTERVAL};
+use crate::port::{StoreReply, StoreRequest};
+use crate::types::Micros;
+
+const VERIFICATION_INTERVAL: Micros = Micros::from_secs(1);
+
+/// When claims are verified next.
+#[derive(Debug, Default)]
+pub(super) struct Verification {
+    request_in_flight: bool,
+    next_request: Micros,
+}
+
+impl Verification {
+    /// Lets the next verification start at once.
+    pub(super) fn request_now(&mut self, now: Micros) {
+        self.next_request = now;
+    }
+
+    fn failed(&mut self, now: Micros) {
+        self.request_in_flight = false;
+        self.next_request = now + RETRY_INTERVAL;
+    }
+}
+
+/// A claim under verification.
+#[derive(Clone, Copy, Debug)]
+pub(crate) struct VerifiedClaim {
+    claim: ClaimId,
+    token: u64,
+}
+
+impl StoreSession {
+    pub(super) fn verification_tick(&mut self, context: &mut SessionContext) {
+        let now = context.now;
+        if self.verification.request_in_flight || now < self.verification.next_request {
+            return;
+        }
+        let claims: Vec<VerifiedClaim> = self
+            .held_claims()
+            .map(|(claim, token)| VerifiedClaim { claim, token })
+            .collect();
+        if claims.is_empty() {
+            return;
+        }
+        self.verification.request_in_flight = true;
+        self.verification.next_request = now + VERIFICATION_INTERVAL;
+        let conditions = claims
+            .iter()
+            .map(|verified| (verified.claim.to_string(), verified.token))
+            .collect();
+        let request = StoreRequest::CompareAndSwap {
+            conditions,
+            writes: vec![],
+        };
+        let pending = SessionRequest::Verify { sent: now, claims };
+        context.outbox.store(request, pending);
+    }
+
+    pub(super) fn verify_reply(
+        &mut self,
+        context: &mut SessionContext,
+        sent: Micros,
+        claims: Vec<VerifiedClaim>,
+        reply: StoreReply,
+    ) {
+        match reply {
+            StoreReply::Committed { revision } => {
+                if self.watch(Topic::Jobs).reaches(revision) {
+                    return self.verified(context, sent, &claims);
+                }
+                let pending = SessionRequest::VerifyView {
+                    sent,
+                    claims,
+                    revision,
+                };
+                context
+                    .outbox
+                    .store(self.changes_request(Topic::Jobs), pending);
+            }
+            StoreReply::Conflict { failed } => {
+                self.verification.request_in_flight = false;
+                for VerifiedClaim { claim, token } in claims {
+                    let refuted = failed.contains(&claim.to_string());
+                    if refuted && self.held_token(claim) == Some(token) {
+                        self.lose_claim(context, claim, "verification failed");
+                    }
+                }
+            }
+            _ => self.verification.failed(context.now),
+        }
+    }
+
+    pub(super) fn verify_view_reply(
+        &mut self,
+        context: &mut SessionContext,
+        sent: Micros,
+        claims: &[VerifiedClaim],
+        revision: u64,
+        reply: StoreReply,
+    ) {
+        let usable = self.apply_changes(context, Topic::Jobs, reply);
+        if usable && self.watch(Topic::Jobs).reaches(revision) {
+            self.verified(context, sent, claims);
+        } else {
+            self.verification.failed(context.now);
+        }
+    }
+
+    fn verified(&mut self, context: &mut SessionContext, sent: Micros, claims: &[VerifiedClaim]) {
+        self.verification.request_in_flight = false;
+        for VerifiedClaim { claim, token } in claims {
+            let state = self.state_mut(*claim);
+            let Some(held) = state.held.as_mut().filter(|held| held.token == *token) else {
+                continue;
+            };
+            let first = held.last_verified.is_none();
+            held.last_verified = held.last_verified.max(Some(sent));
+            if let (ClaimId::Shard(shard), true) = (claim, first) {
+                self.start_record_read(context, *shard, *token);
+            }
+        }
+    }
+}
--- a/crates/seamfront-core/src/user_api.rs
+++ b/crates/seamfront-core/src/user_api.rs
@@ -8,6 +8,7 @@
     Write,
 };
 use crate::quota::within_limit;
+use crate::store_session::Topic;
 use crate::types::{JobId, JobSpec, MachineType, Micros};
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, VecDeque};
@@ -214,7 +215,7 @@
     /// The store has not answered lately: nothing can be taken or confirmed, and waiting for it
     /// would only hold the user back.
     fn store_unavailable(&self) -> bool {
-        !self.store.loaded() || self.now - self.store.last_reply > Micros::from_millis(2_500)
+        !self.store.loaded() || self.now - self.store.last_reply() > Micros::from_millis(2_500)
     }
 
     /// Requests of users that wait for the store.
@@ -570,7 +571,7 @@
                     info!(job = %spec.id, class = %spec.class, tasks = spec.tasks, "accepted");
                     let id = spec.id.clone();
                     // If the view is past this revision it knows better, be it of the job's end.
-                    if self.store.watches[0].seen() < revision {
+                    if self.store.revision(Topic::Jobs) < revision {
                         self.job_appeared(spec, revision);
                     }
                     created.push(StatusQuery {
