--- /dev/null
+++ b/crates/seamfront-core/src/engine/messages.rs
@@ -0,0 +1,246 @@
+//! Messages between controllers: those sent periodically, and the dispatch of those received.
+
+use super::{Engine, LiveJob};
+use crate::port::{Effect, PeerMessage};
+use crate::shard::{Shard, ShardPhase};
+use crate::store_session::ClaimId;
+use crate::types::{JobId, Micros};
+use crate::user_api::EndRecord;
+use std::collections::BTreeMap;
+use tracing::warn;
+
+/// How often this controller announces itself to the others.
+const ANNOUNCEMENT_INTERVAL: Micros = Micros::from_millis(500);
+/// How often the leader gets the state of a shard.
+const LEADER_UPDATE_INTERVAL: Micros = Micros::from_millis(400);
+/// How often the others get the progress of jobs.
+const PROGRESS_INTERVAL: Micros = Micros::from_secs(1);
+/// Most requests for resources in one update of the leader: a message between controllers has its bound.
+const MAX_RESOURCE_REQUESTS: usize = 1_000;
+
+/// Progress of a job: tasks done and tasks running.
+type TaskCounts = (u32, u32);
+
+/// When the periodic messages are due, and which progress the others know.
+#[derive(Debug, Default)]
+pub(super) struct PeriodicMessages {
+    next_announcement: Micros,
+    next_leader_update: Micros,
+    next_progress: Micros,
+    sent_progress: BTreeMap<JobId, TaskCounts>,
+}
+
+impl PeriodicMessages {
+    fn announcement_due(&mut self, now: Micros) -> bool {
+        due(&mut self.next_announcement, now, ANNOUNCEMENT_INTERVAL)
+    }
+
+    fn leader_update_due(&mut self, now: Micros) -> bool {
+        due(&mut self.next_leader_update, now, LEADER_UPDATE_INTERVAL)
+    }
+
+    fn progress_due(&mut self, now: Micros) -> bool {
+        due(&mut self.next_progress, now, PROGRESS_INTERVAL)
+    }
+
+    /// Lets the next update of the leader be sent at once.
+    fn update_leader_now(&mut self, now: Micros) {
+        self.next_leader_update = now;
+    }
+
+    /// The progress of jobs of these shards that has changed since it was last sent.
+    fn changed_progress<'a>(
+        &mut self,
+        shards: impl Iterator<Item = &'a Shard>,
+        live: &BTreeMap<JobId, LiveJob>,
+    ) -> Vec<(JobId, u32, u32)> {
+        let mut changed = Vec::new();
+        for shard in shards {
+            for (id, job) in shard.jobs.iter().filter(|(_, job)| job.live()) {
+                let counts = (job.done.count(), job.running());
+                if self.sent_progress.get(id) != Some(&counts) {
+                    changed.push((id.clone(), counts.0, counts.1));
+                }
+            }
+        }
+        self.sent_progress.retain(|id, _| live.contains_key(id));
+        for (id, done, running) in &changed {
+            self.sent_progress.insert(id.clone(), (*done, *running));
+        }
+        changed
+    }
+}
+
+/// Whether the time has come. If so, the next one is an interval from now.
+fn due(next: &mut Micros, now: Micros, interval: Micros) -> bool {
+    let due = now >= *next;
+    if due {
+        *next = now + interval;
+    }
+    due
+}
+
+impl Engine {
+    pub(super) fn send_periodic_messages(&mut self) {
+        if self.periodic_messages.announcement_due(self.now) {
+            self.announce();
+        }
+        if self.periodic_messages.leader_update_due(self.now) {
+            for shard in 0..self.shards.len() {
+                self.update_leader(shard);
+            }
+        }
+        if self.periodic_messages.progress_due(self.now) {
+            self.broadcast_progress();
+        }
+    }
+
+    fn broadcast(&mut self, message: &PeerMessage) {
+        for to in self.peers.others() {
+            self.effects.push(Effect::SendToPeer {
+                to,
+                message: message.clone(),
+            });
+        }
+    }
+
+    /// That this controller is alive, which claims it holds and how many writes wait here.
+    fn announce(&mut self) {
+        let claims = self
+            .store
+            .held_claims()
+            .map(|(claim, token)| (claim.to_string(), token))
+            .collect();
+        let ready = self.ready() && !self.inbound_partition.detected();
+        let pending_writes = self.pending_write_count();
+        self.peers.writes_announced(pending_writes);
+        self.broadcast(&PeerMessage::Alive {
+            ready,
+            claims,
+            pending_writes,
+        });
+    }
+
+    /// Sends the leader, or whoever holds its duties, the state of a shard.
+    fn update_leader(&mut self, shard: usize) {
+        let Some(message) = self.shard_update(shard) else {
+            return;
+        };
+        let me = self.settings.me;
+        if self.leader.is_some() {
+            self.peer_message(me, message.clone());
+            if !self.duties_in_force() {
+                return;
+            }
+        }
+        for to in self.fleet_holders() {
+            if to != me || self.leader.is_none() {
+                self.effects.push(Effect::SendToPeer {
+                    to,
+                    message: message.clone(),
+                });
+            }
+        }
+    }
+
+    /// What a shard requests, and its machines.
+    fn shard_update(&mut self, shard: usize) -> Option<PeerMessage> {
+        let update = self.with_shard(shard, |s, context| {
+            (s.phase == ShardPhase::Ready)
+                .then(|| (s.version, s.requests.clone(), s.views(context)))
+        });
+        let (version, mut requests, machines) = update.flatten()?;
+        if requests.len() > MAX_RESOURCE_REQUESTS {
+            // The most important are first, and what is served makes room for the rest.
+            warn!(
+                shard,
+                waiting = requests.len(),
+                update = MAX_RESOURCE_REQUESTS,
+                "more jobs wait than fit the update of the leader"
+            );
+            requests.truncate(MAX_RESOURCE_REQUESTS);
+        }
+        Some(PeerMessage::Shard {
+            shard,
+            version,
+            requests,
+            machines,
+        })
+    }
+
+    fn broadcast_progress(&mut self) {
+        let shards = self.shards.iter().flatten();
+        let jobs = self.periodic_messages.changed_progress(shards, &self.jobs);
+        if !jobs.is_empty() {
+            self.broadcast(&PeerMessage::Progress { jobs });
+        }
+    }
+
+    /// Gives a message to the holder of a shard, be it this controller.
+    pub(crate) fn notify_holder(&mut self, shard: usize, message: PeerMessage) {
+        let me = self.settings.me;
+        if self.shards[shard].is_some() {
+            self.peer_message(me, message);
+        } else if let Some(to) = self.other_holder(shard) {
+            self.effects.push(Effect::SendToPeer { to, message });
+        }
+    }
+
+    /// The other controller that is seen to hold a shard.
+    pub(super) fn other_holder(&self, shard: usize) -> Option<usize> {
+        let claim = self.store.claim(ClaimId::Shard(shard))?;
+        Some(claim.member).filter(|member| *member != self.settings.me)
+    }
+
+    pub(super) fn peer_message(&mut self, from: usize, message: PeerMessage) {
+        match message {
+            PeerMessage::Alive {
+                ready,
+                claims,
+                pending_writes,
+            } => {
+                let now = self.now;
+                if self.peers.announced(from, now, ready, pending_writes) {
+                    self.with_session(|session, context| {
+                        session.peer_claims(context, from, claims)
+                    });
+                }
+            }
+            PeerMessage::Shard {
+                shard,
+                version,
+                requests,
+                machines,
+            } => {
+                // Delayed by the network, a former holder's update may come after its shard has passed on: it must not
+                // count, least of all its judgement of machines.
+                let claim = self.store.claim(ClaimId::Shard(shard));
+                if claim.is_some_and(|claim| claim.version == version) {
+                    self.shard_updated(shard, requests, machines);
+                }
+            }
+            PeerMessage::Release {
+                shard,
+                machines,
+                above,
+            } => {
+                self.with_shard(shard, |s, context| s.release(context, &machines, above));
+                self.periodic_messages.update_leader_now(self.now);
+            }
+            PeerMessage::Cancelled { job, tasks } => {
+                let end = EndRecord {
+                    cancelled: true,
+                    tasks,
+                };
+                self.end_confirmed(&job, end);
+            }
+            PeerMessage::Progress { jobs } => {
+                for (id, done, running) in jobs {
+                    if self.jobs.contains_key(&id) {
+                        self.users.progress.insert(id, (done, running));
+                    }
+                }
+            }
+        }
+    }
+}
--- a/crates/seamfront-core/src/engine/mod.rs
+++ b/crates/seamfront-core/src/engine/mod.rs
@@ -1,32 +1,43 @@
 //! The one owner of all state of a controller. Commands come in batches, effects go out; time is
 //! given, never asked for. Same commands, same times, same effects.
 
-use crate::dependencies::{DependencyGraph, DependencyRequest, JobDependencies};
+use crate::dependencies::{DependencyGraph, JobDependencies};
 use crate::format_versions::{FormatRequest, FormatVersions};
-use crate::garbage_collector::{CollectionRequest, GarbageCollector};
-use crate::leader::{Leader, LeaderRequest};
+use crate::garbage_collector::GarbageCollector;
+use crate::leader::Leader;
 use crate::machine::MachineRecord;
+use crate::machine_types::{MachineTypes, MachineTypesRequest};
 use crate::outbox::{Outbox, Outgoing};
 use crate::port::{
-    Answer, CallId, ClientRequestId, CloudReply, CloudRequest, Command, Effect, Heartbeat,
-    PeerMessage, StoreReply, StoreRequest, Write,
+    Answer, CallId, ClientRequestId, CloudReply, CloudRequest, Command, DirectOutcome, Effect,
+    StoreReply, StoreRequest,
 };
 use crate::record::Layout;
-use crate::shard::{machine_write, work_key, Context, Shard, ShardPhase, ShardWrite, WriteOutcome};
-use crate::store_session::{ClaimId, SessionRequest, StoreSession};
-use crate::types::{JobId, JobSpec, MachineId, MachineType, Micros, Resources, Settings};
-use crate::user_api::{EndRecord, UserRequest, Users};
+use crate::shard::{Context, Shard};
+use crate::store_session::{ClaimId, StoreSession};
+use crate::types::{JobId, JobSpec, MachineId, Micros, Settings};
+use crate::user_api::Users;
 use seamfront_lease::DutyManager;
 use std::collections::BTreeMap;
 use std::rc::Rc;
-use tracing::{info, trace, warn};
+use tracing::trace;
 
-mod machine_types;
-use machine_types::MachineTypesRequest;
+mod health;
+mod machines;
+mod messages;
 mod peers;
+mod pending;
 mod session;
+mod transactions;
+mod write_pacing;
 mod writes;
 
+use health::InboundPartition;
+use messages::PeriodicMessages;
+use peers::Peers;
+pub(crate) use pending::Pending;
+use write_pacing::WritePacer;
+
 /// A live job in this controller's view.
 #[derive(Clone, Debug)]
 pub struct LiveJob {
@@ -40,78 +51,6 @@
     pub dependencies: JobDependencies,
 }
 
-/// What is known of another controller.
-#[derive(Clone, Debug, Default)]
-pub struct Peer {
-    /// When it was last heard.
-    pub heard: Micros,
-    /// Since when it has called itself ready.
-    pub ready_since: Option<Micros>,
-    /// Writes that it had waiting when it was last heard of.
-    pub pending_writes: usize,
-}
-
-/// Waiting jobs that the leader is told of at once: a message between controllers has its bound.
-const NEEDS_MAX: usize = 1_000;
-
-/// What a call's answer is for.
-pub(crate) enum Pending {
-    Session(SessionRequest),
-    User(UserRequest),
-    Dependency(DependencyRequest),
-    Collection(CollectionRequest),
-    Format(FormatRequest),
-    MachineTypes(MachineTypesRequest),
-    Shard {
-        shard: usize,
-        version: u64,
-        shard_writes: Vec<ShardWrite>,
-    },
-    Leader {
-        version: u64,
-        call: LeaderRequest,
-    },
-    Duty {
-        call: CallId,
-    },
-}
-
-impl From<SessionRequest> for Pending {
-    fn from(request: SessionRequest) -> Self {
-        Pending::Session(request)
-    }
-}
-
-impl From<UserRequest> for Pending {
-    fn from(request: UserRequest) -> Self {
-        Pending::User(request)
-    }
-}
-
-impl From<DependencyRequest> for Pending {
-    fn from(request: DependencyRequest) -> Self {
-        Pending::Dependency(request)
-    }
-}
-
-impl From<CollectionRequest> for Pending {
-    fn from(request: CollectionRequest) -> Self {
-        Pending::Collection(request)
-    }
-}
-
-impl From<FormatRequest> for Pending {
-    fn from(request: FormatRequest) -> Self {
-        Pending::Format(request)
-    }
-}
-
-impl From<MachineTypesRequest> for Pending {
-    fn from(request: MachineTypesRequest) -> Self {
-        Pending::MachineTypes(request)
-    }
-}
-
 /// The scheduler of one controller: commands in, effects out.
 pub struct Engine {
     pub(crate) settings: Rc<Settings>,
@@ -133,25 +72,11 @@
     /// Where duties are on.
     pub(crate) duties: Option<DutyManager>,
     pub(crate) garbage_collector: GarbageCollector,
-    pub(crate) types: Vec<MachineType>,
-    types_busy: bool,
-    types_next: Micros,
-    pub(crate) peers: Vec<Peer>,
-    /// When any worker was last heard of, whoever owns its machine.
-    last_worker_heartbeat: Micros,
-    inbound_partition_since: Option<Micros>,
-    alive_next: Micros,
-    leader_update_next: Micros,
-    progress_next: Micros,
-    last_progress: BTreeMap<JobId, (u32, u32)>,
-    /// Tokens of the bucket that paces the scheduler's own writes, in thousandths.
-    pub(crate) write_budget: i64,
-    write_first: usize,
-    /// What was last told to the others.
-    pending_writes: usize,
-    write_filled: Micros,
-    write_rest: Micros,
-    write_next: Micros,
+    pub(crate) machine_types: MachineTypes,
+    peers: Peers,
+    inbound_partition: InboundPartition,
+    periodic_messages: PeriodicMessages,
+    pub(crate) write_pacer: WritePacer,
     pub(crate) leader_work_done: i64,
 }
 
@@ -176,22 +101,11 @@
             format_versions: FormatVersions::default(),
             duties: crate::fleet_duties::manager(&settings),
             garbage_collector: GarbageCollector::default(),
-            types: Vec::new(),
-            types_busy: false,
-            types_next: Micros::ZERO,
-            peers: vec![Peer::default(); n],
-            last_worker_heartbeat: Micros::ZERO,
-            inbound_partition_since: None,
-            alive_next: Micros::ZERO,
-            leader_update_next: Micros::ZERO,
-            progress_next: Micros::ZERO,
-            last_progress: BTreeMap::new(),
-            write_budget: 0,
-            write_first: 0,
-            pending_writes: 0,
-            write_filled: Micros::ZERO,
-            write_rest: Micros::ZERO,
-            write_next: Micros::ZERO,
+            machine_types: MachineTypes::default(),
+            peers: Peers::new(settings.me, n),
+            inbound_partition: InboundPartition::default(),
+            periodic_messages: PeriodicMessages::default(),
+            write_pacer: WritePacer::default(),
             leader_work_done: 0,
             settings: Rc::new(settings),
         }
@@ -218,17 +132,7 @@
                 call,
                 machine,
                 outcome,
-            } => {
-                let shard = self.shards.iter().position(|s| {
-                    s.as_ref()
-                        .is_some_and(|s| s.machines.contains_key(&machine))
-                });
-                if let Some(k) = shard {
-                    self.with_shard(k, |s, context| {
-                        s.direct_result(context, call, &machine, outcome)
-                    });
-                }
-            }
+            } => self.direct_result(call, &machine, outcome),
             Command::Store { call, reply } => self.store_reply(call, reply),
             Command::Cloud { call, reply } => self.cloud_reply(call, reply),
             Command::Peer { from, message } => self.peer_message(from, message),
@@ -239,10 +143,23 @@
         }
     }
 
+    fn direct_result(&mut self, call: CallId, machine: &MachineId, outcome: DirectOutcome) {
+        let holds_machine = |shard: &Option<Shard>| {
+            shard
+                .as_ref()
+                .is_some_and(|shard| shard.machines.contains_key(machine))
+        };
+        if let Some(shard) = self.shards.iter().position(holds_machine) {
+            self.with_shard(shard, |s, context| {
+                s.direct_result(context, call, machine, outcome)
+            });
+        }
+    }
+
     fn tick(&mut self) {
         self.detect_inbound_partition();
         self.store_session_tick();
-        self.types_tick();
+        self.machine_types_tick();
         self.format_versions_tick();
         self.duties_tick();
         for k in 0..self.shards.len() {
@@ -251,7 +168,7 @@
                 s.run_scheduling_cycle(context);
             });
         }
-        self.fill_write_budget();
+        self.refill_write_budget();
         self.leader_tick();
         self.dependencies_tick();
         self.users_flush();
@@ -285,7 +202,7 @@
         let settings = self.settings.clone();
         let shard = self.shards.get_mut(k)?.as_mut()?;
         let calls = &mut self.next_call;
-        let types = &self.types;
+        let types = self.machine_types.all();
         let mut context = Context {
             settings: &settings,
             now: self.now,
@@ -322,6 +239,23 @@
         }
     }
 
+    fn machine_types_tick(&mut self) {
+        let mut outbox = Outbox::new();
+        self.machine_types.tick(self.now, &mut outbox);
+        self.flush(outbox);
+    }
+
+    /// Takes in the store's reply; the cloud's come by [`Engine::cloud_reply`].
+    fn machine_types_reply(&mut self, request: MachineTypesRequest, reply: StoreReply) {
+        let MachineTypesRequest::FromStore = request else {
+            return;
+        };
+        let mut outbox = Outbox::new();
+        let event = self.machine_types.store_reply(reply, &mut outbox);
+        self.flush(outbox);
+        self.machine_types_event(event);
+    }
+
     fn format_versions_tick(&mut self) {
         if !self.store.loaded() {
             return;
@@ -370,14 +304,6 @@
         self.effects.push(Effect::Answer { to, answer });
     }
 
-    pub(crate) fn type_size(&self, kind: &str) -> Resources {
-        self.types
-            .iter()
-            .find(|t| t.name == kind)
-            .map(|t| t.size)
-            .unwrap_or_default()
-    }
-
     fn store_reply(&mut self, call: CallId, reply: StoreReply) {
         let Some(pending) = self.calls.remove(&call) else {
             return;
@@ -409,111 +335,10 @@
                 self.leader_cloud_reply(version, call, reply)
             }
             Some(Pending::MachineTypes(MachineTypesRequest::FromCloud)) => {
-                self.types_busy = false;
-                if let CloudReply::MachineTypes(types) = reply {
-                    self.types_known(types);
-                }
+                let event = self.machine_types.cloud_reply(reply);
+                self.machine_types_event(event);
             }
             _ => {}
         }
     }
-
-    // ---- machines ------------------------------------------------------------------------
-
-    pub(crate) fn machine_changed(&mut self, id: MachineId, record: MachineRecord, version: u64) {
-        let size = self.type_size(&record.kind);
-        let before = self.machines.insert(id.clone(), (record.clone(), version));
-        if before.is_none_or(|b| b.0.shard != record.shard) {
-            self.machine_since.insert(id.clone(), self.now);
-        }
-        for k in 0..self.shards.len() {
-            let (id, record) = (id.clone(), record.clone());
-            let now = self.now;
-            self.with_shard(k, |s, _| {
-                if record.shard == Some(k) {
-                    s.add_machine(id, record, version, size, now);
-                } else {
-                    s.machine_moved(&id, record, version);
-                }
-            });
-        }
-    }
-
-    pub(crate) fn machine_vanished(&mut self, id: &MachineId) {
-        self.machines.remove(id);
-        self.machine_since.remove(id);
-        for k in 0..self.shards.len() {
-            self.with_shard(k, |s, context| s.machine_deleted(context, id));
-        }
-    }
-
-    /// Answers a worker's report: with orders if its machine is ours and the claim stands, else by
-    /// naming the owner.
-    fn heartbeat(&mut self, to: ClientRequestId, heartbeat: &Heartbeat) {
-        self.last_worker_heartbeat = self.now;
-        let owner = self
-            .machines
-            .get(&heartbeat.machine)
-            .and_then(|m| m.0.shard);
-        let Some(k) = owner else {
-            return self.effects.push(Effect::Redirect { to, member: None });
-        };
-        let lease_valid = self.lease_valid(ClaimId::Shard(k));
-        if self.shards[k].is_none() {
-            let member = self
-                .store
-                .claim(ClaimId::Shard(k))
-                .map(|c| c.member)
-                .filter(|m| *m != self.settings.me);
-            return self.effects.push(Effect::Redirect { to, member });
-        }
-        let now = self.now;
-        let held = self.shards[k].as_ref();
-        let known = held.and_then(|s| {
-            Some((
-                s.machines.get(&heartbeat.machine)?.fencing_token(s.version),
-                s.claimed_at,
-            ))
-        });
-        if let Some((_, claimed_at)) = known.filter(|k| k.0 < heartbeat.fencing_token) {
-            // Somebody newer commands it, and would wait for its lease to end if we held it here. Where
-            // our claim was not proven for as long as it could last alone, that is lost as a whole.
-            let last_verified = self
-                .store
-                .last_verified(ClaimId::Shard(k))
-                .unwrap_or(claimed_at);
-            if now - last_verified > self.settings.tuning.claim_ttl {
-                self.drop_claim(ClaimId::Shard(k), "a worker has seen a newer token");
-            }
-            return self.effects.push(Effect::Redirect { to, member: None });
-        }
-        let orders = self.with_shard(k, |s, context| {
-            let m = s.machines.get(&heartbeat.machine)?;
-            if !lease_valid
-                || (m.ignores_replies() && heartbeat.fencing_token != m.fencing_token(s.version))
-            {
-                return None;
-            }
-            let ready = s.phase == ShardPhase::Ready;
-            if !s.apply_heartbeat(context, heartbeat, true) {
-                return None;
-            }
-            let orders = if ready {
-                s.orders(context, heartbeat)
-            } else {
-                Vec::new()
-            };
-            let m = s.machines.get_mut(&heartbeat.machine)?;
-            m.reply_sent(now, s.version);
-            Some((m.fencing_token(s.version), orders))
-        });
-        match orders.flatten() {
-            Some((fencing_token, orders)) => self.effects.push(Effect::HeartbeatReply {
-                to,
-                fencing_token,
-                orders,
-            }),
-            None => self.effects.push(Effect::Redirect { to, member: None }),
-        }
-    }
 }
--- a/crates/seamfront-core/src/engine/peers.rs
+++ b/crates/seamfront-core/src/engine/peers.rs
@@ -1,264 +1,133 @@
-//! Between controllers, and what a controller says of its own health.
+//! What is known of the other controllers from their announcements.
 
-use super::{
-    warn, Effect, EndRecord, Engine, Micros, Peer, PeerMessage, Shard, ShardPhase, NEEDS_MAX,
-};
-use crate::store_session::ClaimId;
+use crate::types::Micros;
 
-/// How often the others are told that this controller is alive.
-const ALIVE_INTERVAL: Micros = Micros::from_millis(500);
-/// How often the leader is told of a shard.
-const LEADER_UPDATE_INTERVAL: Micros = Micros::from_millis(400);
-/// How often the others are told how far jobs are.
-const PROGRESS_INTERVAL: Micros = Micros::from_secs(1);
+/// A controller that was not heard of for this long counts as silent.
+const SILENCE: Micros = Micros::from_secs(2);
+/// How long a controller must have been ready before it gets its shard back.
+const READY_BEFORE_TRANSFER: Micros = Micros::from_secs(3);
 
-impl Engine {
-    /// No worker reaches this node, though some of its own did. Another node may hear them.
-    pub(crate) fn inbound_partitioned(&self) -> bool {
-        self.inbound_partition_since.is_some()
-    }
+/// What another controller last announced.
+#[derive(Clone, Debug, Default)]
+struct Peer {
+    last_heard: Micros,
+    /// Since when it has announced itself as ready.
+    ready_since: Option<Micros>,
+    /// Writes that were waiting there.
+    pending_writes: usize,
+}
 
-    /// Without shards a node hears of no worker in any case, so it is believed again after a while.
-    pub(super) fn detect_inbound_partition(&mut self) {
-        let quiet = self.now - self.last_worker_heartbeat
-            > self.settings.heartbeat_interval.times(3) + Micros::from_secs(2);
-        let heard_once = |s: &Shard| {
-            s.machines
-                .values()
-                .any(|m| m.last_heartbeat.is_some() && m.record.shard.is_some())
-        };
-        let own = self.shards.iter().flatten().any(heard_once);
-        match self.inbound_partition_since {
-            None if quiet && own => {
-                warn!("no worker reaches this controller");
-                self.inbound_partition_since = Some(self.now);
-            }
-            Some(t) if !quiet || (!own && self.now - t > Micros::from_secs(30)) => {
-                self.inbound_partition_since = None
-            }
-            _ => {}
-        }
+impl Peer {
+    fn silent(&self, now: Micros) -> bool {
+        now - self.last_heard >= SILENCE
     }
+}
 
-    /// A peer that is ready hears workers, or it would not say so.
-    pub(crate) fn peer_ready(&self) -> bool {
-        (0..self.peers.len())
-            .filter(|k| *k != self.settings.me)
-            .any(|k| {
-                let p = &self.peers[k];
-                p.ready_since.is_some() && self.now - p.heard < Micros::from_secs(2)
-            })
-    }
+/// How many writes wait where, by the last announcements.
+pub(super) struct WriteDemand {
+    /// Here; at least one.
+    pub(super) own: i64,
+    /// At all controllers that were heard lately.
+    pub(super) total: i64,
+    /// Members that are silent.
+    pub(super) silent: Vec<usize>,
+}
 
-    /// By member: it has been ready for long enough to get its shard back.
-    pub(super) fn peers_ready_for_transfer(&self) -> Vec<bool> {
-        self.peers
-            .iter()
-            .map(|peer| {
-                let settled = peer
-                    .ready_since
-                    .is_some_and(|since| self.now - since > Micros::from_secs(3));
-                settled && self.now - peer.heard < Micros::from_secs(2)
-            })
-            .collect()
-    }
+/// All controllers, by member; this one's own entry is not used.
+#[derive(Debug)]
+pub(crate) struct Peers {
+    me: usize,
+    peers: Vec<Peer>,
+    /// What this controller last announced.
+    announced_writes: usize,
+}
 
-    pub(super) fn ready(&self) -> bool {
-        self.store.loaded()
-            && self.store.has_lease()
-            && !self.types.is_empty()
-            && self.now - self.store.last_reply() < Micros::from_millis(2_500)
+impl Peers {
+    /// Nothing is known of anybody.
+    pub(super) fn new(me: usize, members: usize) -> Self {
+        Peers {
+            me,
+            peers: vec![Peer::default(); members],
+            announced_writes: 0,
+        }
     }
 
-    /// Can this node really take requests? When the store answers nobody, being taken out helps
-    /// no user, who would only wait for the way back: then the node stays and says so itself. That
-    /// nobody is served it knows only from peers that it hears; one that hears neither store nor
-    /// peers is more likely cut off alone, and leaves.
-    pub(super) fn healthy(&self) -> bool {
-        let me = self.settings.me;
-        let hears = |(k, p): (usize, &Peer)| k != me && self.now - p.heard < Micros::from_secs(2);
-        let alone = self.peers.len() > 1 && !self.peers.iter().enumerate().any(hears);
-        self.ready()
-            || (self.store.loaded() && !self.types.is_empty() && !self.peer_ready() && !alone)
+    /// Members other than this controller.
+    pub(super) fn others(&self) -> impl Iterator<Item = usize> + 'static {
+        let me = self.me;
+        (0..self.peers.len()).filter(move |member| *member != me)
     }
 
-    pub(super) fn send_periodic_messages(&mut self) {
-        if self.now >= self.alive_next {
-            self.alive_next = self.now + ALIVE_INTERVAL;
-            self.announce();
-        }
-        if self.now >= self.leader_update_next {
-            self.leader_update_next = self.now + LEADER_UPDATE_INTERVAL;
-            for k in 0..self.shards.len() {
-                self.notify_leader(k);
-            }
-        }
-        if self.now >= self.progress_next {
-            self.progress_next = self.now + PROGRESS_INTERVAL;
-            self.broadcast_progress();
-        }
+    fn other_peers(&self) -> impl Iterator<Item = &Peer> {
+        self.others().map(|member| &self.peers[member])
     }
 
-    fn broadcast(&mut self, message: &PeerMessage) {
-        let me = self.settings.me;
-        for to in (0..self.peers.len()).filter(|k| *k != me) {
-            self.effects.push(Effect::SendToPeer {
-                to,
-                message: message.clone(),
-            });
-        }
+    /// Takes in an announcement. False if there is no such member.
+    pub(super) fn announced(
+        &mut self,
+        member: usize,
+        now: Micros,
+        ready: bool,
+        pending_writes: usize,
+    ) -> bool {
+        let Some(peer) = self.peers.get_mut(member) else {
+            return false;
+        };
+        let gap = now - peer.last_heard > SILENCE;
+        peer.last_heard = now;
+        peer.pending_writes = pending_writes;
+        peer.ready_since = match peer.ready_since {
+            _ if !ready => None,
+            Some(since) if !gap => Some(since),
+            _ => Some(now),
+        };
+        true
     }
 
-    /// That this controller is alive, which claims it holds and how many writes wait here.
-    fn announce(&mut self) {
-        let claims = self
-            .store
-            .held_claims()
-            .map(|(claim, token)| (claim.to_string(), token))
-            .collect();
-        let ready = self.ready() && !self.inbound_partitioned();
-        let pending_writes = self.pending_write_count();
-        self.pending_writes = pending_writes;
-        self.broadcast(&PeerMessage::Alive {
-            ready,
-            claims,
-            pending_writes,
-        });
+    /// This controller has announced how many writes wait here.
+    pub(super) fn writes_announced(&mut self, pending_writes: usize) {
+        self.announced_writes = pending_writes;
     }
 
-    /// What waits in a shard, and its machines.
-    fn notify_leader(&mut self, k: usize) {
-        let update = self.with_shard(k, |s, context| {
-            (s.phase == ShardPhase::Ready)
-                .then(|| (s.version, s.requests.clone(), s.views(context)))
-        });
-        let Some((version, mut requests, machines)) = update.flatten() else {
-            return;
-        };
-        if requests.len() > NEEDS_MAX {
-            // The most important are first, and what is served makes room for the rest.
-            warn!(
-                shard = k,
-                waiting = requests.len(),
-                update = NEEDS_MAX,
-                "more jobs wait than the leader is told of"
-            );
-            requests.truncate(NEEDS_MAX);
-        }
-        let message = PeerMessage::Shard {
-            shard: k,
-            version,
-            requests,
-            machines,
-        };
-        let me = self.settings.me;
-        if self.leader.is_some() {
-            self.peer_message(me, message.clone());
-            if !self.duties_in_force() {
-                return;
-            }
-        }
-        for to in self.fleet_holders() {
-            if to != me || self.leader.is_none() {
-                self.effects.push(Effect::SendToPeer {
-                    to,
-                    message: message.clone(),
-                });
-            }
-        }
+    /// Whether any other controller is ready. Workers reach it, or it would not be.
+    pub(super) fn any_ready(&self, now: Micros) -> bool {
+        self.other_peers()
+            .any(|peer| peer.ready_since.is_some() && !peer.silent(now))
     }
 
-    /// Display counts that have changed since they were last told.
-    fn broadcast_progress(&mut self) {
-        let mut changed = Vec::new();
-        for s in self.shards.iter().flatten() {
-            for (id, j) in s.jobs.iter().filter(|j| j.1.live()) {
-                let counts = (j.done.count(), j.running());
-                if self.last_progress.get(id) != Some(&counts) {
-                    changed.push((id.clone(), counts.0, counts.1));
-                }
-            }
-        }
-        let live = &self.jobs;
-        self.last_progress.retain(|id, _| live.contains_key(id));
-        for c in &changed {
-            self.last_progress.insert(c.0.clone(), (c.1, c.2));
-        }
-        if !changed.is_empty() {
-            self.broadcast(&PeerMessage::Progress { jobs: changed });
-        }
+    /// Whether there are other controllers and all of them are silent.
+    pub(super) fn all_silent(&self, now: Micros) -> bool {
+        self.peers.len() > 1 && self.other_peers().all(|peer| peer.silent(now))
     }
 
-    pub(crate) fn notify_holder(&mut self, shard: usize, message: PeerMessage) {
-        if self.shards[shard].is_some() {
-            let me = self.settings.me;
-            self.peer_message(me, message);
-        } else if let Some(to) = self.store.claim(ClaimId::Shard(shard)).map(|c| c.member) {
-            if to != self.settings.me {
-                self.effects.push(Effect::SendToPeer { to, message });
-            }
-        }
+    /// By member: it has been ready for long enough to get its shard back.
+    pub(super) fn ready_for_transfer(&self, now: Micros) -> Vec<bool> {
+        let settled = |peer: &Peer| {
+            peer.ready_since
+                .is_some_and(|since| now - since > READY_BEFORE_TRANSFER)
+        };
+        self.peers
+            .iter()
+            .map(|peer| settled(peer) && !peer.silent(now))
+            .collect()
     }
 
-    pub(super) fn peer_message(&mut self, from: usize, message: PeerMessage) {
-        match message {
-            PeerMessage::Alive {
-                ready,
-                claims,
-                pending_writes,
-            } => {
-                let now = self.now;
-                let Some(peer) = self.peers.get_mut(from) else {
-                    return;
-                };
-                let gap = now - peer.heard > Micros::from_secs(2);
-                peer.heard = now;
-                peer.pending_writes = pending_writes;
-                peer.ready_since = match (ready, peer.ready_since) {
-                    (false, _) => None,
-                    (true, Some(t)) if !gap => Some(t),
-                    (true, _) => Some(now),
-                };
-                self.with_session(|session, context| session.peer_claims(context, from, claims));
-            }
-            PeerMessage::Shard {
-                shard,
-                version,
-                requests,
-                machines,
-            } => {
-                // Held back by the network, a former holder's word may come after its shard has passed
-                // on: it must not count, least of all its opinion of machines.
-                let holder = self.store.claim_on_shard(shard);
-                if holder.is_some_and(|claim| claim.version == version) {
-                    self.shard_updated(shard, requests, machines);
-                }
-            }
-            PeerMessage::Release {
-                shard,
-                machines,
-                above,
-            } => {
-                let now = self.now;
-                self.with_shard(shard, |s, context| s.release(context, &machines, above));
-                self.leader_update_next = now;
-            }
-            PeerMessage::Cancelled { job, tasks } => {
-                self.end_confirmed(
-                    &job,
-                    EndRecord {
-                        cancelled: true,
-                        tasks,
-                    },
-                );
-            }
-            PeerMessage::Progress { jobs } => {
-                for (id, done, running) in jobs {
-                    if self.jobs.contains_key(&id) {
-                        self.users.progress.insert(id, (done, running));
-                    }
-                }
+    /// How many writes wait where.
+    pub(super) fn write_demand(&self, now: Micros) -> WriteDemand {
+        let own = self.announced_writes as i64 + 1;
+        let mut demand = WriteDemand {
+            own,
+            total: own,
+            silent: Vec::new(),
+        };
+        for member in self.others() {
+            let peer = &self.peers[member];
+            if !peer.silent(now) && peer.last_heard > Micros::ZERO {
+                demand.total += peer.pending_writes as i64 + 1;
+            } else {
+                demand.silent.push(member);
             }
         }
+        demand
     }
 }
--- /dev/null
+++ b/crates/seamfront-core/src/engine/pending.rs
@@ -0,0 +1,70 @@
+//! What the reply to an outstanding call is for.
+
+use crate::dependencies::DependencyRequest;
+use crate::format_versions::FormatRequest;
+use crate::garbage_collector::CollectionRequest;
+use crate::leader::LeaderRequest;
+use crate::machine_types::MachineTypesRequest;
+use crate::port::CallId;
+use crate::shard::ShardWrite;
+use crate::store_session::SessionRequest;
+use crate::user_api::UserRequest;
+
+/// What a call's reply is for: the owner that made the call, with its own value.
+pub(crate) enum Pending {
+    Session(SessionRequest),
+    User(UserRequest),
+    Dependency(DependencyRequest),
+    Collection(CollectionRequest),
+    Format(FormatRequest),
+    MachineTypes(MachineTypesRequest),
+    /// Writes on behalf of a shard, under the claim with this version.
+    Shard {
+        shard: usize,
+        version: u64,
+        shard_writes: Vec<ShardWrite>,
+    },
+    Leader {
+        version: u64,
+        call: LeaderRequest,
+    },
+    Duty {
+        call: CallId,
+    },
+}
+
+impl From<SessionRequest> for Pending {
+    fn from(request: SessionRequest) -> Self {
+        Pending::Session(request)
+    }
+}
+
+impl From<UserRequest> for Pending {
+    fn from(request: UserRequest) -> Self {
+        Pending::User(request)
+    }
+}
+
+impl From<DependencyRequest> for Pending {
+    fn from(request: DependencyRequest) -> Self {
+        Pending::Dependency(request)
+    }
+}
+
+impl From<CollectionRequest> for Pending {
+    fn from(request: CollectionRequest) -> Self {
+        Pending::Collection(request)
+    }
+}
+
+impl From<FormatRequest> for Pending {
+    fn from(request: FormatRequest) -> Self {
+        Pending::Format(request)
+    }
+}
+
+impl From<MachineTypesRequest> for Pending {
+    fn from(request: MachineTypesRequest) -> Self {
+        Pending::MachineTypes(request)
+    }
+}
--- a/crates/seamfront-core/src/engine/session.rs
+++ b/crates/seamfront-core/src/engine/session.rs
@@ -39,9 +39,9 @@
     pub(super) fn store_session_tick(&mut self) {
         let inputs = TickInputs {
             duties_in_force: self.duties_in_force(),
-            inbound_partitioned: self.inbound_partitioned(),
-            any_peer_ready: self.peer_ready(),
-            home_ready: self.peers_ready_for_transfer(),
+            inbound_partitioned: self.inbound_partition.detected(),
+            any_peer_ready: self.peers.any_ready(self.now),
+            home_ready: self.peers.ready_for_transfer(self.now),
         };
         self.with_session(|session, context| session.tick(context, &inputs));
     }
--- a/crates/seamfront-core/src/engine/writes.rs
+++ b/crates/seamfront-core/src/engine/writes.rs
@@ -1,17 +1,22 @@
-//! The scheduler's own writes: their pace, their transactions and their outcomes.
+//! The scheduler's own writes: when they are sent, and what follows from their replies.
 
-use super::{
-    machine_write, work_key, EndRecord, Engine, JobId, Micros, Pending, Shard, ShardPhase,
-    ShardWrite, StoreReply, StoreRequest, Write, WriteOutcome,
-};
-use crate::record::part_key;
+use super::transactions::{write_key, write_outcome, ShardTransaction, WriteBatch};
+use super::{Engine, Pending};
+use crate::port::{StoreReply, StoreRequest};
+use crate::shard::{Shard, ShardPhase, ShardWrite, WriteOutcome};
 use crate::store_session::ClaimId;
-use crate::user_api::{end_conditions, end_writes};
+use crate::user_api::EndRecord;
 
-/// Bytes of records in one transaction, well below what the state service takes.
-const TRANSACTION_BYTES: usize = 40_000;
-/// About what a write takes that is no record of a job.
-const SMALL_WRITE: usize = 200;
+/// The schedulers' part of what the store takes, in thousandths; the rest is left to users.
+const SCHEDULERS_PART: i64 = 850;
+/// However busy the others are, a controller keeps one part in so many of its even share.
+const LEAST_PART: i64 = 4;
+/// Operations in a transaction for each of its writes, about.
+const OPERATIONS_PER_WRITE: usize = 3;
+/// Most writes of a shard in one flush.
+const MAX_WRITES_PER_FLUSH: usize = 12;
+/// Writes that the end of a job counts for.
+const END_WRITES: usize = 3;
 
 impl Engine {
     /// How many writes wait here: for tasks to start, for jobs to end, for machines to be adopted.
@@ -24,257 +29,141 @@
             + self.leader_pending_writes()
     }
 
-    /// This controller's part of what the store takes, in thousandths of a write a second. Most of
-    /// it is the schedulers', the rest is left to users. It is divided by what waits where, as the
-    /// controllers tell each other, since one shard may need most of it while others need nothing;
-    /// who is not heard of keeps the part of the shards that it holds.
+    /// This controller's part of what the store takes, in thousandths of a write a second. It is divided by what waits
+    /// where, as the controllers announce it, since one shard may need most of it while others need nothing; a silent
+    /// controller keeps the part of the shards that it holds.
     pub(crate) fn write_rate(&self) -> i64 {
-        let n = self.settings.members.len() as i64;
-        let total = self.settings.write_rps * 850;
-        let (mut own, mut all) = (0, 0);
-        let mut unheard = 0;
-        for (k, p) in self.peers.iter().enumerate() {
-            if k == self.settings.me {
-                own = self.pending_writes as i64 + 1;
-                all += own;
-            } else if self.now - p.heard < Micros::from_secs(2) && p.heard > Micros::ZERO {
-                all += p.pending_writes as i64 + 1;
-            } else {
-                unheard += self.store.shards_of(k) as i64;
-            }
-        }
-        (total * (n - unheard) / n * own / all.max(1)).max(total / (4 * n))
+        let members = self.settings.members.len() as i64;
+        let total = self.settings.write_rps * SCHEDULERS_PART;
+        let demand = self.peers.write_demand(self.now);
+        let kept: i64 = demand
+            .silent
+            .iter()
+            .map(|member| self.store.shards_of(*member) as i64)
+            .sum();
+        let part = total * (members - kept) / members * demand.own / demand.total.max(1);
+        part.max(total / (LEAST_PART * members))
     }
 
-    pub(super) fn fill_write_budget(&mut self) {
+    pub(super) fn refill_write_budget(&mut self) {
         let rate = self.write_rate();
-        let passed = (self.now - self.write_filled).0.clamp(0, 1_000_000);
-        self.write_filled = self.now;
-        self.write_budget = (self.write_budget + rate * passed / 1_000_000).min(rate / 2);
+        self.write_pacer.refill(self.now, rate);
     }
 
+    /// Sends the writes of all shards that are due, as far as the budget goes.
     pub(super) fn flush_writes(&mut self) {
-        if self.now < self.write_rest.max(self.write_next) {
-            return;
-        }
         // What gathers within a moment is written together.
-        self.write_next = self.now + self.settings.ask_every().over(2);
-        // Where several shards are held, another is first each time.
-        self.write_first += 1;
-        let (first, shards) = (self.write_first, self.shards.len());
-        for k in (0..shards).map(|k| (k + first) % shards) {
-            let budget = (self.write_budget / 1_000).max(0) as usize;
-            let most = (self.settings.txn_ops / 3).clamp(1, 12);
-            if budget == 0 || !self.lease_valid(ClaimId::Shard(k)) {
-                continue;
-            }
-            let now = self.now;
-            let layout = self.layout();
-            let ready = |s: &mut Shard| match s.phase {
-                ShardPhase::Ready => s.due_writes(now, budget.min(most), &layout),
-                _ => Vec::new(),
-            };
-            let Some((version, shard_writes)) = self.with_shard(k, |s, _| (s.version, ready(s)))
-            else {
-                continue;
-            };
-            let mut records = Vec::new();
-            let mut bytes = 0;
-            for w in shard_writes {
-                match &w {
-                    // An end may fail for its user's sake; it must not take others with it.
-                    ShardWrite::End { .. } => {
-                        self.write_budget -= 3_000;
-                        self.send_shard_writes(k, version, vec![w]);
-                    }
-                    ShardWrite::Read { job } => {
-                        let key = work_key(k, job);
-                        let pending = Pending::Shard {
-                            shard: k,
-                            version,
-                            shard_writes: vec![w],
-                        };
-                        self.send_to_store(StoreRequest::Get { key }, pending);
-                    }
-                    // One in parts fills a transaction by itself.
-                    ShardWrite::Record { changes, .. } if !changes.is_empty() => {
-                        self.write_budget -= 1_000 * (1 + changes.len() as i64);
-                        self.send_shard_writes(k, version, vec![w]);
-                    }
-                    _ => {
-                        self.write_budget -= 1_000;
-                        let size = if let ShardWrite::Record { record, .. } = &w {
-                            record.bytes
-                        } else {
-                            SMALL_WRITE
-                        };
-                        if bytes + size > TRANSACTION_BYTES && !records.is_empty() {
-                            self.send_shard_writes(k, version, std::mem::take(&mut records));
-                            bytes = 0;
-                        }
-                        bytes += size;
-                        records.push(w);
-                    }
-                }
-            }
-            if !records.is_empty() {
-                self.send_shard_writes(k, version, records);
-            }
+        let interval = self.settings.ask_every().over(2);
+        let Some(flush) = self.write_pacer.start_flush(self.now, interval) else {
+            return;
+        };
+        let shards = self.shards.len();
+        for shard in (0..shards).map(|k| (k + flush) % shards) {
+            self.flush_shard_writes(shard);
         }
     }
 
-    /// Every write on behalf of a shard carries its claim's version, so that one that is applied
-    /// late, after the shard has passed on, fails.
-    pub(super) fn send_shard_writes(
-        &mut self,
-        k: usize,
-        version: u64,
-        shard_writes: Vec<ShardWrite>,
-    ) {
-        let mut conditions = vec![(ClaimId::Shard(k).to_string(), version)];
-        let mut writes = Vec::new();
-        for w in &shard_writes {
-            let key = self.write_key(k, w);
-            match w {
-                ShardWrite::Record {
-                    job,
-                    version,
-                    record,
-                    changes,
-                    ..
-                } => {
-                    conditions.push((key.clone(), *version));
-                    writes.push(Write::Put {
-                        key,
-                        value: record.head.clone(),
-                        lease: None,
-                    });
-                    for (number, part) in changes {
-                        let key = part_key(k, job, *number);
-                        writes.push(match part {
-                            Some(value) => Write::Put {
-                                key,
-                                value: value.clone(),
-                                lease: None,
-                            },
-                            None => Write::Delete { key },
-                        });
-                    }
-                }
-                ShardWrite::End {
-                    job,
-                    job_version,
-                    record_version,
-                    parts_end,
-                    tasks,
-                } => {
-                    let end = EndRecord {
-                        cancelled: false,
-                        tasks: *tasks,
-                    };
-                    conditions.extend(end_conditions(job, *job_version));
-                    writes.extend(end_writes(job, end));
-                    if *record_version > 0 {
-                        conditions.push((key.clone(), *record_version));
-                        writes.push(Write::Delete { key });
-                        writes.extend(self.part_deletions(k, job, *parts_end));
-                    }
+    fn flush_shard_writes(&mut self, shard: usize) {
+        let Some((version, writes)) = self.due_shard_writes(shard) else {
+            return;
+        };
+        let mut batch = WriteBatch::default();
+        for write in writes {
+            match &write {
+                // An end may fail for its user's sake; it must not take others with it.
+                ShardWrite::End { .. } => {
+                    self.write_pacer.spend(END_WRITES);
+                    self.send_shard_writes(shard, version, vec![write]);
                 }
-                ShardWrite::DropRecord {
-                    job,
-                    version,
-                    parts_end,
-                } => {
-                    conditions.push((key.clone(), *version));
-                    writes.push(Write::Delete { key });
-                    writes.extend(self.part_deletions(k, job, *parts_end));
+                ShardWrite::Read { .. } => self.send_shard_read(shard, version, write),
+                // One in parts fills a transaction by itself.
+                ShardWrite::Record { changes, .. } if !changes.is_empty() => {
+                    self.write_pacer.spend(1 + changes.len());
+                    self.send_shard_writes(shard, version, vec![write]);
                 }
-                ShardWrite::Machine {
-                    machine,
-                    version,
-                    record,
-                } => {
-                    conditions.push((key, *version));
-                    writes.push(machine_write(machine, record));
+                _ => {
+                    self.write_pacer.spend(1);
+                    if let Some(full) = batch.add(write) {
+                        self.send_shard_writes(shard, version, full);
+                    }
                 }
-                ShardWrite::Read { .. } => {}
             }
         }
-        self.send_to_store(
-            StoreRequest::CompareAndSwap { conditions, writes },
-            Pending::Shard {
-                shard: k,
-                version,
-                shard_writes,
-            },
-        );
+        if let Some(rest) = batch.into_rest() {
+            self.send_shard_writes(shard, version, rest);
+        }
+    }
+
+    /// The writes of a shard that may be sent now, with the version of its claim.
+    fn due_shard_writes(&mut self, shard: usize) -> Option<(u64, Vec<ShardWrite>)> {
+        let available = self.write_pacer.available_writes();
+        if available == 0 || !self.lease_valid(ClaimId::Shard(shard)) {
+            return None;
+        }
+        let most = (self.settings.txn_ops / OPERATIONS_PER_WRITE).clamp(1, MAX_WRITES_PER_FLUSH);
+        let (now, layout) = (self.now, self.layout());
+        self.with_shard(shard, |s, _| {
+            let writes = match s.phase {
+                ShardPhase::Ready => s.due_writes(now, available.min(most), &layout),
+                _ => Vec::new(),
+            };
+            (s.version, writes)
+        })
     }
 
-    /// A part without its head means nothing: should there be more than a transaction takes, the rest stays.
-    fn part_deletions(&self, k: usize, job: &JobId, parts_end: u32) -> Vec<Write> {
-        let most = self.settings.txn_ops.saturating_sub(3);
-        (0..parts_end)
-            .rev()
-            .take(most)
-            .map(|number| Write::Delete {
-                key: part_key(k, job, number),
-            })
-            .collect()
+    fn send_shard_read(&mut self, shard: usize, version: u64, read: ShardWrite) {
+        let key = write_key(shard, &read);
+        let pending = Pending::Shard {
+            shard,
+            version,
+            shard_writes: vec![read],
+        };
+        self.send_to_store(StoreRequest::Get { key }, pending);
     }
 
-    pub(super) fn write_key(&self, k: usize, w: &ShardWrite) -> String {
-        match w {
-            ShardWrite::Machine { machine, .. } => crate::machine::machine_key(machine),
-            ShardWrite::Record { job, .. }
-            | ShardWrite::End { job, .. }
-            | ShardWrite::DropRecord { job, .. }
-            | ShardWrite::Read { job } => work_key(k, job),
+    fn send_shard_writes(&mut self, shard: usize, version: u64, shard_writes: Vec<ShardWrite>) {
+        let mut transaction = ShardTransaction::new(shard, version, self.settings.txn_ops);
+        for write in &shard_writes {
+            transaction.add(write);
         }
+        let pending = Pending::Shard {
+            shard,
+            version,
+            shard_writes,
+        };
+        self.send_to_store(transaction.into_request(), pending);
     }
 
     pub(super) fn shard_reply(
         &mut self,
-        k: usize,
+        shard: usize,
         version: u64,
         shard_writes: &[ShardWrite],
         reply: &StoreReply,
     ) {
-        if self.store.held_token(ClaimId::Shard(k)) != Some(version) {
+        let claim = ClaimId::Shard(shard);
+        if self.store.held_token(claim) != Some(version) {
             return;
         }
         if let StoreReply::Conflict { failed } = reply {
-            if failed.contains(&ClaimId::Shard(k).to_string()) {
-                return self.drop_claim(ClaimId::Shard(k), "claim proven lost");
+            if failed.contains(&claim.to_string()) {
+                return self.drop_claim(claim, "a write failed on the claim");
             }
         }
         if matches!(reply, StoreReply::Refused) {
-            self.write_rest = self.now + Micros::from_millis(200);
+            self.write_pacer.store_refused(self.now);
         }
-        for w in shard_writes {
-            let key = self.write_key(k, w);
-            let outcome = match (w, reply) {
-                (ShardWrite::Read { .. }, StoreReply::Entry(e)) => WriteOutcome::Done(e.version),
-                (ShardWrite::Read { .. }, StoreReply::Missing) => WriteOutcome::Done(0),
-                (_, StoreReply::Committed { revision }) => WriteOutcome::Done(*revision),
-                (_, StoreReply::Refused) => WriteOutcome::Refused,
-                // One failed condition fails all; those that held are simply made again.
-                (ShardWrite::End { .. }, StoreReply::Conflict { .. }) => WriteOutcome::Unclear,
-                (_, StoreReply::Conflict { failed }) if !failed.contains(&key) => {
-                    WriteOutcome::Refused
-                }
-                _ => WriteOutcome::Unclear,
-            };
-            if let (ShardWrite::End { job, tasks, .. }, WriteOutcome::Done(_)) = (w, outcome) {
-                self.users.ended.insert(
-                    job,
-                    EndRecord {
-                        cancelled: false,
-                        tasks: *tasks,
-                    },
-                );
+        for write in shard_writes {
+            let outcome = write_outcome(write, &write_key(shard, write), reply);
+            if let (ShardWrite::End { job, tasks, .. }, WriteOutcome::Done(_)) = (write, outcome) {
+                let end = EndRecord {
+                    cancelled: false,
+                    tasks: *tasks,
+                };
+                self.users.ended.insert(job, end);
                 self.remove_live_job(job);
             }
-            self.with_shard(k, |s, context| s.written(context, w, outcome));
+            self.with_shard(shard, |s, context| s.written(context, write, outcome));
         }
     }
 }
--- a/crates/seamfront-core/src/leader/adoption.rs
+++ b/crates/seamfront-core/src/leader/adoption.rs
@@ -65,7 +65,9 @@
         }
         self.assign(failed);
         if let Some(l) = self.leader.as_mut() {
-            let price = |r: &MachineRecord| capacity::hourly_price(&self.types, &r.kind, r.spot);
+            let price = |r: &MachineRecord| {
+                capacity::hourly_price(self.machine_types.all(), &r.kind, r.spot)
+            };
             l.adoptions = new
                 .into_iter()
                 .map(|(id, record)| ((Reverse(price(&record)), id), record))
--- a/crates/seamfront-core/src/leader/mod.rs
+++ b/crates/seamfront-core/src/leader/mod.rs
@@ -218,7 +218,7 @@
             return;
         };
         conditions.insert(0, (self.fence_key(duty, fencing_token), fencing_token));
-        self.write_budget -= writes.len() as i64 * 1_000;
+        self.write_pacer.spend(writes.len());
         self.send_to_store(
             StoreRequest::CompareAndSwap { conditions, writes },
             Pending::Leader {
@@ -418,7 +418,7 @@
             requests,
             machines,
             provisionings: l.provisionings.values().map(|r| &r.record).collect(),
-            types: &self.types,
+            types: self.machine_types.all(),
             unavailable_offers: &l.unavailable_offers,
             tuning: &self.settings.tuning,
             boot_times: &l.boot_times,
@@ -439,7 +439,7 @@
             plan.terminations.retain(|id| released.contains(id));
         }
         let asked_before = l.provisionings.len() >= 6;
-        if may.provisioning && !asked_before && !self.types.is_empty() {
+        if may.provisioning && !asked_before && self.machine_types.known() {
             for r in plan.provisionings {
                 self.start_provisioning(r);
             }
@@ -503,7 +503,7 @@
         let room = self
             .settings
             .txn_ops
-            .min((self.write_budget / 1_000).max(0) as usize);
+            .min(self.write_pacer.available_writes());
         if let Some(l) = self.leader.as_mut() {
             l.pending_moves = assignments.len();
         }
@@ -574,7 +574,7 @@
     /// How many records the leader may write now; half of what there is, so that shards held here can
     /// go on.
     fn leader_writes(&self) -> usize {
-        (self.write_budget / 2_000).max(0) as usize
+        self.write_pacer.available_writes() / 2
     }
 
     pub(crate) fn shard_updated(
--- a/crates/seamfront-core/src/leader/provisioning.rs
+++ b/crates/seamfront-core/src/leader/provisioning.rs
@@ -81,7 +81,7 @@
             .collect();
         for name in settle {
             // They boot meanwhile: their records can wait for what the store takes.
-            if self.write_budget > 0 {
+            if self.write_pacer.has_budget() {
                 self.record_provisioned_machines(&name);
             }
         }
--- a/crates/seamfront-core/src/lib.rs
+++ b/crates/seamfront-core/src/lib.rs
@@ -14,6 +14,7 @@
 pub mod job;
 pub mod leader;
 pub mod machine;
+mod machine_types;
 mod outbox;
 pub mod placement;
 pub mod port;
--- a/crates/seamfront-core/src/store_session/claims.rs
+++ b/crates/seamfront-core/src/store_session/claims.rs
@@ -33,13 +33,14 @@
         seen: Option<Claim>,
         version: u64,
     ) {
-        let state = self.state(claim);
+        let lease = self.lease.id;
+        let state = self.state_mut(claim);
         if state.seen_newer_than(version) {
             return;
         }
-        let ours = seen.as_ref().is_some_and(|seen| {
-            seen.member == context.settings.me && Some(seen.lease) == self.lease.id
-        });
+        let ours = seen
+            .as_ref()
+            .is_some_and(|seen| seen.member == context.settings.me && Some(seen.lease) == lease);
         if state
             .token()
             .is_some_and(|token| token < version || (token == version && !ours))
--- a/crates/seamfront-core/src/store_session/mod.rs
+++ b/crates/seamfront-core/src/store_session/mod.rs
@@ -248,12 +248,7 @@
 
     /// The claim as last seen, whoever holds it.
     pub(crate) fn claim(&self, claim: ClaimId) -> Option<&Claim> {
-        self.state(claim).seen.as_ref()
-    }
-
-    /// The claim on a shard as last seen; None also where there is no such shard.
-    pub(crate) fn claim_on_shard(&self, shard: usize) -> Option<&Claim> {
-        self.shard_claims.get(shard)?.seen.as_ref()
+        self.state(claim)?.seen.as_ref()
     }
 
     /// How many shards this member is seen to hold.
@@ -270,12 +265,12 @@
 
     /// The fencing token of a claim under which this controller acts.
     pub(crate) fn held_token(&self, claim: ClaimId) -> Option<u64> {
-        self.state(claim).token()
+        self.state(claim)?.token()
     }
 
     /// Sending time of the last request by which a claim that is held here was verified.
     pub(crate) fn last_verified(&self, claim: ClaimId) -> Option<Micros> {
-        self.state(claim).held?.last_verified
+        self.state(claim)?.held?.last_verified
     }
 
     /// All claims: those on shards, then the one to leadership.
@@ -284,10 +279,11 @@
         shards.chain([ClaimId::Leader])
     }
 
-    fn state(&self, claim: ClaimId) -> &ClaimState {
+    /// None if there is no such shard.
+    fn state(&self, claim: ClaimId) -> Option<&ClaimState> {
         match claim {
-            ClaimId::Shard(shard) => &self.shard_claims[shard],
-            ClaimId::Leader => &self.leader_claim,
+            ClaimId::Shard(shard) => self.shard_claims.get(shard),
+            ClaimId::Leader => Some(&self.leader_claim),
         }
     }
 
--- a/crates/seamfront-core/src/user_api.rs
+++ b/crates/seamfront-core/src/user_api.rs
@@ -238,7 +238,7 @@
         if self.jobs.contains_key(&spec.id) {
             return self.poll(to, spec.id);
         }
-        if self.types.is_empty() {
+        if !self.machine_types.known() {
             return self.reject_with_retry_after(to);
         }
         spec.submitted = self.wall_time;
@@ -263,7 +263,7 @@
             t.size.fits(spec.task_resources) > 0
                 && t.zones.iter().any(|z| spec.allows(&t.name, z, false))
         };
-        if !self.types.iter().any(fits) {
+        if !self.machine_types.all().iter().any(fits) {
             return Err(SubmissionError::NoMachineFits);
         }
         if !within_limit(team, spec) {
