--- a/crates/seamfront-core/src/engine/health.rs
+++ b/crates/seamfront-core/src/engine/health.rs
@@ -56,7 +56,7 @@
             shard
                 .machines
                 .values()
-                .any(|m| m.last_heartbeat.is_some() && m.record.shard.is_some())
+                .any(|m| m.agent.last_heartbeat.is_some() && m.record.shard.is_some())
         };
         let own_workers = self.shards.iter().flatten().any(heard_once);
         let interval = self.settings.heartbeat_interval;
