--- a/crates/seamfront-core/src/engine/messages.rs
+++ b/crates/seamfront-core/src/engine/messages.rs
@@ -192,6 +192,7 @@
         Some(claim.member).filter(|member| *member != self.settings.me)
     }
 
+    /// Takes in a message of another controller, or of this one to itself.
     pub(super) fn peer_message(&mut self, from: usize, message: PeerMessage) {
         match message {
             PeerMessage::Alive {
@@ -199,11 +200,8 @@
                 claims,
                 pending_writes,
             } => {
-                let now = self.now;
-                if self.peers.announced(from, now, ready, pending_writes) {
-                    self.with_session(|session, context| {
-                        session.peer_claims(context, from, claims)
-                    });
+                if self.peers.announced(from, self.now, ready, pending_writes) {
+                    self.with_session(|s, context| s.peer_claims(context, from, claims));
                 }
             }
             PeerMessage::Shard {
@@ -212,10 +210,7 @@
                 requests,
                 machines,
             } => {
-                // Delayed by the network, a former holder's update may come after its shard has passed on: it must not
-                // count, least of all its judgement of machines.
-                let claim = self.store.claim(ClaimId::Shard(shard));
-                if claim.is_some_and(|claim| claim.version == version) {
+                if self.claimed_at_version(shard, version) {
                     self.shard_updated(shard, requests, machines);
                 }
             }
@@ -234,12 +229,21 @@
                 };
                 self.end_confirmed(&job, end);
             }
-            PeerMessage::Progress { jobs } => {
-                for (id, done, running) in jobs {
-                    if self.jobs.contains_key(&id) {
-                        self.users.progress.insert(id, (done, running));
-                    }
-                }
+            PeerMessage::Progress { jobs } => self.progress_received(jobs),
+        }
+    }
+
+    /// Whether this is the version of the claim on a shard. Delayed by the network, a former holder's update may come
+    /// after its shard has passed on: it must not count, least of all its judgement of machines.
+    fn claimed_at_version(&self, shard: usize, version: u64) -> bool {
+        let claim = self.store.claim(ClaimId::Shard(shard));
+        claim.is_some_and(|claim| claim.version == version)
+    }
+
+    fn progress_received(&mut self, jobs: Vec<(JobId, u32, u32)>) {
+        for (id, done, running) in jobs {
+            if self.jobs.contains_key(&id) {
+                self.users.progress.insert(id, (done, running));
             }
         }
     }
--- a/crates/seamfront-core/src/engine/mod.rs
+++ b/crates/seamfront-core/src/engine/mod.rs
@@ -1,5 +1,8 @@
-//! The one owner of all state of a controller. Commands come in batches, effects go out; time is
-//! given, never asked for. Same commands, same times, same effects.
+//! The scheduler of one controller as a deterministic state machine: commands come in batches, effects go out, and time
+//! is an argument. The same commands at the same times give the same effects.
+//!
+//! The engine dispatches: it routes commands and replies to the owners of the parts of its state, hands out what they
+//! send in order, and lets the others know of what has changed.
 
 use crate::dependencies::{DependencyGraph, JobDependencies};
 use crate::format_versions::{FormatRequest, FormatVersions};
@@ -62,14 +65,14 @@
     pub(crate) store: StoreSession,
     pub(crate) jobs: BTreeMap<JobId, LiveJob>,
     pub(crate) machines: BTreeMap<MachineId, (MachineRecord, u64)>,
-    /// Since when each has been the shard's that it is.
+    /// Since when each machine has belonged to its present shard.
     pub(crate) machine_since: BTreeMap<MachineId, Micros>,
     pub(crate) shards: Vec<Option<Shard>>,
     pub(crate) leader: Option<Leader>,
     pub(crate) users: Users,
     pub(crate) dependencies: DependencyGraph,
     format_versions: FormatVersions,
-    /// Where duties are on.
+    /// None where duties are off.
     pub(crate) duties: Option<DutyManager>,
     pub(crate) garbage_collector: GarbageCollector,
     pub(crate) machine_types: MachineTypes,
@@ -81,20 +84,20 @@
 }
 
 impl Engine {
-    /// A controller that has just begun: it knows nothing of what it did before.
+    /// A controller that has just started: it has no memory of an earlier run.
     pub fn new(settings: Settings) -> Engine {
-        let n = settings.members.len();
+        let members = settings.members.len();
         Engine {
             now: Micros::ZERO,
             wall_time: Micros::ZERO,
             effects: Vec::new(),
             calls: BTreeMap::new(),
             next_call: 1,
-            store: StoreSession::new(n),
+            store: StoreSession::new(members),
             jobs: BTreeMap::new(),
             machines: BTreeMap::new(),
             machine_since: BTreeMap::new(),
-            shards: (0..n).map(|_| None).collect(),
+            shards: (0..members).map(|_| None).collect(),
             leader: None,
             users: Users::default(),
             dependencies: DependencyGraph::default(),
@@ -102,7 +105,7 @@
             duties: crate::fleet_duties::manager(&settings),
             garbage_collector: GarbageCollector::default(),
             machine_types: MachineTypes::default(),
-            peers: Peers::new(settings.me, n),
+            peers: Peers::new(settings.me, members),
             inbound_partition: InboundPartition::default(),
             periodic_messages: PeriodicMessages::default(),
             write_pacer: WritePacer::default(),
@@ -111,18 +114,19 @@
         }
     }
 
-    /// `now` is a steady clock's, `wall_time` the time of day; both only ever come from here.
+    /// Takes in commands and returns the effects that follow. `now` is read from a steady clock, `wall_time` is the time
+    /// of day; no other clock is read.
     pub fn step(&mut self, now: Micros, wall_time: Micros, commands: Vec<Command>) -> Vec<Effect> {
         self.now = now;
         self.wall_time = wall_time;
-        for c in commands {
-            self.take(c);
+        for command in commands {
+            self.dispatch(command);
         }
         self.tick();
         std::mem::take(&mut self.effects)
     }
 
-    fn take(&mut self, command: Command) {
+    fn dispatch(&mut self, command: Command) {
         match command {
             Command::Submit { to, spec } => self.submit(to, *spec),
             Command::Poll { to, id } => self.poll(to, id),
@@ -162,8 +166,8 @@
         self.machine_types_tick();
         self.format_versions_tick();
         self.duties_tick();
-        for k in 0..self.shards.len() {
-            self.with_shard(k, |s, context| {
+        for shard in 0..self.shards.len() {
+            self.with_shard(shard, |s, context| {
                 s.tick(context);
                 s.run_scheduling_cycle(context);
             });
@@ -173,14 +177,14 @@
         self.dependencies_tick();
         self.users_flush();
         self.flush_writes();
-        for k in 0..self.shards.len() {
-            self.with_shard(k, |s, context| s.send_directs(context));
+        for shard in 0..self.shards.len() {
+            self.with_shard(shard, |s, context| s.send_directs(context));
         }
         self.send_periodic_messages();
     }
 
-    /// How much was looked at since the start by the shards held now and by the leader. What a step costs
-    /// follows from it, and unlike time it is the same on every machine.
+    /// Items examined since the start by the shards held now and by the leader. The cost of a step follows from it, and
+    /// unlike time it is the same on every machine.
     pub fn work_done(&self) -> i64 {
         self.leader_work_done
             + self
@@ -191,29 +195,27 @@
                 .sum::<i64>()
     }
 
-    // ---- plumbing ------------------------------------------------------------------------
-
+    /// Calls a shard with its context; None if it is not held here.
     pub(crate) fn with_shard<R>(
         &mut self,
-        k: usize,
-        f: impl FnOnce(&mut Shard, &mut Context) -> R,
+        shard: usize,
+        call: impl FnOnce(&mut Shard, &mut Context) -> R,
     ) -> Option<R> {
-        let (lease_valid, layout) = (self.lease_valid(ClaimId::Shard(k)), self.layout());
+        let lease_valid = self.lease_valid(ClaimId::Shard(shard));
+        let layout = self.layout();
         let settings = self.settings.clone();
-        let shard = self.shards.get_mut(k)?.as_mut()?;
-        let calls = &mut self.next_call;
-        let types = self.machine_types.all();
+        let shard = self.shards.get_mut(shard)?.as_mut()?;
         let mut context = Context {
             settings: &settings,
             now: self.now,
             wall_time: self.wall_time,
-            types,
+            types: self.machine_types.all(),
             effects: &mut self.effects,
-            calls,
+            calls: &mut self.next_call,
             lease_valid,
             layout,
         };
-        Some(f(shard, &mut context))
+        Some(call(shard, &mut context))
     }
 
     /// How work records may be laid out now.
@@ -273,26 +275,28 @@
         self.flush(outbox);
     }
 
-    fn call(&mut self, pending: Pending) -> CallId {
+    /// The id of a new call whose reply is for `pending`.
+    fn register_call(&mut self, pending: Pending) -> CallId {
         let id = self.next_call;
         self.next_call += 1;
         self.calls.insert(id, pending);
         id
     }
 
+    /// Sends a request to the store.
     pub(crate) fn send_to_store(&mut self, request: StoreRequest, pending: impl Into<Pending>) {
-        let call = self.call(pending.into());
+        let call = self.register_call(pending.into());
         self.effects.push(Effect::Store { call, request });
     }
 
-    /// Asks the cloud; with a time, only until then.
+    /// Sends a request to the cloud, with a time only before it.
     pub(crate) fn send_to_cloud(
         &mut self,
         request: CloudRequest,
         until: Option<Micros>,
         pending: impl Into<Pending>,
     ) {
-        let call = self.call(pending.into());
+        let call = self.register_call(pending.into());
         self.effects.push(Effect::Cloud {
             call,
             request,
@@ -300,6 +304,7 @@
         });
     }
 
+    /// Answers a user.
     pub(crate) fn answer(&mut self, to: ClientRequestId, answer: Answer) {
         self.effects.push(Effect::Answer { to, answer });
     }
--- a/crates/seamfront-core/src/engine/transactions.rs
+++ b/crates/seamfront-core/src/engine/transactions.rs
@@ -115,11 +115,7 @@
                 self.conditions.push((key.clone(), *version));
                 self.put(key, record.head.clone());
                 for (number, part) in changes {
-                    let key = part_key(self.shard, job, *number);
-                    match part {
-                        Some(value) => self.put(key, value.clone()),
-                        None => self.writes.push(Write::Delete { key }),
-                    }
+                    self.change_part(part_key(self.shard, job, *number), part.as_ref());
                 }
             }
             ShardWrite::End {
@@ -156,6 +152,13 @@
         }
     }
 
+    fn change_part(&mut self, key: String, part: Option<&serde_json::Value>) {
+        match part {
+            Some(value) => self.put(key, value.clone()),
+            None => self.writes.push(Write::Delete { key }),
+        }
+    }
+
     fn put(&mut self, key: String, value: serde_json::Value) {
         self.writes.push(Write::Put {
             key,
