--- a/crates/seamfront-core/src/engine/mod.rs
+++ b/crates/seamfront-core/src/engine/mod.rs
@@ -5,6 +5,7 @@
 //! send in order, and lets the others know of what has changed.
 
 use crate::dependencies::{DependencyGraph, JobDependencies};
+use crate::fleet_duties::Duties;
 use crate::format_versions::{FormatRequest, FormatVersions};
 use crate::garbage_collector::GarbageCollector;
 use crate::leader::Leader;
@@ -20,11 +21,12 @@
 use crate::store_session::{ClaimId, StoreSession};
 use crate::types::{JobId, JobSpec, MachineId, Micros, Settings};
 use crate::user_api::Users;
-use seamfront_lease::DutyManager;
+use crate::write_pacing::WritePacer;
 use std::collections::BTreeMap;
 use std::rc::Rc;
 use tracing::trace;
 
+mod fleet;
 mod health;
 mod machines;
 mod messages;
@@ -32,14 +34,12 @@
 mod pending;
 mod session;
 mod transactions;
-mod write_pacing;
 mod writes;
 
 use health::InboundPartition;
 use messages::PeriodicMessages;
 use peers::Peers;
 pub(crate) use pending::Pending;
-use write_pacing::WritePacer;
 
 /// A live job in this controller's view.
 #[derive(Clone, Debug)]
@@ -72,8 +72,7 @@
     pub(crate) users: Users,
     pub(crate) dependencies: DependencyGraph,
     format_versions: FormatVersions,
-    /// None where duties are off.
-    pub(crate) duties: Option<DutyManager>,
+    pub(crate) duties: Duties,
     pub(crate) garbage_collector: GarbageCollector,
     pub(crate) machine_types: MachineTypes,
     peers: Peers,
@@ -102,7 +101,7 @@
             users: Users::default(),
             dependencies: DependencyGraph::default(),
             format_versions: FormatVersions::default(),
-            duties: crate::fleet_duties::manager(&settings),
+            duties: Duties::new(&settings),
             garbage_collector: GarbageCollector::default(),
             machine_types: MachineTypes::default(),
             peers: Peers::new(settings.me, members),
@@ -236,6 +235,7 @@
                     until,
                     pending,
                 } => self.send_to_cloud(request, until, pending),
+                Outgoing::ShardOwner { shard, message } => self.notify_holder(shard, message),
                 Outgoing::Effect(effect) => self.effects.push(effect),
             }
         }
@@ -329,16 +329,14 @@
                 version,
                 shard_writes,
             } => self.shard_reply(shard, version, &shard_writes, &reply),
-            Pending::Leader { version, call } => self.leader_store_reply(version, call, reply),
+            Pending::Leader(request) => self.leader_store_reply(request, reply),
             Pending::Duty { call } => self.duty_reply(call, reply),
         }
     }
 
     fn cloud_reply(&mut self, call: CallId, reply: CloudReply) {
         match self.calls.remove(&call) {
-            Some(Pending::Leader { version, call }) => {
-                self.leader_cloud_reply(version, call, reply)
-            }
+            Some(Pending::Leader(request)) => self.leader_cloud_reply(request, reply),
             Some(Pending::MachineTypes(MachineTypesRequest::FromCloud)) => {
                 let event = self.machine_types.cloud_reply(reply);
                 self.machine_types_event(event);
--- a/crates/seamfront-core/src/engine/pending.rs
+++ b/crates/seamfront-core/src/engine/pending.rs
@@ -3,7 +3,7 @@
 use crate::dependencies::DependencyRequest;
 use crate::format_versions::FormatRequest;
 use crate::garbage_collector::CollectionRequest;
-use crate::leader::LeaderRequest;
+use crate::leader::FencedRequest;
 use crate::machine_types::MachineTypesRequest;
 use crate::port::CallId;
 use crate::shard::ShardWrite;
@@ -24,10 +24,7 @@
         version: u64,
         shard_writes: Vec<ShardWrite>,
     },
-    Leader {
-        version: u64,
-        call: LeaderRequest,
-    },
+    Leader(FencedRequest),
     Duty {
         call: CallId,
     },
@@ -57,6 +54,12 @@
     }
 }
 
+impl From<FencedRequest> for Pending {
+    fn from(request: FencedRequest) -> Self {
+        Pending::Leader(request)
+    }
+}
+
 impl From<FormatRequest> for Pending {
     fn from(request: FormatRequest) -> Self {
         Pending::Format(request)
--- a/crates/seamfront-core/src/engine/session.rs
+++ b/crates/seamfront-core/src/engine/session.rs
@@ -38,7 +38,7 @@
 
     pub(super) fn store_session_tick(&mut self) {
         let inputs = TickInputs {
-            duties_in_force: self.duties_in_force(),
+            duties_in_force: self.duties.in_force(),
             inbound_partitioned: self.inbound_partition.detected(),
             any_peer_ready: self.peers.any_ready(self.now),
             home_ready: self.peers.ready_for_transfer(self.now),
@@ -123,7 +123,9 @@
     fn claim_lost(&mut self, claim: ClaimId) {
         match claim {
             // Without a version it rests on duties, not on this claim.
-            ClaimId::Leader => self.leader = self.leader.take().filter(|l| l.version.is_none()),
+            ClaimId::Leader => {
+                self.leader = self.leader.take().filter(|l| l.claim_version().is_none())
+            }
             ClaimId::Shard(shard) => self.shards[shard] = None,
         }
     }
--- a/crates/seamfront-core/src/lib.rs
+++ b/crates/seamfront-core/src/lib.rs
@@ -12,7 +12,7 @@
 pub mod gang;
 mod garbage_collector;
 pub mod job;
-pub mod leader;
+mod leader;
 pub mod machine;
 mod machine_types;
 mod outbox;
@@ -26,5 +26,6 @@
 pub mod store_session;
 pub mod types;
 pub mod user_api;
+mod write_pacing;
 
 pub use engine::Engine;
--- a/crates/seamfront-core/src/engine/write_pacing.rs
+++ b/crates/seamfront-core/src/write_pacing.rs
@@ -26,7 +26,7 @@
 
 impl WritePacer {
     /// Adds what has accrued at a rate in thousandths of a write a second.
-    pub(super) fn refill(&mut self, now: Micros, rate: i64) {
+    pub(crate) fn refill(&mut self, now: Micros, rate: i64) {
         let passed = (now - self.refilled_at).0.clamp(0, MAX_REFILL);
         self.refilled_at = now;
         let accrued = rate * passed / MICROS_PER_SECOND;
@@ -34,7 +34,7 @@
     }
 
     /// Starts a flush if one is due, the next one an interval later. Returns the number of the flush.
-    pub(super) fn start_flush(&mut self, now: Micros, interval: Micros) -> Option<usize> {
+    pub(crate) fn start_flush(&mut self, now: Micros, interval: Micros) -> Option<usize> {
         if now < self.paused_until.max(self.next_flush) {
             return None;
         }
@@ -59,7 +59,7 @@
     }
 
     /// The store has refused writes.
-    pub(super) fn store_refused(&mut self, now: Micros) {
+    pub(crate) fn store_refused(&mut self, now: Micros) {
         self.paused_until = now + REFUSED_PAUSE;
     }
 }
