--- a/crates/seamfront-core/src/engine/mod.rs
+++ b/crates/seamfront-core/src/engine/mod.rs
@@ -12,7 +12,9 @@
     PeerMessage, StoreReply, StoreRequest, Write,
 };
 use crate::record::Layout;
-use crate::shard::{machine_write, work_key, Context, Shard, ShardPhase, ShardWrite, WriteOutcome};
+use crate::shard::{
+    machine_write, work_key, Context, Shard, ShardPhase, ShardWrite, StatusSource, WriteOutcome,
+};
 use crate::store_session::{SessionRequest, StoreSession};
 use crate::types::{JobId, JobSpec, MachineId, MachineType, Micros, Resources, Settings};
 use crate::user_api::{EndRecord, UserRequest, Users};
@@ -498,7 +500,7 @@
                 return None;
             }
             let ready = s.phase == ShardPhase::Ready;
-            if !s.apply_heartbeat(context, heartbeat, true) {
+            if !s.apply_heartbeat(context, heartbeat, StatusSource::WorkerHeartbeat) {
                 return None;
             }
             let orders = if ready {
--- a/crates/seamfront-core/src/scheduling/mod.rs
+++ b/crates/seamfront-core/src/scheduling/mod.rs
@@ -1,11 +1,10 @@
 //! The shard's rounds: who gets room, in which order, and who must make room. Tasks of one job are
 //! alike and are decided together, as a class.
 
-use crate::gang::Member;
 use crate::job::{Cause, Job, Phase, Placement};
 use crate::machine::Machine;
 use crate::placement::{Availability, FreeCapacity, Machines, PlacementRequest};
-use crate::port::{MachineView, ResourceRequest};
+use crate::port::ResourceRequest;
 use crate::quota;
 use crate::shard::{Context, Shard, ShardPhase};
 use crate::types::{
@@ -14,9 +13,8 @@
 };
 use std::collections::{BTreeMap, BTreeSet};
 use std::rc::Rc;
-use tracing::{debug, info, warn};
+use tracing::{debug, info};
 
-mod machine_health;
 mod preemption;
 
 /// Rounds follow changes, but not more often than this: a burst is decided together.
--- /dev/null
+++ b/crates/seamfront-core/src/shard/machine_views.rs
@@ -0,0 +1,155 @@
+//! The leader's view of a shard's machines, and their release for the leader.
+
+use super::{
+    debug, info, Cause, Context, JobId, JobKind, MachineId, Member, Micros, Priority, Resources,
+    Shard, ShardPhase, TaskKey,
+};
+use crate::job::Job;
+use crate::machine::Machine;
+use crate::port::MachineView;
+use std::collections::BTreeMap;
+
+/// What is on a machine.
+struct Occupancy {
+    /// The most important priority.
+    highest_priority: Option<Priority>,
+    /// Work that would be lost by evicting all tasks.
+    loss: Micros,
+    /// Resources of services.
+    pinned: Resources,
+}
+
+impl Shard {
+    /// The leader's view of the machines.
+    pub fn views(&self, context: &Context) -> Vec<MachineView> {
+        self.count_work(self.machines.len());
+        self.machines
+            .values()
+            .filter(|m| m.record.shard.is_some())
+            .map(|m| self.view(context, m))
+            .collect()
+    }
+
+    fn view(&self, context: &Context, m: &Machine) -> MachineView {
+        let occupancy = self.occupancy(context, m);
+        let silent_limit = context.settings.heartbeat_interval.times(3);
+        let idle_since = m.usage.idle_since.filter(|_| m.empty());
+        MachineView {
+            highest_priority: occupancy.highest_priority,
+            loss: occupancy.loss,
+            pinned: occupancy.pinned,
+            id: m.id.clone(),
+            version: m.version,
+            // A machine that was moved to this shard and has not shown our token yet is still on its way: it is
+            // not idle, and it will serve pending jobs here.
+            up: m.fencing.highest_seen_token == m.fencing_token(self.version)
+                && m.agent.last_heartbeat.is_some()
+                && m.silent_for(context.now) < silent_limit,
+            used: m.used,
+            idle: idle_since.map(|t| context.now - t),
+            reserved_for_gang: m.usage.reserved_for_gang,
+            released: m.lifecycle.released_since.is_some() && m.empty(),
+            bad: m.lifecycle.condemned,
+            leaving: m.lifecycle.preemption_deadline.is_some(),
+        }
+    }
+
+    fn occupancy(&self, context: &Context, m: &Machine) -> Occupancy {
+        let mut occupancy = Occupancy {
+            highest_priority: None,
+            loss: Micros::ZERO,
+            pinned: Resources::default(),
+        };
+        for task in &m.tasks {
+            let Some(job) = self.jobs.get(&task.job) else {
+                continue;
+            };
+            let Some(p) = job.tasks.get(&task.index) else {
+                continue;
+            };
+            if job.spec.kind == JobKind::Service {
+                occupancy.pinned.add(job.spec.task_resources);
+            }
+            let priority = job.effective_priority(p);
+            let highest = occupancy.highest_priority;
+            occupancy.highest_priority = Some(highest.map_or(priority, |h| h.min(priority)));
+            occupancy.loss += if job.spec.saves() {
+                job.spec.save
+            } else {
+                p.running_since
+                    .map_or(Micros::ZERO, |since| context.now - since)
+            };
+        }
+        occupancy
+    }
+
+    /// Releases machines that the leader asks for. Only empty machines with nothing unsettled are released; for
+    /// work of higher priority (`above`) than all that is on it, a machine is drained first.
+    pub fn release(&mut self, context: &mut Context, ids: &[MachineId], above: Option<Priority>) {
+        // Until the former holder's records are read every machine looks empty.
+        if self.phase != ShardPhase::Ready {
+            return;
+        }
+        for id in ids {
+            let machine = self.machines.get_mut(id);
+            let Some(m) = machine.filter(|m| m.record.shard.is_some()) else {
+                continue;
+            };
+            if m.empty() {
+                if m.lifecycle.released_since.is_none() {
+                    debug!(machine = %id, "machine released for the leader");
+                    m.lifecycle.released_since = Some(context.now);
+                }
+            } else if let Some(above) = above.filter(|_| m.lifecycle.draining_since.is_none()) {
+                self.drain_machine(context, id, above);
+            }
+        }
+    }
+
+    /// Evicts all tasks of a machine if all are of lower priority than `above`.
+    fn drain_machine(&mut self, context: &mut Context, id: &MachineId, above: Priority) {
+        let Some(m) = self.machines.get_mut(id) else {
+            return;
+        };
+        let tasks: Vec<TaskKey> = m.tasks.iter().cloned().collect();
+        if !tasks
+            .iter()
+            .all(|task| ranks_below(&self.jobs, task, above))
+        {
+            return;
+        }
+        info!(machine = %id, tasks = tasks.len(), ?above, "draining machine for another shard");
+        m.lifecycle.draining_since = Some(context.now);
+        for task in tasks {
+            self.evict(context, &task, Cause::Preempted);
+        }
+    }
+
+    /// Whether the placements agree with the gangs' states and the machines' use (checked by tests).
+    pub fn consistent(&self) -> bool {
+        self.jobs.values().all(|j| {
+            j.gang.as_ref().is_none_or(|g| {
+                j.tasks.keys().all(|i| {
+                    !j.live()
+                        || !matches!(g.members[*i as usize], Member::Blocked | Member::Preempted)
+                })
+            })
+        }) && self.machines.values().all(|m| {
+            let mut sum = Resources::default();
+            for t in &m.tasks {
+                if let Some(j) = self.jobs.get(&t.job) {
+                    sum.add(j.spec.task_resources);
+                }
+            }
+            sum == m.used
+        })
+    }
+}
+
+/// Whether a task is of lower priority than `above`.
+fn ranks_below(jobs: &BTreeMap<JobId, Job>, task: &TaskKey, above: Priority) -> bool {
+    jobs.get(&task.job).is_some_and(|job| {
+        let placement = job.tasks.get(&task.index);
+        placement.is_some_and(|p| job.effective_priority(p) > above)
+    })
+}
--- a/crates/seamfront-core/src/shard/mod.rs
+++ b/crates/seamfront-core/src/shard/mod.rs
@@ -19,11 +19,17 @@
 use std::rc::Rc;
 use tracing::{debug, info, warn};
 
+mod direct_commands;
 mod drain;
+mod failure_detection;
 mod heartbeats;
+mod inspection;
+mod machine_views;
+mod orders;
 mod records;
 mod task_removal;
 
+pub use heartbeats::StatusSource;
 pub use records::{machine_write, ShardWrite, WriteOutcome};
 use records::{spec_of_ended_job, stop_rest};
 
@@ -113,16 +119,13 @@
 }
 
 /// How long a machine stays released without the leader taking it.
-const RELEASE_KEPT: Micros = Micros::from_secs(5);
+const RELEASE_TIMEOUT: Micros = Micros::from_secs(5);
 
 /// How often machines are looked through for what time alone has changed.
 const INSPECTION_INTERVAL: Micros = Micros::from_millis(100);
 
 /// How often a job's record is written for the sake of results alone.
-const RESULTS_EVERY: Micros = Micros::from_secs(1);
-
-/// How long a machine may take to be emptied for another shard before it is used again.
-const CLEARING_KEPT: Micros = Micros::from_secs(30);
+const RESULTS_INTERVAL: Micros = Micros::from_secs(1);
 
 /// Prefix of the work records of a shard.
 pub fn work_prefix(shard: usize) -> String {
@@ -414,69 +417,4 @@
     pub(crate) fn count_work(&self, items: usize) {
         self.work_done.set(self.work_done.get() + items as i64);
     }
-
-    // ---- time ----------------------------------------------------------------------------
-
-    /// What follows from time alone.
-    pub fn tick(&mut self, context: &mut Context) {
-        if self.phase != ShardPhase::Ready || context.now < self.inspection_next {
-            return;
-        }
-        self.inspection_next = context.now + INSPECTION_INTERVAL;
-        self.count_work(4 * self.machines.len());
-        let lease_valid = context.settings.verification_ttl();
-        let version = self.version;
-        let over: Vec<MachineId> = self
-            .machines
-            .values()
-            // One placed just before the end is looked at again.
-            .filter(|m| !m.agent.lease_expired || !m.tasks.is_empty())
-            .filter(|m| m.lease_expiry(version, context.settings.lease, lease_valid) < context.now)
-            .map(|m| m.id.clone())
-            .collect();
-        for id in over {
-            let Some(m) = self.machines.get_mut(&id) else {
-                continue;
-            };
-            m.agent.lease_expired = true;
-            m.fencing.direct_command = None;
-            m.unexpected_tasks.clear();
-            let tasks: Vec<TaskKey> = m.tasks.iter().cloned().collect();
-            if !tasks.is_empty() {
-                warn!(machine = %id, tasks = tasks.len(), "lease is over: its tasks are gone");
-            }
-            for t in tasks {
-                // Also what was never sent: it would never be, and would hold its number for ever.
-                self.remove_task(context, &t, Removal::Lost);
-            }
-        }
-        self.detect_failures(context);
-        for m in self.machines.values_mut() {
-            let idle = m.empty() && m.record.shard.is_some();
-            // Time to boot is not idle time, or a machine would be returned as soon as it is up.
-            let up = m.agent.last_heartbeat.is_some();
-            if let Some(since) = m.lifecycle.draining_since {
-                if idle && m.lifecycle.released_since.is_none() {
-                    m.lifecycle.released_since = Some(context.now);
-                } else if !idle && context.now - since > CLEARING_KEPT {
-                    m.lifecycle.draining_since = None;
-                }
-            }
-            let jobs = &self.jobs;
-            let uses = |t: &TaskKey| {
-                jobs.get(&t.job)
-                    .is_some_and(|j| j.spec.task_resources.gpus > 0)
-            };
-            if m.size.gpus == 0 || !up || m.tasks.iter().any(uses) {
-                m.usage.accelerators_unused_since = None;
-            } else if m.usage.accelerators_unused_since.is_none() {
-                m.usage.accelerators_unused_since = Some(context.now);
-            }
-            if !idle || !up {
-                m.usage.idle_since = None;
-            } else if m.usage.idle_since.is_none() {
-                m.usage.idle_since = Some(m.usage.accelerators_unused_since.unwrap_or(context.now));
-            }
-        }
-    }
 }
--- /dev/null
+++ b/crates/seamfront-core/src/shard/orders.rs
@@ -0,0 +1,111 @@
+//! Orders to a worker in the reply to its heartbeat.
+
+use super::{
+    Context, Ending, Exit, Heartbeat, Micros, Order, Phase, Shard, TaskKey, TaskState, TaskStatus,
+};
+use crate::job::{Job, Stop};
+use crate::machine::Machine;
+
+/// Time beyond its grace period and the gang's peer timeout after which a task is stopped at once.
+const GRACE_MARGIN: Micros = Micros::from_secs(2);
+
+impl Shard {
+    /// The orders for the reply to a worker's heartbeat, in the order in which it must carry them out.
+    pub fn orders(&mut self, context: &mut Context, heartbeat: &Heartbeat) -> Vec<Order> {
+        let Some(m) = self.machines.get(&heartbeat.machine) else {
+            return Vec::new();
+        };
+        // What a late copy shows may be long over: it only stops unexpected tasks.
+        let fresh = heartbeat.fencing_token == m.fencing_token(self.version);
+        let mut orders: Vec<Order> = heartbeat
+            .tasks
+            .iter()
+            .filter_map(|status| {
+                let job = self.jobs.get(&status.task.job);
+                order_for_shown(m, job, status, fresh)
+            })
+            .collect();
+        let may_start = fresh && m.record.shard.is_some() && !m.lifecycle.decommissioning();
+        for key in &m.tasks {
+            let job = self.jobs.get_mut(&key.job);
+            orders.extend(job.and_then(|job| {
+                order_for_placed(context, job, key, m.agent.incarnation, may_start)
+            }));
+        }
+        orders
+    }
+}
+
+/// The order for a task that the worker shows and that has exited or has no place there.
+fn order_for_shown(
+    m: &Machine,
+    job: Option<&Job>,
+    status: &TaskStatus,
+    fresh: bool,
+) -> Option<Order> {
+    if let TaskState::Exited(exit) = status.state {
+        // A result must be recorded first, and an unsettled command could start a forgotten attempt anew.
+        let forget = fresh && result_settled(job, exit) && m.fencing.direct_command.is_none();
+        return forget.then(|| Order::Forget {
+            task: status.task.clone(),
+            attempt: status.attempt,
+        });
+    }
+    m.unexpected_tasks
+        .contains(&status.task)
+        .then(|| Order::Stop {
+            task: status.task.clone(),
+            attempt: status.attempt,
+            grace: Micros::ZERO,
+        })
+}
+
+/// Whether nothing depends any more on the worker keeping this result.
+fn result_settled(job: Option<&Job>, exit: Exit) -> bool {
+    job.is_none_or(|job| {
+        matches!(job.ending, Some(Ending::Done | Ending::Cancelled))
+            || exit != Exit::Done
+            || (job.live() && job.record.written >= job.done_generation)
+    })
+}
+
+/// The order for a task that is placed on the machine: to stop it, or to start it.
+fn order_for_placed(
+    context: &Context,
+    job: &mut Job,
+    key: &TaskKey,
+    incarnation: u64,
+    may_start: bool,
+) -> Option<Order> {
+    let live = job.live();
+    let p = job.tasks.get_mut(&key.index)?;
+    if p.phase == Phase::Recording {
+        return None;
+    }
+    if let Some(stop) = p.stop {
+        return Some(Order::Stop {
+            task: key.clone(),
+            attempt: p.attempt,
+            grace: remaining_grace(context, stop),
+        });
+    }
+    let start = p.phase == Phase::Ordered && live && may_start && p.not_before <= context.now;
+    if !start {
+        return None;
+    }
+    p.incarnation = incarnation;
+    Some(Order::Start {
+        task: key.clone(),
+        attempt: p.attempt,
+    })
+}
+
+/// The grace period of a stop, none once the task should long have ended.
+fn remaining_grace(context: &Context, stop: Stop) -> Micros {
+    let waited = context.now - stop.since;
+    if waited > stop.grace + context.settings.gang_peer + GRACE_MARGIN {
+        Micros::ZERO
+    } else {
+        stop.grace
+    }
+}
--- a/crates/seamfront-core/src/shard/records.rs
+++ b/crates/seamfront-core/src/shard/records.rs
@@ -3,7 +3,7 @@
 use super::{
     info, machine_key, Cause, Context, Ending, Job, JobId, JobKind, JobSpec, Layout, MachineId,
     MachineRecord, Micros, Phase, Priority, Shard, Stop, WorkRecord, Write, INSPECTION_INTERVAL,
-    RELEASE_KEPT, RESULTS_EVERY,
+    RELEASE_TIMEOUT, RESULTS_INTERVAL,
 };
 use crate::record::{encode, EncodedRecord};
 use serde_json::Value;
@@ -131,7 +131,7 @@
             let kept = m
                 .lifecycle
                 .released_since
-                .is_some_and(|t| now - t > RELEASE_KEPT);
+                .is_some_and(|t| now - t > RELEASE_TIMEOUT);
             if m.lifecycle.condemned {
                 record.shard = None;
             } else if !unsettled && !kept {
@@ -153,7 +153,7 @@
     /// Jobs whose records are due, in the order in which they are to be written.
     fn due_records(&self, now: Micros) -> Vec<JobId> {
         // Results alone are recorded now and then: until then their workers keep them.
-        let rested = |j: &Job| now - j.record.asked_at >= RESULTS_EVERY;
+        let rested = |j: &Job| now - j.record.asked_at >= RESULTS_INTERVAL;
         let mut due: Vec<(bool, Priority, Micros, JobId)> = self
             .jobs
             .iter()
--- a/crates/seamfront-core/tests/evidence.rs
+++ b/crates/seamfront-core/tests/evidence.rs
@@ -12,7 +12,7 @@
 use seamfront_core::machine::{machine_key, DirectCommand, MachineRecord};
 use seamfront_core::port::*;
 use seamfront_core::record::{Layout, WorkRecord};
-use seamfront_core::shard::{ShardPhase, ShardWrite, StoredRecord};
+use seamfront_core::shard::{ShardPhase, ShardWrite, StatusSource, StoredRecord};
 use seamfront_core::types::*;
 use seamfront_core::Engine;
 use store::Store;
@@ -278,7 +278,7 @@
             assert!(!s.apply_heartbeat(
                 context,
                 &heartbeat("i-0", incarnation, sequence, CLAIM, &[]),
-                true
+                StatusSource::WorkerHeartbeat
             ))
         });
         assert_eq!(newest(&h), before);
--- a/crates/seamfront-core/tests/held/mod.rs
+++ b/crates/seamfront-core/tests/held/mod.rs
@@ -4,7 +4,7 @@
 use seamfront_core::machine::MachineRecord;
 use seamfront_core::port::*;
 use seamfront_core::record::{Layout, WorkRecord};
-use seamfront_core::shard::{Context, Shard, ShardWrite, StoredRecord, WriteOutcome};
+use seamfront_core::shard::{Context, Shard, ShardWrite, StatusSource, StoredRecord, WriteOutcome};
 use seamfront_core::types::*;
 use std::rc::Rc;
 
@@ -162,7 +162,7 @@
     /// A report that is answered with 200, as the engine does it.
     pub fn hello(&mut self, now: Micros, r: &Heartbeat) -> Vec<Order> {
         let orders = self.with(now, |s, context| {
-            if s.apply_heartbeat(context, r, true) {
+            if s.apply_heartbeat(context, r, StatusSource::WorkerHeartbeat) {
                 s.orders(context, r)
             } else {
                 vec![]
