--- a/crates/seamfront-core/src/placement.rs
+++ b/crates/seamfront-core/src/placement.rs
@@ -38,6 +38,15 @@
     AfterPreemption,
 }
 
+/// How many of the tasks asked for must find a place.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum FillPolicy {
+    /// As many as find one.
+    Partial,
+    /// All, or none is placed.
+    AllOrNothing,
+}
+
 /// What a round has to give away, in the order of the machines' names. A place in it is named by its
 /// number. Machines are looked up only where they have room for what is asked: most are full.
 #[derive(Default)]
@@ -274,8 +283,7 @@
         found.into_iter().map(|(_, k, n)| (k, n)).collect()
     }
 
-    /// Places for `n` tasks at once, one entry for each task, or for as many as there are where
-    /// `partial`. `taken` counts the job's tasks by zone, those that are only leaving included.
+    /// Places for `n` tasks at once, one entry for each task, or for as many as `policy` allows. `taken` counts the job's tasks by zone, those that are only leaving included.
     pub fn choose(
         &self,
         machines: &Machines,
@@ -283,11 +291,11 @@
         availability: Availability,
         taken: &BTreeMap<String, u32>,
         n: u32,
-        partial: bool,
+        policy: FillPolicy,
     ) -> Vec<usize> {
         let found = self.candidates(machines, capacity, availability);
         if !self.spec.one_zone {
-            return self.fill(capacity, &found, taken, n, partial);
+            return self.fill(capacity, &found, taken, n, policy);
         }
         let mut zones: Vec<&str> = taken.keys().map(String::as_str).take(1).collect();
         if zones.is_empty() {
@@ -303,7 +311,7 @@
                 .filter(|(k, _)| capacity.zone(*k) == z)
                 .copied()
                 .collect();
-            let got = self.fill(capacity, &here, taken, n, partial);
+            let got = self.fill(capacity, &here, taken, n, policy);
             if !got.is_empty() {
                 return got;
             }
@@ -318,7 +326,7 @@
         found: &[(usize, u32)],
         taken: &BTreeMap<String, u32>,
         n: u32,
-        partial: bool,
+        policy: FillPolicy,
     ) -> Vec<usize> {
         let cap = self.spec.zone_cap();
         let mut zones: Vec<ZoneCandidates> = Vec::new();
@@ -356,7 +364,7 @@
             }
             got.push(found[at].0);
         }
-        if (got.len() as u32) < n && !partial {
+        if (got.len() as u32) < n && policy == FillPolicy::AllOrNothing {
             return Vec::new();
         }
         got
--- a/crates/seamfront-core/src/scheduling/preemption.rs
+++ b/crates/seamfront-core/src/scheduling/preemption.rs
@@ -1,198 +1,323 @@
-//! Stopping lesser work so that more important work finds room.
+//! Preemption: evicting less important work so that more important work finds room.
 
-use super::{
-    info, Availability, BTreeMap, BTreeSet, Cause, Context, FreeCapacity, JobId, JobKind, JobSpec,
-    Machine, Micros, PlacementRequest, PreemptibleWork, Priority, Resources, SchedulingCycle,
-    Shard, TaskKey,
-};
+use super::cycle::{PreemptibleWork, SchedulingCycle};
+use crate::job::{Cause, Job};
+use crate::machine::Machine;
+use crate::placement::{Availability, FreeCapacity, PlacementRequest};
+use crate::shard::{Context, Shard};
+use crate::types::{JobId, JobKind, JobSpec, Micros, Priority, Resources, TaskKey};
+use std::collections::{BTreeMap, BTreeSet};
+use tracing::info;
+
+/// A normal job may preempt if it has to start within its run time and this margin.
+const START_MARGIN: Micros = Micros::from_secs(30);
+/// What evicting a task with checkpoints costs, in milliseconds.
+const CHECKPOINTED_LOSS_MS: i64 = 2_000;
+/// What evicting a task without checkpoints costs besides its run time, in milliseconds.
+const RESTART_LOSS_MS: i64 = 1_000;
+
+/// How preempted tasks are stopped.
+#[derive(Clone, Copy, PartialEq, Eq)]
+pub(super) enum EvictionMode {
+    /// With time to save.
+    Graceful,
+    /// At once, only where the job's image is cached, and only tasks with checkpoints.
+    Immediate,
+}
+
+/// Work on a machine whose eviction makes room for one task. The fields are compared in their order.
+#[derive(Clone, PartialEq, Eq, PartialOrd, Ord)]
+struct PreemptionSlot {
+    /// What evicting it and using the machine costs, in milliseconds.
+    cost: i64,
+    /// The machine's index in the cycle's capacity.
+    index: usize,
+    victims: Vec<TaskKey>,
+}
+
+/// Slots chosen for a job.
+struct SlotChoice<'s> {
+    cost: i64,
+    slots: Vec<&'s PreemptionSlot>,
+}
+
+/// A task that may be preempted.
+struct Victim<'t> {
+    priority: Priority,
+    /// What evicting it costs, in milliseconds.
+    loss: i64,
+    task: &'t TaskKey,
+    resources: Resources,
+}
+
+/// Victims that together make room for a task.
+struct VictimSet {
+    cost: i64,
+    tasks: Vec<TaskKey>,
+}
 
 impl Shard {
-    /// See [`PreemptibleWork`].
-    pub(super) fn preemptible_work(
+    /// The preemptible work on each machine of `capacity`.
+    fn preemptible_work(
         &self,
         guaranteed: &BTreeSet<JobId>,
         capacity: &FreeCapacity,
     ) -> Vec<PreemptibleWork> {
-        let mut on = vec![PreemptibleWork::default(); capacity.machines.len()];
-        for j in self.jobs.values().filter(|j| j.live()) {
-            let beyond = j.spec.kind != JobKind::Service && !guaranteed.contains(&j.spec.id);
-            for t in j.tasks.values().filter(|t| t.stop.is_none()) {
-                let p = j.effective_priority(t);
-                if let Some(k) = capacity.find(&t.machine) {
-                    on[k].lowest_priority = on[k].lowest_priority.max(Some(p));
-                    on[k].beyond[p as usize] |= beyond && !t.promoted;
+        let mut work = vec![PreemptibleWork::default(); capacity.machines.len()];
+        for job in self.jobs.values().filter(|job| job.live()) {
+            let beyond = job.spec.kind != JobKind::Service && !guaranteed.contains(&job.spec.id);
+            for p in job.tasks.values().filter(|p| p.stop.is_none()) {
+                let priority = job.effective_priority(p);
+                if let Some(k) = capacity.find(&p.machine) {
+                    work[k].lowest_priority = work[k].lowest_priority.max(Some(priority));
+                    work[k].beyond_guarantee[priority as usize] |= beyond && !p.promoted;
                 }
             }
         }
-        on
+        work
     }
 
-    /// Only work of higher priority stops other work, and of ordinary work only what would be late
-    /// otherwise: stopping costs progress.
+    /// Whether a job may preempt other work. Only work of higher priority does, and of ordinary work only what would
+    /// be late otherwise: eviction costs progress.
     pub(super) fn may_preempt(&self, context: &Context, spec: &JobSpec, guaranteed: bool) -> bool {
         match spec.priority {
             Priority::Critical | Priority::Urgent => true,
             Priority::Normal => {
-                let soon = context.wall_time + spec.estimate + Micros::from_secs(30);
-                guaranteed
-                    || context
-                        .settings
-                        .start_by(spec, context.wall_time)
-                        .is_some_and(|t| t < soon)
+                let soon = context.wall_time + spec.estimate + START_MARGIN;
+                let start_by = context.settings.start_by(spec, context.wall_time);
+                guaranteed || start_by.is_some_and(|t| t < soon)
             }
             Priority::BestEffort => guaranteed,
         }
     }
 
-    /// Stops lesser work for `n` tasks of a job; returns for how many room will come.
-    /// With `at_once` only where its image is, and only what saves by itself, without the time to save.
+    /// Preempts less important work for up to `wanted` tasks of a job; returns for how many room will come.
     pub(super) fn preempt_for(
         &mut self,
         context: &mut Context,
         id: &JobId,
-        n: u32,
+        wanted: u32,
         guaranteed: &BTreeSet<JobId>,
         cycle: &mut SchedulingCycle,
-        at_once: bool,
+        mode: EvictionMode,
     ) -> u32 {
         let Some(job) = self.jobs.get(id) else {
             return 0;
         };
         let spec = job.spec.clone();
-        let mut placement = PlacementRequest::of(job, context.now, context.types);
-        placement.cached = at_once;
-        let taken = job.zones(|m| self.machines.get(m).map(|m| m.record.zone.as_str()));
+        let tasks_by_zone = self.tasks_by_zone(job);
         if cycle.preemptible.is_none() {
             cycle.preemptible = Some(self.preemptible_work(guaranteed, &cycle.capacity));
         }
-        let reclaims = guaranteed.contains(&spec.id);
-        let preemptible = cycle.preemptible.as_deref().unwrap_or_default();
-        let stops = |k: usize| {
-            let on = &preemptible[k];
-            on.lowest_priority.is_some_and(|l| l > spec.priority)
-                || (reclaims && on.beyond[spec.priority as usize])
+        let slots = self.preemption_slots(context, job, guaranteed, cycle, mode);
+        let chosen = choose_slots(&spec, &tasks_by_zone, &slots, &cycle.capacity, wanted);
+        let Some(chosen) = chosen else {
+            return 0;
         };
-        let capacity = &cycle.capacity;
-        let mut slots: Vec<(i64, usize, Vec<TaskKey>)> = Vec::new();
-        for (k, m) in placement.places(&self.machines, capacity, |k, _| {
-            stops(k) && capacity.size(k).fits(spec.task_resources) > 0
-        }) {
-            let free = capacity.left(k, Availability::AfterPreemption);
-            if let Some((cost, victims)) =
-                self.victims(context, m, free, &spec, guaranteed, at_once)
-            {
-                // An image that must be fetched costs time as well.
-                slots.push((
-                    cost + placement.fetch_ms(m) + placement.kind_ms(m),
-                    k,
-                    victims,
-                ));
+        for slot in &chosen.slots {
+            for victim in &slot.victims {
+                let freed = self
+                    .jobs
+                    .get(&victim.job)
+                    .map_or(Resources::default(), |job| job.spec.task_resources);
+                self.preempt(context, victim, mode);
+                let machine = &mut cycle.capacity.machines[slot.index];
+                machine.after_preemption.add(freed);
             }
+            cycle.capacity.hold(slot.index, spec.task_resources);
+            cycle.await_preemption(&spec, slot.index);
         }
-        slots.sort();
-        let zones: BTreeSet<&str> = slots.iter().map(|s| capacity.zone(s.1)).collect();
-        let mut best: Option<(i64, Vec<usize>)> = None;
-        let choices: Vec<Option<&str>> = if !spec.one_zone {
-            vec![None]
-        } else if let Some(z) = taken.keys().next() {
-            vec![Some(z.as_str())]
-        } else {
-            zones.into_iter().map(Some).collect()
-        };
-        for zone in choices {
-            let mut counts: BTreeMap<&str, u32> =
-                taken.iter().map(|(z, n)| (z.as_str(), *n)).collect();
-            let mut pick = Vec::new();
-            for (k, s) in slots
-                .iter()
-                .enumerate()
-                .filter(|(_, s)| zone.is_none_or(|z| z == capacity.zone(s.1)))
-            {
-                let in_zone = counts.entry(capacity.zone(s.1)).or_insert(0);
-                if *in_zone < spec.zone_cap() && (pick.len() as u32) < n {
-                    *in_zone += 1;
-                    pick.push(k);
-                }
-            }
-            let enough = !pick.is_empty() && (spec.kind != JobKind::Gang || pick.len() as u32 == n);
-            let cost: i64 = pick.iter().map(|k| slots[*k].0).sum();
-            if enough
-                && best
-                    .as_ref()
-                    .is_none_or(|b| (pick.len(), -cost) > (b.1.len(), -b.0))
-            {
-                best = Some((cost, pick));
+        info!(job = %id, tasks = chosen.slots.len(), "preempting for job");
+        chosen.slots.len() as u32
+    }
+
+    fn preempt(&mut self, context: &mut Context, victim: &TaskKey, mode: EvictionMode) {
+        match mode {
+            EvictionMode::Graceful => self.evict(context, victim, Cause::Preempted),
+            EvictionMode::Immediate => {
+                self.evict_with(context, victim, Cause::Preempted, Micros::ZERO)
             }
         }
-        let Some((_, pick)) = best else { return 0 };
-        let chosen: Vec<_> = pick.iter().map(|k| slots[*k].clone()).collect();
-        for (_, k, victims) in &chosen {
-            for v in victims {
-                let freed = self
-                    .jobs
-                    .get(&v.job)
-                    .map_or(Resources::default(), |j| j.spec.task_resources);
-                if at_once {
-                    self.evict_with(context, v, Cause::Preempted, Micros::ZERO);
-                } else {
-                    self.evict(context, v, Cause::Preempted);
-                }
-                cycle.capacity.machines[*k].after_preemption.add(freed);
+    }
+
+    /// The cheapest preemption on each machine that makes room for one task of the job, the cheapest first.
+    fn preemption_slots(
+        &self,
+        context: &Context,
+        job: &Job,
+        guaranteed: &BTreeSet<JobId>,
+        cycle: &SchedulingCycle,
+        mode: EvictionMode,
+    ) -> Vec<PreemptionSlot> {
+        let spec = &job.spec;
+        let capacity = &cycle.capacity;
+        let mut placement = PlacementRequest::of(job, context.now, context.types);
+        placement.cached = mode == EvictionMode::Immediate;
+        let reclaims = guaranteed.contains(&spec.id);
+        let preemptible = cycle.preemptible.as_deref().unwrap_or_default();
+        let may_free = |k: usize| {
+            let work = &preemptible[k];
+            let lower = work.lowest_priority.is_some_and(|p| p > spec.priority);
+            lower || (reclaims && work.beyond_guarantee[spec.priority as usize])
+        };
+        let places = placement.places(&self.machines, capacity, |k, _| {
+            may_free(k) && capacity.size(k).fits(spec.task_resources) > 0
+        });
+        let mut slots: Vec<PreemptionSlot> = Vec::new();
+        for (index, m) in places {
+            let free = capacity.left(index, Availability::AfterPreemption);
+            if let Some(victims) = self.victims(context, m, free, spec, guaranteed, mode) {
+                // An image that must be fetched costs time as well.
+                slots.push(PreemptionSlot {
+                    cost: victims.cost + placement.fetch_ms(m) + placement.kind_ms(m),
+                    index,
+                    victims: victims.tasks,
+                });
             }
-            cycle.capacity.hold(*k, spec.task_resources);
-            cycle.await_preemption(&spec, *k);
         }
-        info!(job = %id, tasks = chosen.len(), "making room");
-        chosen.len() as u32
+        slots.sort();
+        slots
     }
 
-    /// The cheapest lesser work whose end lets one more task of `spec` fit on this machine.
-    /// Besides work of lower priority, a job within its team's guarantee may stop work of the same
-    /// priority that another team runs beyond its own.
-    pub(super) fn victims(
+    /// The cheapest work whose eviction lets one more task of `spec` fit on this machine.
+    fn victims(
         &self,
         context: &Context,
         m: &Machine,
-        free: Resources,
+        mut free: Resources,
         spec: &JobSpec,
         guaranteed: &BTreeSet<JobId>,
-        at_once: bool,
-    ) -> Option<(i64, Vec<TaskKey>)> {
-        let reclaims = guaranteed.contains(&spec.id);
-        let mut preemptible: Vec<(Priority, i64, &TaskKey, Resources)> = Vec::new();
-        for t in &m.tasks {
-            let Some(j) = self.jobs.get(&t.job) else {
-                continue;
-            };
-            let Some(p) = j.tasks.get(&t.index) else {
-                continue;
-            };
-            let beyond = reclaims
-                && j.effective_priority(p) == spec.priority
-                // It would be the first to be placed again, and be stopped again, in every round.
-                && !p.promoted
-                && j.spec.kind != JobKind::Service
-                && j.spec.team != spec.team
-                && !guaranteed.contains(&t.job);
-            if at_once && (j.gang.is_some() || !j.spec.saves()) {
-                continue;
-            }
-            if j.live() && p.stop.is_none() && (j.effective_priority(p) > spec.priority || beyond) {
-                let ran = p.running_since.map_or(0, |s| (context.now - s).0 / 1_000);
-                let lost = if j.spec.saves() { 2_000 } else { 1_000 + ran };
-                preemptible.push((j.effective_priority(p), lost, t, j.spec.task_resources));
-            }
-        }
-        preemptible.sort_by(|a, b| (b.0, a.1, a.2).cmp(&(a.0, b.1, b.2)));
-        let (mut free, mut cost, mut keys) = (free, 0, Vec::new());
-        for (_, lost, t, task_resources) in preemptible {
+        mode: EvictionMode,
+    ) -> Option<VictimSet> {
+        let mut candidates: Vec<Victim> = m
+            .tasks
+            .iter()
+            .filter_map(|task| self.victim(context, task, spec, guaranteed, mode))
+            .collect();
+        // The least important first, and of those the cheapest.
+        candidates.sort_by(|a, b| {
+            let priorities = b.priority.cmp(&a.priority);
+            priorities.then_with(|| (a.loss, a.task).cmp(&(b.loss, b.task)))
+        });
+        let mut victims = VictimSet {
+            cost: 0,
+            tasks: Vec::new(),
+        };
+        for victim in candidates {
             if free.fits(spec.task_resources) > 0 {
                 break;
             }
-            free.add(task_resources);
-            cost += lost;
-            keys.push(t.clone());
+            free.add(victim.resources);
+            victims.cost += victim.loss;
+            victims.tasks.push(victim.task.clone());
+        }
+        (free.fits(spec.task_resources) > 0 && !victims.tasks.is_empty()).then_some(victims)
+    }
+
+    /// The task as a victim, if it may be preempted for `spec`. Besides work of lower priority, a job within its
+    /// team's guarantee may preempt work of the same priority that another team runs beyond its own.
+    fn victim<'t>(
+        &self,
+        context: &Context,
+        task: &'t TaskKey,
+        spec: &JobSpec,
+        guaranteed: &BTreeSet<JobId>,
+        mode: EvictionMode,
+    ) -> Option<Victim<'t>> {
+        let job = self.jobs.get(&task.job)?;
+        let p = job.tasks.get(&task.index)?;
+        if !job.live() || p.stop.is_some() {
+            return None;
+        }
+        if mode == EvictionMode::Immediate && (job.gang.is_some() || !job.spec.saves()) {
+            return None;
+        }
+        let priority = job.effective_priority(p);
+        let reclaimable = guaranteed.contains(&spec.id)
+            && priority == spec.priority
+            // It would be the first to be placed again, and be preempted again, in every cycle.
+            && !p.promoted
+            && job.spec.kind != JobKind::Service
+            && job.spec.team != spec.team
+            && !guaranteed.contains(&task.job);
+        if priority <= spec.priority && !reclaimable {
+            return None;
+        }
+        let ran_ms = p
+            .running_since
+            .map_or(0, |since| (context.now - since).0 / 1_000);
+        Some(Victim {
+            priority,
+            loss: if job.spec.saves() {
+                CHECKPOINTED_LOSS_MS
+            } else {
+                RESTART_LOSS_MS + ran_ms
+            },
+            task,
+            resources: job.spec.task_resources,
+        })
+    }
+}
+
+/// The slots for most tasks, and of those the cheapest, in one zone where the job must be in one. All or none of a
+/// gang.
+fn choose_slots<'s>(
+    spec: &JobSpec,
+    tasks_by_zone: &BTreeMap<String, u32>,
+    slots: &'s [PreemptionSlot],
+    capacity: &FreeCapacity,
+    wanted: u32,
+) -> Option<SlotChoice<'s>> {
+    let zones: Vec<Option<&str>> = if !spec.one_zone {
+        vec![None]
+    } else if let Some(zone) = tasks_by_zone.keys().next() {
+        vec![Some(zone.as_str())]
+    } else {
+        let zones: BTreeSet<&str> = slots.iter().map(|s| capacity.zone(s.index)).collect();
+        zones.into_iter().map(Some).collect()
+    };
+    let mut best: Option<SlotChoice> = None;
+    for zone in zones {
+        let choice = choose_slots_in(zone, spec, tasks_by_zone, slots, capacity, wanted);
+        let count = choice.slots.len();
+        let enough = count > 0 && (spec.kind != JobKind::Gang || count as u32 == wanted);
+        let better = best
+            .as_ref()
+            .is_none_or(|best| (count, -choice.cost) > (best.slots.len(), -best.cost));
+        if enough && better {
+            best = Some(choice);
+        }
+    }
+    best
+}
+
+/// The cheapest slots in a zone, or in all, as far as the job's limit of tasks in a zone allows.
+fn choose_slots_in<'s>(
+    zone: Option<&str>,
+    spec: &JobSpec,
+    tasks_by_zone: &BTreeMap<String, u32>,
+    slots: &'s [PreemptionSlot],
+    capacity: &FreeCapacity,
+    wanted: u32,
+) -> SlotChoice<'s> {
+    let mut counts: BTreeMap<&str, u32> = tasks_by_zone
+        .iter()
+        .map(|(zone, tasks)| (zone.as_str(), *tasks))
+        .collect();
+    let mut chosen: Vec<&PreemptionSlot> = Vec::new();
+    for slot in slots {
+        let slot_zone = capacity.zone(slot.index);
+        if zone.is_some_and(|zone| zone != slot_zone) {
+            continue;
         }
-        (free.fits(spec.task_resources) > 0 && !keys.is_empty()).then_some((cost, keys))
+        let in_zone = counts.entry(slot_zone).or_insert(0);
+        if *in_zone < spec.zone_cap() && (chosen.len() as u32) < wanted {
+            *in_zone += 1;
+            chosen.push(slot);
+        }
+    }
+    SlotChoice {
+        cost: chosen.iter().map(|slot| slot.cost).sum(),
+        slots: chosen,
     }
 }
--- a/crates/seamfront-core/tests/placement.rs
+++ b/crates/seamfront-core/tests/placement.rs
@@ -3,7 +3,9 @@
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
 use seamfront_core::machine::{Machine, MachineRecord};
-use seamfront_core::placement::{Availability, FreeCapacity, Machines, PlacementRequest};
+use seamfront_core::placement::{
+    Availability, FillPolicy, FreeCapacity, Machines, PlacementRequest,
+};
 use seamfront_core::quota::{within_limit, Quota};
 use seamfront_core::types::*;
 use std::collections::BTreeMap;
@@ -75,7 +77,11 @@
             Availability::Now,
             &BTreeMap::new(),
             job.tasks,
-            partial,
+            if partial {
+                FillPolicy::Partial
+            } else {
+                FillPolicy::AllOrNothing
+            },
         );
         assert!(got.len() as u32 <= job.tasks);
         assert!(
