--- a/crates/seamfront-core/src/job.rs
+++ b/crates/seamfront-core/src/job.rs
@@ -2,7 +2,7 @@
 
 use crate::gang::{Gang, Member};
 use crate::ranges::Ranges;
-use crate::record::{Layout, Position, WorkRecord};
+use crate::record::{Layout, Position, Runs, TaskRun, WorkRecord};
 use crate::types::{
     queue_rank, JobKind, JobSpec, MachineId, MachineType, Micros, Priority, START_DEADLINE,
 };
@@ -10,9 +10,9 @@
 use std::collections::BTreeMap;
 use std::rc::Rc;
 
-/// From so many errors in a row on, a job is taken for one that fails wherever it goes.
-pub(crate) const ERRORS_OF_JOB: u32 = 3;
-/// So many of such a job's tasks are tried at once.
+/// From this many errors in a row on, a job is taken to fail on all machines.
+pub(crate) const FAILING_AFTER_ERRORS: u32 = 3;
+/// This many of such a job's tasks are tried at once.
 const MAX_CONCURRENT_ATTEMPTS: u32 = 2;
 
 /// How far a placed task has come.
@@ -37,13 +37,13 @@
 pub enum Cause {
     /// Its job was cancelled.
     Cancelled,
-    /// For more important work.
+    /// Preempted by more important work.
     Preempted,
-    /// The machine is being left: notice, return or suspicion.
+    /// Its machine is about to be preempted by the cloud.
     Moving,
-    /// Its gang is drained for another member's sake.
+    /// Its gang is being drained.
     Peers,
-    /// It has no place where it is.
+    /// It was not placed on the machine where it is.
     Unexpected,
 }
 
@@ -58,6 +58,39 @@
     pub since: Micros,
 }
 
+impl Stop {
+    /// An order to stop a task without time to save.
+    pub fn immediate(cause: Cause, now: Micros) -> Stop {
+        Stop {
+            cause,
+            grace: Micros::ZERO,
+            since: now,
+        }
+    }
+}
+
+/// Run times of completed tasks.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
+pub struct CompletedRuns {
+    /// Number of tasks.
+    pub count: i64,
+    /// Sum of their run times.
+    pub total: Micros,
+}
+
+impl CompletedRuns {
+    /// Counts the run time of a task.
+    pub fn add(&mut self, ran: Micros) {
+        self.count += 1;
+        self.total += ran;
+    }
+
+    /// The mean run time; there must be at least one run.
+    pub fn mean(&self) -> Micros {
+        self.total.over(self.count)
+    }
+}
+
 /// A task that is, or may be, on a machine. It holds its place, quota, zone and number until
 /// evidence says that it is gone.
 #[derive(Clone, Debug)]
@@ -80,7 +113,7 @@
     pub running_since: Option<Micros>,
     /// Set while it is being stopped.
     pub stop: Option<Stop>,
-    /// Its job had its turn, see [`turn`].
+    /// Its job was starving when it was placed, see [`queue_rank`].
     pub promoted: bool,
 }
 
@@ -125,7 +158,7 @@
     }
 }
 
-/// How a job that is live no more stands.
+/// How far the end of a job has come.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Ending {
     /// All tasks are done, but this is not recorded yet.
@@ -145,8 +178,8 @@
     pub version: u64,
     /// None while it is live.
     pub ending: Option<Ending>,
-    /// Waits for other jobs to be done: nothing of it may be placed, and it holds no part of its team's limit or
-    /// guarantee.
+    /// It depends on jobs that are not done: none of its tasks may be placed, and it uses no part of its team's quota
+    /// or guarantee.
     pub blocked: bool,
     /// Where its record stands.
     pub record: RecordState,
@@ -160,16 +193,16 @@
     pub tasks: BTreeMap<u32, Placement>,
     /// The drain state of a gang.
     pub gang: Option<Gang>,
-    /// How often its gang was parked.
-    pub parks: u32,
+    /// How often its gang has backed off.
+    pub backoffs: u32,
     /// Nothing of it is placed before.
     pub paused_until: Micros,
     /// Machines that this job should not use for a while, by when.
     pub avoided_machines: BTreeMap<MachineId, Micros>,
     /// Errors in a row, each on another machine, without a completed task between them.
     pub consecutive_errors: u32,
-    /// Run times of its completed tasks: how many, and their sum.
-    pub ran: (i64, Micros),
+    /// Run times of its completed tasks.
+    pub completed_runs: CompletedRuns,
     /// Since when it has waited for a place.
     pub waiting_since: Micros,
 }
@@ -192,11 +225,11 @@
             done_generation: 0,
             tasks: BTreeMap::new(),
             gang,
-            parks: 0,
+            backoffs: 0,
             paused_until: Micros::ZERO,
             avoided_machines: BTreeMap::new(),
             consecutive_errors: 0,
-            ran: (0, Micros::ZERO),
+            completed_runs: CompletedRuns::default(),
             waiting_since: now,
         }
     }
@@ -206,8 +239,8 @@
         self.ending.is_none()
     }
 
-    /// Nothing of it has begun, though it should soon have: see [`turn`]. Half of the time that is left then is for its
-    /// image; one that takes longer makes it earlier by as much.
+    /// None of its tasks has started, though one should soon have: see [`queue_rank`]. Half of the time that is left
+    /// then is for fetching its image; a longer fetch makes it starve earlier by as much.
     pub fn starving(&self, wall_time: Micros, types: &[MachineType]) -> bool {
         let last_third = START_DEADLINE.over(3);
         let longer =
@@ -218,9 +251,8 @@
             && waited > START_DEADLINE - last_third - longer
     }
 
-    /// How important a task of it is to those that might stop it. What began by its turn stands as high
-    /// as that put it: if what comes after it in a round could stop it, the next round would begin it
-    /// anew, and so on for ever.
+    /// The priority of a task to work that might preempt it. A task placed while its job was starving keeps the raised
+    /// priority: if work after it in the queue could preempt it, the next cycle would place it again, and so on.
     pub fn effective_priority(&self, p: &Placement) -> Priority {
         queue_rank(self.spec.priority, p.promoted).0
     }
@@ -233,13 +265,12 @@
         self.spec.tasks - self.done.count() - self.tasks.len() as u32
     }
 
-    /// Whether it fails wherever it goes, as far as can be told: submitted with a mistake, most likely.
+    /// Whether it is taken to fail on all machines: submitted with a mistake, most likely.
     pub fn failing(&self) -> bool {
-        self.consecutive_errors >= ERRORS_OF_JOB
+        self.consecutive_errors >= FAILING_AFTER_ERRORS
     }
 
-    /// How many of its tasks may be placed besides those that are. Of a job that fails wherever it goes few are tried;
-    /// a gang is one try as a whole.
+    /// How many more of its tasks may be placed. Of a failing job few are tried; a gang is one try as a whole.
     pub fn concurrent_attempts(&self) -> u32 {
         match self.spec.kind {
             JobKind::Gang => u32::MAX,
@@ -248,8 +279,8 @@
         }
     }
 
-    /// The next `n` task numbers to start, lowest first, so that the done set stays compact. Of a job that fails
-    /// wherever it goes others are tried each time: only its first ones may be bad.
+    /// The next `n` task numbers to start, lowest first, so that the done set stays compact. Of a failing job others
+    /// are tried each time: only its first ones may be bad.
     pub fn next_tasks(&self, n: u32) -> Vec<u32> {
         let open = || {
             (self.done.prefix()..self.spec.tasks)
@@ -329,12 +360,12 @@
 
     /// What is to be stored of it.
     pub fn to_record(&self) -> WorkRecord {
-        let mut placed: BTreeMap<MachineId, Vec<(u32, u32, u64)>> = BTreeMap::new();
+        let mut placed: BTreeMap<MachineId, Runs> = BTreeMap::new();
         for (i, p) in &self.tasks {
             let runs = placed.entry(p.machine.clone()).or_default();
             match runs.last_mut() {
-                Some(r) if r.1 == *i && r.2 == p.attempt => r.1 = i + 1,
-                _ => runs.push((*i, i + 1, p.attempt)),
+                Some(run) if run.end == *i && run.attempt == p.attempt => run.end = i + 1,
+                _ => runs.push(TaskRun::new(*i, i + 1, p.attempt)),
             }
         }
         let attempts = self.gang.iter().flat_map(|g| g.attempts.iter().enumerate());
@@ -350,9 +381,8 @@
             next_attempt: self.next_attempt,
             done: self.done.clone(),
             placed,
-            // Only gangs are parked; of other jobs it holds the errors in a row, by which their pauses grow.
-            parks: if self.gang.is_some() {
-                self.parks
+            failures: if self.gang.is_some() {
+                self.backoffs
             } else {
                 self.consecutive_errors
             },
@@ -369,17 +399,17 @@
         self.next_attempt = record.next_attempt;
         self.done = record.done;
         match self.gang {
-            Some(_) => self.parks = record.parks,
-            None => self.consecutive_errors = record.parks,
+            Some(_) => self.backoffs = record.failures,
+            None => self.consecutive_errors = record.failures,
         }
         for (machine, runs) in record.placed {
-            for (from, to, attempt) in runs {
-                for i in from..to.min(self.spec.tasks) {
+            for run in runs {
+                for i in run.start..run.end.min(self.spec.tasks) {
                     self.tasks.insert(
                         i,
                         Placement {
                             machine: machine.clone(),
-                            attempt,
+                            attempt: run.attempt,
                             phase: Phase::Ordered,
                             generation: 0,
                             since: now,
--- a/crates/seamfront-core/src/placement.rs
+++ b/crates/seamfront-core/src/placement.rs
@@ -1,4 +1,4 @@
-//! Which machine for which task. Looks at room, rules and cost; knows nothing of how jobs run.
+//! Bin packing: which machine for which task, by room, constraints and cost. It knows nothing of how jobs run.
 
 use crate::job::Job;
 use crate::machine::Machine;
@@ -9,7 +9,7 @@
 /// Machines by name.
 pub type Machines = BTreeMap<MachineId, Machine>;
 
-/// Machines of one kind, in one zone, at one price: what a job may use is decided for all at once.
+/// Machines of one type in one zone, all spot or none: whether a job may use them is decided for all at once.
 struct MachineGroup {
     kind: String,
     zone: String,
@@ -17,8 +17,7 @@
     size: Resources,
 }
 
-/// A machine that may be used, with its room as seen in one round: lowered by what the round places or
-/// holds back.
+/// A usable machine with its room in one cycle: lowered by what the cycle places or reserves.
 pub struct MachineCapacity {
     /// The machine's name.
     pub id: MachineId,
@@ -47,19 +46,19 @@
     AllOrNothing,
 }
 
-/// What a round has to give away, in the order of the machines' names. A place in it is named by its
-/// number. Machines are looked up only where they have room for what is asked: most are full.
+/// The room on usable machines in one cycle, in the order of the machines' names. Machines are named by their index in
+/// it, and looked up only where they have room for what is asked: most are full.
 #[derive(Default)]
 pub struct FreeCapacity {
     groups: Vec<MachineGroup>,
-    /// The machines that may be used, by kind, zone and price.
+    /// The usable machines.
     pub machines: Vec<MachineCapacity>,
-    /// How much was looked at: machines, and the list's entries by the dozen.
+    /// The cost of searches so far: machines looked up, and entries of the list at a fraction of that.
     pub work_done: Cell<i64>,
 }
 
-/// Entries of the list that cost as much as one machine looked up.
-const ENTRIES: i64 = 16;
+/// This many entries of the list cost as much as one machine looked up.
+const ENTRIES_PER_LOOKUP: i64 = 16;
 
 impl FreeCapacity {
     /// The room of these machines.
@@ -90,22 +89,22 @@
         capacity
     }
 
-    /// The place of a machine in `machines`.
+    /// The index of a machine in `machines`.
     pub fn find(&self, id: &MachineId) -> Option<usize> {
         self.machines.binary_search_by(|s| s.id.cmp(id)).ok()
     }
 
-    /// Its zone.
+    /// The zone of the machine at an index.
     pub fn zone(&self, k: usize) -> &str {
         &self.groups[self.machines[k].group].zone
     }
 
-    /// What it has in all.
+    /// The total resources of the machine at an index.
     pub fn size(&self, k: usize) -> Resources {
         self.groups[self.machines[k].group].size
     }
 
-    /// What is left of it, less what is held.
+    /// The room left on the machine at an index.
     pub fn left(&self, k: usize, availability: Availability) -> Resources {
         match availability {
             Availability::Now => self.machines[k].free,
@@ -113,7 +112,7 @@
         }
     }
 
-    /// Holds room for a task.
+    /// Takes room on the machine at an index.
     pub fn hold(&mut self, k: usize, task_resources: Resources) {
         self.machines[k].free.sub(task_resources);
         self.machines[k].after_preemption.sub(task_resources);
@@ -121,20 +120,20 @@
 
     fn count_work(&self, entries: usize, machines: usize) {
         self.work_done
-            .set(self.work_done.get() + 1 + entries as i64 / ENTRIES + machines as i64);
+            .set(self.work_done.get() + 1 + entries as i64 / ENTRIES_PER_LOOKUP + machines as i64);
     }
 }
 
-/// What it is worth to find the better of spot and ordinary machines: about the fetch of an image.
+/// The cost of using a spot machine where an ordinary one suits better, or the reverse: about the fetch of an image.
 const WRONG_KIND_MS: i64 = 15_000;
 
-/// What a job looks for.
+/// The machines that a job may use, and how it ranks them.
 pub struct PlacementRequest<'a> {
     /// The job as things stand.
     pub spec: &'a JobSpec,
     /// Machines that it should not use, by when.
     pub avoid: &'a BTreeMap<MachineId, Micros>,
-    /// The time of the round.
+    /// The time of the cycle.
     pub now: Micros,
     /// Machine types on offer.
     pub types: &'a [MachineType],
@@ -145,17 +144,41 @@
     pub cached: bool,
 }
 
-/// What a job finds in one zone.
+/// Candidates of one zone.
 struct ZoneCandidates<'r> {
     name: &'r str,
-    /// Tasks that it has there.
+    /// Tasks of the job in the zone.
     tasks: u32,
-    /// Candidates, the best last, by their position in the list, with how many still fit.
-    left: Vec<(usize, u32)>,
+    /// Candidates with room, the best last.
+    left: Vec<OpenCandidate>,
 }
 
+/// A candidate with room for more tasks.
+struct OpenCandidate {
+    /// Its position in the list of all candidates.
+    position: usize,
+    /// How many tasks still fit.
+    fits: u32,
+}
+
+/// A machine with room for at least one task. The fields are compared in their order.
+#[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
+struct Candidate {
+    /// Lower is better, see [`PlacementRequest::cost`].
+    cost: i64,
+    /// The machine's index in the capacity.
+    index: usize,
+    /// How many tasks fit.
+    fits: u32,
+}
+
+/// Most tasks counted on one machine.
+const MAX_TASKS_PER_MACHINE: i64 = 1 << 20;
+/// Fetch rate of a machine whose type is not known, in MB/s.
+const DEFAULT_FETCH_MB_S: i64 = 100;
+
 impl<'a> PlacementRequest<'a> {
-    /// What this job looks for.
+    /// The placement request of a job.
     pub fn of(job: &'a Job, now: Micros, types: &'a [MachineType]) -> PlacementRequest<'a> {
         PlacementRequest {
             spec: &job.spec,
@@ -167,7 +190,8 @@
         }
     }
 
-    /// For each group: whether this may run there, and if only where plain work is let in.
+    /// For each group: none if the job may not use it, else whether its machines suit the job's tasks. If not, only
+    /// machines that accept work without accelerators may be used.
     fn groups(&self, capacity: &FreeCapacity) -> Vec<Option<bool>> {
         let ask = |g: &MachineGroup| {
             let allowed = self.spec.allows(&g.kind, &g.zone, g.spot);
@@ -186,7 +210,7 @@
             && self.avoid.get(&m.id).is_none_or(|until| *until <= self.now)
     }
 
-    /// Places where this may run and that `keep` says are worth looking at.
+    /// Machines that the job may use, of those that pass `keep`, with their index.
     pub fn places<'m>(
         &self,
         machines: &'m Machines,
@@ -209,7 +233,7 @@
         found
     }
 
-    /// How many tasks the machines of each zone could take if they were empty.
+    /// How many tasks would fit on the empty machines of each zone.
     pub fn by_zone<'r>(&self, capacity: &'r FreeCapacity) -> BTreeMap<&'r str, i64> {
         let groups = self.groups(capacity);
         let mut all = BTreeMap::new();
@@ -225,8 +249,9 @@
         all
     }
 
-    /// Work that saves goes to spot machines where it may: it loses little when these are taken. What
-    /// would have to start anew, and makes its whole job late, goes to the others first.
+    /// The cost of the machine being spot or not, in milliseconds. Jobs with checkpoints prefer spot machines where they
+    /// may use them: they lose little by a preemption. Others, which would have to start anew and be late, prefer
+    /// ordinary machines.
     pub fn kind_ms(&self, m: &Machine) -> i64 {
         let wrong = self.spec.spot && m.record.spot != self.spec.saves();
         if wrong {
@@ -242,7 +267,7 @@
             .types
             .iter()
             .find(|t| t.name == m.record.kind)
-            .map_or(100, |t| t.fetch_mb_s);
+            .map_or(DEFAULT_FETCH_MB_S, |t| t.fetch_mb_s);
         m.image_cache
             .to_fetch_mb(&self.spec.image, self.spec.image_mb)
             * 1_000
@@ -256,117 +281,132 @@
         self.kind_ms(m) + self.fetch_ms(m) + left
     }
 
-    /// Places that have room for at least one task, best first, with how many fit.
+    /// Machines that have room for at least one task, best first.
     fn candidates(
         &self,
         machines: &Machines,
         capacity: &FreeCapacity,
         availability: Availability,
-    ) -> Vec<(usize, u32)> {
-        let fits = |k: usize| {
-            capacity
-                .left(k, availability)
-                .fits(self.spec.task_resources)
-        };
-        let mut found: Vec<(i64, usize, u32)> = self
+    ) -> Vec<Candidate> {
+        let left = |k: usize| capacity.left(k, availability);
+        let fits = |k: usize| left(k).fits(self.spec.task_resources);
+        let mut found: Vec<Candidate> = self
             .places(machines, capacity, |k, _| fits(k) > 0)
             .into_iter()
-            .map(|(k, m)| {
-                (
-                    self.cost(m, capacity.left(k, availability)),
-                    k,
-                    fits(k).min(1 << 20) as u32,
-                )
+            .map(|(index, m)| Candidate {
+                cost: self.cost(m, left(index)),
+                index,
+                fits: fits(index).min(MAX_TASKS_PER_MACHINE) as u32,
             })
             .collect();
         found.sort_unstable();
-        found.into_iter().map(|(_, k, n)| (k, n)).collect()
+        found
     }
 
-    /// Places for `n` tasks at once, one entry for each task, or for as many as `policy` allows. `taken` counts the job's tasks by zone, those that are only leaving included.
+    /// Places for `n` tasks at once, one entry for each task, or for as many as `policy` allows. `tasks_by_zone` counts the job's tasks, those that are only leaving included.
     pub fn choose(
         &self,
         machines: &Machines,
         capacity: &FreeCapacity,
         availability: Availability,
-        taken: &BTreeMap<String, u32>,
+        tasks_by_zone: &BTreeMap<String, u32>,
         n: u32,
         policy: FillPolicy,
     ) -> Vec<usize> {
         let found = self.candidates(machines, capacity, availability);
         if !self.spec.one_zone {
-            return self.fill(capacity, &found, taken, n, policy);
+            return self.fill(capacity, &found, tasks_by_zone, n, policy);
         }
-        let mut zones: Vec<&str> = taken.keys().map(String::as_str).take(1).collect();
+        let mut zones: Vec<&str> = tasks_by_zone.keys().map(String::as_str).take(1).collect();
         if zones.is_empty() {
-            for (k, _) in &found {
-                if !zones.contains(&capacity.zone(*k)) {
-                    zones.push(capacity.zone(*k));
+            for candidate in &found {
+                let zone = capacity.zone(candidate.index);
+                if !zones.contains(&zone) {
+                    zones.push(zone);
                 }
             }
         }
-        for z in zones {
-            let here: Vec<(usize, u32)> = found
+        for zone in zones {
+            let here: Vec<Candidate> = found
                 .iter()
-                .filter(|(k, _)| capacity.zone(*k) == z)
+                .filter(|candidate| capacity.zone(candidate.index) == zone)
                 .copied()
                 .collect();
-            let got = self.fill(capacity, &here, taken, n, policy);
-            if !got.is_empty() {
-                return got;
+            let chosen = self.fill(capacity, &here, tasks_by_zone, n, policy);
+            if !chosen.is_empty() {
+                return chosen;
             }
         }
         Vec::new()
     }
 
-    /// Down the list; a job that is spread goes to the zone where it has least each time.
+    /// Assigns tasks to candidates, best first. Of a job that is spread each task goes to the zone where the job has
+    /// least.
     fn fill(
         &self,
         capacity: &FreeCapacity,
-        found: &[(usize, u32)],
-        taken: &BTreeMap<String, u32>,
+        found: &[Candidate],
+        tasks_by_zone: &BTreeMap<String, u32>,
         n: u32,
         policy: FillPolicy,
     ) -> Vec<usize> {
-        let cap = self.spec.zone_cap();
-        let mut zones: Vec<ZoneCandidates> = Vec::new();
-        for (at, (k, fits)) in found.iter().enumerate().rev() {
-            let name = capacity.zone(*k);
-            let z = zones
-                .iter()
-                .position(|z| z.name == name)
-                .unwrap_or_else(|| {
-                    zones.push(ZoneCandidates {
-                        name,
-                        tasks: taken.get(name).copied().unwrap_or(0),
-                        left: Vec::new(),
-                    });
-                    zones.len() - 1
-                });
-            zones[z].left.push((at, *fits));
-        }
-        let mut got = Vec::new();
-        while (got.len() as u32) < n {
-            let open = zones.iter_mut().filter(|z| z.tasks < cap).filter_map(|z| {
-                let at = z.left.last()?.0;
-                let least = if self.spec.spread { z.tasks } else { 0 };
-                Some(((least, at), z))
+        let zone_cap = self.spec.zone_cap();
+        let mut zones = candidates_by_zone(capacity, found, tasks_by_zone);
+        let mut chosen = Vec::new();
+        while (chosen.len() as u32) < n {
+            let open = zones.iter_mut().filter(|zone| zone.tasks < zone_cap);
+            let open = open.filter_map(|zone| {
+                let position = zone.left.last()?.position;
+                let tasks = if self.spec.spread { zone.tasks } else { 0 };
+                Some(((tasks, position), zone))
             });
-            let Some(((_, at), zone)) = open.min_by_key(|o| o.0) else {
+            let Some(((_, position), zone)) = open.min_by_key(|(key, _)| *key) else {
                 break;
             };
-            zone.tasks += 1;
-            if let Some(last) = zone.left.last_mut() {
-                last.1 -= 1;
-                if last.1 == 0 {
-                    zone.left.pop();
-                }
-            }
-            got.push(found[at].0);
+            zone.take_best();
+            chosen.push(found[position].index);
         }
-        if (got.len() as u32) < n && policy == FillPolicy::AllOrNothing {
+        if (chosen.len() as u32) < n && policy == FillPolicy::AllOrNothing {
             return Vec::new();
         }
-        got
+        chosen
+    }
+}
+
+impl ZoneCandidates<'_> {
+    /// Assigns a task to the best candidate.
+    fn take_best(&mut self) {
+        self.tasks += 1;
+        if let Some(best) = self.left.last_mut() {
+            best.fits -= 1;
+            if best.fits == 0 {
+                self.left.pop();
+            }
+        }
+    }
+}
+
+fn candidates_by_zone<'r>(
+    capacity: &'r FreeCapacity,
+    found: &[Candidate],
+    tasks_by_zone: &BTreeMap<String, u32>,
+) -> Vec<ZoneCandidates<'r>> {
+    let mut zones: Vec<ZoneCandidates> = Vec::new();
+    for (position, candidate) in found.iter().enumerate().rev() {
+        let name = capacity.zone(candidate.index);
+        let known = zones.iter().position(|zone| zone.name == name);
+        let zone = known.unwrap_or_else(|| {
+            zones.push(ZoneCandidates {
+                name,
+                tasks: tasks_by_zone.get(name).copied().unwrap_or(0),
+                left: Vec::new(),
+            });
+            zones.len() - 1
+        });
+        zones[zone].left.push(OpenCandidate {
+            position,
+            fits: candidate.fits,
+        });
     }
+    zones
 }
--- a/crates/seamfront-core/src/quota.rs
+++ b/crates/seamfront-core/src/quota.rs
@@ -1,10 +1,10 @@
-//! Teams' use, limits and guarantees. A team belongs to one shard, so its holder alone counts.
+//! Quota: teams' usage, limits and guarantees. A team belongs to one shard, so the shard's holder alone counts.
 
 use crate::job::Job;
 use crate::types::{JobId, JobKind, JobSpec, Resources, Team};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// What each team's tasks take.
+/// Resources used by each team's placed tasks.
 #[derive(Clone, Debug, Default)]
 pub struct Quota {
     used: BTreeMap<String, Resources>,
@@ -19,22 +19,22 @@
             .add(task_resources);
     }
 
-    /// Counts a task that has gone.
+    /// Counts a task that was removed.
     pub fn give(&mut self, team: &str, task_resources: Resources) {
         if let Some(u) = self.used.get_mut(team) {
             u.sub(task_resources);
         }
     }
 
-    /// What a team's tasks take.
+    /// Resources used by a team's placed tasks.
     pub fn used(&self, team: &str) -> Resources {
         self.used.get(team).copied().unwrap_or_default()
     }
 
-    /// How many more tasks of this size the team's limit allows now, besides what is held for others.
-    pub fn headroom(&self, team: &Team, task_resources: Resources, held: Resources) -> i64 {
+    /// How many more tasks of this size the team's limit allows now, with `reserved` kept for others.
+    pub fn headroom(&self, team: &Team, task_resources: Resources, reserved: Resources) -> i64 {
         let mut used = self.used(&team.name);
-        used.add(held);
+        used.add(reserved);
         limit_left(team.limit, used).fits(task_resources)
     }
 }
@@ -48,7 +48,7 @@
     }
 }
 
-/// Can this job ever run within its team's limit? One task of an array, all tasks of the others.
+/// Whether a job can ever run within its team's limit: one task of an array, all tasks of the others.
 pub fn within_limit(team: &Team, spec: &JobSpec) -> bool {
     let n = if spec.kind == JobKind::Array {
         1
--- a/crates/seamfront-core/src/record.rs
+++ b/crates/seamfront-core/src/record.rs
@@ -10,8 +10,43 @@
 use serde_json::Value;
 use std::collections::BTreeMap;
 
-/// Runs of task numbers `[from, to)` with one attempt.
-pub type Runs = Vec<(u32, u32, u64)>;
+/// Consecutive task numbers on one machine with the same attempt, stored as `[start, end, attempt]`.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
+#[serde(from = "(u32, u32, u64)", into = "(u32, u32, u64)")]
+pub struct TaskRun {
+    /// The first task number.
+    pub start: u32,
+    /// The task number after the last.
+    pub end: u32,
+    /// The attempt.
+    pub attempt: u64,
+}
+
+impl TaskRun {
+    /// Tasks `start..end` with one attempt.
+    pub const fn new(start: u32, end: u32, attempt: u64) -> TaskRun {
+        TaskRun {
+            start,
+            end,
+            attempt,
+        }
+    }
+}
+
+impl From<(u32, u32, u64)> for TaskRun {
+    fn from((start, end, attempt): (u32, u32, u64)) -> TaskRun {
+        TaskRun::new(start, end, attempt)
+    }
+}
+
+impl From<TaskRun> for (u32, u32, u64) {
+    fn from(run: TaskRun) -> Self {
+        (run.start, run.end, run.attempt)
+    }
+}
+
+/// Runs of tasks on one machine.
+pub type Runs = Vec<TaskRun>;
 
 /// What is recorded of a job, whatever its kind; arrays and services as a class.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
@@ -39,9 +74,9 @@
     /// Placements by machine.
     #[serde(rename = "p")]
     pub placed: BTreeMap<MachineId, Runs>,
-    /// How often the gang was parked; of other jobs, how often in a row their tasks have failed.
+    /// Failures by which the pauses of the job grow: how often a gang has backed off; of other jobs, errors in a row.
     #[serde(rename = "pk")]
-    pub parks: u32,
+    pub failures: u32,
 }
 
 /// The head of a record in parts. It lacks fields of [`WorkRecord`], so it cannot be read as a whole record.
@@ -57,7 +92,7 @@
     #[serde(rename = "n")]
     next_attempt: u64,
     #[serde(rename = "pk")]
-    parks: u32,
+    failures: u32,
     parts: u32,
 }
 
@@ -87,8 +122,11 @@
 const PARTS_BYTES: usize = 44_000;
 /// Bytes of a part's own punctuation and of the head's fixed fields.
 const PART_OVERHEAD: usize = 40;
-/// Of a value's bytes so much is counted on when tasks are placed: parts are not filled to the last byte.
-const FILLED: (usize, usize) = (2, 3);
+/// Of each `FILL_DENOMINATOR` bytes of a value this many are counted on when tasks are placed: parts are not filled to
+/// the last byte.
+const FILL_NUMERATOR: usize = 2;
+/// See [`FILL_NUMERATOR`].
+const FILL_DENOMINATOR: usize = 3;
 
 impl Layout {
     /// Records of one value only.
@@ -109,7 +147,8 @@
 
     /// Bytes of lists that certainly find room in parts.
     pub fn parts_capacity(&self) -> usize {
-        self.parts * (self.value_bytes * FILLED.0 / FILLED.1).saturating_sub(PART_OVERHEAD)
+        let filled = self.value_bytes * FILL_NUMERATOR / FILL_DENOMINATOR;
+        self.parts * filled.saturating_sub(PART_OVERHEAD)
     }
 }
 
@@ -238,7 +277,7 @@
         epoch: record.epoch,
         draining: record.draining,
         next_attempt: record.next_attempt,
-        parks: record.parks,
+        failures: record.failures,
         parts: parts.len() as u32,
     };
     let head = serde_json::to_value(head).ok()?;
@@ -289,7 +328,7 @@
         next_attempt: head.next_attempt,
         done: Ranges::from_pieces(done),
         placed,
-        parks: head.parks,
+        failures: head.failures,
     })
 }
 
--- a/crates/seamfront-core/src/shard/drain.rs
+++ b/crates/seamfront-core/src/shard/drain.rs
@@ -1,11 +1,19 @@
-//! Draining gangs and stopping tasks for the sake of others.
+//! Draining gangs, and evicting tasks for other work.
 
 use super::{
-    info, warn, Cause, Context, JobId, JobSpec, Member, Micros, Phase, Placement, Removal, Shard,
-    Stop, TaskKey, Verdict,
+    info, warn, Cause, Context, Job, JobId, JobSpec, Member, Micros, Phase, Placement, Removal,
+    Shard, Stop, TaskKey, Verdict,
 };
 
+/// First pause of a gang whose member used up its attempts, in seconds.
+const BACKOFF_S: i64 = 5;
+/// The pause doubles up to this many times.
+const BACKOFF_DOUBLINGS: u32 = 3;
+/// Added to the time that a task takes to save before it is stopped.
+const SAVE_MARGIN: Micros = Micros::from_millis(500);
+
 impl Shard {
+    /// Starts the drain of a gang: all members are stopped. `trigger` is the member whose failure caused it.
     pub(super) fn drain_gang(
         &mut self,
         context: &mut Context,
@@ -48,6 +56,7 @@
         self.check_gang(context, id);
     }
 
+    /// The first member of a gang whose machine is silent.
     pub(super) fn silent_member(&self, context: &Context, id: &JobId) -> Option<u32> {
         let job = self.jobs.get(id)?;
         let silent = |p: &Placement| {
@@ -59,7 +68,7 @@
         job.tasks.iter().find(|(_, p)| silent(p)).map(|(i, _)| *i)
     }
 
-    /// Gives the verdict once nothing of the gang runs.
+    /// Completes the drain of a gang once none of its members is on a machine.
     pub(super) fn check_gang(&mut self, context: &mut Context, id: &JobId) {
         let Some(job) = self.jobs.get_mut(id) else {
             return;
@@ -81,29 +90,23 @@
         };
         info!(gang = %id, epoch = g.epoch, ?verdict, "gang drain completed");
         if verdict == Verdict::Failed {
-            // The protocol knows no failed job and every accepted job must run: it pauses.
-            // Not for longer than leaves it several tries within the time in which it should begin.
-            let pause = Micros::from_secs(5 << job.parks.min(3));
-            job.parks += 1;
-            job.paused_until = context.now + pause;
-            g.readmit();
-            warn!(gang = %id, parks = job.parks, "gang parked");
+            back_off(job, context.now);
         }
         job.waiting_since = context.now;
         job.record.touch();
         self.dirty = true;
     }
 
-    /// Time that a task is given to save; nothing where it can't.
+    /// Time that a task is given to save, none if it has no checkpoints.
     pub(super) fn grace(spec: &JobSpec) -> Micros {
         if spec.saves() {
-            spec.save + spec.save.over(5) + Micros::from_millis(500)
+            spec.save + spec.save.over(5) + SAVE_MARGIN
         } else {
             Micros::ZERO
         }
     }
 
-    /// Stops one task for others' sake; of a gang, all.
+    /// Evicts a task, or its whole gang, with the time that it takes to save.
     pub fn evict(&mut self, context: &mut Context, task: &TaskKey, cause: Cause) {
         let grace = self
             .jobs
@@ -112,7 +115,7 @@
         self.evict_with(context, task, cause, grace);
     }
 
-    /// Stops one task with that much time to save; of a gang, all.
+    /// Evicts a task, or its whole gang, with `grace` to save.
     pub fn evict_with(
         &mut self,
         context: &mut Context,
@@ -129,7 +132,7 @@
         if p.stop.is_some() || job.ending.is_some() {
             return;
         }
-        info!(task = %task, machine = %p.machine, ?cause, "stopping task");
+        info!(task = %task, machine = %p.machine, ?cause, "evicting task");
         if job.gang.is_some() {
             self.drain_gang(context, &task.job, None, cause, grace);
         } else if p.phase == Phase::Recording {
@@ -143,3 +146,14 @@
         }
     }
 }
+
+/// A gang whose member used up its attempts pauses and starts anew: the protocol knows no failed job, and every
+/// accepted job must run. It pauses no longer than leaves it several tries within the time in which it should start.
+fn back_off(job: &mut Job, now: Micros) {
+    job.paused_until = now + Micros::from_secs(BACKOFF_S << job.backoffs.min(BACKOFF_DOUBLINGS));
+    job.backoffs += 1;
+    if let Some(gang) = &mut job.gang {
+        gang.readmit();
+    }
+    warn!(gang = %job.spec.id, backoffs = job.backoffs, "gang backing off");
+}
--- a/crates/seamfront-core/src/shard/mod.rs
+++ b/crates/seamfront-core/src/shard/mod.rs
@@ -220,11 +220,7 @@
         for (i, p) in &mut job.tasks {
             self.quota.take(&job.spec.team, job.spec.task_resources);
             if ended {
-                p.stop = Some(Stop {
-                    cause: Cause::Cancelled,
-                    grace: Micros::ZERO,
-                    since: now,
-                });
+                p.stop = Some(Stop::immediate(Cause::Cancelled, now));
             }
             if let Some(m) = self.machines.get_mut(&p.machine) {
                 m.used.add(job.spec.task_resources);
@@ -305,7 +301,7 @@
             }
             Some(_) => return,
             None => {
-                info!(job = %id, "cancelled: stopping what runs");
+                info!(job = %id, "job cancelled; stopping its tasks");
                 job.ending = Some(Ending::Cancelled);
                 let mut never_sent = Vec::new();
                 for (i, p) in &mut job.tasks {
@@ -315,11 +311,7 @@
                             index: *i,
                         });
                     }
-                    p.stop = Some(Stop {
-                        cause: Cause::Cancelled,
-                        grace: Micros::ZERO,
-                        since: context.now,
-                    });
+                    p.stop = Some(Stop::immediate(Cause::Cancelled, context.now));
                 }
                 for t in never_sent {
                     self.remove_task(context, &t, Removal::Lost);
@@ -407,7 +399,7 @@
         let Some(m) = self.machines.remove(id) else {
             return;
         };
-        info!(machine = %id, tasks = m.tasks.len(), "machine is gone");
+        info!(machine = %id, tasks = m.tasks.len(), "machine deleted");
         for t in m.tasks {
             self.remove_task(context, &t, Removal::Lost);
         }
--- a/crates/seamfront-core/src/shard/records.rs
+++ b/crates/seamfront-core/src/shard/records.rs
@@ -80,7 +80,7 @@
     pub fn pending_write_count(&self) -> usize {
         self.jobs
             .values()
-            .filter(|j| j.record.blocks_starts() || j.ending == Some(Ending::Completing))
+            .filter(|job| blocks_progress(job))
             .count()
     }
 
@@ -152,30 +152,19 @@
 
     /// Jobs whose records are due, in the order in which they are to be written.
     fn due_records(&self, now: Micros) -> Vec<JobId> {
-        // Results alone are recorded now and then: until then their workers keep them.
-        let rested = |j: &Job| now - j.record.asked_at >= RESULTS_INTERVAL;
-        let mut due: Vec<(bool, Priority, Micros, JobId)> = self
+        let mut due: Vec<DueRecord> = self
             .jobs
             .iter()
-            .filter(|(_, j)| !j.record.in_flight)
-            .filter(|(_, j)| match j.ending {
-                Some(Ending::Completing) => true,
-                Some(_) => j.tasks.is_empty() && j.record.version != Some(0),
-                None => j.record.dirty() && (j.record.blocks_starts() || rested(j)),
-            })
-            .map(|(id, j)| {
-                let blocks_starts =
-                    j.record.blocks_starts() || j.ending == Some(Ending::Completing);
-                (
-                    !blocks_starts,
-                    j.spec.priority,
-                    j.record.asked_at,
-                    id.clone(),
-                )
+            .filter(|(_, job)| record_due(job, now))
+            .map(|(id, job)| DueRecord {
+                blocks_nothing: !blocks_progress(job),
+                priority: job.spec.priority,
+                asked_at: job.record.asked_at,
+                id: id.clone(),
             })
             .collect();
         due.sort();
-        due.into_iter().map(|d| d.3).collect()
+        due.into_iter().map(|record| record.id).collect()
     }
 
     fn machine_written(
@@ -202,76 +191,120 @@
         }
     }
 
-    /// The outcome of a record's write: the new version, or None if that must be read first.
+    /// Applies the outcome of a write.
     pub fn written(&mut self, context: &mut Context, write: &ShardWrite, outcome: WriteOutcome) {
-        let (job_id, generation) = match write {
+        let id = match write {
             ShardWrite::Machine {
                 machine, record, ..
             } => return self.machine_written(machine, record, outcome),
-            ShardWrite::Record {
-                job, generation, ..
-            } => (job, *generation),
-            ShardWrite::End { job, .. }
+            ShardWrite::Record { job, .. }
+            | ShardWrite::End { job, .. }
             | ShardWrite::DropRecord { job, .. }
-            | ShardWrite::Read { job } => (job, 0),
+            | ShardWrite::Read { job } => job,
         };
-        let Some(job) = self.jobs.get_mut(job_id) else {
+        let Some(job) = self.jobs.get_mut(id) else {
             return;
         };
         job.record.in_flight = false;
         match outcome {
-            WriteOutcome::Refused => return,
-            WriteOutcome::Unclear => {
-                job.record.version = None;
-                job.record.parts = None;
-                if let ShardWrite::Record { record, .. } = write {
-                    job.record.parts_end = job.record.parts_end.max(record.parts.len() as u32);
-                }
-                return;
+            WriteOutcome::Refused => {}
+            WriteOutcome::Unclear => write_unclear(job, write),
+            WriteOutcome::Done(version) => {
+                let ordered = write_applied(job, write, version, context.now);
+                self.unsent.extend(ordered);
+                self.settle_job(context, id);
             }
-            WriteOutcome::Done(v) => match write {
-                ShardWrite::Record {
-                    record, parts_end, ..
-                } => {
-                    job.record.version = Some(v);
-                    job.record.parts = Some(record.parts.clone());
-                    job.record.parts_end = *parts_end;
-                    job.record.boundaries.clone_from(&record.boundaries);
-                    job.record.written = job.record.written.max(generation);
-                    let placed: Vec<u32> = job
-                        .tasks
-                        .iter_mut()
-                        .filter(|(_, p)| p.phase == Phase::Recording && p.generation <= generation)
-                        .map(|(i, p)| {
-                            p.phase = Phase::Ordered;
-                            p.since = context.now;
-                            self.unsent.insert(p.machine.clone());
-                            *i
-                        })
-                        .collect();
-                    if let Some(g) = &mut job.gang {
-                        for i in placed {
-                            g.recorded(i);
-                        }
-                    }
-                }
-                ShardWrite::End { .. } => {
-                    info!(job = %job_id, "job recorded as done");
-                    job.ending = Some(Ending::Done);
-                    job.record.version = Some(0);
-                    job.record.parts_end = 0;
-                    stop_rest(job, context.now);
-                }
-                ShardWrite::DropRecord { .. } => job.record.version = Some(0),
-                ShardWrite::Read { .. } => job.record.version = Some(v),
-                ShardWrite::Machine { .. } => {}
-            },
         }
-        let id = job_id.clone();
-        self.settle_job(context, &id);
     }
 }
 
+/// A record that is due. The fields are compared in their order.
+#[derive(PartialEq, Eq, PartialOrd, Ord)]
+struct DueRecord {
+    /// Neither task starts nor the end of the job depend on it.
+    blocks_nothing: bool,
+    priority: Priority,
+    asked_at: Micros,
+    id: JobId,
+}
+
+/// Whether task starts or the end of the job depend on its next write.
+fn blocks_progress(job: &Job) -> bool {
+    job.record.blocks_starts() || job.ending == Some(Ending::Completing)
+}
+
+/// Whether a job's record is to be written now. Results alone are recorded now and then: until then their workers
+/// keep them.
+fn record_due(job: &Job, now: Micros) -> bool {
+    if job.record.in_flight {
+        return false;
+    }
+    match job.ending {
+        Some(Ending::Completing) => true,
+        Some(_) => job.tasks.is_empty() && job.record.version != Some(0),
+        None => {
+            let rested = now - job.record.asked_at >= RESULTS_INTERVAL;
+            job.record.dirty() && (job.record.blocks_starts() || rested)
+        }
+    }
+}
+
+/// A write that may or may not be applied: the version must be read before the next one.
+fn write_unclear(job: &mut Job, write: &ShardWrite) {
+    job.record.version = None;
+    job.record.parts = None;
+    if let ShardWrite::Record { record, .. } = write {
+        job.record.parts_end = job.record.parts_end.max(record.parts.len() as u32);
+    }
+}
+
+/// A write was applied at `version`. Returns the machines whose tasks may be ordered to start from now on.
+fn write_applied(job: &mut Job, write: &ShardWrite, version: u64, now: Micros) -> Vec<MachineId> {
+    match write {
+        ShardWrite::Record {
+            generation,
+            record,
+            parts_end,
+            ..
+        } => {
+            job.record.version = Some(version);
+            job.record.parts = Some(record.parts.clone());
+            job.record.parts_end = *parts_end;
+            job.record.boundaries.clone_from(&record.boundaries);
+            job.record.written = job.record.written.max(*generation);
+            return order_recorded_tasks(job, *generation, now);
+        }
+        ShardWrite::End { .. } => {
+            info!(job = %job.spec.id, "job recorded as done");
+            job.ending = Some(Ending::Done);
+            job.record.version = Some(0);
+            job.record.parts_end = 0;
+            stop_rest(job, now);
+        }
+        ShardWrite::DropRecord { .. } => job.record.version = Some(0),
+        ShardWrite::Read { .. } => job.record.version = Some(version),
+        ShardWrite::Machine { .. } => {}
+    }
+    Vec::new()
+}
+
+/// Tasks whose placements are recorded may be ordered. Returns their machines.
+fn order_recorded_tasks(job: &mut Job, generation: u64, now: Micros) -> Vec<MachineId> {
+    let mut machines = Vec::new();
+    for (index, p) in &mut job.tasks {
+        if p.phase != Phase::Recording || p.generation > generation {
+            continue;
+        }
+        p.phase = Phase::Ordered;
+        p.since = now;
+        machines.push(p.machine.clone());
+        if let Some(gang) = &mut job.gang {
+            gang.recorded(*index);
+        }
+    }
+    machines
+}
+
 /// What is to be written of a job next, as it stands. None if its record does not fit.
 fn next_write(job: &mut Job, layout: &Layout) -> Option<ShardWrite> {
     let (id, parts_end) = (job.spec.id.clone(), job.record.parts_end);
@@ -328,11 +361,7 @@
 /// Members of a gang complete together, so there is hardly ever anything left to stop.
 pub(super) fn stop_rest(job: &mut Job, now: Micros) {
     for p in job.tasks.values_mut() {
-        p.stop = Some(Stop {
-            cause: Cause::Cancelled,
-            grace: Micros::ZERO,
-            since: now,
-        });
+        p.stop = Some(Stop::immediate(Cause::Cancelled, now));
     }
 }
 
@@ -342,7 +371,7 @@
         .placed
         .values()
         .flatten()
-        .map(|run| run.1)
+        .map(|run| run.end)
         .max()
         .unwrap_or(0);
     JobSpec {
--- a/crates/seamfront-core/tests/evidence.rs
+++ b/crates/seamfront-core/tests/evidence.rs
@@ -6,7 +6,7 @@
 use seamfront_core::job::Job;
 use seamfront_core::machine::{machine_key, DirectCommand, MachineRecord};
 use seamfront_core::port::*;
-use seamfront_core::record::{Layout, WorkRecord};
+use seamfront_core::record::{Layout, TaskRun, WorkRecord};
 use seamfront_core::shard::{ShardPhase, ShardWrite, StatusSource, StoredRecord};
 use seamfront_core::types::*;
 use seamfront_core::Engine;
@@ -314,7 +314,9 @@
     let mut job = Job::new(job("j-0", 1), 5, s(90));
     job.next_attempt = 4;
     let mut record = job.to_record();
-    record.placed.insert(machine.into(), vec![(0, 1, 3)]);
+    record
+        .placed
+        .insert(machine.into(), vec![TaskRun::new(0, 1, 3)]);
     record
 }
 
@@ -798,7 +800,7 @@
     for k in 0..100 {
         record.placed.insert(
             format!("i-{:06}", 500 + k).as_str().into(),
-            vec![(k, k + 1, 100 + u64::from(k))],
+            vec![TaskRun::new(k, k + 1, 100 + u64::from(k))],
         );
     }
     h.shard.adopt_record(
@@ -848,7 +850,7 @@
         let room = j.record_headroom(&Layout::single(value));
         let mut record = j.to_record();
         for k in 0..room.min(tasks) {
-            let runs = vec![(tasks - 1, tasks, 99_999)];
+            let runs = vec![TaskRun::new(tasks - 1, tasks, 99_999)];
             record
                 .placed
                 .insert(format!("i-{:08}", 10_000_000 + k).as_str().into(), runs);
--- a/crates/seamfront-core/tests/records.rs
+++ b/crates/seamfront-core/tests/records.rs
@@ -2,7 +2,7 @@
 
 use seamfront_core::ranges::Ranges;
 use seamfront_core::record::{
-    decode, encode, parse_part_key, part_key, EncodedRecord, Layout, WorkRecord,
+    decode, encode, parse_part_key, part_key, EncodedRecord, Layout, TaskRun, WorkRecord,
 };
 use seamfront_core::types::*;
 use seamfront_testing::simulation::recording::scenario;
@@ -36,9 +36,14 @@
         next_attempt: 12,
         done,
         placed: (0..members)
-            .map(|k| (format!("i-{k:06}").as_str().into(), vec![(k, k + 1, 7)]))
+            .map(|k| {
+                (
+                    format!("i-{k:06}").as_str().into(),
+                    vec![TaskRun::new(k, k + 1, 7)],
+                )
+            })
             .collect(),
-        parks: 1,
+        failures: 1,
     }
 }
 
@@ -90,7 +95,7 @@
     record.placed.remove(&MachineId::from("i-000100"));
     record
         .placed
-        .insert("i-000100x".into(), vec![(100, 101, 8)]);
+        .insert("i-000100x".into(), vec![TaskRun::new(100, 101, 8)]);
     let after = encode(&record, &small_layout(), &before.boundaries).unwrap();
     let changed = before
         .parts
@@ -134,7 +139,7 @@
     );
     assert_eq!(
         record.placed[&MachineId::from("i-1")],
-        [(1, 3, 7), (5, 6, 8)]
+        [TaskRun::new(1, 3, 7), TaskRun::new(5, 6, 8)]
     );
     // The version in production cannot take the head for a whole record.
     assert!(serde_json::from_value::<WorkRecord>(head).is_err());
--- a/crates/seamfront-testing/src/shard_harness.rs
+++ b/crates/seamfront-testing/src/shard_harness.rs
@@ -3,7 +3,7 @@
 use seamfront_core::job::Job;
 use seamfront_core::machine::MachineRecord;
 use seamfront_core::port::*;
-use seamfront_core::record::{Layout, WorkRecord};
+use seamfront_core::record::{Layout, TaskRun, WorkRecord};
 use seamfront_core::shard::{Context, Shard, ShardWrite, StatusSource, StoredRecord, WriteOutcome};
 use seamfront_core::types::*;
 use std::rc::Rc;
@@ -123,9 +123,10 @@
             let mut former = Job::new(spec.clone(), 5, s(90));
             former.next_attempt = 4;
             let mut record: WorkRecord = former.to_record();
-            record
-                .placed
-                .insert(format!("i-{k}").as_str().into(), vec![(0, 1, 3)]);
+            record.placed.insert(
+                format!("i-{k}").as_str().into(),
+                vec![TaskRun::new(0, 1, 3)],
+            );
             let stored = StoredRecord {
                 record,
                 version: 9,
