--- a/crates/seamfront-core/src/engine/machines.rs
+++ b/crates/seamfront-core/src/engine/machines.rs
@@ -4,7 +4,7 @@
 use crate::machine::MachineRecord;
 use crate::machine_types::MachineTypesEvent;
 use crate::port::{ClientRequestId, Effect, Heartbeat, Order};
-use crate::shard::ShardPhase;
+use crate::shard::{ShardPhase, StatusSource};
 use crate::store_session::ClaimId;
 use crate::types::{MachineId, MachineType, Resources};
 
@@ -139,7 +139,7 @@
                 return None;
             }
             let ready = s.phase == ShardPhase::Ready;
-            if !s.apply_heartbeat(context, heartbeat, true) {
+            if !s.apply_heartbeat(context, heartbeat, StatusSource::WorkerHeartbeat) {
                 return None;
             }
             let orders = if ready {
