--- a/crates/seamfront-core/src/engine/mod.rs
+++ b/crates/seamfront-core/src/engine/mod.rs
@@ -1,32 +1,46 @@
-//! The one owner of all state of a controller. Commands come in batches, effects go out; time is
-//! given, never asked for. Same commands, same times, same effects.
+//! The scheduler of one controller as a deterministic state machine: commands come in batches, effects go out, and time
+//! is an argument. The same commands at the same times give the same effects.
+//!
+//! The engine dispatches: it routes commands and replies to the owners of the parts of its state, hands out what they
+//! send in order, and lets the others know of what has changed.
 
-use crate::dependencies::{DependencyGraph, DependencyRequest, JobDependencies};
+use crate::dependencies::{DependencyGraph, JobDependencies};
 use crate::fleet_duties::Duties;
 use crate::format_versions::{FormatRequest, FormatVersions};
-use crate::garbage_collector::{CollectionRequest, GarbageCollector};
-use crate::leader::{FencedRequest, Leader};
+use crate::garbage_collector::GarbageCollector;
+use crate::leader::Leader;
 use crate::machine::MachineRecord;
+use crate::machine_types::{MachineTypes, MachineTypesRequest};
 use crate::outbox::{Outbox, Outgoing};
 use crate::port::{
-    Answer, CallId, ClientRequestId, CloudReply, CloudRequest, Command, Effect, Heartbeat,
-    PeerMessage, StoreReply, StoreRequest, Write,
+    Answer, CallId, ClientRequestId, CloudReply, CloudRequest, Command, DirectOutcome, Effect,
+    StoreReply, StoreRequest,
 };
 use crate::record::Layout;
-use crate::shard::{machine_write, work_key, Context, Shard, ShardPhase, ShardWrite, WriteOutcome};
-use crate::store_session::{SessionRequest, StoreSession};
-use crate::types::{JobId, JobSpec, MachineId, MachineType, Micros, Resources, Settings};
-use crate::user_api::{EndRecord, UserRequest, Users};
+use crate::shard::{Context, Shard};
+use crate::store_session::{ClaimId, StoreSession};
+use crate::types::{JobId, JobSpec, MachineId, Micros, Settings};
+use crate::user_api::Users;
+use crate::write_pacing::WritePacer;
 use std::collections::BTreeMap;
 use std::rc::Rc;
-use tracing::{info, trace, warn};
+use tracing::trace;
 
 mod fleet;
-mod machine_types;
-use machine_types::MachineTypesRequest;
+mod health;
+mod machines;
+mod messages;
 mod peers;
+mod pending;
+mod session;
+mod transactions;
 mod writes;
 
+use health::InboundPartition;
+use messages::PeriodicMessages;
+use peers::Peers;
+pub(crate) use pending::Pending;
+
 /// A live job in this controller's view.
 #[derive(Clone, Debug)]
 pub struct LiveJob {
@@ -40,75 +54,6 @@
     pub dependencies: JobDependencies,
 }
 
-/// What is known of another controller.
-#[derive(Clone, Debug, Default)]
-pub struct Peer {
-    /// When it was last heard.
-    pub heard: Micros,
-    /// Since when it has called itself ready.
-    pub ready_since: Option<Micros>,
-    /// Writes that it had waiting when it was last heard of.
-    pub pending_writes: usize,
-}
-
-/// Waiting jobs that the leader is told of at once: a message between controllers has its bound.
-const NEEDS_MAX: usize = 1_000;
-
-/// What a call's answer is for.
-pub(crate) enum Pending {
-    Session(SessionRequest),
-    User(UserRequest),
-    Dependency(DependencyRequest),
-    Collection(CollectionRequest),
-    Format(FormatRequest),
-    MachineTypes(MachineTypesRequest),
-    Shard {
-        shard: usize,
-        version: u64,
-        shard_writes: Vec<ShardWrite>,
-    },
-    Leader(FencedRequest),
-    Duty {
-        call: CallId,
-    },
-}
-
-impl From<SessionRequest> for Pending {
-    fn from(request: SessionRequest) -> Self {
-        Pending::Session(request)
-    }
-}
-
-impl From<UserRequest> for Pending {
-    fn from(request: UserRequest) -> Self {
-        Pending::User(request)
-    }
-}
-
-impl From<DependencyRequest> for Pending {
-    fn from(request: DependencyRequest) -> Self {
-        Pending::Dependency(request)
-    }
-}
-
-impl From<CollectionRequest> for Pending {
-    fn from(request: CollectionRequest) -> Self {
-        Pending::Collection(request)
-    }
-}
-
-impl From<FormatRequest> for Pending {
-    fn from(request: FormatRequest) -> Self {
-        Pending::Format(request)
-    }
-}
-
-impl From<MachineTypesRequest> for Pending {
-    fn from(request: MachineTypesRequest) -> Self {
-        Pending::MachineTypes(request)
-    }
-}
-
 /// The scheduler of one controller: commands in, effects out.
 pub struct Engine {
     pub(crate) settings: Rc<Settings>,
@@ -120,95 +65,67 @@
     pub(crate) store: StoreSession,
     pub(crate) jobs: BTreeMap<JobId, LiveJob>,
     pub(crate) machines: BTreeMap<MachineId, (MachineRecord, u64)>,
-    /// Since when each has been the shard's that it is.
+    /// Since when each machine has belonged to its present shard.
     pub(crate) machine_since: BTreeMap<MachineId, Micros>,
     pub(crate) shards: Vec<Option<Shard>>,
     pub(crate) leader: Option<Leader>,
-    /// By slot: sending time of the last state request that proved the claim with a view of
-    /// cancellations as new.
-    pub(crate) last_verified: Vec<Option<Micros>>,
     pub(crate) users: Users,
     pub(crate) dependencies: DependencyGraph,
     format_versions: FormatVersions,
     pub(crate) duties: Duties,
     pub(crate) garbage_collector: GarbageCollector,
-    pub(crate) types: Vec<MachineType>,
-    types_busy: bool,
-    types_next: Micros,
-    pub(crate) peers: Vec<Peer>,
-    /// When any worker was last heard of, whoever owns its machine.
-    last_worker_heartbeat: Micros,
-    inbound_partition_since: Option<Micros>,
-    alive_next: Micros,
-    leader_update_next: Micros,
-    progress_next: Micros,
-    last_progress: BTreeMap<JobId, (u32, u32)>,
-    /// Tokens of the bucket that paces the scheduler's own writes, in thousandths.
-    pub(crate) write_budget: i64,
-    write_first: usize,
-    /// What was last told to the others.
-    pending_writes: usize,
-    write_filled: Micros,
-    write_rest: Micros,
-    write_next: Micros,
+    pub(crate) machine_types: MachineTypes,
+    peers: Peers,
+    inbound_partition: InboundPartition,
+    periodic_messages: PeriodicMessages,
+    pub(crate) write_pacer: WritePacer,
     pub(crate) leader_work_done: i64,
 }
 
 impl Engine {
-    /// A controller that has just begun: it knows nothing of what it did before.
+    /// A controller that has just started: it has no memory of an earlier run.
     pub fn new(settings: Settings) -> Engine {
-        let n = settings.members.len();
+        let members = settings.members.len();
         Engine {
             now: Micros::ZERO,
             wall_time: Micros::ZERO,
             effects: Vec::new(),
             calls: BTreeMap::new(),
             next_call: 1,
-            store: StoreSession::new(n),
+            store: StoreSession::new(members),
             jobs: BTreeMap::new(),
             machines: BTreeMap::new(),
             machine_since: BTreeMap::new(),
-            shards: (0..n).map(|_| None).collect(),
+            shards: (0..members).map(|_| None).collect(),
             leader: None,
-            last_verified: vec![None; n + 1],
             users: Users::default(),
             dependencies: DependencyGraph::default(),
             format_versions: FormatVersions::default(),
             duties: Duties::new(&settings),
             garbage_collector: GarbageCollector::default(),
-            types: Vec::new(),
-            types_busy: false,
-            types_next: Micros::ZERO,
-            peers: vec![Peer::default(); n],
-            last_worker_heartbeat: Micros::ZERO,
-            inbound_partition_since: None,
-            alive_next: Micros::ZERO,
-            leader_update_next: Micros::ZERO,
-            progress_next: Micros::ZERO,
-            last_progress: BTreeMap::new(),
-            write_budget: 0,
-            write_first: 0,
-            pending_writes: 0,
-            write_filled: Micros::ZERO,
-            write_rest: Micros::ZERO,
-            write_next: Micros::ZERO,
+            machine_types: MachineTypes::default(),
+            peers: Peers::new(settings.me, members),
+            inbound_partition: InboundPartition::default(),
+            periodic_messages: PeriodicMessages::default(),
+            write_pacer: WritePacer::default(),
             leader_work_done: 0,
             settings: Rc::new(settings),
         }
     }
 
-    /// `now` is a steady clock's, `wall_time` the time of day; both only ever come from here.
+    /// Takes in commands and returns the effects that follow. `now` is read from a steady clock, `wall_time` is the time
+    /// of day; no other clock is read.
     pub fn step(&mut self, now: Micros, wall_time: Micros, commands: Vec<Command>) -> Vec<Effect> {
         self.now = now;
         self.wall_time = wall_time;
-        for c in commands {
-            self.take(c);
+        for command in commands {
+            self.dispatch(command);
         }
         self.tick();
         std::mem::take(&mut self.effects)
     }
 
-    fn take(&mut self, command: Command) {
+    fn dispatch(&mut self, command: Command) {
         match command {
             Command::Submit { to, spec } => self.submit(to, *spec),
             Command::Poll { to, id } => self.poll(to, id),
@@ -218,17 +135,7 @@
                 call,
                 machine,
                 outcome,
-            } => {
-                let shard = self.shards.iter().position(|s| {
-                    s.as_ref()
-                        .is_some_and(|s| s.machines.contains_key(&machine))
-                });
-                if let Some(k) = shard {
-                    self.with_shard(k, |s, context| {
-                        s.direct_result(context, call, &machine, outcome)
-                    });
-                }
-            }
+            } => self.direct_result(call, &machine, outcome),
             Command::Store { call, reply } => self.store_reply(call, reply),
             Command::Cloud { call, reply } => self.cloud_reply(call, reply),
             Command::Peer { from, message } => self.peer_message(from, message),
@@ -239,31 +146,44 @@
         }
     }
 
+    fn direct_result(&mut self, call: CallId, machine: &MachineId, outcome: DirectOutcome) {
+        let holds_machine = |shard: &Option<Shard>| {
+            shard
+                .as_ref()
+                .is_some_and(|shard| shard.machines.contains_key(machine))
+        };
+        if let Some(shard) = self.shards.iter().position(holds_machine) {
+            self.with_shard(shard, |s, context| {
+                s.direct_result(context, call, machine, outcome)
+            });
+        }
+    }
+
     fn tick(&mut self) {
         self.detect_inbound_partition();
         self.store_session_tick();
-        self.types_tick();
+        self.machine_types_tick();
         self.format_versions_tick();
         self.duties_tick();
-        for k in 0..self.shards.len() {
-            self.with_shard(k, |s, context| {
+        for shard in 0..self.shards.len() {
+            self.with_shard(shard, |s, context| {
                 s.tick(context);
                 s.run_scheduling_cycle(context);
             });
         }
-        self.fill_write_budget();
+        self.refill_write_budget();
         self.leader_tick();
         self.dependencies_tick();
         self.users_flush();
         self.flush_writes();
-        for k in 0..self.shards.len() {
-            self.with_shard(k, |s, context| s.send_directs(context));
+        for shard in 0..self.shards.len() {
+            self.with_shard(shard, |s, context| s.send_directs(context));
         }
         self.send_periodic_messages();
     }
 
-    /// How much was looked at since the start by the shards held now and by the leader. What a step costs
-    /// follows from it, and unlike time it is the same on every machine.
+    /// Items examined since the start by the shards held now and by the leader. The cost of a step follows from it, and
+    /// unlike time it is the same on every machine.
     pub fn work_done(&self) -> i64 {
         self.leader_work_done
             + self
@@ -274,33 +194,27 @@
                 .sum::<i64>()
     }
 
-    // ---- plumbing ------------------------------------------------------------------------
-
-    pub(crate) fn lease_valid(&self, slot: usize) -> bool {
-        self.last_verified[slot].is_some_and(|t| self.now - t < self.settings.verification_ttl())
-    }
-
+    /// Calls a shard with its context; None if it is not held here.
     pub(crate) fn with_shard<R>(
         &mut self,
-        k: usize,
-        f: impl FnOnce(&mut Shard, &mut Context) -> R,
+        shard: usize,
+        call: impl FnOnce(&mut Shard, &mut Context) -> R,
     ) -> Option<R> {
-        let (lease_valid, layout) = (self.lease_valid(k), self.layout());
+        let lease_valid = self.lease_valid(ClaimId::Shard(shard));
+        let layout = self.layout();
         let settings = self.settings.clone();
-        let shard = self.shards.get_mut(k)?.as_mut()?;
-        let calls = &mut self.next_call;
-        let types = &self.types;
+        let shard = self.shards.get_mut(shard)?.as_mut()?;
         let mut context = Context {
             settings: &settings,
             now: self.now,
             wall_time: self.wall_time,
-            types,
+            types: self.machine_types.all(),
             effects: &mut self.effects,
-            calls,
+            calls: &mut self.next_call,
             lease_valid,
             layout,
         };
-        Some(f(shard, &mut context))
+        Some(call(shard, &mut context))
     }
 
     /// How work records may be laid out now.
@@ -327,6 +241,23 @@
         }
     }
 
+    fn machine_types_tick(&mut self) {
+        let mut outbox = Outbox::new();
+        self.machine_types.tick(self.now, &mut outbox);
+        self.flush(outbox);
+    }
+
+    /// Takes in the store's reply; the cloud's come by [`Engine::cloud_reply`].
+    fn machine_types_reply(&mut self, request: MachineTypesRequest, reply: StoreReply) {
+        let MachineTypesRequest::FromStore = request else {
+            return;
+        };
+        let mut outbox = Outbox::new();
+        let event = self.machine_types.store_reply(reply, &mut outbox);
+        self.flush(outbox);
+        self.machine_types_event(event);
+    }
+
     fn format_versions_tick(&mut self) {
         if !self.store.loaded() {
             return;
@@ -344,26 +275,28 @@
         self.flush(outbox);
     }
 
-    fn call(&mut self, pending: Pending) -> CallId {
+    /// The id of a new call whose reply is for `pending`.
+    fn register_call(&mut self, pending: Pending) -> CallId {
         let id = self.next_call;
         self.next_call += 1;
         self.calls.insert(id, pending);
         id
     }
 
+    /// Sends a request to the store.
     pub(crate) fn send_to_store(&mut self, request: StoreRequest, pending: impl Into<Pending>) {
-        let call = self.call(pending.into());
+        let call = self.register_call(pending.into());
         self.effects.push(Effect::Store { call, request });
     }
 
-    /// Asks the cloud; with a time, only until then.
+    /// Sends a request to the cloud, with a time only before it.
     pub(crate) fn send_to_cloud(
         &mut self,
         request: CloudRequest,
         until: Option<Micros>,
         pending: impl Into<Pending>,
     ) {
-        let call = self.call(pending.into());
+        let call = self.register_call(pending.into());
         self.effects.push(Effect::Cloud {
             call,
             request,
@@ -371,25 +304,18 @@
         });
     }
 
+    /// Answers a user.
     pub(crate) fn answer(&mut self, to: ClientRequestId, answer: Answer) {
         self.effects.push(Effect::Answer { to, answer });
     }
 
-    pub(crate) fn type_size(&self, kind: &str) -> Resources {
-        self.types
-            .iter()
-            .find(|t| t.name == kind)
-            .map(|t| t.size)
-            .unwrap_or_default()
-    }
-
     fn store_reply(&mut self, call: CallId, reply: StoreReply) {
         let Some(pending) = self.calls.remove(&call) else {
             return;
         };
         trace!(call, ?reply, "store replied");
         if !matches!(reply, StoreReply::Refused | StoreReply::Unknown) {
-            self.store.last_reply = self.now;
+            self.store.store_replied(self.now);
         }
         match pending {
             Pending::Session(request) => self.session_reply(request, reply),
@@ -412,107 +338,10 @@
         match self.calls.remove(&call) {
             Some(Pending::Leader(request)) => self.leader_cloud_reply(request, reply),
             Some(Pending::MachineTypes(MachineTypesRequest::FromCloud)) => {
-                self.types_busy = false;
-                if let CloudReply::MachineTypes(types) = reply {
-                    self.types_known(types);
-                }
+                let event = self.machine_types.cloud_reply(reply);
+                self.machine_types_event(event);
             }
             _ => {}
         }
     }
-
-    // ---- machines ------------------------------------------------------------------------
-
-    pub(crate) fn machine_changed(&mut self, id: MachineId, record: MachineRecord, version: u64) {
-        let size = self.type_size(&record.kind);
-        let before = self.machines.insert(id.clone(), (record.clone(), version));
-        if before.is_none_or(|b| b.0.shard != record.shard) {
-            self.machine_since.insert(id.clone(), self.now);
-        }
-        for k in 0..self.shards.len() {
-            let (id, record) = (id.clone(), record.clone());
-            let now = self.now;
-            self.with_shard(k, |s, _| {
-                if record.shard == Some(k) {
-                    s.add_machine(id, record, version, size, now);
-                } else {
-                    s.machine_moved(&id, record, version);
-                }
-            });
-        }
-    }
-
-    pub(crate) fn machine_vanished(&mut self, id: &MachineId) {
-        self.machines.remove(id);
-        self.machine_since.remove(id);
-        for k in 0..self.shards.len() {
-            self.with_shard(k, |s, context| s.machine_deleted(context, id));
-        }
-    }
-
-    /// Answers a worker's report: with orders if its machine is ours and the claim stands, else by
-    /// naming the owner.
-    fn heartbeat(&mut self, to: ClientRequestId, heartbeat: &Heartbeat) {
-        self.last_worker_heartbeat = self.now;
-        let owner = self
-            .machines
-            .get(&heartbeat.machine)
-            .and_then(|m| m.0.shard);
-        let Some(k) = owner else {
-            return self.effects.push(Effect::Redirect { to, member: None });
-        };
-        let lease_valid = self.lease_valid(k);
-        if self.shards[k].is_none() {
-            let member = self.store.claims[k]
-                .as_ref()
-                .map(|c| c.member)
-                .filter(|m| *m != self.settings.me);
-            return self.effects.push(Effect::Redirect { to, member });
-        }
-        let now = self.now;
-        let held = self.shards[k].as_ref();
-        let known = held.and_then(|s| {
-            Some((
-                s.machines.get(&heartbeat.machine)?.fencing_token(s.version),
-                s.claimed_at,
-            ))
-        });
-        if let Some((_, claimed_at)) = known.filter(|k| k.0 < heartbeat.fencing_token) {
-            // Somebody newer commands it, and would wait for its lease to end if we held it here. Where
-            // our claim was not proven for as long as it could last alone, that is lost as a whole.
-            let last_verified = self.last_verified[k].unwrap_or(claimed_at);
-            if now - last_verified > self.settings.tuning.claim_ttl {
-                self.drop_claim(k, "a worker has seen a newer token");
-            }
-            return self.effects.push(Effect::Redirect { to, member: None });
-        }
-        let orders = self.with_shard(k, |s, context| {
-            let m = s.machines.get(&heartbeat.machine)?;
-            if !lease_valid
-                || (m.ignores_replies() && heartbeat.fencing_token != m.fencing_token(s.version))
-            {
-                return None;
-            }
-            let ready = s.phase == ShardPhase::Ready;
-            if !s.apply_heartbeat(context, heartbeat, true) {
-                return None;
-            }
-            let orders = if ready {
-                s.orders(context, heartbeat)
-            } else {
-                Vec::new()
-            };
-            let m = s.machines.get_mut(&heartbeat.machine)?;
-            m.reply_sent(now, s.version);
-            Some((m.fencing_token(s.version), orders))
-        });
-        match orders.flatten() {
-            Some((fencing_token, orders)) => self.effects.push(Effect::HeartbeatReply {
-                to,
-                fencing_token,
-                orders,
-            }),
-            None => self.effects.push(Effect::Redirect { to, member: None }),
-        }
-    }
 }
--- a/crates/seamfront-core/src/shard/mod.rs
+++ b/crates/seamfront-core/src/shard/mod.rs
@@ -19,11 +19,17 @@
 use std::rc::Rc;
 use tracing::{debug, info, warn};
 
+mod direct_commands;
 mod drain;
+mod failure_detection;
 mod heartbeats;
+mod inspection;
+mod machine_views;
+mod orders;
 mod records;
 mod task_removal;
 
+pub use heartbeats::StatusSource;
 pub use records::{machine_write, ShardWrite, WriteOutcome};
 use records::{spec_of_ended_job, stop_rest};
 
@@ -113,16 +119,13 @@
 }
 
 /// How long a machine stays released without the leader taking it.
-const RELEASE_KEPT: Micros = Micros::from_secs(5);
+const RELEASE_TIMEOUT: Micros = Micros::from_secs(5);
 
 /// How often machines are looked through for what time alone has changed.
 const INSPECTION_INTERVAL: Micros = Micros::from_millis(100);
 
 /// How often a job's record is written for the sake of results alone.
-const RESULTS_EVERY: Micros = Micros::from_secs(1);
-
-/// How long a machine may take to be emptied for another shard before it is used again.
-const CLEARING_KEPT: Micros = Micros::from_secs(30);
+const RESULTS_INTERVAL: Micros = Micros::from_secs(1);
 
 /// Prefix of the work records of a shard.
 pub fn work_prefix(shard: usize) -> String {
@@ -217,11 +220,7 @@
         for (i, p) in &mut job.tasks {
             self.quota.take(&job.spec.team, job.spec.task_resources);
             if ended {
-                p.stop = Some(Stop {
-                    cause: Cause::Cancelled,
-                    grace: Micros::ZERO,
-                    since: now,
-                });
+                p.stop = Some(Stop::immediate(Cause::Cancelled, now));
             }
             if let Some(m) = self.machines.get_mut(&p.machine) {
                 m.used.add(job.spec.task_resources);
@@ -302,7 +301,7 @@
             }
             Some(_) => return,
             None => {
-                info!(job = %id, "cancelled: stopping what runs");
+                info!(job = %id, "job cancelled; stopping its tasks");
                 job.ending = Some(Ending::Cancelled);
                 let mut never_sent = Vec::new();
                 for (i, p) in &mut job.tasks {
@@ -312,11 +311,7 @@
                             index: *i,
                         });
                     }
-                    p.stop = Some(Stop {
-                        cause: Cause::Cancelled,
-                        grace: Micros::ZERO,
-                        since: context.now,
-                    });
+                    p.stop = Some(Stop::immediate(Cause::Cancelled, context.now));
                 }
                 for t in never_sent {
                     self.remove_task(context, &t, Removal::Lost);
@@ -404,7 +399,7 @@
         let Some(m) = self.machines.remove(id) else {
             return;
         };
-        info!(machine = %id, tasks = m.tasks.len(), "machine is gone");
+        info!(machine = %id, tasks = m.tasks.len(), "machine deleted");
         for t in m.tasks {
             self.remove_task(context, &t, Removal::Lost);
         }
@@ -414,69 +409,4 @@
     pub(crate) fn count_work(&self, items: usize) {
         self.work_done.set(self.work_done.get() + items as i64);
     }
-
-    // ---- time ----------------------------------------------------------------------------
-
-    /// What follows from time alone.
-    pub fn tick(&mut self, context: &mut Context) {
-        if self.phase != ShardPhase::Ready || context.now < self.inspection_next {
-            return;
-        }
-        self.inspection_next = context.now + INSPECTION_INTERVAL;
-        self.count_work(4 * self.machines.len());
-        let lease_valid = context.settings.verification_ttl();
-        let version = self.version;
-        let over: Vec<MachineId> = self
-            .machines
-            .values()
-            // One placed just before the end is looked at again.
-            .filter(|m| !m.agent.lease_expired || !m.tasks.is_empty())
-            .filter(|m| m.lease_expiry(version, context.settings.lease, lease_valid) < context.now)
-            .map(|m| m.id.clone())
-            .collect();
-        for id in over {
-            let Some(m) = self.machines.get_mut(&id) else {
-                continue;
-            };
-            m.agent.lease_expired = true;
-            m.fencing.direct_command = None;
-            m.unexpected_tasks.clear();
-            let tasks: Vec<TaskKey> = m.tasks.iter().cloned().collect();
-            if !tasks.is_empty() {
-                warn!(machine = %id, tasks = tasks.len(), "lease is over: its tasks are gone");
-            }
-            for t in tasks {
-                // Also what was never sent: it would never be, and would hold its number for ever.
-                self.remove_task(context, &t, Removal::Lost);
-            }
-        }
-        self.detect_failures(context);
-        for m in self.machines.values_mut() {
-            let idle = m.empty() && m.record.shard.is_some();
-            // Time to boot is not idle time, or a machine would be returned as soon as it is up.
-            let up = m.agent.last_heartbeat.is_some();
-            if let Some(since) = m.lifecycle.draining_since {
-                if idle && m.lifecycle.released_since.is_none() {
-                    m.lifecycle.released_since = Some(context.now);
-                } else if !idle && context.now - since > CLEARING_KEPT {
-                    m.lifecycle.draining_since = None;
-                }
-            }
-            let jobs = &self.jobs;
-            let uses = |t: &TaskKey| {
-                jobs.get(&t.job)
-                    .is_some_and(|j| j.spec.task_resources.gpus > 0)
-            };
-            if m.size.gpus == 0 || !up || m.tasks.iter().any(uses) {
-                m.usage.accelerators_unused_since = None;
-            } else if m.usage.accelerators_unused_since.is_none() {
-                m.usage.accelerators_unused_since = Some(context.now);
-            }
-            if !idle || !up {
-                m.usage.idle_since = None;
-            } else if m.usage.idle_since.is_none() {
-                m.usage.idle_since = Some(m.usage.accelerators_unused_since.unwrap_or(context.now));
-            }
-        }
-    }
 }
