--- a/crates/seamfront-core/src/leader/context.rs
+++ b/crates/seamfront-core/src/leader/context.rs
@@ -3,11 +3,9 @@
 use crate::fleet_duties::{EffectPermit, Fence, FleetDuty, PerFleetDuty};
 use crate::machine::MachineRecord;
 use crate::types::{MachineId, MachineType, Micros, Resources, Settings};
+use crate::write_pacing::WritePacer;
 use std::collections::BTreeMap;
 
-/// Cost of one write in the unit of the write budget.
-const BUDGET_PER_WRITE: i64 = 1_000;
-
 /// What the leader sees of its controller in a step.
 pub(crate) struct LeaderContext<'a> {
     /// The controller's settings.
@@ -26,8 +24,8 @@
     pub(crate) permits: PerFleetDuty<Option<EffectPermit>>,
     /// Writes that this controller may make a second, in thousandths.
     pub(crate) write_rate: i64,
-    /// Writes that this controller may make now, in thousandths.
-    pub(crate) write_budget: &'a mut i64,
+    /// Paces the writes of this controller.
+    pub(crate) write_pacer: &'a mut WritePacer,
     /// Counts the items examined; see [`crate::Engine::work_done`].
     pub(crate) work_done: &'a mut i64,
 }
@@ -64,16 +62,16 @@
 
     /// Writes that the whole controller may make now.
     pub(super) fn affordable_writes(&self) -> usize {
-        (*self.write_budget / BUDGET_PER_WRITE).max(0) as usize
+        self.write_pacer.available_writes()
     }
 
     /// Records that the leader may write now: half of what the controller may, so that shards held here make progress.
     pub(super) fn leader_writes(&self) -> usize {
-        (*self.write_budget / (2 * BUDGET_PER_WRITE)).max(0) as usize
+        self.write_pacer.available_writes() / 2
     }
 
     /// Takes writes from the budget.
     pub(super) fn spend_writes(&mut self, count: usize) {
-        *self.write_budget -= count as i64 * BUDGET_PER_WRITE;
+        self.write_pacer.spend(count);
     }
 }
