--- /dev/null
+++ b/crates/seamfront-core/src/engine/jobs.rs
@@ -0,0 +1,176 @@
+//! The engine's side of the job registry and the users' API: what these owners see of the rest of the controller, and
+//! what they change elsewhere.
+
+use super::Engine;
+use crate::jobs::{
+    DependencyRequest, EndRecord, JobContext, JobEvent, JobRegistry, ShardDirectory,
+};
+use crate::outbox::Outbox;
+use crate::port::{Progress, StoreReply};
+use crate::shard::{Shard, ShardPhase};
+use crate::store_session::Claim;
+use crate::types::{JobId, JobSpec, Micros};
+use crate::user_api::{JobsView, UserApi, UserContext, UserRequest};
+use std::rc::Rc;
+
+/// Without a reply of the store for this long, users' requests are rejected at once.
+const STORE_REPLY_TIMEOUT: Micros = Micros::from_millis(2_500);
+/// Index of the view of `job/`.
+const JOBS_WATCH: usize = 0;
+
+/// Shards and their holders as this controller knows them.
+struct KnownShards<'a> {
+    shards: &'a [Option<Shard>],
+    claims: &'a [Option<Claim>],
+    me: usize,
+}
+
+impl ShardDirectory for KnownShards<'_> {
+    fn held_here(&self, shard: usize) -> bool {
+        self.shards[shard].is_some()
+    }
+
+    fn progress(&self, shard: usize, job: &JobId) -> Option<Progress> {
+        let job = self.shards[shard].as_ref()?.jobs.get(job)?;
+        Some(Progress {
+            done: job.done.count(),
+            running: job.running(),
+        })
+    }
+
+    fn peer_holder(&self, shard: usize) -> Option<usize> {
+        let claim = self.claims[shard].as_ref()?;
+        Some(claim.member).filter(|member| *member != self.me)
+    }
+}
+
+impl Engine {
+    /// Calls the job registry, and passes on what shards must know.
+    fn with_jobs<R>(&mut self, call: impl FnOnce(&mut JobRegistry, JobContext) -> R) -> R {
+        let shards = KnownShards {
+            shards: &self.shards,
+            claims: &self.store.claims,
+            me: self.settings.me,
+        };
+        let context = JobContext {
+            settings: &self.settings,
+            now: self.now,
+            wall_time: self.wall_time,
+            shards: &shards,
+        };
+        let result = call(&mut self.jobs, context);
+        self.apply_job_events();
+        result
+    }
+
+    /// Calls the users' API, sends what it has put into its outbox, and passes on what shards must know.
+    pub(super) fn with_user_api(&mut self, call: impl FnOnce(&mut UserApi, &mut UserContext)) {
+        let store_available =
+            self.store.loaded() && self.now - self.store.last_reply <= STORE_REPLY_TIMEOUT;
+        let view = &self.store.watches[JOBS_WATCH];
+        let jobs_view = JobsView {
+            loaded: view.loaded(),
+            seen: view.seen(),
+        };
+        let shards = KnownShards {
+            shards: &self.shards,
+            claims: &self.store.claims,
+            me: self.settings.me,
+        };
+        let mut context = UserContext {
+            base: JobContext {
+                settings: &self.settings,
+                now: self.now,
+                wall_time: self.wall_time,
+                shards: &shards,
+            },
+            jobs: &mut self.jobs,
+            jobs_view,
+            machine_types: &self.types,
+            store_available,
+            outbox: Outbox::new(),
+        };
+        call(&mut self.user_api, &mut context);
+        let outbox = context.outbox;
+        self.flush(outbox);
+        self.apply_job_events();
+    }
+
+    /// Shards send nothing on these events, so it makes no difference that the owners' own effects go first.
+    fn apply_job_events(&mut self) {
+        let now = self.now;
+        for event in self.jobs.take_events() {
+            match event {
+                JobEvent::Appeared {
+                    shard,
+                    spec,
+                    version,
+                } => self.with_ready_shard(shard, |s| s.add_job(spec, version, now)),
+                JobEvent::Updated {
+                    shard,
+                    id,
+                    spec,
+                    blocked,
+                } => self.with_ready_shard(shard, |s| {
+                    s.update_dependencies(&id, spec, blocked, now);
+                }),
+                JobEvent::Ended { shard, id } => {
+                    self.with_shard(shard, |s, context| s.job_ended(context, &id));
+                }
+            }
+        }
+    }
+
+    fn with_ready_shard(&mut self, shard: usize, call: impl FnOnce(&mut Shard)) {
+        let held = self.shards[shard].as_mut();
+        if let Some(shard) = held.filter(|shard| shard.phase == ShardPhase::Ready) {
+            call(shard);
+        }
+    }
+
+    /// The store has shown a job live at this version.
+    pub(crate) fn job_appeared(&mut self, spec: Rc<JobSpec>, version: u64) {
+        self.with_jobs(|jobs, context| jobs.appeared(context, spec, version));
+    }
+
+    /// The view shows a job no longer.
+    pub(crate) fn job_vanished(&mut self, id: &JobId) {
+        self.with_jobs(|jobs, context| jobs.vanished(context, id));
+    }
+
+    /// The store holds this end of a job.
+    pub(super) fn end_confirmed(&mut self, id: &JobId, end: EndRecord) {
+        self.with_jobs(|jobs, context| jobs.end_confirmed(context, id, end));
+    }
+
+    /// A shard held here has recorded that all tasks of a job are done.
+    pub(super) fn job_completed(&mut self, id: &JobId, tasks: u32) {
+        self.with_jobs(|jobs, context| jobs.completed(context, id, tasks));
+    }
+
+    /// Answers users whose jobs' states have been determined since, and does what is due about dependencies.
+    pub(super) fn dependencies_tick(&mut self) {
+        self.with_user_api(|api, context| api.answer_undetermined(context));
+        let mut outbox = Outbox::new();
+        self.with_jobs(|jobs, context| jobs.tick(context, &mut outbox));
+        self.flush(outbox);
+    }
+
+    pub(super) fn dependency_reply(&mut self, request: DependencyRequest, reply: StoreReply) {
+        let mut outbox = Outbox::new();
+        self.with_jobs(|jobs, context| jobs.reply(context, request, reply, &mut outbox));
+        self.flush(outbox);
+    }
+
+    pub(super) fn user_reply(&mut self, request: UserRequest, reply: StoreReply) {
+        match request {
+            UserRequest::RefreshView { queries, revision } => {
+                let refreshed = self.apply_changes(JOBS_WATCH, reply);
+                self.with_user_api(|api, context| {
+                    api.view_refreshed(context, queries, revision, refreshed);
+                });
+            }
+            _ => self.with_user_api(|api, context| api.reply(context, request, reply)),
+        }
+    }
+}
--- a/crates/seamfront-core/src/engine/mod.rs
+++ b/crates/seamfront-core/src/engine/mod.rs
@@ -1,44 +1,32 @@
 //! The one owner of all state of a controller. Commands come in batches, effects go out; time is
 //! given, never asked for. Same commands, same times, same effects.
 
-use crate::dependencies::{DependencyGraph, DependencyRequest, JobDependencies};
 use crate::format_versions::{FormatRequest, FormatVersions};
 use crate::garbage_collector::{CollectionRequest, GarbageCollector};
+use crate::jobs::{DependencyRequest, JobRegistry};
 use crate::leader::{Leader, LeaderRequest};
 use crate::machine::MachineRecord;
 use crate::outbox::{Outbox, Outgoing};
 use crate::port::{
-    Answer, CallId, ClientRequestId, CloudReply, CloudRequest, Command, Effect, Heartbeat,
-    PeerMessage, StoreReply, StoreRequest, Write,
+    CallId, ClientRequestId, CloudReply, CloudRequest, Command, Effect, Heartbeat, PeerMessage,
+    Progress, StoreReply, StoreRequest, Write,
 };
 use crate::record::Layout;
 use crate::shard::{machine_write, work_key, Context, Shard, ShardPhase, ShardWrite, WriteOutcome};
 use crate::store_session::{SessionRequest, StoreSession};
-use crate::types::{JobId, JobSpec, MachineId, MachineType, Micros, Resources, Settings};
-use crate::user_api::{EndRecord, UserRequest, Users};
+use crate::types::{JobId, MachineId, MachineType, Micros, Resources, Settings};
+use crate::user_api::{UserApi, UserRequest};
 use seamfront_lease::DutyManager;
 use std::collections::BTreeMap;
 use std::rc::Rc;
 use tracing::{info, trace, warn};
 
+mod jobs;
 mod machine_types;
 use machine_types::MachineTypesRequest;
 mod peers;
 mod writes;
 
-/// A live job in this controller's view.
-#[derive(Clone, Debug)]
-pub struct LiveJob {
-    /// The job as it was accepted.
-    pub spec: Rc<JobSpec>,
-    /// Version of `job/<id>`, which is written once only.
-    pub version: u64,
-    /// The shard of its team.
-    pub shard: usize,
-    /// Its place in its chain.
-    pub dependencies: JobDependencies,
-}
-
 /// What is known of another controller.
 #[derive(Clone, Debug, Default)]
 pub struct Peer {
@@ -120,7 +108,7 @@
     calls: BTreeMap<CallId, Pending>,
     next_call: CallId,
     pub(crate) store: StoreSession,
-    pub(crate) jobs: BTreeMap<JobId, LiveJob>,
+    pub(crate) jobs: JobRegistry,
     pub(crate) machines: BTreeMap<MachineId, (MachineRecord, u64)>,
     /// Since when each has been the shard's that it is.
     pub(crate) machine_since: BTreeMap<MachineId, Micros>,
@@ -129,8 +117,7 @@
     /// By slot: sending time of the last state request that proved the claim with a view of
     /// cancellations as new.
     pub(crate) last_verified: Vec<Option<Micros>>,
-    pub(crate) users: Users,
-    pub(crate) dependencies: DependencyGraph,
+    user_api: UserApi,
     format_versions: FormatVersions,
     /// Where duties are on.
     pub(crate) duties: Option<DutyManager>,
@@ -145,7 +132,7 @@
     alive_next: Micros,
     leader_update_next: Micros,
     progress_next: Micros,
-    last_progress: BTreeMap<JobId, (u32, u32)>,
+    last_progress: BTreeMap<JobId, Progress>,
     /// Tokens of the bucket that paces the scheduler's own writes, in thousandths.
     pub(crate) write_budget: i64,
     write_first: usize,
@@ -168,14 +155,13 @@
             calls: BTreeMap::new(),
             next_call: 1,
             store: StoreSession::new(n),
-            jobs: BTreeMap::new(),
+            jobs: JobRegistry::default(),
             machines: BTreeMap::new(),
             machine_since: BTreeMap::new(),
             shards: (0..n).map(|_| None).collect(),
             leader: None,
             last_verified: vec![None; n + 1],
-            users: Users::default(),
-            dependencies: DependencyGraph::default(),
+            user_api: UserApi::default(),
             format_versions: FormatVersions::default(),
             duties: crate::fleet_duties::manager(&settings),
             garbage_collector: GarbageCollector::default(),
@@ -213,9 +199,15 @@
 
     fn take(&mut self, command: Command) {
         match command {
-            Command::Submit { to, spec } => self.submit(to, *spec),
-            Command::Poll { to, id } => self.poll(to, id),
-            Command::Cancel { to, id } => self.cancel(to, id),
+            Command::Submit { to, spec } => {
+                self.with_user_api(|api, context| api.submit(context, to, *spec))
+            }
+            Command::Poll { to, id } => {
+                self.with_user_api(|api, context| api.poll(context, to, id))
+            }
+            Command::Cancel { to, id } => {
+                self.with_user_api(|api, context| api.cancel(context, to, id))
+            }
             Command::Heartbeat { to, heartbeat } => self.heartbeat(to, &heartbeat),
             Command::DirectResult {
                 call,
@@ -257,7 +249,7 @@
         self.fill_write_budget();
         self.leader_tick();
         self.dependencies_tick();
-        self.users_flush();
+        self.with_user_api(|api, context| api.flush(context));
         self.flush_writes();
         for k in 0..self.shards.len() {
             self.with_shard(k, |s, context| s.send_directs(context));
@@ -373,10 +365,6 @@
         });
     }
 
-    pub(crate) fn answer(&mut self, to: ClientRequestId, answer: Answer) {
-        self.effects.push(Effect::Answer { to, answer });
-    }
-
     pub(crate) fn type_size(&self, kind: &str) -> Resources {
         self.types
             .iter()
--- a/crates/seamfront-core/src/engine/peers.rs
+++ b/crates/seamfront-core/src/engine/peers.rs
@@ -1,8 +1,8 @@
 //! Between controllers, and what a controller says of its own health.
 
-use super::{
-    warn, Effect, EndRecord, Engine, Micros, Peer, PeerMessage, Shard, ShardPhase, NEEDS_MAX,
-};
+use super::{warn, Effect, Engine, Micros, Peer, PeerMessage, Shard, ShardPhase, NEEDS_MAX};
+use crate::jobs::EndRecord;
+use crate::port::{HeldClaim, JobProgress, Progress};
 
 /// How often the others are told that this controller is alive.
 const ALIVE_INTERVAL: Micros = Micros::from_millis(500);
@@ -97,9 +97,12 @@
 
     /// That this controller is alive, which claims it holds and how many writes wait here.
     fn announce(&mut self) {
-        let claims: Vec<(String, u64)> = (0..=self.leader_slot())
-            .filter_map(|s| self.held_token(s).map(|v| (self.claim_key(s), v)))
-            .collect();
+        let held_claim = |slot: usize| {
+            let version = self.held_token(slot)?;
+            let key = self.claim_key(slot);
+            Some(HeldClaim { key, version })
+        };
+        let claims = (0..=self.leader_slot()).filter_map(held_claim).collect();
         let ready = self.ready() && !self.inbound_partitioned();
         let pending_writes = self.pending_write_count();
         self.pending_writes = pending_writes;
@@ -157,16 +160,20 @@
         let mut changed = Vec::new();
         for s in self.shards.iter().flatten() {
             for (id, j) in s.jobs.iter().filter(|j| j.1.live()) {
-                let counts = (j.done.count(), j.running());
-                if self.last_progress.get(id) != Some(&counts) {
-                    changed.push((id.clone(), counts.0, counts.1));
+                let progress = Progress {
+                    done: j.done.count(),
+                    running: j.running(),
+                };
+                if self.last_progress.get(id) != Some(&progress) {
+                    let id = id.clone();
+                    changed.push(JobProgress { id, progress });
                 }
             }
         }
         let live = &self.jobs;
         self.last_progress.retain(|id, _| live.contains_key(id));
-        for c in &changed {
-            self.last_progress.insert(c.0.clone(), (c.1, c.2));
+        for job in &changed {
+            self.last_progress.insert(job.id.clone(), job.progress);
         }
         if !changed.is_empty() {
             self.broadcast(&PeerMessage::Progress { jobs: changed });
@@ -203,7 +210,7 @@
                     (true, Some(t)) if !gap => Some(t),
                     (true, _) => Some(now),
                 };
-                for (key, version) in claims {
+                for HeldClaim { key, version } in claims {
                     for slot in 0..=self.leader_slot() {
                         // Told of a newer claim: ours is lost, whatever the store lets us know.
                         if self.claim_key(slot) == key
@@ -255,10 +262,8 @@
                 );
             }
             PeerMessage::Progress { jobs } => {
-                for (id, done, running) in jobs {
-                    if self.jobs.contains_key(&id) {
-                        self.users.progress.insert(id, (done, running));
-                    }
+                for reported in jobs {
+                    self.jobs.progress_reported(reported);
                 }
             }
         }
--- a/crates/seamfront-core/src/engine/writes.rs
+++ b/crates/seamfront-core/src/engine/writes.rs
@@ -1,11 +1,11 @@
 //! The scheduler's own writes: their pace, their transactions and their outcomes.
 
 use super::{
-    machine_write, work_key, EndRecord, Engine, JobId, Micros, Pending, Shard, ShardPhase,
-    ShardWrite, StoreReply, StoreRequest, Write, WriteOutcome,
+    machine_write, work_key, Engine, JobId, Micros, Pending, Shard, ShardPhase, ShardWrite,
+    StoreReply, StoreRequest, Write, WriteOutcome,
 };
+use crate::jobs::{end_conditions, end_writes, EndRecord};
 use crate::record::part_key;
-use crate::user_api::{end_conditions, end_writes};
 
 /// Bytes of records in one transaction, well below what the state service takes.
 const TRANSACTION_BYTES: usize = 40_000;
@@ -270,14 +270,7 @@
                 _ => WriteOutcome::Unclear,
             };
             if let (ShardWrite::End { job, tasks, .. }, WriteOutcome::Done(_)) = (w, outcome) {
-                self.users.ended.insert(
-                    job,
-                    EndRecord {
-                        cancelled: false,
-                        tasks: *tasks,
-                    },
-                );
-                self.remove_live_job(job);
+                self.job_completed(job, *tasks);
             }
             self.with_shard(k, |s, context| s.written(context, w, outcome));
         }
--- a/crates/seamfront-core/src/garbage_collector.rs
+++ b/crates/seamfront-core/src/garbage_collector.rs
@@ -7,9 +7,9 @@
 
 use crate::engine::Engine;
 use crate::fleet_duties::GARBAGE_COLLECTION;
+use crate::jobs::end_key;
 use crate::port::{Entry, StoreReply, StoreRequest, Write};
 use crate::types::{JobId, Micros};
-use crate::user_api::end_key;
 use seamfront_lease::port::{Command as DutyCommand, CommitOutcome, RequestId};
 use std::collections::BTreeMap;
 use tracing::info;
--- /dev/null
+++ b/crates/seamfront-core/src/jobs/dependency_graph.rs
@@ -0,0 +1,166 @@
+//! Which live jobs are blocked on which dependencies.
+
+use super::cascade::CascadeCancellation;
+use super::{EndRecord, JobContext, JobRegistry, LiveJob};
+use crate::types::{JobId, Micros};
+use std::collections::{BTreeMap, BTreeSet};
+use tracing::{debug, info};
+
+/// When a request to the store is made again.
+#[derive(Debug, Default)]
+pub(super) struct RetryState {
+    pub(super) in_flight: bool,
+    pub(super) retry_at: Micros,
+}
+
+impl RetryState {
+    pub(super) fn due(&self, now: Micros) -> bool {
+        !self.in_flight && self.retry_at <= now
+    }
+
+    pub(super) fn retry(&mut self, at: Micros) {
+        self.in_flight = false;
+        self.retry_at = at;
+    }
+}
+
+/// Edges between live jobs and their dependencies, and what is still to be done about them.
+#[derive(Debug, Default)]
+pub(super) struct DependencyGraph {
+    /// By dependency: the live jobs that are blocked on it.
+    pub(super) dependents: BTreeMap<JobId, BTreeSet<JobId>>,
+    /// Dependencies that are not live in the view: their ends are read from the store.
+    pub(super) unresolved: BTreeMap<JobId, RetryState>,
+    /// Live jobs with a cancelled dependency.
+    pub(super) cascades: BTreeMap<JobId, CascadeCancellation>,
+    /// Live jobs whose dependency lists are to be read on.
+    pub(super) unread: BTreeMap<JobId, RetryState>,
+}
+
+impl JobRegistry {
+    /// Enters a job that has just become live into the graph. Whether it has dependencies.
+    pub(super) fn register_dependencies(&mut self, context: JobContext, id: &JobId) -> bool {
+        let Some(job) = self.live.get_mut(id) else {
+            return false;
+        };
+        let dependencies = job.spec.dependencies.clone();
+        let in_parts = job.spec.dependency_parts > 0;
+        if dependencies.is_empty() && !in_parts {
+            return false;
+        }
+        if in_parts {
+            job.dependencies.unread = true;
+            self.graph.unread.insert(id.clone(), RetryState::default());
+        }
+        debug!(job = %id, ?dependencies, "blocked on dependencies");
+        self.add_dependencies(context, id, dependencies);
+        let Some(job) = self.live.get_mut(id) else {
+            return false;
+        };
+        if !job.dependencies.blocked() {
+            job.dependencies.unblocked_at = Some(context.wall_time);
+        }
+        true
+    }
+
+    pub(super) fn add_dependencies(
+        &mut self,
+        context: JobContext,
+        id: &JobId,
+        dependencies: Vec<JobId>,
+    ) {
+        for dependency in dependencies.into_iter().filter(|other| other != id) {
+            let end = self.ended.get(&dependency);
+            if end.is_some_and(|end| !end.cancelled) {
+                continue;
+            }
+            if let Some(job) = self.live.get_mut(id) {
+                job.dependencies.pending.insert(dependency.clone());
+            }
+            if end.is_some() {
+                self.schedule_cascade(context, id, &dependency);
+                continue;
+            }
+            if !self.live.contains_key(&dependency) {
+                self.graph.unresolved.entry(dependency.clone()).or_default();
+            }
+            self.graph
+                .dependents
+                .entry(dependency)
+                .or_default()
+                .insert(id.clone());
+        }
+    }
+
+    /// The job is live no more: its dependencies matter no longer for its sake, and its dependents need its end.
+    pub(super) fn remove_from_graph(&mut self, context: JobContext, id: &JobId, job: &LiveJob) {
+        for dependency in &job.dependencies.pending {
+            if let Some(dependents) = self.graph.dependents.get_mut(dependency) {
+                dependents.remove(id);
+                if dependents.is_empty() {
+                    self.graph.dependents.remove(dependency);
+                    self.graph.unresolved.remove(dependency);
+                }
+            }
+        }
+        self.graph.cascades.remove(id);
+        self.graph.unread.remove(id);
+        if self.graph.dependents.contains_key(id) {
+            match self.ended.get(id) {
+                Some(end) => self.dependency_ended(context, id, end),
+                None => {
+                    self.graph.unresolved.entry(id.clone()).or_default();
+                }
+            }
+        }
+    }
+
+    /// The store holds this end of a job that others depend on.
+    pub(super) fn dependency_ended(
+        &mut self,
+        context: JobContext,
+        dependency: &JobId,
+        end: EndRecord,
+    ) {
+        self.graph.unresolved.remove(dependency);
+        let dependents = self.graph.dependents.remove(dependency);
+        for id in dependents.unwrap_or_default() {
+            if end.cancelled {
+                self.schedule_cascade(context, &id, dependency);
+            } else if let Some(job) = self.live.get_mut(&id) {
+                job.dependencies.pending.remove(dependency);
+                self.unblock_if_ready(context, &id);
+            }
+        }
+    }
+
+    /// If no dependency is pending any more, the job may start.
+    pub(super) fn unblock_if_ready(&mut self, context: JobContext, id: &JobId) {
+        let unblocked = |job: &&mut LiveJob| !job.dependencies.blocked();
+        let Some(job) = self.live.get_mut(id).filter(unblocked) else {
+            return;
+        };
+        if job.dependencies.unblocked_at.is_none() {
+            job.dependencies.unblocked_at = Some(context.wall_time);
+            info!(job = %id, "all dependencies are done");
+        }
+        self.push_update(id);
+    }
+
+    /// Whether all dependencies, direct and indirect, are live in the view or known to be done.
+    pub(crate) fn no_dependency_cancelled(&self, id: &JobId) -> bool {
+        let mut seen = BTreeSet::new();
+        let mut to_visit = vec![id.clone()];
+        while let Some(id) = to_visit.pop() {
+            let Some(job) = self.live.get(&id).filter(|job| !job.dependencies.unread) else {
+                return false;
+            };
+            if self.graph.cascades.contains_key(&id) {
+                return false;
+            }
+            let pending = job.dependencies.pending.iter();
+            to_visit.extend(pending.filter(|id| seen.insert((*id).clone())).cloned());
+        }
+        true
+    }
+}
--- a/crates/seamfront-core/src/lib.rs
+++ b/crates/seamfront-core/src/lib.rs
@@ -5,13 +5,13 @@
 
 pub mod boot_times;
 pub mod capacity;
-pub mod dependencies;
 pub mod engine;
 pub mod fleet_duties;
 mod format_versions;
 pub mod gang;
 mod garbage_collector;
 pub mod job;
+mod jobs;
 pub mod leader;
 pub mod machine;
 mod outbox;
--- a/crates/seamfront-core/src/port/peers.rs
+++ b/crates/seamfront-core/src/port/peers.rs
@@ -3,7 +3,7 @@
 use crate::types::{JobId, MachineId, Micros, Priority, Resources};
 use serde::{Deserialize, Serialize};
 
-/// Tasks of one size that find no room in a shard: a class, not single tasks.
+/// Resources that a job lacks: its tasks that find no free capacity in the shard, all of one size.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ResourceRequest {
     /// The job that waits.
@@ -27,7 +27,7 @@
     pub priority: Priority,
     /// Whether it lies within its team's guarantee.
     pub guaranteed: bool,
-    /// See [`turn`].
+    /// See [`crate::types::queue_rank`].
     #[serde(rename = "overdue")]
     pub starving: bool,
     /// Allowed machine types.
@@ -48,8 +48,8 @@
     pub service: bool,
 }
 
-/// A machine as its owner sees it, told to the leader. There are thousands of these in a second: names
-/// are short on the wire and what is as usual is left out.
+/// A machine as the holder of its shard sees it, sent to the leader. Thousands of these are sent in a second: names are
+/// short on the wire, and default values are left out.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct MachineView {
     /// Name.
@@ -58,58 +58,113 @@
     /// Version of its record.
     #[serde(rename = "v")]
     pub version: u64,
-    /// Whether its worker is heard and hears us.
-    #[serde(rename = "n", default, skip_serializing_if = "usual")]
+    /// Whether its worker's heartbeats arrive and our replies reach it.
+    #[serde(rename = "n", default, skip_serializing_if = "is_default")]
     pub up: bool,
     /// What the tasks placed there take.
-    #[serde(rename = "u", default, skip_serializing_if = "usual")]
+    #[serde(rename = "u", default, skip_serializing_if = "is_default")]
     pub used: Resources,
     /// Of that, by services, which do not end by themselves.
-    #[serde(rename = "p", default, skip_serializing_if = "usual")]
+    #[serde(rename = "p", default, skip_serializing_if = "is_default")]
     pub pinned: Resources,
-    /// Empty since this long, with nothing unsettled; only then may it be asked for.
-    #[serde(rename = "e", default, skip_serializing_if = "usual")]
+    /// How long it has been empty with nothing unsettled; only then may the leader ask for its release.
+    #[serde(rename = "e", default, skip_serializing_if = "is_default")]
     pub idle: Option<Micros>,
-    /// A gang holds room here until it has all that it needs, beside lesser work or until such work has been stopped:
-    /// not to be returned, though more urgent work elsewhere may have it.
-    #[serde(rename = "g", default, skip_serializing_if = "usual")]
+    /// A gang has reserved capacity here until all of its tasks are placed, beside less important work or until that is
+    /// preempted: not to be scaled in, though more urgent work elsewhere may get it.
+    #[serde(rename = "g", default, skip_serializing_if = "is_default")]
     pub reserved_for_gang: bool,
-    /// Whether it was let go for the leader.
-    #[serde(rename = "r", default, skip_serializing_if = "usual")]
+    /// Whether its shard has released it to the leader.
+    #[serde(rename = "r", default, skip_serializing_if = "is_default")]
     pub released: bool,
-    /// The owner wants it gone: silent, failing or about to be taken.
-    #[serde(rename = "b", default, skip_serializing_if = "usual")]
+    /// To be replaced: its worker is silent, it fails, or the cloud is about to take it back.
+    #[serde(rename = "b", default, skip_serializing_if = "is_default")]
     pub bad: bool,
     /// About to be taken back by the cloud.
-    #[serde(rename = "t", default, skip_serializing_if = "usual")]
+    #[serde(rename = "t", default, skip_serializing_if = "is_default")]
     pub leaving: bool,
     /// The most important priority among its tasks, and the work that clearing it would lose.
-    #[serde(rename = "l", default, skip_serializing_if = "usual")]
+    #[serde(rename = "l", default, skip_serializing_if = "is_default")]
     pub highest_priority: Option<Priority>,
     /// Work that would be lost.
-    #[serde(rename = "w", default, skip_serializing_if = "usual")]
+    #[serde(rename = "w", default, skip_serializing_if = "is_default")]
     pub loss: Micros,
 }
 
-fn usual<T: Default + PartialEq>(v: &T) -> bool {
-    *v == T::default()
+fn is_default<T: Default + PartialEq>(value: &T) -> bool {
+    *value == T::default()
+}
+
+/// A claim that a controller holds. On the wire: `[key, version]`.
+#[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
+#[serde(from = "(String, u64)", into = "(String, u64)")]
+pub struct HeldClaim {
+    /// Key of the claim's record.
+    pub key: String,
+    /// Version of that record.
+    pub version: u64,
+}
+
+impl From<(String, u64)> for HeldClaim {
+    fn from((key, version): (String, u64)) -> Self {
+        HeldClaim { key, version }
+    }
+}
+
+impl From<HeldClaim> for (String, u64) {
+    fn from(claim: HeldClaim) -> Self {
+        (claim.key, claim.version)
+    }
+}
+
+/// How many tasks of a job are done and how many run.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
+pub struct Progress {
+    /// Tasks that are done.
+    pub done: u32,
+    /// Tasks that run.
+    pub running: u32,
+}
+
+/// Progress of a live job. On the wire: `[id, done, running]`.
+#[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
+#[serde(from = "(JobId, u32, u32)", into = "(JobId, u32, u32)")]
+pub struct JobProgress {
+    /// The job.
+    pub id: JobId,
+    /// Its progress.
+    pub progress: Progress,
+}
+
+impl From<(JobId, u32, u32)> for JobProgress {
+    fn from((id, done, running): (JobId, u32, u32)) -> Self {
+        JobProgress {
+            id,
+            progress: Progress { done, running },
+        }
+    }
+}
+
+impl From<JobProgress> for (JobId, u32, u32) {
+    fn from(job: JobProgress) -> Self {
+        (job.id, job.progress.done, job.progress.running)
+    }
 }
 
 /// Between controllers. Nothing here is needed for safety; it saves time.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum PeerMessage {
-    /// Sent regularly: who I am, which claims (name, version) I hold, and how many writes are awaited
-    /// here.
+    /// Sent regularly: the claims that the sender holds, and how many writes are pending there.
     Alive {
-        /// Whether the sender can take requests and hears workers.
+        /// Whether the sender can take requests and workers reach it.
         ready: bool,
-        /// Key and version of each claim that it holds.
-        claims: Vec<(String, u64)>,
-        /// How many writes wait there.
+        /// The claims that it holds.
+        claims: Vec<HeldClaim>,
+        /// How many writes are pending there.
         #[serde(default, rename = "awaited")]
         pending_writes: usize,
     },
-    /// A shard's state of affairs, for the leader.
+    /// State of a shard, for the leader.
     #[serde(rename = "Share")]
     Shard {
         /// Number of the shard.
@@ -117,7 +172,7 @@
         shard: usize,
         /// Version of its holder's claim.
         version: u64,
-        /// What finds no room there.
+        /// What jobs there lack.
         #[serde(rename = "needs")]
         requests: Vec<ResourceRequest>,
         /// Its machines.
@@ -134,17 +189,17 @@
         /// Priority of the work that they are for, where they may be cleared.
         above: Option<Priority>,
     },
-    /// To the holder of a job's shard, once its end is recorded: its view shows that a moment later, and starts
-    /// nothing meanwhile. Nothing rests on its arriving.
+    /// To the holder of a job's shard, once its end is recorded, so that it starts nothing until its view shows the end
+    /// a moment later. Nothing depends on its arrival.
     Cancelled {
         /// The job.
         job: JobId,
         /// How many tasks it has.
         tasks: u32,
     },
-    /// Display counts of live jobs: (job, done, running).
+    /// Progress of live jobs, for display.
     Progress {
-        /// Job, tasks done, tasks running.
-        jobs: Vec<(JobId, u32, u32)>,
+        /// The jobs whose progress has changed.
+        jobs: Vec<JobProgress>,
     },
 }
--- a/crates/seamfront-core/src/types/job_spec.rs
+++ b/crates/seamfront-core/src/types/job_spec.rs
@@ -59,7 +59,7 @@
     /// Jobs that must be done before any task of it starts.
     #[serde(rename = "needs", default, skip_serializing_if = "Vec::is_empty")]
     pub dependencies: Vec<JobId>,
-    /// How many more parts of that list stand under keys of their own: see [`crate::dependencies`].
+    /// How many more parts of that list stand under keys of their own: they are written before the job.
     #[serde(rename = "needs_parts", default, skip_serializing_if = "is_zero")]
     pub dependency_parts: u32,
 }
--- /dev/null
+++ b/crates/seamfront-core/src/user_api/status.rs
@@ -0,0 +1,216 @@
+//! Status queries: confirmed by the store, many at a time, before they are answered.
+
+use super::{
+    job_key, LookupPurpose, StatusQuery, UndeterminedQuery, UserApi, UserContext, UserRequest,
+    MAX_WAITING_REQUESTS, RESERVED_FOR_UPDATES,
+};
+use crate::port::{Answer, ClientRequestId, JobState, StoreReply, StoreRequest};
+use crate::types::{JobId, Micros};
+use tracing::debug;
+
+/// The store replies within this time as a rule; users wait for 2 s.
+const UNDETERMINED_TIMEOUT: Micros = Micros::from_millis(1_000);
+
+impl UserContext<'_> {
+    /// Answers about a job that is live as far as is known.
+    pub(super) fn answer_live(&mut self, query: &StatusQuery) {
+        // It may have ended while the request to the store was in flight.
+        if let Some(end) = self.jobs.end_of(&query.id) {
+            return self.answer_end(query.request, &query.id, end);
+        }
+        let job = self.jobs.get(&query.id);
+        let progress = job
+            .and_then(|job| self.base.shards.progress(job.shard, &query.id))
+            .unwrap_or_else(|| self.jobs.reported_progress(&query.id));
+        let state = if progress.running > 0 {
+            JobState::Running
+        } else {
+            JobState::Queued
+        };
+        let answer = Answer::Status {
+            created: query.created,
+            id: query.id.clone(),
+            state,
+            done: progress.done,
+            running: progress.running,
+        };
+        self.answer(query.request, answer);
+    }
+}
+
+impl UserApi {
+    /// A user asks for the state of a job.
+    pub(crate) fn poll(&mut self, context: &mut UserContext, request: ClientRequestId, id: JobId) {
+        if let Some(end) = context.jobs.end_of(&id) {
+            return context.answer_end(request, &id, end);
+        }
+        let overloaded = self.waiting_requests() > MAX_WAITING_REQUESTS - RESERVED_FOR_UPDATES;
+        if !context.store_available || overloaded {
+            return context.reject_with_retry_after(request);
+        }
+        self.queries.push_back(StatusQuery {
+            request,
+            id,
+            created: false,
+        });
+    }
+
+    /// Queries that come within a moment are confirmed together.
+    pub(super) fn confirm_queries(&mut self, context: &mut UserContext) {
+        let now = context.base.now;
+        if now < self.confirm_next || self.queries.is_empty() {
+            return;
+        }
+        self.confirm_next = now + context.base.settings.ask_every();
+        while !self.queries.is_empty() {
+            self.send_confirmation(context);
+        }
+    }
+
+    /// Sends one comparison for as many queries as it may hold.
+    fn send_confirmation(&mut self, context: &mut UserContext) {
+        let mut conditions: Vec<(String, u64)> = Vec::new();
+        let mut queries = Vec::new();
+        while let Some(query) = self.queries.pop_front() {
+            match context.jobs.get(&query.id) {
+                Some(job) => {
+                    conditions.push((job_key(&query.id), job.version));
+                    queries.push(query);
+                }
+                None => self.look_up(context, query.request, query.id, LookupPurpose::Status),
+            }
+            if queries.len() >= context.base.settings.txn_ops * 2 {
+                break;
+            }
+        }
+        if queries.is_empty() {
+            return;
+        }
+        conditions.sort();
+        conditions.dedup();
+        self.in_flight += queries.len();
+        let comparison = StoreRequest::CompareAndSwap {
+            conditions,
+            writes: vec![],
+        };
+        context
+            .outbox
+            .store(comparison, UserRequest::Confirm { queries });
+    }
+
+    pub(super) fn confirm_reply(
+        &mut self,
+        context: &mut UserContext,
+        queries: Vec<StatusQuery>,
+        reply: StoreReply,
+    ) {
+        self.in_flight -= queries.len();
+        match reply {
+            StoreReply::Committed { revision } => self.answer_confirmed(context, queries, revision),
+            StoreReply::Conflict { failed } => {
+                for query in queries {
+                    if failed.contains(&job_key(&query.id)) {
+                        debug!(job = %query.id, "job ended meanwhile; looking up its end");
+                        self.look_up(context, query.request, query.id, LookupPurpose::Status);
+                    } else {
+                        // Only a comparison that succeeds confirms its queries.
+                        self.queries.push_back(query);
+                    }
+                }
+            }
+            _ => {
+                for query in queries {
+                    context.reject_with_retry_after(query.request);
+                }
+            }
+        }
+    }
+
+    /// Answers about jobs that the store has confirmed to be live at this revision. What has left the view since has
+    /// ended, perhaps cancelled with a dependency, whose user got the cancellation as an answer long ago: it must not
+    /// be called queued, and its end is looked up.
+    pub(super) fn answer_confirmed(
+        &mut self,
+        context: &mut UserContext,
+        queries: Vec<StatusQuery>,
+        revision: u64,
+    ) {
+        let mut blocked = Vec::new();
+        for query in queries {
+            match context.jobs.get(&query.id) {
+                Some(job) if job.dependencies.blocked() => blocked.push(query),
+                None if context.jobs.end_of(&query.id).is_none() => {
+                    self.look_up(context, query.request, query.id, LookupPurpose::Status)
+                }
+                _ => context.answer_live(&query),
+            }
+        }
+        self.answer_blocked(context, blocked, revision);
+    }
+
+    /// No user may be answered that a job is queued once a dependency of it has been cancelled. So the view is made as
+    /// new as the confirmation first; what is still open then is not determined yet.
+    pub(super) fn answer_blocked(
+        &mut self,
+        context: &mut UserContext,
+        queries: Vec<StatusQuery>,
+        revision: u64,
+    ) {
+        if queries.is_empty() {
+            return;
+        }
+        let view = context.jobs_view;
+        if view.loaded && view.seen < revision {
+            self.in_flight += queries.len();
+            let refresh = StoreRequest::Watch {
+                prefix: "job/".to_owned(),
+                after: view.seen,
+                wait: Micros::ZERO,
+            };
+            let pending = UserRequest::RefreshView { queries, revision };
+            return context.outbox.store(refresh, pending);
+        }
+        let answer_by = context.base.now + UNDETERMINED_TIMEOUT;
+        for query in queries {
+            self.answer_if_determined(context, UndeterminedQuery { query, answer_by });
+        }
+    }
+
+    /// The reply to a [`UserRequest::RefreshView`] has been applied to the view, which is as new as that reply if
+    /// `refreshed`.
+    pub(crate) fn view_refreshed(
+        &mut self,
+        context: &mut UserContext,
+        queries: Vec<StatusQuery>,
+        revision: u64,
+        refreshed: bool,
+    ) {
+        self.in_flight -= queries.len();
+        let view = context.jobs_view;
+        if refreshed && view.loaded && view.seen >= revision {
+            return self.answer_blocked(context, queries, revision);
+        }
+        for query in queries {
+            context.reject_with_retry_after(query.request);
+        }
+    }
+
+    /// Answers what has been determined since.
+    pub(crate) fn answer_undetermined(&mut self, context: &mut UserContext) {
+        for undetermined in std::mem::take(&mut self.undetermined) {
+            self.answer_if_determined(context, undetermined);
+        }
+    }
+
+    /// Answers if it is clear by now; the view is newer than the confirmations and only gets newer.
+    fn answer_if_determined(&mut self, context: &mut UserContext, waiting: UndeterminedQuery) {
+        let id = &waiting.query.id;
+        if context.jobs.end_of(id).is_some() || context.jobs.no_dependency_cancelled(id) {
+            context.answer_live(&waiting.query);
+        } else if waiting.answer_by <= context.base.now {
+            context.reject_with_retry_after(waiting.query.request);
+        } else {
+            self.undetermined.push(waiting);
+        }
+    }
+}
--- /dev/null
+++ b/crates/seamfront-core/src/user_api/submission.rs
@@ -0,0 +1,228 @@
+//! Submissions: whether a job can ever run, and its creation in batches.
+
+use super::lookup::answer_stored_end;
+use super::{
+    end_key, job_key, LookupPurpose, StatusQuery, Submission, UserApi, UserContext, UserRequest,
+};
+use crate::jobs::JobRecordKind;
+use crate::port::{Answer, ClientRequestId, StoreReply, StoreRequest, SubmissionError, Write};
+use crate::quota::within_limit;
+use crate::types::{JobSpec, MachineType};
+use std::rc::Rc;
+use tracing::info;
+
+const MAX_SUBMISSIONS_PER_BATCH: usize = 16;
+/// Most bytes of records, by estimate, after which a batch takes no more.
+const MAX_BATCH_BYTES: usize = 40_000;
+/// Bytes of a job's record without its lists and its image.
+const RECORD_BASE_BYTES: usize = 600;
+
+impl UserContext<'_> {
+    /// Whether a job can ever run here.
+    fn check_possible(&self, spec: &JobSpec) -> Result<(), SubmissionError> {
+        let team = self.base.settings.team(&spec.team);
+        let team = team.ok_or(SubmissionError::UnknownTeam)?;
+        let fits = |t: &MachineType| {
+            t.size.fits(spec.task_resources) > 0
+                && t.zones.iter().any(|z| spec.allows(&t.name, z, false))
+        };
+        if !self.machine_types.iter().any(fits) {
+            return Err(SubmissionError::NoMachineFits);
+        }
+        if !within_limit(team, spec) {
+            return Err(SubmissionError::OverLimit);
+        }
+        Ok(())
+    }
+}
+
+impl UserApi {
+    /// A user submits a job.
+    pub(crate) fn submit(
+        &mut self,
+        context: &mut UserContext,
+        request: ClientRequestId,
+        mut spec: JobSpec,
+    ) {
+        if let Some(end) = context.jobs.end_of(&spec.id) {
+            return context.answer_end(request, &spec.id, end);
+        }
+        if !context.store_available || self.overloaded() {
+            return context.reject_with_retry_after(request);
+        }
+        // Known jobs are known whatever the repeated body says.
+        if context.jobs.contains_key(&spec.id) {
+            return self.poll(context, request, spec.id);
+        }
+        if context.machine_types.is_empty() {
+            return context.reject_with_retry_after(request);
+        }
+        spec.submitted = context.base.wall_time;
+        let possible = context.check_possible(&spec);
+        let submission = Submission {
+            request,
+            spec: Rc::new(spec),
+        };
+        match possible {
+            Ok(()) => self.check_dependencies(context, submission),
+            Err(error) => self.verify_unknown(context, submission, error),
+        }
+    }
+
+    /// All dependencies are known: the job can be created.
+    pub(super) fn submit_checked(&mut self, submission: Submission) {
+        self.submissions.push_back(submission);
+    }
+
+    pub(super) fn send_submissions(&mut self, context: &mut UserContext) {
+        while !self.submissions.is_empty() {
+            let batch = self.next_batch(context);
+            self.send_batch(context, batch);
+        }
+    }
+
+    fn next_batch(&mut self, context: &mut UserContext) -> Vec<Submission> {
+        let max_jobs = MAX_SUBMISSIONS_PER_BATCH.min(context.base.settings.txn_ops);
+        let mut batch: Vec<Submission> = Vec::new();
+        let mut bytes = 0;
+        while let Some(submission) = self.submissions.pop_front() {
+            if batch.iter().any(|b| b.spec.id == submission.spec.id) {
+                // The same id twice at once: the second is taken once the first is known.
+                context.reject_with_retry_after(submission.request);
+                continue;
+            }
+            bytes += estimated_record_bytes(&submission.spec);
+            batch.push(submission);
+            if batch.len() >= max_jobs || bytes > MAX_BATCH_BYTES {
+                break;
+            }
+        }
+        batch
+    }
+
+    fn send_batch(&mut self, context: &mut UserContext, batch: Vec<Submission>) {
+        if batch.is_empty() {
+            return;
+        }
+        let (mut conditions, mut writes) = (Vec::new(), Vec::new());
+        for Submission { spec, .. } in &batch {
+            conditions.push((job_key(&spec.id), 0));
+            conditions.push((end_key(&spec.id), 0));
+            writes.push(Write::Put {
+                key: job_key(&spec.id),
+                value: serde_json::to_value(&**spec).unwrap_or_default(),
+                lease: None,
+            });
+        }
+        self.in_flight += batch.len();
+        let transaction = StoreRequest::CompareAndSwap { conditions, writes };
+        context
+            .outbox
+            .store(transaction, UserRequest::Submit { batch });
+    }
+
+    pub(super) fn submit_reply(
+        &mut self,
+        context: &mut UserContext,
+        batch: Vec<Submission>,
+        reply: StoreReply,
+    ) {
+        self.in_flight -= batch.len();
+        match reply {
+            StoreReply::Committed { revision } => self.batch_created(context, batch, revision),
+            StoreReply::Conflict { failed } => {
+                for submission in batch {
+                    let id = &submission.spec.id;
+                    if failed.contains(&job_key(id)) || failed.contains(&end_key(id)) {
+                        let (request, id) = (submission.request, id.clone());
+                        self.look_up(context, request, id, LookupPurpose::Status);
+                    } else {
+                        self.submissions.push_back(submission);
+                    }
+                }
+            }
+            _ => {
+                for submission in batch {
+                    context.reject_with_retry_after(submission.request);
+                }
+            }
+        }
+    }
+
+    fn batch_created(&mut self, context: &mut UserContext, batch: Vec<Submission>, revision: u64) {
+        let mut created = Vec::new();
+        for Submission { request, spec } in batch {
+            info!(job = %spec.id, class = %spec.class, tasks = spec.tasks, "accepted");
+            let id = spec.id.clone();
+            // A view that is past this revision knows better, perhaps of the job's end.
+            if context.jobs_view.seen < revision {
+                context.jobs.appeared(context.base, spec, revision);
+            }
+            created.push(StatusQuery {
+                request,
+                id,
+                created: true,
+            });
+        }
+        self.answer_confirmed(context, created, revision);
+    }
+
+    /// A job that can never run is rejected unless it is known already: settings may have changed since it was
+    /// accepted, and its repetition must not get 422.
+    pub(super) fn verify_unknown(
+        &mut self,
+        context: &mut UserContext,
+        submission: Submission,
+        error: SubmissionError,
+    ) {
+        let key = job_key(&submission.spec.id);
+        let pending = UserRequest::VerifyUnknown {
+            submission,
+            error,
+            record: JobRecordKind::Job,
+        };
+        self.send(context, StoreRequest::Get { key }, pending);
+    }
+
+    pub(super) fn verify_unknown_reply(
+        &mut self,
+        context: &mut UserContext,
+        submission: Submission,
+        error: SubmissionError,
+        record: JobRecordKind,
+        reply: StoreReply,
+    ) {
+        self.in_flight -= 1;
+        let (request, id) = (submission.request, submission.spec.id.clone());
+        match (reply, record) {
+            (StoreReply::Entry(_), JobRecordKind::Job) => {
+                self.look_up(context, request, id, LookupPurpose::Status)
+            }
+            (StoreReply::Entry(entry), JobRecordKind::End) => {
+                answer_stored_end(context, request, &id, entry)
+            }
+            (StoreReply::Missing, JobRecordKind::Job) => {
+                let read = StoreRequest::Get { key: end_key(&id) };
+                let pending = UserRequest::VerifyUnknown {
+                    submission,
+                    error,
+                    record: JobRecordKind::End,
+                };
+                self.send(context, read, pending);
+            }
+            (StoreReply::Missing, JobRecordKind::End) => {
+                context.answer(request, Answer::Rejected(error))
+            }
+            _ => context.reject_with_retry_after(request),
+        }
+    }
+}
+
+fn estimated_record_bytes(spec: &JobSpec) -> usize {
+    let dependencies = spec.dependencies.iter();
+    let types = spec.types.iter().flatten();
+    RECORD_BASE_BYTES
+        + dependencies.map(|id| id.as_str().len() + 3).sum::<usize>()
+        + types.map(|name| name.len() + 4).sum::<usize>()
+        + spec.image.len()
+}
