--- a/crates/seamfront-core/src/port/cloud.rs
+++ b/crates/seamfront-core/src/port/cloud.rs
@@ -1,11 +1,11 @@
-//! The cloud: requests and answers.
+//! The cloud: requests and replies.
 
 use crate::types::{MachineId, MachineType, Micros};
 
 /// A request to the cloud.
 #[derive(Clone, Debug, PartialEq)]
 pub enum CloudRequest {
-    /// Machine types and prices.
+    /// Read the machine types and prices.
     MachineTypes,
     /// Scale out: create machines. The request is idempotent under its name, which is never used again.
     Provision {
@@ -15,7 +15,7 @@
         kind: String,
         /// Zone.
         zone: String,
-        /// Whether spot machines are asked for.
+        /// Whether they are to be spot machines.
         spot: bool,
         /// How many.
         count: u32,
@@ -25,14 +25,14 @@
         /// Names of the machines.
         machines: Vec<MachineId>,
     },
-    /// A page of the list of machines.
+    /// Read a page of the list of machines.
     ListMachines {
         /// The last machine of the page before.
         after: Option<MachineId>,
     },
 }
 
-/// An answer of the cloud.
+/// A reply of the cloud.
 #[derive(Clone, Debug)]
 pub enum CloudReply {
     /// Machine types and prices.
@@ -50,7 +50,7 @@
         /// Whether there are more after the last.
         more: bool,
     },
-    /// Nothing is known of what became of the request.
+    /// The request failed, or its outcome is unknown.
     Failed,
 }
 
@@ -78,6 +78,6 @@
     pub spot: bool,
     /// State.
     pub state: ListedState,
-    /// Time since it was asked for.
+    /// Time since it was requested.
     pub age: Micros,
 }
--- a/crates/seamfront-core/src/port/mod.rs
+++ b/crates/seamfront-core/src/port/mod.rs
@@ -1,4 +1,4 @@
-//! What goes into the engine and what comes out of it. Adapters translate these to the wire.
+//! Commands to the engine and its effects. Adapters translate these to the wire.
 
 use crate::types::{JobId, JobSpec, MachineId, Micros};
 
@@ -7,19 +7,19 @@
 mod users;
 mod workers;
 
-pub use cloud::*;
-pub use peers::*;
-pub use seamfront_lease::store::*;
-pub use users::*;
-pub use workers::*;
+pub use cloud::{CloudReply, CloudRequest, ListedMachine, ListedState};
+pub use peers::{HeldClaim, JobProgress, MachineView, PeerMessage, Progress, ResourceRequest};
+pub use seamfront_lease::store::{Entry, StoreReply, StoreRequest, Write};
+pub use users::{Answer, JobState, SubmissionError};
+pub use workers::{DirectOutcome, Exit, Heartbeat, Order, TaskState, TaskStatus};
 
-/// Names a waiting request of the adapters'; they alone know what stands behind it.
+/// Identifies a client's request that awaits its answer; only the adapters know the connection behind it.
 pub type ClientRequestId = u64;
 
-/// Names a call of the engine's: to the key-value store, the cloud, or straight to a worker.
+/// Identifies a call of the engine: to the key-value store, the cloud, or directly to a worker.
 pub type CallId = u64;
 
-/// What goes into the engine.
+/// An input of the engine.
 #[derive(Clone, Debug)]
 pub enum Command {
     /// A user submits a job.
@@ -54,19 +54,19 @@
     DirectResult {
         /// The call that it answers.
         call: CallId,
-        /// The machine that was commanded.
+        /// The machine that the orders were for.
         machine: MachineId,
-        /// What became of the command.
+        /// The outcome.
         outcome: DirectOutcome,
     },
-    /// The key-value store has answered.
+    /// The key-value store has replied.
     Store {
         /// The call that it answers.
         call: CallId,
         /// The answer.
         reply: StoreReply,
     },
-    /// The cloud has answered.
+    /// The cloud has replied.
     Cloud {
         /// The call that it answers.
         call: CallId,
@@ -87,7 +87,7 @@
     },
 }
 
-/// What comes out of the engine, for the adapters to carry out.
+/// An output of the engine, for the adapters to carry out.
 #[derive(Clone, Debug)]
 pub enum Effect {
     /// Answer a user.
@@ -106,7 +106,7 @@
         /// The orders, in the order in which they are to be carried out.
         orders: Vec<Order>,
     },
-    /// Not this node's machine; the owner's name where it is known.
+    /// Redirect a worker to the owner of its machine, which is not this controller.
     Redirect {
         /// The request.
         to: ClientRequestId,
@@ -120,7 +120,7 @@
         /// Whether this controller can take requests.
         yes: bool,
     },
-    /// Send orders straight to a worker.
+    /// Send orders directly to a worker.
     SendDirect {
         /// The call, for its outcome.
         call: CallId,
@@ -142,7 +142,7 @@
         /// The request.
         request: StoreRequest,
     },
-    /// Ask the cloud.
+    /// Send a request to the cloud.
     Cloud {
         /// The call, for its answer.
         call: CallId,
--- a/crates/seamfront-core/src/port/users.rs
+++ b/crates/seamfront-core/src/port/users.rs
@@ -8,13 +8,13 @@
     /// No such team is in the settings.
     #[error("equipe: unknown team")]
     UnknownTeam,
-    /// A task is larger than every allowed machine.
+    /// A task is larger than each machine that it may use.
     #[error("no allowed machine type fits a task")]
     NoMachineFits,
     /// One task of an array, or all tasks of another job, exceed the limit.
     #[error("the job needs more than its team's limit")]
     OverLimit,
-    /// It names a job that was never accepted.
+    /// One of its dependencies was never accepted.
     #[error("espera: {0} was never accepted")]
     UnknownDependency(JobId),
 }
@@ -39,19 +39,19 @@
     NotFound,
     /// The job can never run.
     Rejected(SubmissionError),
-    /// Cannot be known or taken now; come back.
+    /// It can't be known or accepted now.
     RetryLater {
-        /// When to come back.
+        /// Time after which to retry.
         after: Micros,
     },
 }
 
-/// State of a job as users are told.
+/// State of a job in answers to users.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum JobState {
-    /// No task runs.
+    /// No task is running.
     Queued,
-    /// A task runs.
+    /// A task is running.
     Running,
     /// All tasks are done.
     Done,
--- a/crates/seamfront-core/src/port/workers.rs
+++ b/crates/seamfront-core/src/port/workers.rs
@@ -1,4 +1,4 @@
-//! Workers: reports, orders, and what becomes of direct commands.
+//! Workers: heartbeats, orders, and outcomes of direct commands.
 
 use crate::types::{MachineId, Micros, TaskKey};
 
@@ -11,7 +11,7 @@
     Waiting,
     /// Running.
     Running,
-    /// Told to stop, and saving.
+    /// Stopped by an order, and saving its progress.
     Saving,
     /// Ended.
     Exited(Exit),
@@ -27,7 +27,7 @@
         /// Whether its progress was saved.
         saved: bool,
     },
-    /// Another member of its gang has gone.
+    /// Another member of its gang is gone.
     Peers,
     /// Its gang was not complete in time.
     Alone,
@@ -41,7 +41,7 @@
     Unknown,
 }
 
-/// A task in a report.
+/// A task in a heartbeat.
 #[derive(Clone, Debug)]
 pub struct TaskStatus {
     /// The task.
@@ -52,18 +52,18 @@
     pub state: TaskState,
 }
 
-/// What a worker says of itself.
+/// A worker's heartbeat, with the status of its machine.
 #[derive(Clone, Debug)]
 pub struct Heartbeat {
     /// The machine's name.
     pub machine: MachineId,
     /// Where its worker takes direct commands.
     pub addr: String,
-    /// The worker's session.
+    /// Incarnation of the worker's process.
     pub incarnation: u64,
-    /// Rises with every message in a session.
+    /// Increases with each message of an incarnation.
     pub sequence: u64,
-    /// The highest token that the worker has seen.
+    /// The highest fencing token that the worker has seen.
     pub fencing_token: u64,
     /// How long until the cloud takes the machine back.
     pub preemption_notice: Option<Micros>,
@@ -90,7 +90,7 @@
         /// Time to save.
         grace: Micros,
     },
-    /// Drop an exited task from the reports.
+    /// Drop an exited task from the heartbeats.
     Forget {
         /// The task.
         task: TaskKey,
@@ -99,17 +99,16 @@
     },
 }
 
-/// What became of a direct command.
+/// Outcome of a direct command.
 #[derive(Clone, Debug)]
 pub enum DirectOutcome {
-    /// 200 or 409: whatever the orders were, they are settled now.
-    /// Carried out or refused.
+    /// 200 or 409: each order has been carried out or refused.
     Settled {
-        /// The worker's report after the command.
+        /// The worker's heartbeat after the command.
         heartbeat: Box<Heartbeat>,
     },
-    /// The connection was never made, so nothing can arrive late.
+    /// No connection was made, so nothing can arrive late.
     NotSent,
-    /// Sent, and no answer.
+    /// Sent, without an answer.
     Unknown,
 }
--- a/crates/seamfront-core/src/types/job_spec.rs
+++ b/crates/seamfront-core/src/types/job_spec.rs
@@ -29,7 +29,7 @@
     pub priority: Priority,
     /// Number of tasks.
     pub tasks: u32,
-    /// What one task takes.
+    /// Resources that one task needs.
     #[serde(rename = "need")]
     pub task_resources: Resources,
     /// Allowed machine types, or any.
@@ -52,14 +52,14 @@
     pub checkpoint: Micros,
     /// Time a task needs to save when it is stopped.
     pub save: Micros,
-    /// When it should be complete, from its submission.
+    /// Time from its submission within which it should be complete.
     pub deadline: Option<Micros>,
     /// Time of day of the first acceptance, so that order and deadlines outlive a controller.
     pub submitted: Micros,
-    /// Jobs that must be done before any task of it starts.
+    /// Jobs that must be done before any of its tasks starts.
     #[serde(rename = "needs", default, skip_serializing_if = "Vec::is_empty")]
     pub dependencies: Vec<JobId>,
-    /// How many more parts of that list stand under keys of their own: they are written before the job.
+    /// How many more parts of that list are stored under keys of their own, written before the job.
     #[serde(rename = "needs_parts", default, skip_serializing_if = "is_zero")]
     pub dependency_parts: u32,
 }
@@ -69,7 +69,7 @@
 }
 
 impl JobSpec {
-    /// Most tasks that may be in one zone; a job that is to be spread (`scatter`): at most half of them, rounded up.
+    /// Most tasks that may be in one zone: of a job that is to be spread (`scatter`), half of them, rounded up.
     pub fn zone_cap(&self) -> u32 {
         if self.spread {
             self.tasks.div_ceil(2)
@@ -84,7 +84,7 @@
         suits(self.task_resources, self.types.as_deref(), size, types)
     }
 
-    /// The shortest fetch of the image on any machine that may run this.
+    /// The shortest time in which any machine that may run its tasks fetches the image.
     pub fn fetch_at_best(&self, types: &[MachineType]) -> Micros {
         let fits =
             |t: &&MachineType| t.size.fits(self.task_resources) > 0 && self.suits(t.size, types);
@@ -94,7 +94,7 @@
         })
     }
 
-    /// Whether its tasks can save.
+    /// Whether its tasks save checkpoints.
     pub fn saves(&self) -> bool {
         self.checkpoint > Micros::ZERO
     }
--- a/crates/seamfront-core/src/types/machine_type.rs
+++ b/crates/seamfront-core/src/types/machine_type.rs
@@ -8,9 +8,9 @@
 pub struct MachineType {
     /// Name.
     pub name: String,
-    /// What such a machine has.
+    /// Resources of such a machine.
     pub size: Resources,
-    /// Room for images, in MB.
+    /// Capacity of the image cache, in MB.
     pub cache_mb: i64,
     /// Rate of fetching images, in MB a second.
     pub fetch_mb_s: i64,
@@ -18,13 +18,14 @@
     pub price: i64,
     /// Price of a spot machine.
     pub spot_price: i64,
-    /// Usual time until it is up.
+    /// Usual boot time.
     pub boot: Micros,
-    /// Zones in which there are any.
+    /// Zones that offer it.
     pub zones: Vec<String>,
 }
 
-/// See [`JobSpec::suits`].
+/// Whether tasks of this size may use machines of `size`, as [`JobSpec::suits`](super::JobSpec::suits) decides it.
+/// `allowed` are the job's machine types.
 pub fn suits(
     task_resources: Resources,
     allowed: Option<&[String]>,
--- a/crates/seamfront-core/src/types/mod.rs
+++ b/crates/seamfront-core/src/types/mod.rs
@@ -1,4 +1,4 @@
-//! Plain values shared by every module: time, identifiers, amounts, settings and what a user asks for.
+//! Plain values shared by all modules: time, identifiers, resources, job specs, machine types and settings.
 
 mod identifiers;
 mod job_spec;
--- a/crates/seamfront-core/src/types/objective.rs
+++ b/crates/seamfront-core/src/types/objective.rs
@@ -2,7 +2,7 @@
 
 use super::{JobSpec, Micros, Settings};
 
-/// Every job, the largest too, should have begun this long after its submission.
+/// Every job, the largest too, should have started this long after its submission.
 pub const START_DEADLINE: Micros = Micros::from_secs(240);
 
 /// What an objective sets a time for.
@@ -14,14 +14,14 @@
     Finished,
 }
 
-/// What operators state of a class of jobs: tasks started, or jobs finished, within a time.
+/// A service-level objective of a class of jobs: a milestone reached within a time from submission.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Objective {
     /// The class that it is set for.
     pub class: String,
-    /// What must have happened by then.
+    /// What it sets a time for.
     pub milestone: Milestone,
-    /// Within what time.
+    /// The time, from submission.
     pub within: Micros,
 }
 
@@ -33,7 +33,7 @@
         self.times_to_start(spec).filter(|t| *t > wall_time).min()
     }
 
-    /// Whether a time that the job should have kept has passed already.
+    /// Whether one of the times at which the job should have started has passed.
     pub fn late(&self, spec: &JobSpec, wall_time: Micros) -> bool {
         self.times_to_start(spec).any(|t| t <= wall_time)
     }
--- a/crates/seamfront-core/src/types/priority.rs
+++ b/crates/seamfront-core/src/types/priority.rs
@@ -2,7 +2,7 @@
 
 use serde::{Deserialize, Serialize};
 
-/// Declared from the most to the least important, so that sorting puts the important first.
+/// How important a job is. Declared from the most to the least important, so that sorting puts the important first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum Priority {
     /// Live services.
@@ -11,7 +11,7 @@
     Urgent,
     /// Ordinary work.
     Normal,
-    /// What room is left.
+    /// Work that gets the capacity left over.
     BestEffort,
 }
 
--- a/crates/seamfront-core/src/types/resources.rs
+++ b/crates/seamfront-core/src/types/resources.rs
@@ -2,7 +2,7 @@
 
 use serde::{Deserialize, Serialize};
 
-/// What a task takes or a machine has, in thousandths so that sums are exact.
+/// Resources that a task needs or a machine has, in thousandths so that sums are exact.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Resources {
     /// Thousandths of a CPU.
@@ -51,7 +51,7 @@
         self.ram -= o.ram;
     }
 
-    /// So many times as much.
+    /// The resources of `n` such tasks.
     pub fn times(self, n: i64) -> Resources {
         Resources {
             cpus: self.cpus * n,
@@ -60,7 +60,7 @@
         }
     }
 
-    /// How many tasks of size `task` fit into this room.
+    /// How many tasks of size `task` fit into this free capacity.
     pub fn fits(self, task: Resources) -> i64 {
         let part = |have: i64, want: i64| {
             if want <= 0 {
--- a/crates/seamfront-core/src/types/settings.rs
+++ b/crates/seamfront-core/src/types/settings.rs
@@ -2,18 +2,18 @@
 
 use super::{Micros, Objective, Resources};
 
-/// A team with what it is granted.
+/// A team with its guarantee and its limit.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Team {
     /// Name.
     pub name: String,
-    /// What its unfinished jobs need not wait for.
+    /// Resources that its unfinished jobs are guaranteed.
     pub guarantee: Resources,
-    /// Zero in a field means no limit there.
+    /// Most that its jobs may use; zero in a field means no limit there.
     pub limit: Resources,
 }
 
-/// Everything that the engine knows beforehand. Filled from the platform's file and the INI.
+/// The engine's configuration, from the platform's file and the INI.
 #[derive(Clone, Debug)]
 pub struct Settings {
     /// All member names in order, this one included.
@@ -22,9 +22,9 @@
     pub me: usize,
     /// All teams.
     pub teams: Vec<Team>,
-    /// What is aimed at for classes of jobs.
+    /// Service-level objectives of classes of jobs.
     pub objectives: Vec<Objective>,
-    /// Time between a worker's reports.
+    /// Time between a worker's heartbeats.
     pub heartbeat_interval: Micros,
     /// A worker's lease.
     pub lease: Micros,
@@ -34,7 +34,7 @@
     pub gang_peer: Micros,
     /// Time until nothing of a cancelled job may be left.
     pub cancel: Micros,
-    /// Requests a second that the state service takes.
+    /// Requests a second that the key-value store takes.
     pub state_rps: i64,
     /// Writes a second that it takes.
     pub write_rps: i64,
@@ -86,13 +86,13 @@
         ttl.max(Micros::from_secs(2))
     }
 
-    /// False where the settings leave no room for [`Settings::verification_ttl`].
+    /// Whether the settings leave enough time for [`Settings::verification_ttl`].
     pub fn verification_ttl_fits(&self) -> bool {
         self.cancel - self.lease.with_drift() >= Micros::from_millis(5_500)
     }
 
-    /// How often one controller may ask the store for one and the same purpose, so that all of them
-    /// together take a fifth of what it answers.
+    /// Least time between two requests of one controller to the store for the same purpose, so that all controllers
+    /// together take a fifth of the store's rate.
     pub fn ask_every(&self) -> Micros {
         let every = Micros(5_000_000 * self.members.len() as i64 / self.state_rps.max(1));
         every.min(Micros::from_millis(200))
