--- a/crates/seamfront-core/tests/turns.rs
+++ b/crates/seamfront-core/tests/turns.rs
@@ -1,11 +1,9 @@
 //! Who gets room in a round, and who keeps it. One share in the hand.
 
 // Reports are sent elsewhere.
-#[allow(dead_code)]
-mod held;
 
-use held::{heartbeat, job, s, Held, CLAIM};
 use seamfront_core::types::*;
+use seamfront_testing::shard_harness::{heartbeat, job, s, Held, CLAIM};
 use std::rc::Rc;
 
 /// An array of tasks that take one of a machine's eight processors each.
@@ -157,7 +155,8 @@
         .machines
         .get_mut(&busy)
         .unwrap()
-        .used_image("live", 100, 1_000);
+        .image_cache
+        .use_image("live", 100, 1_000);
     h.shard.add_job(
         Rc::new(array("j-1", 200, Priority::BestEffort, now)),
         5,
