--- a/crates/seamfront-core/src/lib.rs
+++ b/crates/seamfront-core/src/lib.rs
@@ -12,7 +12,7 @@
 mod garbage_collector;
 pub mod job;
 mod jobs;
-pub mod leader;
+mod leader;
 pub mod machine;
 mod outbox;
 pub mod placement;
--- a/crates/seamfront-core/src/types/machine_type.rs
+++ b/crates/seamfront-core/src/types/machine_type.rs
@@ -24,6 +24,17 @@
     pub zones: Vec<String>,
 }
 
+impl MachineType {
+    /// Price of an hour, in thousandths of the currency unit.
+    pub fn hourly_price(&self, spot: bool) -> i64 {
+        if spot {
+            self.spot_price
+        } else {
+            self.price
+        }
+    }
+}
+
 /// Whether tasks of this size may use machines of `size`, as [`JobSpec::suits`](super::JobSpec::suits) decides it.
 /// `allowed` are the job's machine types.
 pub fn suits(
