--- a/crates/seamfront-core/src/engine/mod.rs
+++ b/crates/seamfront-core/src/engine/mod.rs
@@ -13,7 +13,9 @@
     Progress, StoreReply, StoreRequest, Write,
 };
 use crate::record::Layout;
-use crate::shard::{machine_write, work_key, Context, Shard, ShardPhase, ShardWrite, WriteOutcome};
+use crate::shard::{
+    machine_write, work_key, Context, Shard, ShardPhase, ShardWrite, StatusSource, WriteOutcome,
+};
 use crate::store_session::{SessionRequest, StoreSession};
 use crate::types::{JobId, MachineId, MachineType, Micros, Resources, Settings};
 use crate::user_api::{UserApi, UserRequest};
@@ -482,7 +484,7 @@
                 return None;
             }
             let ready = s.phase == ShardPhase::Ready;
-            if !s.apply_heartbeat(context, heartbeat, true) {
+            if !s.apply_heartbeat(context, heartbeat, StatusSource::WorkerHeartbeat) {
                 return None;
             }
             let orders = if ready {
