--- a/crates/seamfront-core/src/engine/jobs.rs
+++ b/crates/seamfront-core/src/engine/jobs.rs
@@ -8,20 +8,18 @@
 use crate::outbox::Outbox;
 use crate::port::{Progress, StoreReply};
 use crate::shard::{Shard, ShardPhase};
-use crate::store_session::Claim;
+use crate::store_session::{ClaimId, StoreSession, Topic};
 use crate::types::{JobId, JobSpec, Micros};
 use crate::user_api::{JobsView, UserApi, UserContext, UserRequest};
 use std::rc::Rc;
 
 /// Without a reply of the store for this long, users' requests are rejected at once.
 const STORE_REPLY_TIMEOUT: Micros = Micros::from_millis(2_500);
-/// Index of the view of `job/`.
-const JOBS_WATCH: usize = 0;
 
 /// Shards and their holders as this controller knows them.
 struct KnownShards<'a> {
     shards: &'a [Option<Shard>],
-    claims: &'a [Option<Claim>],
+    session: &'a StoreSession,
     me: usize,
 }
 
@@ -39,7 +37,7 @@
     }
 
     fn peer_holder(&self, shard: usize) -> Option<usize> {
-        let claim = self.claims[shard].as_ref()?;
+        let claim = self.session.claim(ClaimId::Shard(shard))?;
         Some(claim.member).filter(|member| *member != self.me)
     }
 }
@@ -49,7 +47,7 @@
     fn with_jobs<R>(&mut self, call: impl FnOnce(&mut JobRegistry, JobContext) -> R) -> R {
         let shards = KnownShards {
             shards: &self.shards,
-            claims: &self.store.claims,
+            session: &self.store,
             me: self.settings.me,
         };
         let context = JobContext {
@@ -66,15 +64,14 @@
     /// Calls the users' API, sends what it has put into its outbox, and passes on what shards must know.
     pub(super) fn with_user_api(&mut self, call: impl FnOnce(&mut UserApi, &mut UserContext)) {
         let store_available =
-            self.store.loaded() && self.now - self.store.last_reply <= STORE_REPLY_TIMEOUT;
-        let view = &self.store.watches[JOBS_WATCH];
+            self.store.loaded() && self.now - self.store.last_reply() <= STORE_REPLY_TIMEOUT;
         let jobs_view = JobsView {
-            loaded: view.loaded(),
-            seen: view.seen(),
+            loaded: self.store.view_loaded(Topic::Jobs),
+            seen: self.store.revision(Topic::Jobs),
         };
         let shards = KnownShards {
             shards: &self.shards,
-            claims: &self.store.claims,
+            session: &self.store,
             me: self.settings.me,
         };
         let mut context = UserContext {
@@ -86,7 +83,7 @@
             },
             jobs: &mut self.jobs,
             jobs_view,
-            machine_types: &self.types,
+            machine_types: self.machine_types.all(),
             store_available,
             outbox: Outbox::new(),
         };
@@ -165,7 +162,8 @@
     pub(super) fn user_reply(&mut self, request: UserRequest, reply: StoreReply) {
         match request {
             UserRequest::RefreshView { queries, revision } => {
-                let refreshed = self.apply_changes(JOBS_WATCH, reply);
+                let refreshed = self.apply_changes(Topic::Jobs, reply)
+                    && self.store.view_reaches(Topic::Jobs, revision);
                 self.with_user_api(|api, context| {
                     api.view_refreshed(context, queries, revision, refreshed);
                 });
--- a/crates/seamfront-core/src/lib.rs
+++ b/crates/seamfront-core/src/lib.rs
@@ -14,6 +14,7 @@
 mod jobs;
 mod leader;
 pub mod machine;
+mod machine_types;
 mod outbox;
 pub mod placement;
 pub mod port;
@@ -25,5 +26,6 @@
 pub mod store_session;
 pub mod types;
 pub mod user_api;
+mod write_pacing;
 
 pub use engine::Engine;
--- a/crates/seamfront-core/src/port/mod.rs
+++ b/crates/seamfront-core/src/port/mod.rs
@@ -8,7 +8,9 @@
 mod workers;
 
 pub use cloud::{CloudReply, CloudRequest, ListedMachine, ListedState};
-pub use peers::{HeldClaim, JobProgress, MachineView, PeerMessage, Progress, ResourceRequest};
+pub use peers::{
+    ClaimAnnouncement, JobProgress, MachineView, PeerMessage, Progress, ResourceRequest,
+};
 pub use seamfront_lease::store::{Entry, StoreReply, StoreRequest, Write};
 pub use users::{Answer, JobState, SubmissionError};
 pub use workers::{DirectOutcome, Exit, Heartbeat, Order, TaskState, TaskStatus};
--- a/crates/seamfront-core/src/port/peers.rs
+++ b/crates/seamfront-core/src/port/peers.rs
@@ -95,24 +95,24 @@
     *value == T::default()
 }
 
-/// A claim that a controller holds. On the wire: `[key, version]`.
+/// A claim that the sender of a message holds. On the wire: `[key, version]`.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(from = "(String, u64)", into = "(String, u64)")]
-pub struct HeldClaim {
+pub struct ClaimAnnouncement {
     /// Key of the claim's record.
     pub key: String,
     /// Version of that record.
     pub version: u64,
 }
 
-impl From<(String, u64)> for HeldClaim {
+impl From<(String, u64)> for ClaimAnnouncement {
     fn from((key, version): (String, u64)) -> Self {
-        HeldClaim { key, version }
+        ClaimAnnouncement { key, version }
     }
 }
 
-impl From<HeldClaim> for (String, u64) {
-    fn from(claim: HeldClaim) -> Self {
+impl From<ClaimAnnouncement> for (String, u64) {
+    fn from(claim: ClaimAnnouncement) -> Self {
         (claim.key, claim.version)
     }
 }
@@ -159,7 +159,7 @@
         /// Whether the sender can take requests and workers reach it.
         ready: bool,
         /// The claims that it holds.
-        claims: Vec<HeldClaim>,
+        claims: Vec<ClaimAnnouncement>,
         /// How many writes are pending there.
         #[serde(default, rename = "awaited")]
         pending_writes: usize,
--- a/crates/seamfront-core/src/user_api/status.rs
+++ b/crates/seamfront-core/src/user_api/status.rs
@@ -176,7 +176,7 @@
         }
     }
 
-    /// The reply to a [`UserRequest::RefreshView`] has been applied to the view, which is as new as that reply if
+    /// The reply to a [`UserRequest::RefreshView`] has been applied to the view, which has reached this revision if
     /// `refreshed`.
     pub(crate) fn view_refreshed(
         &mut self,
@@ -186,8 +186,7 @@
         refreshed: bool,
     ) {
         self.in_flight -= queries.len();
-        let view = context.jobs_view;
-        if refreshed && view.loaded && view.seen >= revision {
+        if refreshed {
             return self.answer_blocked(context, queries, revision);
         }
         for query in queries {
