--- a/crates/seamfront-core/src/gang.rs
+++ b/crates/seamfront-core/src/gang.rs
@@ -1,4 +1,4 @@
-//! The coordinated drain of a gang, after "Gang Preemption in Workron". This module is only the
+//! Gang scheduling: the coordinated drain of a gang, after "Gang Preemption in Workron". This module is only the
 //! state machine; placements, orders and records are the shard's.
 //!
 //! A gang is admitted whole. When a member fails, is preempted or must move, all members that may
@@ -14,9 +14,9 @@
 pub enum Member {
     /// Not placed.
     Blocked,
-    /// Chosen in this round; the record that allows it is not written yet, so nothing was ordered.
+    /// Placed in this cycle; the record that allows it is not written yet, so nothing was ordered.
     Reserved,
-    /// May be ordered to start. Unlike in the post this may have a process: replies get lost.
+    /// May be ordered to start. Unlike in the article it may have a process: replies get lost.
     Pending,
     /// Its worker has shown it.
     Running,
@@ -30,7 +30,7 @@
     Failed,
 }
 
-/// What becomes of a gang once nothing of it runs.
+/// The result of a gang's drain.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Verdict {
     /// It may be admitted again.
@@ -68,13 +68,13 @@
         !self.draining && self.members.iter().all(|m| *m == Member::Blocked)
     }
 
-    /// Chooses all members in one round.
+    /// Reserves places for all members at once.
     pub fn reserve_all(&mut self) {
         debug_assert!(self.admissible());
         self.members.fill(Member::Reserved);
     }
 
-    /// The record that allows it is written: it may be ordered from now on.
+    /// The record that allows the member is written: it may be ordered to start.
     pub fn recorded(&mut self, i: u32) {
         let m = &mut self.members[i as usize];
         if *m == Member::Reserved {
@@ -82,7 +82,7 @@
         }
     }
 
-    /// Its worker shows it: the claim that counts as an attempt.
+    /// The worker shows the member: this counts as an attempt.
     pub fn claimed(&mut self, i: u32) {
         let i = i as usize;
         if matches!(self.members[i], Member::Pending | Member::Reserved) {
@@ -91,8 +91,8 @@
         }
     }
 
-    /// Starts a drain. `trigger` is the member whose failure caused it; nobody's where the gang is
-    /// stopped for others' sake. Returns false if one is under way already.
+    /// Starts a drain. `trigger` is the member whose failure caused it; none where the gang is
+    /// evicted for other work. Returns false if one is under way already.
     pub fn drain(&mut self, trigger: Option<u32>) -> bool {
         if self.draining {
             return false;
@@ -135,19 +135,19 @@
         self.members.fill(Member::Done);
     }
 
-    /// The strict verdict, given once nothing runs.
+    /// Completes the drain once no member runs: the gang has failed if any member has used up its attempts or ended.
     pub fn complete(&mut self, retry_limit: u32) -> Option<Verdict> {
         let busy = |m: &Member| matches!(m, Member::Running | Member::Pending | Member::Preempting);
         if !self.draining || self.members.iter().any(busy) {
             return None;
         }
         self.draining = false;
-        let spent = self.attempts.iter().any(|a| *a >= retry_limit);
+        let exhausted = self.attempts.iter().any(|a| *a >= retry_limit);
         let ended = self
             .members
             .iter()
             .any(|m| matches!(m, Member::Done | Member::Failed));
-        if spent || ended {
+        if exhausted || ended {
             self.members.fill(Member::Failed);
             return Some(Verdict::Failed);
         }
@@ -155,7 +155,7 @@
         Some(Verdict::Blocked)
     }
 
-    /// A failed gang was accepted and must run some day: after its pause it starts anew.
+    /// Admits a failed gang again with all attempts: every accepted job must run.
     pub fn readmit(&mut self) {
         self.members.fill(Member::Blocked);
         self.attempts.fill(0);
--- a/crates/seamfront-core/src/job.rs
+++ b/crates/seamfront-core/src/job.rs
@@ -15,6 +15,15 @@
 /// This many of such a job's tasks are tried at once.
 const MAX_CONCURRENT_ATTEMPTS: u32 = 2;
 
+/// Bytes of a record's fixed fields, besides the name of the team.
+const RECORD_FIXED_BYTES: usize = 200;
+/// Bytes of the punctuation of a run of tasks in a record.
+const RUN_PUNCTUATION_BYTES: usize = 5;
+/// Bytes of the punctuation of a machine's entry in a record.
+const MACHINE_ENTRY_BYTES: usize = 6;
+/// Bytes that the name of a machine is expected to take at least.
+const MACHINE_NAME_BYTES: usize = 12;
+
 /// How far a placed task has come.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Phase {
@@ -117,6 +126,24 @@
     pub promoted: bool,
 }
 
+impl Placement {
+    /// A placement that a former holder recorded: the task may be on its machine.
+    fn adopted(machine: MachineId, attempt: u64, now: Micros) -> Placement {
+        Placement {
+            machine,
+            attempt,
+            phase: Phase::Ordered,
+            generation: 0,
+            since: now,
+            incarnation: 0,
+            not_before: Micros::ZERO,
+            running_since: None,
+            stop: None,
+            promoted: false,
+        }
+    }
+}
+
 /// Where a job's record stands. Only the holder writes it, always on the version that it knows.
 #[derive(Clone, Debug, Default)]
 pub struct RecordState {
@@ -305,35 +332,41 @@
         a
     }
 
-    /// How many more tasks may be placed before the record could outgrow what the state service takes of it. What is
-    /// placed is counted as it is written, a run of tasks on a machine at a time; what is to come as if each task
-    /// had a machine of its own.
+    /// How many more tasks may be placed before the record could outgrow what the store accepts. Placed tasks are
+    /// counted as they are written, a run on a machine at a time; tasks to come as if each had a machine of its own.
     pub fn record_headroom(&self, layout: &Layout) -> u32 {
-        let digits = |n: u64| n.checked_ilog10().unwrap_or(0) as usize + 1;
-        let run = 5 + 2 * digits(u64::from(self.spec.tasks)) + digits(self.next_attempt + 1);
-        let fixed = 200 + self.spec.team.len();
-        let mut used = self.done.pieces() * (run + 1);
-        if let Some(g) = &self.gang {
-            used += g.attempts.iter().filter(|a| **a > 0).count() * run;
+        let run_bytes = self.run_bytes();
+        let fixed_bytes = RECORD_FIXED_BYTES + self.spec.team.len();
+        let mut used = self.done.pieces() * (run_bytes + 1);
+        if let Some(gang) = &self.gang {
+            used += gang.attempts.iter().filter(|a| **a > 0).count() * run_bytes;
         }
-        let mut longest = 12;
-        let mut before: Option<(&MachineId, u32, u64)> = None;
-        for (i, p) in &self.tasks {
-            let (name, new) = (
-                p.machine.as_str().len(),
-                before != Some((&p.machine, *i, p.attempt)),
-            );
-            used += if new { run + name + 6 } else { 0 };
-            longest = longest.max(name);
-            before = Some((&p.machine, *i + 1, p.attempt));
+        let mut longest_name = MACHINE_NAME_BYTES;
+        let mut run_end: Option<(&MachineId, u32, u64)> = None;
+        for (index, p) in &self.tasks {
+            let name = p.machine.as_str().len();
+            if run_end != Some((&p.machine, *index, p.attempt)) {
+                used += run_bytes + name + MACHINE_ENTRY_BYTES;
+            }
+            longest_name = longest_name.max(name);
+            run_end = Some((&p.machine, *index + 1, p.attempt));
         }
         // Each member that is placed comes to have used an attempt.
-        let attempts = if self.gang.is_some() { run } else { 0 };
-        let room = layout
+        let attempt_bytes = if self.gang.is_some() { run_bytes } else { 0 };
+        let task_bytes = run_bytes + longest_name + MACHINE_ENTRY_BYTES + attempt_bytes;
+        let capacity = layout
             .value_bytes
-            .saturating_sub(fixed)
+            .saturating_sub(fixed_bytes)
             .max(layout.parts_capacity());
-        (room.saturating_sub(used) / (run + longest + 6 + attempts)) as u32
+        (capacity.saturating_sub(used) / task_bytes) as u32
+    }
+
+    /// Most bytes that a run of tasks takes in the record.
+    fn run_bytes(&self) -> usize {
+        let digits = |n: u64| n.checked_ilog10().unwrap_or(0) as usize + 1;
+        RUN_PUNCTUATION_BYTES
+            + 2 * digits(u64::from(self.spec.tasks))
+            + digits(self.next_attempt + 1)
     }
 
     /// Tasks that run and are not being stopped.
@@ -404,22 +437,9 @@
         }
         for (machine, runs) in record.placed {
             for run in runs {
-                for i in run.start..run.end.min(self.spec.tasks) {
-                    self.tasks.insert(
-                        i,
-                        Placement {
-                            machine: machine.clone(),
-                            attempt: run.attempt,
-                            phase: Phase::Ordered,
-                            generation: 0,
-                            since: now,
-                            incarnation: 0,
-                            not_before: Micros::ZERO,
-                            running_since: None,
-                            stop: None,
-                            promoted: false,
-                        },
-                    );
+                for index in run.start..run.end.min(self.spec.tasks) {
+                    let placement = Placement::adopted(machine.clone(), run.attempt, now);
+                    self.tasks.insert(index, placement);
                 }
             }
         }
--- a/crates/seamfront-core/src/quota.rs
+++ b/crates/seamfront-core/src/quota.rs
@@ -58,26 +58,34 @@
     limit_left(team.limit, Resources::default()).fits(spec.task_resources) >= n
 }
 
-/// Jobs that lie within their team's guarantee together with the team's earlier unfinished jobs.
-/// A resource that the guarantee does not name is not measured; one that it names must be used.
+/// Jobs that lie within their team's guarantee together with the team's earlier unfinished jobs. A resource that the
+/// guarantee does not name is not measured; one that it names must be used.
 pub fn guaranteed<'a>(teams: &[Team], jobs: impl Iterator<Item = &'a Job>) -> BTreeSet<JobId> {
-    let mut by_age: Vec<&Job> = jobs.filter(|j| j.live() && !j.blocked).collect();
+    let mut by_age: Vec<&Job> = jobs.filter(|job| job.live() && !job.blocked).collect();
     by_age.sort_by(|a, b| (a.spec.submitted, &a.spec.id).cmp(&(b.spec.submitted, &b.spec.id)));
-    let mut sums: BTreeMap<&str, Resources> = BTreeMap::new();
-    let mut inside = BTreeSet::new();
-    for j in by_age {
-        let Some(team) = teams.iter().find(|t| t.name == j.spec.team) else {
+    let mut requested_by_team: BTreeMap<&str, Resources> = BTreeMap::new();
+    let mut within = BTreeSet::new();
+    for job in by_age {
+        let spec = &job.spec;
+        let Some(team) = teams.iter().find(|team| team.name == spec.team) else {
             continue;
         };
-        let g = team.guarantee;
-        let sum = sums.entry(team.name.as_str()).or_default();
-        sum.add(j.spec.task_resources.times(i64::from(j.spec.tasks)));
-        let ok = |have: i64, sum: i64| have <= 0 || sum <= have;
-        let named = (g.cpus > 0 && j.spec.task_resources.cpus > 0)
-            || (g.gpus > 0 && j.spec.task_resources.gpus > 0);
-        if named && ok(g.cpus, sum.cpus) && ok(g.gpus, sum.gpus) {
-            inside.insert(j.spec.id.clone());
+        let requested = requested_by_team.entry(team.name.as_str()).or_default();
+        requested.add(spec.task_resources.times(i64::from(spec.tasks)));
+        if within_guarantee(team.guarantee, spec.task_resources, *requested) {
+            within.insert(spec.id.clone());
         }
     }
-    inside
+    within
+}
+
+/// Whether a job with tasks of this size uses a guaranteed resource, and all that its team has requested up to it is
+/// guaranteed.
+fn within_guarantee(guarantee: Resources, task: Resources, requested: Resources) -> bool {
+    let covered = |guarantee: i64, requested: i64| guarantee <= 0 || requested <= guarantee;
+    let uses_guarantee =
+        (guarantee.cpus > 0 && task.cpus > 0) || (guarantee.gpus > 0 && task.gpus > 0);
+    uses_guarantee
+        && covered(guarantee.cpus, requested.cpus)
+        && covered(guarantee.gpus, requested.gpus)
 }
--- a/crates/seamfront-core/src/ranges.rs
+++ b/crates/seamfront-core/src/ranges.rs
@@ -1,5 +1,5 @@
-//! A set of task numbers kept as ranges: tasks end nearly in order, so a job of 100,000 tasks
-//! still fits into one small record.
+//! A compact set of task numbers, kept as ranges: tasks end nearly in order, so the set of a job array of 100,000
+//! tasks still fits into a small record.
 
 use serde::{Deserialize, Serialize};
 
--- a/crates/seamfront-core/src/shard/mod.rs
+++ b/crates/seamfront-core/src/shard/mod.rs
@@ -1,4 +1,4 @@
-//! A shard as its one holder runs it: jobs of its teams on its machines.
+//! A shard as run by its holder: the jobs of its teams on its machines.
 //!
 //! Order of things, always: decide → record → order → evidence → record → forget.
 
@@ -24,7 +24,9 @@
 mod failure_detection;
 mod heartbeats;
 mod inspection;
+mod jobs;
 mod machine_views;
+mod machines;
 mod orders;
 mod records;
 mod task_removal;
@@ -33,10 +35,10 @@
 pub use records::{machine_write, ShardWrite, WriteOutcome};
 use records::{spec_of_ended_job, stop_rest};
 
-/// How far a shard that was claimed has come.
+/// How far a claimed shard has been loaded.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ShardPhase {
-    /// Claimed, but the view of cancellations is not known to be as new as the claim.
+    /// Claimed, but the view of cancelled jobs is not known to be as new as the claim.
     Verifying,
     /// Reading the former holder's records.
     Loading,
@@ -44,30 +46,30 @@
     Ready,
 }
 
-/// What a shard needs of the engine in a step.
+/// What the engine gives a shard in a step.
 pub struct Context<'a> {
     /// Settings.
     pub settings: &'a Settings,
-    /// Now, by the steady clock.
+    /// Monotonic time.
     pub now: Micros,
-    /// Time of day, only for order and deadlines of jobs.
+    /// Time of day, only for the order and the deadlines of jobs.
     pub wall_time: Micros,
     /// Machine types on offer.
     pub types: &'a [MachineType],
-    /// Effects of this step.
+    /// Collects the effects of this step.
     pub effects: &'a mut Vec<Effect>,
-    /// The name of the next call.
+    /// The id of the next call.
     pub calls: &'a mut CallId,
-    /// The claim was proven recently enough to answer reports and to send commands.
+    /// The claim was verified recently enough to reply to heartbeats and to send commands.
     pub lease_valid: bool,
-    /// How records may be laid out now.
+    /// The present layout of records.
     pub layout: Layout,
 }
 
-/// Why a task is known to be gone.
+/// Why a task is removed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Removal {
-    /// Its worker showed it exited.
+    /// Its worker showed that it exited.
     Exited(Exit),
     /// Its order never reached the worker, or its machine is gone.
     Lost,
@@ -83,7 +85,7 @@
     pub parts_end: u32,
 }
 
-/// A shard in the hand of its one holder.
+/// A shard as run by its holder.
 pub struct Shard {
     /// Its number.
     pub index: usize,
@@ -91,40 +93,40 @@
     pub version: u64,
     /// When it was claimed.
     pub claimed_at: Micros,
-    /// How far it has come.
+    /// How far it has been loaded.
     pub phase: ShardPhase,
     /// Its jobs.
     pub jobs: BTreeMap<JobId, Job>,
     /// Its machines.
     pub machines: BTreeMap<MachineId, Machine>,
-    /// What its teams' tasks take.
+    /// Resources used by its teams.
     pub quota: Quota,
-    /// What found no room in the last round.
+    /// Capacity requested in the last scheduling cycle.
     pub requests: Vec<ResourceRequest>,
-    /// Whether anything has changed since the last round.
+    /// Whether anything has changed since the last scheduling cycle.
     pub dirty: bool,
-    /// When the last round was.
+    /// When the last scheduling cycle ran.
     pub last_cycle: Micros,
-    /// What the last round looked at: the next one rests in proportion.
+    /// Cost of the last scheduling cycle: the next one comes later in proportion.
     pub last_cycle_cost: i64,
-    /// What was looked at in all: machines, tasks and entries of lists, for the tests that bound it.
+    /// Machines, tasks and list entries visited in all, for the tests that bound it.
     pub work_done: Cell<i64>,
-    /// Machines that the last round held for gangs.
+    /// Machines with room reserved for gangs in the last scheduling cycle.
     pub(crate) gang_reservations: BTreeSet<MachineId>,
     inspection_next: Micros,
     /// Machines where tasks may wait for a direct start.
     unsent: BTreeSet<MachineId>,
-    /// When machines are looked through again for what must be written of them.
+    /// When the machines are searched for due writes again.
     machine_writes_next: Micros,
 }
 
 /// How long a machine stays released without the leader taking it.
 const RELEASE_TIMEOUT: Micros = Micros::from_secs(5);
 
-/// How often machines are looked through for what time alone has changed.
+/// Interval of inspections of the machines.
 const INSPECTION_INTERVAL: Micros = Micros::from_millis(100);
 
-/// How often a job's record is written for the sake of results alone.
+/// Interval of writes of a job's record for results alone.
 const RESULTS_INTERVAL: Micros = Micros::from_secs(1);
 
 /// Prefix of the work records of a shard.
@@ -160,252 +162,6 @@
         }
     }
 
-    // ---- jobs ----------------------------------------------------------------------------
-
-    /// Takes in a live job, unless it is known.
-    pub fn add_job(&mut self, spec: Rc<JobSpec>, version: u64, now: Micros) {
-        let id = spec.id.clone();
-        self.jobs
-            .entry(id)
-            .or_insert_with(|| Job::new(spec, version, now));
-        self.dirty = true;
-    }
-
-    /// Whether a job waits for others to be done, and what it asks for as things stand: how important it is and
-    /// until when it must be done also follow from the jobs that need it.
-    pub fn update_dependencies(
-        &mut self,
-        id: &JobId,
-        spec: Rc<JobSpec>,
-        blocked: bool,
-        now: Micros,
-    ) {
-        let Some(job) = self.jobs.get_mut(id) else {
-            return;
-        };
-        if job.blocked && !blocked {
-            job.waiting_since = now;
-        }
-        (job.spec, job.blocked) = (spec, blocked);
-        self.dirty = true;
-    }
-
-    /// Takes over a record of the former holder's. A job that has ended since (it is missing from
-    /// the view of live jobs, which is newer than the claim) is only cleared away.
-    pub fn adopt_record(
-        &mut self,
-        id: JobId,
-        live: Option<(Rc<JobSpec>, u64)>,
-        stored: StoredRecord,
-        now: Micros,
-    ) {
-        let ended = live.is_none();
-        let StoredRecord {
-            record,
-            version,
-            parts_end,
-        } = stored;
-        let (spec, job_version) =
-            live.unwrap_or_else(|| (Rc::new(spec_of_ended_job(&id, &record)), 0));
-        let mut job = Job::new(spec, job_version, now);
-        job.adopt(record, version, parts_end, now);
-        if job.failing() {
-            job.paused_until = now + task_removal::pause_after(job.consecutive_errors);
-        }
-        if ended {
-            job.ending = Some(Ending::Cancelled);
-        } else if job.done.count() == job.spec.tasks {
-            job.ending = Some(Ending::Completing);
-        }
-        for (i, p) in &mut job.tasks {
-            self.quota.take(&job.spec.team, job.spec.task_resources);
-            if ended {
-                p.stop = Some(Stop::immediate(Cause::Cancelled, now));
-            }
-            if let Some(m) = self.machines.get_mut(&p.machine) {
-                m.used.add(job.spec.task_resources);
-                m.image_cache.fetches_changed = true;
-                m.tasks.insert(TaskKey {
-                    job: id.clone(),
-                    index: *i,
-                });
-            }
-        }
-        self.jobs.insert(id, job);
-        self.dirty = true;
-    }
-
-    /// A record of the former holder's that cannot be read. What it started may run anywhere: until a whole lease
-    /// after its last answer nothing of the job is started, and what machines show of it is stopped.
-    pub fn hold_unreadable(&mut self, id: &JobId, until: Micros) {
-        if let Some(job) = self.jobs.get_mut(id) {
-            job.paused_until = until;
-            job.record.version = None;
-            job.record.touch();
-        }
-    }
-
-    /// Machines that records name and this shard does not have.
-    pub fn placed_elsewhere(&self) -> BTreeSet<MachineId> {
-        let named = self
-            .jobs
-            .values()
-            .flat_map(|j| j.tasks.values().map(|p| &p.machine));
-        named
-            .filter(|id| !self.machines.contains_key(*id))
-            .cloned()
-            .collect()
-    }
-
-    /// After all records are read: what stands on machines that no longer exist is gone.
-    pub fn loaded(&mut self, context: &mut Context) {
-        self.phase = ShardPhase::Ready;
-        let lost: Vec<TaskKey> = self
-            .jobs
-            .iter()
-            .flat_map(|(id, j)| {
-                j.tasks
-                    .iter()
-                    .filter(|(_, p)| !self.machines.contains_key(&p.machine))
-                    .map(|(i, _)| TaskKey {
-                        job: id.clone(),
-                        index: *i,
-                    })
-            })
-            .collect();
-        for t in lost {
-            self.remove_task(context, &t, Removal::Lost);
-        }
-        let ids: Vec<JobId> = self.jobs.keys().cloned().collect();
-        for id in ids {
-            self.settle_job(context, &id);
-        }
-        info!(
-            shard = self.index,
-            jobs = self.jobs.len(),
-            machines = self.machines.len(),
-            "shard ready"
-        );
-    }
-
-    /// `job/<id>` is gone from the store: the job has ended, by us or by its user.
-    pub fn job_ended(&mut self, context: &mut Context, id: &JobId) {
-        let Some(job) = self.jobs.get_mut(id) else {
-            return;
-        };
-        match job.ending {
-            // Whatever became of our own unanswered write, all tasks are done.
-            Some(Ending::Completing) => {
-                job.ending = Some(Ending::Done);
-                stop_rest(job, context.now);
-            }
-            Some(_) => return,
-            None => {
-                info!(job = %id, "job cancelled; stopping its tasks");
-                job.ending = Some(Ending::Cancelled);
-                let mut never_sent = Vec::new();
-                for (i, p) in &mut job.tasks {
-                    if p.phase == Phase::Recording {
-                        never_sent.push(TaskKey {
-                            job: id.clone(),
-                            index: *i,
-                        });
-                    }
-                    p.stop = Some(Stop::immediate(Cause::Cancelled, context.now));
-                }
-                for t in never_sent {
-                    self.remove_task(context, &t, Removal::Lost);
-                }
-            }
-        }
-        self.settle_job(context, id);
-        self.dirty = true;
-    }
-
-    /// Drops a job that has ended once nothing of it is left, record included.
-    fn settle_job(&mut self, context: &mut Context, id: &JobId) {
-        self.check_gang(context, id);
-        let Some(job) = self.jobs.get(id) else { return };
-        let over = matches!(job.ending, Some(Ending::Done | Ending::Cancelled));
-        if over && job.tasks.is_empty() && job.record.version == Some(0) && !job.record.in_flight {
-            self.jobs.remove(id);
-        }
-    }
-
-    // ---- machines ------------------------------------------------------------------------
-
-    /// Takes in a machine, or what has changed in its record.
-    pub fn add_machine(
-        &mut self,
-        id: MachineId,
-        record: MachineRecord,
-        version: u64,
-        size: Resources,
-        now: Micros,
-    ) {
-        match self.machines.get_mut(&id) {
-            Some(m) => {
-                if version > m.version {
-                    m.version = version;
-                    // Kept or given back by the leader, or fenced anew by ourselves.
-                    m.lifecycle.released_since = None;
-                    m.lifecycle.draining_since = None;
-                }
-                // The engine's view may be behind what we wrote ourselves: one that we gave up a moment ago
-                // would be used again.
-                if version >= m.version {
-                    m.record = record;
-                }
-                m.size = size;
-            }
-            None => {
-                let mut m = Machine::new(id.clone(), record, version, size, now);
-                for (job, j) in &self.jobs {
-                    for (i, _) in j.tasks.iter().filter(|(_, p)| p.machine == id) {
-                        m.used.add(j.spec.task_resources);
-                        m.tasks.insert(TaskKey {
-                            job: job.clone(),
-                            index: *i,
-                        });
-                    }
-                }
-                self.unsent.insert(id.clone());
-                self.machines.insert(id, m);
-            }
-        }
-        self.dirty = true;
-    }
-
-    /// The machine's record says that it is another shard's or is being returned.
-    pub fn machine_moved(&mut self, id: &MachineId, record: MachineRecord, version: u64) {
-        let Some(m) = self.machines.get_mut(id) else {
-            return;
-        };
-        if m.tasks.is_empty() && m.fencing.direct_command.is_none() {
-            self.machines.remove(id);
-        } else {
-            // Being returned with tasks on it: they are gone when the record is, or their lease.
-            m.record = MachineRecord {
-                shard: None,
-                ..record
-            };
-            m.version = version;
-        }
-        self.dirty = true;
-    }
-
-    /// The cloud has answered that it is deleted, so everything on it is gone.
-    pub fn machine_deleted(&mut self, context: &mut Context, id: &MachineId) {
-        let Some(m) = self.machines.remove(id) else {
-            return;
-        };
-        info!(machine = %id, tasks = m.tasks.len(), "machine deleted");
-        for t in m.tasks {
-            self.remove_task(context, &t, Removal::Lost);
-        }
-        self.dirty = true;
-    }
-
     pub(crate) fn count_work(&self, items: usize) {
         self.work_done.set(self.work_done.get() + items as i64);
     }
