--- a/crates/seamfront-core/src/engine/fleet.rs
+++ b/crates/seamfront-core/src/engine/fleet.rs
@@ -8,16 +8,11 @@
 use crate::leader::{FencedRequest, Leader, LeaderContext, LeaderEvent, LeaderOutbox};
 use crate::outbox::Outbox;
 use crate::port::{CallId, CloudReply, MachineView, ResourceRequest, StoreReply};
+use crate::store_session::ClaimId;
 use seamfront_lease::port::{
     Command as DutyCommand, CommitOutcome, Effect as DutyEffect, RequestId,
 };
 
-impl From<FencedRequest> for Pending {
-    fn from(request: FencedRequest) -> Self {
-        Pending::Leader(request)
-    }
-}
-
 impl Engine {
     pub(super) fn leader_tick(&mut self) {
         if self.leader.is_none() {
@@ -68,11 +63,11 @@
             now: self.now,
             machines: &self.machines,
             machine_since: &self.machine_since,
-            machine_types: &self.types,
+            machine_types: self.machine_types.all(),
             fences,
             permits,
             write_rate,
-            write_budget: &mut self.write_budget,
+            write_pacer: &mut self.write_pacer,
             work_done: &mut self.leader_work_done,
         };
         let mut outbox = LeaderOutbox::new();
@@ -105,7 +100,7 @@
             return;
         }
         let former = self.leader.as_ref().and_then(Leader::claim_version);
-        let former = former.filter(|_| self.lease_valid(self.leader_slot()));
+        let former = former.filter(|_| self.lease_valid(ClaimId::Leader));
         self.duty_step(vec![DutyCommand::FormerClaim(former)]);
         self.former_claim_ends();
         self.garbage_collection_tick();
@@ -120,8 +115,7 @@
         if !former || !self.duties.in_force() {
             return;
         }
-        let slot = self.leader_slot();
-        self.drop_claim(slot, "duties have claims of their own");
+        self.drop_claim(ClaimId::Leader, "duties have claims of their own");
         for duty in FleetDuty::ALL {
             if self.duties.fencing_token(duty.name()).is_some() {
                 self.duty_begins(duty.name());
@@ -234,7 +228,7 @@
         if self.leader.as_ref()?.claim_version().is_none() {
             return self.duties.effect_permit(duty);
         }
-        let lease_valid = self.lease_valid(self.leader_slot());
+        let lease_valid = self.lease_valid(ClaimId::Leader);
         lease_valid.then_some(EffectPermit { until: None })
     }
 
@@ -245,8 +239,7 @@
             .as_ref()
             .is_some_and(|leader| leader.claim_version() == Some(fencing_token))
         {
-            let slot = self.leader_slot();
-            return self.drop_claim(slot, "claim proven lost");
+            return self.drop_claim(ClaimId::Leader, "claim proven lost");
         }
         self.duty_step(vec![DutyCommand::TokenRefused {
             duty: duty.name().to_owned(),
@@ -257,7 +250,7 @@
     /// Members that hold any of the leader's duties.
     pub(crate) fn fleet_holders(&self) -> Vec<usize> {
         if !self.duties.in_force() {
-            let claim = self.store.claims[self.leader_slot()].as_ref();
+            let claim = self.store.claim(ClaimId::Leader);
             return claim.map(|claim| claim.member).into_iter().collect();
         }
         self.duties.fleet_holders(&self.settings.members)
--- a/crates/seamfront-core/src/leader/provisioning.rs
+++ b/crates/seamfront-core/src/leader/provisioning.rs
@@ -107,7 +107,7 @@
             .collect();
         for name in due {
             // The machines boot meanwhile: their records can wait until the store takes them.
-            if *context.write_budget > 0 {
+            if context.write_pacer.has_budget() {
                 self.record_provisioned_machines(context, outbox, &name);
             }
         }
--- a/crates/seamfront-lease/src/manager/claims.rs
+++ b/crates/seamfront-lease/src/manager/claims.rs
@@ -1,14 +1,15 @@
 //! Acquiring claims on duties, verifying them and losing them.
 
-use super::{
-    info, warn, CommitOutcome, Duty, DutyManager, Effect, HeldClaim, Holding, LossReason, Micros,
-    OperationLog, Pending, Permit, Phase, Rejection, SeenClaim, StoreReply, StoreRequest,
-    Successor, Verification, Write, RETRY_DELAY,
-};
+use super::state::{Duty, HeldClaim, Holding, Pending, Phase, SeenClaim};
+use super::{DutyManager, RETRY_DELAY};
 use crate::balancing;
-use crate::log::Unfinished;
-use crate::permit::permit;
+use crate::log::{OperationLog, Unfinished};
+use crate::permit::{permit, Permit, Verification};
+use crate::port::{CommitOutcome, Effect, LossReason, Rejection, Successor};
 use crate::record::{self, ClaimRecord, FORMAT};
+use crate::store::{StoreReply, StoreRequest, Write};
+use crate::time::Micros;
+use tracing::{info, warn};
 
 impl DutyManager {
     pub(super) fn claim_changed(&mut self, index: usize, claim: Option<SeenClaim>, version: u64) {
@@ -176,7 +177,7 @@
         let expected = match &duty.claim {
             Some(claim) if claim.member == self.settings.member => {
                 if claim.lease == lease && claim.version > duty.last_released_token {
-                    // Handed to us, or claimed by us and the answer was lost.
+                    // Transferred to us, or claimed by us and the reply was lost.
                     let version = claim.version;
                     return self.hold(index, version, None);
                 }
@@ -184,8 +185,8 @@
                     let version = claim.version;
                     return self.remove_claim(index, version);
                 }
-                // A former incarnation's, which can't come back, or one that we have given up. Answers to what was asked
-                // under it may still come; a new version tells them apart.
+                // A former incarnation's, which can't come back, or one that we have given up. Replies to requests made
+                // under it may still come; a new version distinguishes them.
                 claim.version
             }
             Some(_) => return,
--- a/crates/seamfront-lease/src/manager/handover.rs
+++ b/crates/seamfront-lease/src/manager/handover.rs
@@ -1,11 +1,14 @@
 //! Handing duties over on purpose: to balance load, at an operator's request, before the process ends.
 
-use super::{
-    info, keys, warn, Duty, DutyManager, HandoverTarget, LossReason, Micros, Pending, Phase,
-    SeenClaim, StoreReply, StoreRequest, Write, RETRY_DELAY,
-};
+use super::state::{Duty, HandoverTarget, Pending, Phase, SeenClaim};
+use super::{DutyManager, RETRY_DELAY};
 use crate::balancing;
+use crate::keys;
+use crate::port::LossReason;
 use crate::record::{self, ClaimRecord, FORMAT};
+use crate::store::{StoreReply, StoreRequest, Write};
+use crate::time::Micros;
+use tracing::{info, warn};
 
 /// A handover that can't be sent within this time is cancelled.
 const HANDOVER_TIMEOUT: Micros = Micros::from_secs(10);
@@ -214,7 +217,7 @@
                 };
                 self.claim_changed(index, Some(claim), *revision);
             }
-            // Certainly not made: the receiver has gone, or the store refused.
+            // Certainly not made: the receiver is not a member any more, or the store refused.
             StoreReply::Conflict { .. } | StoreReply::NoSuchLease | StoreReply::Refused => {
                 self.keep(index)
             }
@@ -224,7 +227,7 @@
         }
     }
 
-    /// Gives a duty up with nobody there to take it.
+    /// Gives a duty up when there is no other member to take it.
     fn release(&mut self, index: usize) {
         let Some(fencing_token) = self.held_token(index) else {
             return;
