--- a/crates/seamfront-core/src/engine/mod.rs
+++ b/crates/seamfront-core/src/engine/mod.rs
@@ -4,23 +4,22 @@
 //! The engine dispatches: it routes commands and replies to the owners of the parts of its state, hands out what they
 //! send in order, and lets the others know of what has changed.
 
-use crate::dependencies::{DependencyGraph, JobDependencies};
 use crate::fleet_duties::Duties;
 use crate::format_versions::{FormatRequest, FormatVersions};
 use crate::garbage_collector::GarbageCollector;
+use crate::jobs::JobRegistry;
 use crate::leader::Leader;
 use crate::machine::MachineRecord;
 use crate::machine_types::{MachineTypes, MachineTypesRequest};
 use crate::outbox::{Outbox, Outgoing};
 use crate::port::{
-    Answer, CallId, ClientRequestId, CloudReply, CloudRequest, Command, DirectOutcome, Effect,
-    StoreReply, StoreRequest,
+    CallId, CloudReply, CloudRequest, Command, DirectOutcome, Effect, StoreReply, StoreRequest,
 };
 use crate::record::Layout;
 use crate::shard::{Context, Shard};
 use crate::store_session::{ClaimId, StoreSession};
-use crate::types::{JobId, JobSpec, MachineId, Micros, Settings};
-use crate::user_api::Users;
+use crate::types::{MachineId, Micros, Settings};
+use crate::user_api::UserApi;
 use crate::write_pacing::WritePacer;
 use std::collections::BTreeMap;
 use std::rc::Rc;
@@ -28,6 +27,7 @@
 
 mod fleet;
 mod health;
+mod jobs;
 mod machines;
 mod messages;
 mod peers;
@@ -41,19 +41,6 @@
 use peers::Peers;
 pub(crate) use pending::Pending;
 
-/// A live job in this controller's view.
-#[derive(Clone, Debug)]
-pub struct LiveJob {
-    /// The job as it was accepted.
-    pub spec: Rc<JobSpec>,
-    /// Version of `job/<id>`, which is written once only.
-    pub version: u64,
-    /// The shard of its team.
-    pub shard: usize,
-    /// Its place in its chain.
-    pub dependencies: JobDependencies,
-}
-
 /// The scheduler of one controller: commands in, effects out.
 pub struct Engine {
     pub(crate) settings: Rc<Settings>,
@@ -63,14 +50,13 @@
     calls: BTreeMap<CallId, Pending>,
     next_call: CallId,
     pub(crate) store: StoreSession,
-    pub(crate) jobs: BTreeMap<JobId, LiveJob>,
+    pub(crate) jobs: JobRegistry,
     pub(crate) machines: BTreeMap<MachineId, (MachineRecord, u64)>,
     /// Since when each machine has belonged to its present shard.
     pub(crate) machine_since: BTreeMap<MachineId, Micros>,
     pub(crate) shards: Vec<Option<Shard>>,
     pub(crate) leader: Option<Leader>,
-    pub(crate) users: Users,
-    pub(crate) dependencies: DependencyGraph,
+    user_api: UserApi,
     format_versions: FormatVersions,
     pub(crate) duties: Duties,
     pub(crate) garbage_collector: GarbageCollector,
@@ -93,13 +79,12 @@
             calls: BTreeMap::new(),
             next_call: 1,
             store: StoreSession::new(members),
-            jobs: BTreeMap::new(),
+            jobs: JobRegistry::default(),
             machines: BTreeMap::new(),
             machine_since: BTreeMap::new(),
             shards: (0..members).map(|_| None).collect(),
             leader: None,
-            users: Users::default(),
-            dependencies: DependencyGraph::default(),
+            user_api: UserApi::default(),
             format_versions: FormatVersions::default(),
             duties: Duties::new(&settings),
             garbage_collector: GarbageCollector::default(),
@@ -127,9 +112,15 @@
 
     fn dispatch(&mut self, command: Command) {
         match command {
-            Command::Submit { to, spec } => self.submit(to, *spec),
-            Command::Poll { to, id } => self.poll(to, id),
-            Command::Cancel { to, id } => self.cancel(to, id),
+            Command::Submit { to, spec } => {
+                self.with_user_api(|api, context| api.submit(context, to, *spec))
+            }
+            Command::Poll { to, id } => {
+                self.with_user_api(|api, context| api.poll(context, to, id))
+            }
+            Command::Cancel { to, id } => {
+                self.with_user_api(|api, context| api.cancel(context, to, id))
+            }
             Command::Heartbeat { to, heartbeat } => self.heartbeat(to, &heartbeat),
             Command::DirectResult {
                 call,
@@ -174,7 +165,7 @@
         self.refill_write_budget();
         self.leader_tick();
         self.dependencies_tick();
-        self.users_flush();
+        self.with_user_api(|api, context| api.flush(context));
         self.flush_writes();
         for shard in 0..self.shards.len() {
             self.with_shard(shard, |s, context| s.send_directs(context));
@@ -305,10 +296,6 @@
     }
 
     /// Answers a user.
-    pub(crate) fn answer(&mut self, to: ClientRequestId, answer: Answer) {
-        self.effects.push(Effect::Answer { to, answer });
-    }
-
     fn store_reply(&mut self, call: CallId, reply: StoreReply) {
         let Some(pending) = self.calls.remove(&call) else {
             return;
--- a/crates/seamfront-core/src/engine/session.rs
+++ b/crates/seamfront-core/src/engine/session.rs
@@ -1,6 +1,7 @@
 //! The store session's part of the engine: its steps, and what its events mean to others.
 
-use super::{Engine, LiveJob};
+use super::Engine;
+use crate::jobs::JobRegistry;
 use crate::leader::Leader;
 use crate::port::{Entry, StoreReply};
 use crate::record::{decode, parse_part_key};
@@ -191,7 +192,7 @@
 /// Gives a shard the records of its former owner. Returns the jobs whose records can't be read.
 fn adopt_records(
     shard: &mut Shard,
-    jobs: &BTreeMap<JobId, LiveJob>,
+    jobs: &JobRegistry,
     records: Vec<Entry>,
     parts: &mut PartsByJob,
     now: Micros,
--- a/crates/seamfront-core/src/garbage_collector.rs
+++ b/crates/seamfront-core/src/garbage_collector.rs
@@ -6,10 +6,10 @@
 //! conditions of the removal.
 
 use crate::fleet_duties::GARBAGE_COLLECTION;
+use crate::jobs::end_key;
 use crate::outbox::Outbox;
 use crate::port::{Entry, StoreReply, StoreRequest, Write};
 use crate::types::{JobId, Micros, Settings};
-use crate::user_api::end_key;
 use seamfront_lease::port::{Command as DutyCommand, CommitOutcome, RequestId};
 use std::collections::BTreeMap;
 use tracing::info;
--- a/crates/seamfront-core/src/store_session/claims.rs
+++ b/crates/seamfront-core/src/store_session/claims.rs
@@ -4,7 +4,7 @@
 use super::{
     SessionContext, SessionEvent, SessionRequest, StoreSession, TickInputs, RETRY_INTERVAL,
 };
-use crate::port::{StoreReply, StoreRequest, Write};
+use crate::port::{ClaimAnnouncement, StoreReply, StoreRequest, Write};
 use crate::types::Micros;
 use tracing::{info, warn};
 
@@ -77,9 +77,9 @@
         &mut self,
         context: &mut SessionContext,
         peer: usize,
-        claims: Vec<(String, u64)>,
+        claims: Vec<ClaimAnnouncement>,
     ) {
-        for (key, version) in claims {
+        for ClaimAnnouncement { key, version } in claims {
             let claim = self.claim_ids().find(|claim| claim.to_string() == key);
             let Some(claim) = claim else { continue };
             if self.held_token(claim).is_none_or(|token| token >= version) {
