--- a/crates/seamfront-core/tests/failing_jobs.rs
+++ b/crates/seamfront-core/tests/failing_jobs.rs
@@ -62,7 +62,7 @@
                     &[],
                 )
             };
-            self.held.hello(now, &heartbeat);
+            self.held.heartbeat(now, &heartbeat);
         }
         let failing: Vec<JobId> = self
             .held
--- a/crates/seamfront-core/tests/reconciliation.rs
+++ b/crates/seamfront-core/tests/reconciliation.rs
@@ -24,7 +24,7 @@
     ] {
         for incarnation in [1, 9] {
             let mut h = Held::new(1, 1);
-            let orders = h.hello(s(101), &heartbeat("i-0", incarnation, 88, 12, &shown));
+            let orders = h.heartbeat(s(101), &heartbeat("i-0", incarnation, 88, 12, &shown));
             assert!(h.placed("j-0"), "{shown:?} counted as evidence");
             assert!(
                 orders.is_empty(),
@@ -35,8 +35,8 @@
     }
     // The same from a worker that has heard us counts.
     let mut h = Held::new(1, 1);
-    h.hello(s(101), &heartbeat("i-0", 1, 88, 12, &[]));
-    h.hello(
+    h.heartbeat(s(101), &heartbeat("i-0", 1, 88, 12, &[]));
+    h.heartbeat(
         s(102),
         &heartbeat(
             "i-0",
@@ -53,9 +53,9 @@
 fn a_machine_is_used_only_once_it_has_shown_our_token() {
     let mut h = Held::new(1, 0);
     let usable = |h: &Held, now| h.shard.machines[&MachineId::from("i-0")].usable(now, s(2), CLAIM);
-    h.hello(s(101), &heartbeat("i-0", 1, 88, 12, &[]));
+    h.heartbeat(s(101), &heartbeat("i-0", 1, 88, 12, &[]));
     assert!(!usable(&h, s(101)));
-    h.hello(s(102), &heartbeat("i-0", 1, 89, CLAIM, &[]));
+    h.heartbeat(s(102), &heartbeat("i-0", 1, 89, CLAIM, &[]));
     assert!(usable(&h, s(102)));
 }
 
@@ -67,7 +67,7 @@
     for (n, t) in (101..150).step_by(2).enumerate() {
         for k in 1..8 {
             let own = format!("j-{k}");
-            h.hello(
+            h.heartbeat(
                 s(t),
                 &heartbeat(
                     &format!("i-{k}"),
@@ -78,7 +78,7 @@
                 ),
             );
         }
-        h.hello(
+        h.heartbeat(
             s(t),
             &heartbeat(
                 "i-0",
@@ -101,7 +101,7 @@
     for (n, t) in (101..160).step_by(2).enumerate() {
         for k in 0..8 {
             let fencing_token = if k < 4 { 12 } else { CLAIM };
-            h.hello(
+            h.heartbeat(
                 s(t),
                 &heartbeat(&format!("i-{k}"), 1, 90 + n as u64, fencing_token, &[]),
             );
@@ -120,7 +120,7 @@
         for t in (101..=at).step_by(2) {
             for k in 0..10 {
                 if t == 101 || k >= silent {
-                    h.hello(s(t), &heartbeat(&format!("i-{k}"), 1, t as u64, CLAIM, &[]));
+                    h.heartbeat(s(t), &heartbeat(&format!("i-{k}"), 1, t as u64, CLAIM, &[]));
                 }
             }
         }
@@ -152,14 +152,14 @@
         for t in (101..140).step_by(2) {
             for k in 0..8 {
                 if t == 101 || k > 0 {
-                    h.hello(s(t), &heartbeat(&format!("i-{k}"), 1, t as u64, CLAIM, &[]));
+                    h.heartbeat(s(t), &heartbeat(&format!("i-{k}"), 1, t as u64, CLAIM, &[]));
                 }
             }
         }
         h.with(s(140), |s, context| s.tick(context));
         let mut fencing_token = CLAIM;
         let mut writes = h.shard.due_writes(s(140), 100, &Layout::single(32 * 1024));
-        h.hello(s(141), &heartbeat("i-0", 1, 141, CLAIM, &[]));
+        h.heartbeat(s(141), &heartbeat("i-0", 1, 141, CLAIM, &[]));
         h.with(s(141), |s, context| s.tick(context));
         for outcome in outcomes {
             for w in &writes {
@@ -170,7 +170,7 @@
             }
             writes = h.shard.due_writes(s(143), 100, &Layout::single(32 * 1024));
         }
-        h.hello(s(144), &heartbeat("i-0", 1, 144, fencing_token, &[]));
+        h.heartbeat(s(144), &heartbeat("i-0", 1, 144, fencing_token, &[]));
         h.shard.add_machine(
             "i-0".into(),
             machine_of(Some(0)),
@@ -205,7 +205,7 @@
     for t in (101..140).step_by(2) {
         for k in 0..8 {
             if t == 101 || k > 0 {
-                h.hello(s(t), &heartbeat(&format!("i-{k}"), 1, t as u64, CLAIM, &[]));
+                h.heartbeat(s(t), &heartbeat(&format!("i-{k}"), 1, t as u64, CLAIM, &[]));
             }
         }
     }
@@ -218,7 +218,7 @@
         .any(|w| matches!(w, ShardWrite::Machine { record, .. } if record.shard.is_none())));
     let start = Order::Start { task, attempt: 3 };
     assert!(!h
-        .hello(silent, &heartbeat("i-0", 1, 141, CLAIM, &[]))
+        .heartbeat(silent, &heartbeat("i-0", 1, 141, CLAIM, &[]))
         .contains(&start));
     // The store refused: it is ours as before.
     for w in &writes {
@@ -230,7 +230,7 @@
     let heard = silent + Micros::from_millis(150);
     h.with(heard, |s, context| s.tick(context));
     assert!(h
-        .hello(heard, &heartbeat("i-0", 1, 142, CLAIM, &[]))
+        .heartbeat(heard, &heartbeat("i-0", 1, 142, CLAIM, &[]))
         .contains(&start));
 }
 
@@ -239,14 +239,14 @@
 #[test]
 fn a_lease_that_ends_in_spite_of_answers_raises_the_token() {
     let mut h = Held::new(1, 0);
-    h.hello(s(101), &heartbeat("i-0", 1, 88, CLAIM, &[]));
-    h.hello(s(103), &heartbeat("i-0", 1, 89, CLAIM, &[]));
+    h.heartbeat(s(101), &heartbeat("i-0", 1, 88, CLAIM, &[]));
+    h.heartbeat(s(103), &heartbeat("i-0", 1, 89, CLAIM, &[]));
     assert_eq!(h.machine_writes(s(103), 60), []);
-    h.hello(s(112), &heartbeat("i-0", 2, 95, CLAIM, &[]));
+    h.heartbeat(s(112), &heartbeat("i-0", 2, 95, CLAIM, &[]));
     assert_eq!(h.machine_writes(s(112), 60), [("i-0".to_owned(), true)]);
     let m = &h.shard.machines[&MachineId::from("i-0")];
     assert!(!m.usable(s(112), s(2), CLAIM), "60 is not shown yet");
-    h.hello(s(114), &heartbeat("i-0", 2, 96, 60, &[]));
+    h.heartbeat(s(114), &heartbeat("i-0", 2, 96, 60, &[]));
     assert!(h.shard.machines[&MachineId::from("i-0")].usable(s(114), s(2), CLAIM));
 }
 
@@ -254,7 +254,7 @@
 #[test]
 fn an_older_report_changes_nothing() {
     let mut h = Held::new(1, 1);
-    h.hello(
+    h.heartbeat(
         s(101),
         &heartbeat("i-0", 2, 88, CLAIM, &[("j-0", 3, TaskState::Running)]),
     );
@@ -484,14 +484,14 @@
 fn a_worker_that_has_seen_a_newer_token_is_sent_away() {
     let mut a = Alone::new();
     let fencing_token = a
-        .hello(s(3), heartbeat("i-0", 1, 1, 0, &[]))
+        .heartbeat(s(3), heartbeat("i-0", 1, 1, 0, &[]))
         .expect("it is ours");
     assert_eq!(
-        a.hello(s(4), heartbeat("i-0", 1, 2, fencing_token + 5, &[])),
+        a.heartbeat(s(4), heartbeat("i-0", 1, 2, fencing_token + 5, &[])),
         None
     );
     assert!(
-        a.hello(s(4), heartbeat("i-1", 1, 2, 0, &[])).is_some(),
+        a.heartbeat(s(4), heartbeat("i-1", 1, 2, 0, &[])).is_some(),
         "the share is still ours"
     );
 }
@@ -504,11 +504,11 @@
     for newer in [false, true] {
         let mut a = Alone::new();
         let fencing_token = a
-            .hello(s(3), heartbeat("i-0", 1, 1, 0, &[]))
+            .heartbeat(s(3), heartbeat("i-0", 1, 1, 0, &[]))
             .expect("it is ours");
         a.reached = false;
         assert!(
-            a.hello(s(9), heartbeat("i-1", 1, 2, 0, &[])).is_some(),
+            a.heartbeat(s(9), heartbeat("i-1", 1, 2, 0, &[])).is_some(),
             "it may act for a while"
         );
         let shown = if newer {
@@ -517,11 +517,11 @@
             fencing_token
         };
         assert_eq!(
-            a.hello(s(10), heartbeat("i-0", 1, 2, shown, &[])).is_none(),
+            a.heartbeat(s(10), heartbeat("i-0", 1, 2, shown, &[])).is_none(),
             newer
         );
         assert_eq!(
-            a.hello(s(10), heartbeat("i-1", 1, 3, 0, &[])).is_none(),
+            a.heartbeat(s(10), heartbeat("i-1", 1, 3, 0, &[])).is_none(),
             newer
         );
     }
@@ -615,9 +615,9 @@
 #[test]
 fn what_was_adopted_and_is_not_there_is_decided_anew() {
     let mut h = Held::new(1, 1);
-    h.hello(s(101), &heartbeat("i-0", 1, 88, 12, &[]));
+    h.heartbeat(s(101), &heartbeat("i-0", 1, 88, 12, &[]));
     assert!(h.placed("j-0"), "what may be a late copy proves nothing");
-    let orders = h.hello(s(102), &heartbeat("i-0", 1, 89, CLAIM, &[]));
+    let orders = h.heartbeat(s(102), &heartbeat("i-0", 1, 89, CLAIM, &[]));
     assert!(!h.placed("j-0") && orders.is_empty(), "{orders:?}");
 }
 
@@ -627,7 +627,7 @@
 fn answers_to_commands_do_not_make_a_machine_usable() {
     let mut h = Held::new(1, 0);
     let id = MachineId::from("i-0");
-    h.hello(s(101), &heartbeat("i-0", 1, 88, CLAIM, &[]));
+    h.heartbeat(s(101), &heartbeat("i-0", 1, 88, CLAIM, &[]));
     let direct = |h: &mut Held, now, incarnation, sequence| {
         let m = h.shard.machines.get_mut(&id).unwrap();
         m.fencing.direct_command = Some(DirectCommand {
@@ -689,7 +689,7 @@
 fn the_last_answer_and_a_lease_end_before_a_cancellation_falls_due() {
     let mut alone = Alone::new();
     let fencing_token = alone
-        .hello(s(2), heartbeat("i-0", 1, 1, 0, &[]))
+        .heartbeat(s(2), heartbeat("i-0", 1, 1, 0, &[]))
         .expect("it holds the share");
     // Proofs are made every second, so the last one was sent within this second.
     let proven = s(1);
@@ -698,7 +698,7 @@
     for (n, t) in (2_050..40_000).step_by(50).enumerate() {
         let now = Micros::from_millis(t);
         if alone
-            .hello(now, heartbeat("i-0", 1, 2 + n as u64, fencing_token, &[]))
+            .heartbeat(now, heartbeat("i-0", 1, 2 + n as u64, fencing_token, &[]))
             .is_some()
         {
             last = now;
@@ -721,14 +721,14 @@
 fn back_at_once_it_acts_on_no_proof_of_its_former_life() {
     let mut alone = Alone::new();
     let fencing_token = alone
-        .hello(s(2), heartbeat("i-0", 1, 1, 0, &[]))
+        .heartbeat(s(2), heartbeat("i-0", 1, 1, 0, &[]))
         .expect("it holds the share");
     alone.engine = Engine::new(settings());
     alone.watches.clear();
     alone.reached = false;
     for t in 0..40 {
         assert_eq!(
-            alone.hello(s(t), heartbeat("i-0", 1, 2 + t as u64, fencing_token, &[])),
+            alone.heartbeat(s(t), heartbeat("i-0", 1, 2 + t as u64, fencing_token, &[])),
             None
         );
     }
@@ -736,7 +736,7 @@
     alone.reached = true;
     alone.run(40_000, 43_000);
     assert!(alone
-        .hello(s(43), heartbeat("i-0", 1, 60, fencing_token, &[]))
+        .heartbeat(s(43), heartbeat("i-0", 1, 60, fencing_token, &[]))
         .is_some_and(|t| t > fencing_token));
 }
 
@@ -771,18 +771,18 @@
 fn a_claim_that_was_given_up_is_not_acted_on_again() {
     let mut a = Alone::new();
     let fencing_token = a
-        .hello(s(3), heartbeat("i-0", 1, 1, 0, &[]))
+        .heartbeat(s(3), heartbeat("i-0", 1, 1, 0, &[]))
         .expect("it is ours");
     a.reached = false;
     assert_eq!(
-        a.hello(s(10), heartbeat("i-0", 1, 2, fencing_token + 5, &[])),
+        a.heartbeat(s(10), heartbeat("i-0", 1, 2, fencing_token + 5, &[])),
         None,
         "given up"
     );
     a.reached = true;
     a.run(10_050, 13_000);
     assert!(
-        a.hello(s(13), heartbeat("i-1", 1, 1, 0, &[]))
+        a.heartbeat(s(13), heartbeat("i-1", 1, 1, 0, &[]))
             .is_some_and(|t| t > fencing_token),
         "acted again under {fencing_token}"
     );
--- a/crates/seamfront-core/tests/starvation.rs
+++ b/crates/seamfront-core/tests/starvation.rs
@@ -29,7 +29,7 @@
     for k in 0..n {
         let now = now + Micros::from_millis(600).times(k);
         for m in 0..h.shard.machines.len() {
-            h.hello(
+            h.heartbeat(
                 now,
                 &heartbeat(&format!("i-{m}"), 1, 100 + now.0 as u64, CLAIM, &[]),
             );
--- a/crates/seamfront-testing/src/cloud.rs
+++ b/crates/seamfront-testing/src/cloud.rs
@@ -6,7 +6,7 @@
 /// A line of the ledger.
 #[derive(Clone, Debug)]
 pub struct Machine {
-    pub rented: Micros,
+    pub provisioned_at: Micros,
     pub returned: Option<Micros>,
 }
 
@@ -27,7 +27,7 @@
 
 impl Cloud {
     /// Rents machines under a name: once only, whoever repeats it. None: no capacity.
-    pub fn rent(
+    pub fn provision(
         &mut self,
         now: Micros,
         order: &str,
@@ -51,7 +51,7 @@
             self.ledger.insert(
                 name.clone(),
                 Machine {
-                    rented: now,
+                    provisioned_at: now,
                     returned: None,
                 },
             );
@@ -87,7 +87,7 @@
     /// Machines as the list showed them at that time.
     pub fn listed(&self, at: Micros) -> Vec<String> {
         let shown = |machine: &Machine| {
-            machine.rented <= at && machine.returned.is_none_or(|returned| returned > at)
+            machine.provisioned_at <= at && machine.returned.is_none_or(|returned| returned > at)
         };
         self.ledger
             .iter()
--- a/crates/seamfront-testing/src/fleet_keeper.rs
+++ b/crates/seamfront-testing/src/fleet_keeper.rs
@@ -18,8 +18,9 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Work {
-    /// Rent so many machines.
-    Rent { count: usize },
+    /// Provision so many machines.
+    #[serde(rename = "rent")]
+    Provision { count: usize },
     /// Return these machines.
     Return { machines: Vec<String> },
 }
@@ -41,7 +42,7 @@
 }
 
 /// Rented machines get their records with the end of the operation.
-pub fn rented(machines: &[String]) -> Outcome {
+pub fn provisioned(machines: &[String]) -> Outcome {
     let put = |name: &String| Write::Put {
         key: machine_key(name),
         value: json!({"known": true}),
@@ -162,7 +163,7 @@
     }
 
     /// Takes what the manager tells.
-    pub fn told(&mut self, effect: &Effect, machines_of: impl Fn(&Operation) -> Vec<String>) {
+    pub fn observe(&mut self, effect: &Effect, machines_of: impl Fn(&Operation) -> Vec<String>) {
         match effect {
             Effect::Active { duty, .. } => {
                 self.active.insert(duty.clone());
@@ -194,7 +195,7 @@
                     self.renting.remove(&request);
                 }
                 if *settlement == Settlement::Done
-                    && matches!(Work::of(operation), Some(Work::Rent { .. }))
+                    && matches!(Work::of(operation), Some(Work::Provision { .. }))
                 {
                     self.rented_since.extend(machines_of(operation));
                 }
@@ -212,16 +213,16 @@
     }
 
     /// Rents what is missing. A machine counts as long as any record of it may be there.
-    pub fn rent(&mut self) -> Option<Command> {
+    pub fn provision(&mut self) -> Option<Command> {
         if !self.active.contains(RENTING) {
             return None;
         }
-        let rented = self.rented_before.union(&self.rented_since);
+        let provisioned = self.rented_before.union(&self.rented_since);
         let known = self
             .listed
             .as_ref()?
             .iter()
-            .chain(rented)
+            .chain(provisioned)
             .collect::<BTreeSet<_>>()
             .len();
         let under_way: usize = self.renting.values().sum();
@@ -234,7 +235,7 @@
         Some(Command::Begin {
             request,
             duty: RENTING.to_owned(),
-            payload: Work::Rent { count }.payload(),
+            payload: Work::Provision { count }.payload(),
         })
     }
 
--- a/crates/seamfront-testing/src/member_simulation.rs
+++ b/crates/seamfront-testing/src/member_simulation.rs
@@ -370,7 +370,7 @@
                 operation.name,
             ))
         };
-        self.nodes[node].keeper.told(&effect, orders);
+        self.nodes[node].keeper.observe(&effect, orders);
         let life = self.nodes[node].life;
         self.observe(node, &effect);
         let (until, one_in) = self.trouble.freeze_at_effects;
@@ -630,7 +630,7 @@
             let delay = ms(self.draw(1, 40));
             self.after(delay, Event::List { node, life, number });
         }
-        let mut commands: Vec<Command> = self.nodes[node].keeper.rent().into_iter().collect();
+        let mut commands: Vec<Command> = self.nodes[node].keeper.provision().into_iter().collect();
         if self.churn && self.chance(15) {
             let choice = self.draw(0, 100) as usize;
             commands.extend(self.nodes[node].keeper.give_back(choice));
@@ -887,11 +887,11 @@
             return Outcome::Unknown;
         }
         match Work::of(&work.operation) {
-            Some(Work::Rent { count }) => {
+            Some(Work::Provision { count }) => {
                 let order = fleet_keeper::order_name(&work.duty, work.operation.name);
                 let capacity = self.now >= self.trouble.no_capacity;
-                match self.cloud.rent(self.now, &order, count, capacity) {
-                    Some(machines) => fleet_keeper::rented(&machines),
+                match self.cloud.provision(self.now, &order, count, capacity) {
+                    Some(machines) => fleet_keeper::provisioned(&machines),
                     None => Outcome::NotDone,
                 }
             }
--- a/crates/seamfront-testing/src/shard_harness.rs
+++ b/crates/seamfront-testing/src/shard_harness.rs
@@ -161,7 +161,7 @@
     }
 
     /// A report that is answered with 200, as the engine does it.
-    pub fn hello(&mut self, now: Micros, r: &Heartbeat) -> Vec<Order> {
+    pub fn heartbeat(&mut self, now: Micros, r: &Heartbeat) -> Vec<Order> {
         let orders = self.with(now, |s, context| {
             if s.apply_heartbeat(context, r, StatusSource::WorkerHeartbeat) {
                 s.orders(context, r)
--- a/crates/seamfront-testing/src/simulation/cloud.rs
+++ b/crates/seamfront-testing/src/simulation/cloud.rs
@@ -44,7 +44,7 @@
                 spot,
                 count,
             } => {
-                if let Some(ids) = self.rented.get(&name) {
+                if let Some(ids) = self.provisioned.get(&name) {
                     CloudReply::Provisioned(ids.clone())
                 } else if self.truth.workers.values().filter(|w| !w.dead).count() > self.scale.most
                     || self.rng.random_range(0..5) == 0
@@ -60,9 +60,9 @@
                         };
                         let boot = ms(self.rng.random_range(500..slowest));
                         let boot = self.boot_time(boot);
-                        ids.push(self.rent(&kind, &zone, spot, boot));
+                        ids.push(self.provision(&kind, &zone, spot, boot));
                     }
-                    self.rented.insert(name, ids.clone());
+                    self.provisioned.insert(name, ids.clone());
                     CloudReply::Provisioned(ids)
                 }
             }
--- a/crates/seamfront-testing/src/simulation/faults.rs
+++ b/crates/seamfront-testing/src/simulation/faults.rs
@@ -215,7 +215,7 @@
         let at_limit = self.truth.teams.iter().any(|t| full(&t));
         let halfway = self.truth.completed.iter().any(|(id, done)| {
             let n = self.truth.jobs[id].tasks;
-            (2..=3).contains(&n) && (done.len() as u32) < n && !self.told.contains_key(id)
+            (2..=3).contains(&n) && (done.len() as u32) < n && !self.final_answers.contains_key(id)
         });
         let mut limited = self
             .truth
--- a/crates/seamfront-testing/src/simulation/invariants.rs
+++ b/crates/seamfront-testing/src/simulation/invariants.rs
@@ -9,7 +9,7 @@
         for id in &self.accepted {
             let spec = &self.truth.jobs[id];
             let done = self.truth.completed.get(id).map_or(0, |c| c.len() as u32) == spec.tasks;
-            let over = self.told.contains_key(id);
+            let over = self.final_answers.contains_key(id);
             match spec.kind {
                 JobKind::Service if self.wants_cancel.contains(id) && !over => {
                     owed.push(format!("{id} not cancelled"))
@@ -104,7 +104,7 @@
             self.look_closely(&job);
             if self.now < self.cancel_at_completion
                 && self.accepted.contains(&job)
-                && !self.told.contains_key(&job)
+                && !self.final_answers.contains_key(&job)
             {
                 self.cover("a cancellation, a question and a submission met a job's end");
                 self.wants_cancel.insert(job.clone());
@@ -293,7 +293,7 @@
                 .copied()
                 .unwrap_or(Micros::ZERO)
                 .max(self.quiet_from);
-            !self.told.contains_key(*id) && self.now - last > ms(75_000)
+            !self.final_answers.contains_key(*id) && self.now - last > ms(75_000)
         };
         let forgotten: Vec<String> = self
             .accepted
@@ -332,7 +332,7 @@
             room.insert(id, w.free(&self.truth.jobs));
         }
         let mut waits = BTreeSet::new();
-        let wanted = |id: &&JobId| !self.wants_cancel.contains(*id) && !self.told.contains_key(*id);
+        let wanted = |id: &&JobId| !self.wants_cancel.contains(*id) && !self.final_answers.contains_key(*id);
         for id in self.accepted.iter().filter(wanted) {
             let spec = &self.truth.jobs[id];
             if spec
--- a/crates/seamfront-testing/src/simulation/mod.rs
+++ b/crates/seamfront-testing/src/simulation/mod.rs
@@ -189,7 +189,7 @@
     /// Until when the cloud takes seconds to answer requests for machines.
     slow_rentals: Micros,
     watches: Vec<(usize, u64, CallId, StoreRequest, Micros)>,
-    rented: BTreeMap<String, Vec<MachineId>>,
+    provisioned: BTreeMap<String, Vec<MachineId>>,
     machines_made: u32,
     cut_machines: BTreeMap<MachineId, Micros>,
     cut_links: BTreeMap<(usize, MachineId), Micros>,
@@ -231,7 +231,7 @@
     next_reply: ClientRequestId,
     accepted: BTreeSet<JobId>,
     /// Final answers, and since when they are known to the user.
-    told: BTreeMap<JobId, (JobState, Micros)>,
+    final_answers: BTreeMap<JobId, (JobState, Micros)>,
     wants_cancel: BTreeSet<JobId>,
     submitted: BTreeMap<JobId, Micros>,
     /// When a question about the job was last answered.
@@ -417,7 +417,7 @@
             cloud_outage: Micros::ZERO,
             slow_rentals: Micros::ZERO,
             watches: Vec::new(),
-            rented: BTreeMap::new(),
+            provisioned: BTreeMap::new(),
             machines_made: 0,
             cut_machines: BTreeMap::new(),
             cut_links: BTreeMap::new(),
@@ -449,7 +449,7 @@
             asked: BTreeMap::new(),
             next_reply: 0,
             accepted: BTreeSet::new(),
-            told: BTreeMap::new(),
+            final_answers: BTreeMap::new(),
             wants_cancel: BTreeSet::new(),
             submitted: BTreeMap::new(),
             answered: BTreeMap::new(),
@@ -461,7 +461,7 @@
             w.at(ms(k as i64), Event::Boot { node: k });
         }
         for k in 0..scale.machines {
-            w.rent("small", if k % 2 == 0 { "x" } else { "y" }, false, ms(1));
+            w.provision("small", if k % 2 == 0 { "x" } else { "y" }, false, ms(1));
         }
         w.at(ms(20), Event::Workers);
         w
@@ -489,7 +489,7 @@
         self.now < self.quiet_from && self.rng.random_range(0..30) == 0
     }
 
-    fn rent(&mut self, kind: &str, zone: &str, spot: bool, boot: Micros) -> MachineId {
+    fn provision(&mut self, kind: &str, zone: &str, spot: bool, boot: Micros) -> MachineId {
         let id: MachineId = format!("m-{:04}", self.machines_made).as_str().into();
         self.machines_made += 1;
         let size = machine_types()
--- a/crates/seamfront-testing/src/simulation/users.rs
+++ b/crates/seamfront-testing/src/simulation/users.rs
@@ -108,7 +108,7 @@
         let open: Vec<JobId> = self
             .accepted
             .iter()
-            .filter(|j| !self.told.contains_key(*j))
+            .filter(|j| !self.final_answers.contains_key(*j))
             .cloned()
             .collect();
         for job in open.iter().filter(|_| !up.is_empty()) {
@@ -138,7 +138,7 @@
             return;
         }
         let job = known[self.rng.random_range(0..known.len())].clone();
-        match self.told.get(&job) {
+        match self.final_answers.get(&job) {
             None => {
                 self.cover("an unfinished job was submitted again");
                 self.at(self.now, Event::Submit { job });
@@ -193,7 +193,7 @@
                 } else if !self.accepted.contains(&job) {
                     bad.push(format!("invented: {job}"));
                 }
-                if let Some((old, since)) = self.told.get(&job) {
+                if let Some((old, since)) = self.final_answers.get(&job) {
                     let final_too = matches!(state, JobState::Done | JobState::Cancelled);
                     if *old != state && (final_too || asked_at >= *since) {
                         bad.push(format!("went_back: {job} from {old:?} to {state:?}"));
@@ -213,7 +213,7 @@
                         if done < self.truth.jobs[&job].tasks {
                             bad.push(format!("not_done: {job} with {done} tasks done"));
                         }
-                        self.told.entry(job).or_insert((state, self.now));
+                        self.final_answers.entry(job).or_insert((state, self.now));
                     }
                     JobState::Cancelled => {
                         if !self.wants_cancel.contains(&job) && !self.needs_unwanted(&job) {
@@ -236,7 +236,7 @@
                             self.cover("a running job was cancelled as its share changed hands");
                         }
                         self.truth.cancelled.entry(job.clone()).or_insert(self.now);
-                        self.told.entry(job.clone()).or_insert((state, self.now));
+                        self.final_answers.entry(job.clone()).or_insert((state, self.now));
                         if first {
                             self.look_closely(&job);
                         }
--- a/crates/seamfront-testing/src/simulation/workers.rs
+++ b/crates/seamfront-testing/src/simulation/workers.rs
@@ -364,8 +364,8 @@
             self.check_start(now, &id, &key);
         }
         self.gangs(now, &work);
-        for (job, told) in self.cancelled.clone() {
-            if now - told > self.cancel {
+        for (job, told_at) in self.cancelled.clone() {
+            if now - told_at > self.cancel {
                 let left: Vec<String> = self
                     .everywhere(&job)
                     .filter(|x| x.3.on_machine())
--- a/crates/seamfront/examples/duty_holder/main.rs
+++ b/crates/seamfront/examples/duty_holder/main.rs
@@ -97,7 +97,7 @@
                 self.rented
                     .borrow_mut()
                     .insert(operation.name, machines.clone());
-                fleet_keeper::rented(&machines)
+                fleet_keeper::provisioned(&machines)
             }
             CloudReply::NoCapacity => Outcome::NotDone,
             _ => Outcome::Unknown,
@@ -125,7 +125,7 @@
 impl Performer for HttpCloud {
     async fn perform(&self, duty: &str, operation: &Operation) -> Outcome {
         match Work::of(operation) {
-            Some(Work::Rent { count }) => self.provision(duty, operation, count).await,
+            Some(Work::Provision { count }) => self.provision(duty, operation, count).await,
             Some(Work::Return { machines }) => self.terminate(&machines).await,
             None => Outcome::NotDone,
         }
@@ -164,7 +164,7 @@
             let rented = self.cloud.rented.borrow();
             let machines_of =
                 |operation: &Operation| rented.get(&operation.name).cloned().unwrap_or_default();
-            self.keeper.told(&event, machines_of);
+            self.keeper.observe(&event, machines_of);
         }
     }
 
@@ -232,7 +232,7 @@
 
     async fn decide(&mut self) -> Vec<Command> {
         self.ticks += 1;
-        let mut commands: Vec<Command> = self.keeper.rent().into_iter().collect();
+        let mut commands: Vec<Command> = self.keeper.provision().into_iter().collect();
         if self.ticks.is_multiple_of(TICKS_PER_RETURN) {
             commands.extend(self.keeper.give_back(self.ticks as usize));
         }
--- a/crates/seamfront/tests/duty_freezes.rs
+++ b/crates/seamfront/tests/duty_freezes.rs
@@ -154,7 +154,7 @@
         let count = body["count"].as_u64().unwrap_or(0) as usize;
         let machines = self
             .cloud
-            .rent(now, &order, count, true)
+            .provision(now, &order, count, true)
             .unwrap_or_default();
         let live = self.cloud.live().len();
         if live > TARGET {
