--- a/crates/seamfront-core/tests/fault_combinations.rs
+++ b/crates/seamfront-core/tests/fault_combinations.rs
@@ -642,7 +642,10 @@
 #[test]
 fn troubles_in_pairs() {
     scenario("fault_combinations.troubles_in_pairs");
-    play(1_400..1_440, seamfront_testing::simulation::scenarios::pairs);
+    play(
+        1_400..1_440,
+        seamfront_testing::simulation::scenarios::pairs,
+    );
 }
 
 /// A history in which a machine was returned with tasks that had been started after it was given up
@@ -650,7 +653,10 @@
 #[test]
 fn a_machine_that_comes_back_while_it_is_given_up() {
     scenario("fault_combinations.a_machine_that_comes_back_while_it_is_given_up");
-    play(41_407..41_408, seamfront_testing::simulation::scenarios::pairs);
+    play(
+        41_407..41_408,
+        seamfront_testing::simulation::scenarios::pairs,
+    );
 }
 
 #[test]
--- a/crates/seamfront-core/tests/reconciliation.rs
+++ b/crates/seamfront-core/tests/reconciliation.rs
@@ -451,7 +451,7 @@
     }
 
     /// The token that the report was answered with, or None for a 421.
-    fn hello(&mut self, now: Micros, heartbeat: Heartbeat) -> Option<u64> {
+    fn heartbeat(&mut self, now: Micros, heartbeat: Heartbeat) -> Option<u64> {
         let effects = self.step(
             now,
             vec![Command::Heartbeat {
@@ -517,7 +517,8 @@
             fencing_token
         };
         assert_eq!(
-            a.heartbeat(s(10), heartbeat("i-0", 1, 2, shown, &[])).is_none(),
+            a.heartbeat(s(10), heartbeat("i-0", 1, 2, shown, &[]))
+                .is_none(),
             newer
         );
         assert_eq!(
--- a/crates/seamfront-testing/src/simulation/invariants.rs
+++ b/crates/seamfront-testing/src/simulation/invariants.rs
@@ -332,7 +332,8 @@
             room.insert(id, w.free(&self.truth.jobs));
         }
         let mut waits = BTreeSet::new();
-        let wanted = |id: &&JobId| !self.wants_cancel.contains(*id) && !self.final_answers.contains_key(*id);
+        let wanted =
+            |id: &&JobId| !self.wants_cancel.contains(*id) && !self.final_answers.contains_key(*id);
         for id in self.accepted.iter().filter(wanted) {
             let spec = &self.truth.jobs[id];
             if spec
--- a/crates/seamfront-testing/src/simulation/mod.rs
+++ b/crates/seamfront-testing/src/simulation/mod.rs
@@ -1,9 +1,9 @@
 //! A small deterministic world round several engines: state service, cloud, workers, users and a
 //! network that delays, loses, holds back and repeats. One seed, one history.
 
-mod invariants;
 mod cloud;
 mod faults;
+mod invariants;
 mod network;
 mod old_version;
 pub mod recording;
--- a/crates/seamfront-testing/src/simulation/users.rs
+++ b/crates/seamfront-testing/src/simulation/users.rs
@@ -236,7 +236,9 @@
                             self.cover("a running job was cancelled as its share changed hands");
                         }
                         self.truth.cancelled.entry(job.clone()).or_insert(self.now);
-                        self.final_answers.entry(job.clone()).or_insert((state, self.now));
+                        self.final_answers
+                            .entry(job.clone())
+                            .or_insert((state, self.now));
                         if first {
                             self.look_closely(&job);
                         }
--- a/crates/seamfront/tests/documentation.rs
+++ b/crates/seamfront/tests/documentation.rs
@@ -29,14 +29,20 @@
 fn sources() -> String {
     let mut files = Vec::new();
     rust_files(&root().join("crates"), &mut files);
-    let sources = files.iter().filter(|path| path.components().any(|part| part.as_os_str() == "src"));
-    sources.map(|path| fs::read_to_string(path).unwrap()).collect()
+    let sources = files
+        .iter()
+        .filter(|path| path.components().any(|part| part.as_os_str() == "src"));
+    sources
+        .map(|path| fs::read_to_string(path).unwrap())
+        .collect()
 }
 
 /// What stands between single backticks, outside of code blocks.
 fn code_spans(text: &str) -> Vec<&str> {
     let outside = text.split("```").step_by(2);
-    outside.flat_map(|part| part.split('`').skip(1).step_by(2)).collect()
+    outside
+        .flat_map(|part| part.split('`').skip(1).step_by(2))
+        .collect()
 }
 
 /// The first column of a table's rows, from the line that begins with this header to the table's end.
@@ -49,12 +55,14 @@
 
 /// Whether a span names a module, type or function: `shard`, `Engine::step`.
 fn is_path(span: &str) -> bool {
-    let segment = |s: &str| !s.is_empty() && s.chars().all(|c| c.is_ascii_alphanumeric() || c == '_');
+    let segment =
+        |s: &str| !s.is_empty() && s.chars().all(|c| c.is_ascii_alphanumeric() || c == '_');
     span.contains("::") && span.split("::").all(segment)
 }
 
 fn words(text: &str) -> BTreeSet<&str> {
-    text.split(|c: char| !c.is_ascii_alphanumeric() && c != '_').collect()
+    text.split(|c: char| !c.is_ascii_alphanumeric() && c != '_')
+        .collect()
 }
 
 #[test]
@@ -69,7 +77,8 @@
         for cell in first_column(&text, header) {
             for line in code_spans(cell) {
                 let field = line.split_once('=').map(|(field, _)| field);
-                let exists = sources.contains(line) || field.is_some_and(|field| words(&sources).contains(field));
+                let exists = sources.contains(line)
+                    || field.is_some_and(|field| words(&sources).contains(field));
                 assert!(exists, "{name}: no log line {line:?}");
             }
         }
@@ -80,11 +89,17 @@
 fn renamed_log_lines_exist_under_their_new_names() {
     let sources = sources();
     let text = page("docs/operating.md");
-    let mut rows = text.lines().skip_while(|line| !line.starts_with("| old line |")).skip(2);
+    let mut rows = text
+        .lines()
+        .skip_while(|line| !line.starts_with("| old line |"))
+        .skip(2);
     let mut found = 0;
     for row in rows.by_ref().take_while(|line| line.starts_with('|')) {
         let new = row.split('|').nth(2).unwrap_or_default();
-        for line in code_spans(new).into_iter().filter(|line| !line.ends_with('=')) {
+        for line in code_spans(new)
+            .into_iter()
+            .filter(|line| !line.ends_with('='))
+        {
             assert!(sources.contains(line), "no log line {line:?}");
             found += 1;
         }
@@ -100,7 +115,10 @@
         let text = page(name);
         for span in code_spans(&text).into_iter().filter(|span| is_path(span)) {
             for segment in span.split("::") {
-                assert!(known.contains(segment), "{name}: `{span}` is not in the sources");
+                assert!(
+                    known.contains(segment),
+                    "{name}: `{span}` is not in the sources"
+                );
             }
         }
     }
@@ -108,12 +126,25 @@
 
 #[test]
 fn files_that_pages_name_exist() {
-    let pages = ["README.md", "CONTRIBUTING.md", "docs/architecture.md", "docs/glossary.md"];
+    let pages = [
+        "README.md",
+        "CONTRIBUTING.md",
+        "docs/architecture.md",
+        "docs/glossary.md",
+    ];
     for name in pages {
         let text = page(name);
         let paths = code_spans(&text).into_iter().filter(|span| {
-            let prefixes = ["crates/", "docs/", "scripts/", "deploy/", "tests/days", "journal/"];
-            prefixes.iter().any(|prefix| span.starts_with(prefix)) && !span.contains([' ', '<', '{'])
+            let prefixes = [
+                "crates/",
+                "docs/",
+                "scripts/",
+                "deploy/",
+                "tests/days",
+                "journal/",
+            ];
+            prefixes.iter().any(|prefix| span.starts_with(prefix))
+                && !span.contains([' ', '<', '{'])
         });
         for path in paths {
             assert!(root().join(path).exists(), "{name}: no file {path}");
