--- a/crates/seamfront-core/src/job.rs
+++ b/crates/seamfront-core/src/job.rs
@@ -446,8 +446,8 @@
         if let Some(g) = &mut self.gang {
             g.epoch = record.epoch.max(1);
             for (i, a) in record.attempts {
-                if let Some(slot) = g.attempts.get_mut(i as usize) {
-                    *slot = a;
+                if let Some(used) = g.attempts.get_mut(i as usize) {
+                    *used = a;
                 }
             }
             g.draining = record.draining;
--- a/crates/seamfront-testing/src/shard_harness.rs
+++ b/crates/seamfront-testing/src/shard_harness.rs
@@ -2,10 +2,10 @@
 
 use seamfront_core::job::Job;
 use seamfront_core::machine::MachineRecord;
-use seamfront_core::port::*;
+use seamfront_core::port::{TaskState, Heartbeat, TaskStatus, Effect, CallId, Order};
 use seamfront_core::record::{Layout, TaskRun, WorkRecord};
 use seamfront_core::shard::{Context, Shard, ShardWrite, StatusSource, StoredRecord, WriteOutcome};
-use seamfront_core::types::*;
+use seamfront_core::types::{Micros, Settings, Team, Resources, Tuning, JobSpec, JobKind, Priority, TaskKey, JobId};
 use std::rc::Rc;
 
 pub const CLAIM: u64 = 50;
--- a/crates/seamfront-testing/src/simulation/cloud.rs
+++ b/crates/seamfront-testing/src/simulation/cloud.rs
@@ -1,6 +1,6 @@
 //! Stand-in for the cloud that rents and deletes machines.
 
-use super::*;
+use super::{Simulation, CallId, CloudRequest, ms, RngExt, Event, Command, CloudReply, machine_types, ListedMachine, ListedState, Micros, BadBoots, MachineId, Worker};
 
 impl Simulation {
     pub(super) fn cloud(
--- a/crates/seamfront-testing/src/simulation/faults.rs
+++ b/crates/seamfront-testing/src/simulation/faults.rs
@@ -1,6 +1,6 @@
 //! Faults: what can go wrong in a run, and how each is brought about.
 
-use super::*;
+use super::{Micros, Simulation, MachineId, RngExt, workers, BTreeMap, Team, TaskState, Worker, TaskKey, ms, Event, PollStorm, BadBoots, JobId};
 
 /// What can go wrong; each is drawn by the seed and ends by itself.
 #[derive(Clone, Debug)]
--- a/crates/seamfront-testing/src/simulation/invariants.rs
+++ b/crates/seamfront-testing/src/simulation/invariants.rs
@@ -1,6 +1,6 @@
 //! Checks of the whole world: what is still owed at the end, who was not served, who is passed over.
 
-use super::*;
+use super::{Simulation, JobKind, TaskState, JobId, BTreeMap, Micros, JobSpec, ms, BTreeSet, RngExt, Event, CloudRequest, Order, Resources, MachineId};
 
 impl Simulation {
     /// What is still owed once everything has been quiet for long.
--- a/crates/seamfront-testing/src/simulation/network.rs
+++ b/crates/seamfront-testing/src/simulation/network.rs
@@ -1,6 +1,6 @@
 //! Between controllers and workers: reports, their answers, and direct commands.
 
-use super::*;
+use super::{Simulation, ClientRequestId, ReportAnswer, Asked, Event, Micros, RngExt, ms, MachineId, Command, Order, CallId, DirectOutcome, Resources, Worker};
 
 impl Simulation {
     pub(super) fn report_answered(
--- a/crates/seamfront-testing/src/simulation/recording.rs
+++ b/crates/seamfront-testing/src/simulation/recording.rs
@@ -10,7 +10,7 @@
 //! A record names no type and no field of the sources: no `Debug` form, only keys, paths, names, numbers and JSON
 //! as it is stored or sent. A renaming therefore leaves it as it is.
 
-use super::*;
+use super::{BTreeMap, Micros, Write, StoreRequest, CloudRequest, Order, Answer, JobState, Asked, Simulation, Effect, ClientRequestId, StoreReply};
 use serde_json::{json, Value};
 use std::cell::RefCell;
 use std::fs::File;
--- a/crates/seamfront-testing/src/simulation/scenarios.rs
+++ b/crates/seamfront-testing/src/simulation/scenarios.rs
@@ -1,6 +1,6 @@
 //! What a run consists of: the jobs that users submit, the faults drawn, and how many seeds are played.
 
-use super::*;
+use super::{NODES, Simulation, JobSpec, JobKind, RngExt, Priority, Resources, ms, Micros, Event, JobId, Fault, SMALL, Scale, BTreeMap};
 
 /// The claims on all shards.
 pub const SHARDS: [&str; NODES] = ["share/0", "share/1", "share/2"];
--- a/crates/seamfront-testing/src/simulation/state_service.rs
+++ b/crates/seamfront-testing/src/simulation/state_service.rs
@@ -1,6 +1,6 @@
 //! The way to the state service and back: delays, losses, outages, late transactions, open watches.
 
-use super::*;
+use super::{Simulation, CallId, StoreRequest, Command, StoreReply, ms, Event, Micros, LARGE, store, RngExt, Write};
 
 impl Simulation {
     pub(super) fn state(
--- a/crates/seamfront-testing/src/simulation/users.rs
+++ b/crates/seamfront-testing/src/simulation/users.rs
@@ -1,6 +1,6 @@
 //! Users: what they ask, and the rules on what they are told.
 
-use super::*;
+use super::{Simulation, Asked, ClientRequestId, Command, Event, ms, RngExt, Micros, JobId, PollStorm, JobState, Resources, Answer, Worker, Node};
 
 /// How often a user asks as a rule.
 const USUAL_POLL_MS: i64 = 6_000;
--- a/crates/seamfront-testing/src/simulation/workers.rs
+++ b/crates/seamfront-testing/src/simulation/workers.rs
@@ -1,8 +1,8 @@
 //! Stand-in for the workers, and the truth about what runs where. The rules are checked here, on
 //! this truth, never on what an engine believes.
 
-use seamfront_core::port::*;
-use seamfront_core::types::*;
+use seamfront_core::port::{TaskState, Heartbeat, TaskStatus, Order, Exit};
+use seamfront_core::types::{Micros, Resources, TaskKey, JobId, JobSpec, MachineId, Team, JobKind};
 use std::collections::{BTreeMap, BTreeSet};
 
 #[derive(Clone, Debug)]
