--- a/crates/seamfront-core/tests/dependencies.rs
+++ b/crates/seamfront-core/tests/dependencies.rs
@@ -27,7 +27,7 @@
 
 const CALLED_OFF: &str = "a job was cancelled with one that it needs";
 
-/// Seen to fail when a job was released without the store's word on those that it needs (too_early), and when
+/// Seen to fail when a job was released without the store's word on those that it needs (`too_early`), and when
 /// nobody cancelled what needs a cancelled job (orphaned).
 #[test]
 fn chains_on_quiet_days() {
--- a/crates/seamfront-core/tests/failing_jobs.rs
+++ b/crates/seamfront-core/tests/failing_jobs.rs
@@ -72,9 +72,9 @@
             .filter(|(_, j)| j.failing())
             .map(|(id, _)| id.clone())
             .collect();
-        self.held.with(now, |s, context| s.tick(context));
+        self.held.with(now, seamfront_core::shard::Shard::tick);
         self.held
-            .with(now, |s, context| s.run_scheduling_cycle(context));
+            .with(now, seamfront_core::shard::Shard::run_scheduling_cycle);
         for job in failing.iter().filter_map(|id| self.held.shard.jobs.get(id)) {
             self.most_tried = self.most_tried.max(job.tasks.len());
         }
--- a/crates/seamfront-core/tests/fault_combinations.rs
+++ b/crates/seamfront-core/tests/fault_combinations.rs
@@ -166,7 +166,7 @@
             Fault::InvalidRequests {
                 until: ms(troubles),
             },
-        )
+        );
     });
     assert!(
         count(&coverage, "a job that is done was cancelled") > 50,
@@ -314,7 +314,7 @@
             let at = w.draw(500..70_000);
             submit(w, n, at, |s| {
                 (s.kind, s.class, s.one_zone, s.spread) =
-                    (JobKind::Array, "bound".into(), true, false)
+                    (JobKind::Array, "bound".into(), true, false);
             });
         }
         for k in 0..6 {
@@ -380,7 +380,7 @@
         for n in 100..140 {
             let at = w.draw(5_000..85_000);
             submit(w, n, at, |s| {
-                (s.kind, s.tasks, s.priority) = (JobKind::Array, 2, Priority::Urgent)
+                (s.kind, s.tasks, s.priority) = (JobKind::Array, 2, Priority::Urgent);
             });
         }
     });
--- a/crates/seamfront-core/tests/placement.rs
+++ b/crates/seamfront-core/tests/placement.rs
@@ -19,9 +19,9 @@
         priority: Priority::Normal,
         tasks: rng.random_range(1..9),
         task_resources: Resources::needed(
-            rng.random_range(1..4) as f64,
+            f64::from(rng.random_range(1..4)),
             0.0,
-            rng.random_range(1..9) as f64,
+            f64::from(rng.random_range(1..9)),
         ),
         types: (rng.random_range(0..3) == 0).then(|| vec!["a".into()]),
         zone: (rng.random_range(0..4) == 0).then(|| "x".into()),
@@ -55,7 +55,7 @@
                     zone: pick(&mut rng, ["x", "y"]),
                     spot: rng.random_range(0..2) == 0,
                 };
-                let size = Resources::offered(rng.random_range(1..9) as f64, 0.0, 16.0);
+                let size = Resources::offered(f64::from(rng.random_range(1..9)), 0.0, 16.0);
                 let id = MachineId::from(format!("m-{k}").as_str());
                 (id.clone(), Machine::new(id, record, 1, size, Micros::ZERO))
             })
@@ -143,7 +143,7 @@
     let mut quota = Quota::default();
     let mut held: Vec<Resources> = Vec::new();
     for _ in 0..5_000 {
-        let task_resources = Resources::needed(rng.random_range(1..50) as f64 / 10.0, 1.0, 1.0);
+        let task_resources = Resources::needed(f64::from(rng.random_range(1..50)) / 10.0, 1.0, 1.0);
         if quota.headroom(&team, task_resources, Resources::default()) > 0
             && rng.random_range(0..3) > 0
         {
--- a/crates/seamfront-core/tests/reconciliation.rs
+++ b/crates/seamfront-core/tests/reconciliation.rs
@@ -90,7 +90,7 @@
         );
     }
     assert!(h.shard.machines[&MachineId::from("i-0")].ignores_replies());
-    h.with(s(150), |s, context| s.tick(context));
+    h.with(s(150), seamfront_core::shard::Shard::tick);
     assert_eq!(h.machine_writes(s(150), 60), [("i-0".to_owned(), false)]);
 }
 
@@ -107,7 +107,7 @@
             );
         }
     }
-    h.with(s(160), |s, context| s.tick(context));
+    h.with(s(160), seamfront_core::shard::Shard::tick);
     assert_eq!(h.machine_writes(s(160), 60), []);
 }
 
@@ -124,7 +124,7 @@
                 }
             }
         }
-        h.with(s(at), |s, context| s.tick(context));
+        h.with(s(at), seamfront_core::shard::Shard::tick);
         let writes = h.machine_writes(s(at), 60);
         assert_eq!(
             writes.len(),
@@ -156,11 +156,11 @@
                 }
             }
         }
-        h.with(s(140), |s, context| s.tick(context));
+        h.with(s(140), seamfront_core::shard::Shard::tick);
         let mut fencing_token = CLAIM;
         let mut writes = h.shard.due_writes(s(140), 100, &Layout::single(32 * 1024));
         h.heartbeat(s(141), &heartbeat("i-0", 1, 141, CLAIM, &[]));
-        h.with(s(141), |s, context| s.tick(context));
+        h.with(s(141), seamfront_core::shard::Shard::tick);
         for outcome in outcomes {
             for w in &writes {
                 h.with(s(142), |s, context| s.written(context, w, outcome));
@@ -211,7 +211,7 @@
     }
     // Silent for longer than is forgiven, its lease not over yet.
     let silent = Micros::from_millis(113_100);
-    h.with(silent, |s, context| s.tick(context));
+    h.with(silent, seamfront_core::shard::Shard::tick);
     let writes = h.shard.due_writes(silent, 100, &Layout::single(32 * 1024));
     assert!(writes
         .iter()
@@ -223,12 +223,12 @@
     // The store refused: it is ours as before.
     for w in &writes {
         h.with(silent, |s, context| {
-            s.written(context, w, seamfront_core::shard::WriteOutcome::Refused)
+            s.written(context, w, seamfront_core::shard::WriteOutcome::Refused);
         });
     }
     // Judged anew once it has been heard.
     let heard = silent + Micros::from_millis(150);
-    h.with(heard, |s, context| s.tick(context));
+    h.with(heard, seamfront_core::shard::Shard::tick);
     assert!(h
         .heartbeat(heard, &heartbeat("i-0", 1, 142, CLAIM, &[]))
         .contains(&start));
@@ -275,7 +275,7 @@
                 context,
                 &heartbeat("i-0", incarnation, sequence, CLAIM, &[]),
                 StatusSource::WorkerHeartbeat
-            ))
+            ));
         });
         assert_eq!(newest(&h), before);
         assert!(h.placed("j-0"));
@@ -592,7 +592,7 @@
     h.shard.phase = ShardPhase::Loading;
     h.shard.machines.get_mut(&id).unwrap().tasks.clear();
     h.with(s(101), |s, context| {
-        s.release(context, &["i-0".into()], None)
+        s.release(context, &["i-0".into()], None);
     });
     assert!(h.shard.machines[&id].lifecycle.released_since.is_none());
     // Nor is one that has tasks shown as released, whatever came before.
@@ -674,11 +674,11 @@
         unknown: false,
     });
     h.with(s(101), |s, context| {
-        s.direct_result(context, 8, &id, DirectOutcome::NotSent)
+        s.direct_result(context, 8, &id, DirectOutcome::NotSent);
     });
     assert!(h.shard.machines[&id].fencing.direct_command.is_some());
     h.with(s(101), |s, context| {
-        s.direct_result(context, 9, &id, DirectOutcome::NotSent)
+        s.direct_result(context, 9, &id, DirectOutcome::NotSent);
     });
     assert!(h.shard.machines[&id].fencing.direct_command.is_none());
 }
--- a/crates/seamfront-core/tests/rules.rs
+++ b/crates/seamfront-core/tests/rules.rs
@@ -67,13 +67,13 @@
 }
 
 /// Bites: each of these guards, taken out by hand, made one or more of the tests in this file fail.
-/// - a placement is ordered only after its record is written (`Phase::Recording`): ran_twice
+/// - a placement is ordered only after its record is written (`Phase::Recording`): `ran_twice`
 /// - omissions count only in a report that shows the present token, with no command unsettled
 ///   (`Shard::apply_heartbeat`): quota
 /// - an unanswered command stays unsettled (`Shard::direct_result`): quota, jobs never done
-/// - the time of `Machine::lease_expiry`: ran_twice
-/// - orders for an earlier session only are void in a later one (`Shard::apply_heartbeat`): ran_twice
-/// - the limit of acting without proof (`Settings::verification_ttl`): ran_cancelled
+/// - the time of `Machine::lease_expiry`: `ran_twice`
+/// - orders for an earlier session only are void in a later one (`Shard::apply_heartbeat`): `ran_twice`
+/// - the limit of acting without proof (`Settings::verification_ttl`): `ran_cancelled`
 /// - the token as the larger of claim and record (`Machine::fencing_token`): jobs never done
 /// - the team's limit in a round: quota
 ///
--- a/crates/seamfront-core/tests/starvation.rs
+++ b/crates/seamfront-core/tests/starvation.rs
@@ -34,7 +34,7 @@
                 &heartbeat(&format!("i-{m}"), 1, 100 + now.0 as u64, CLAIM, &[]),
             );
         }
-        h.with(now, |s, context| s.run_scheduling_cycle(context));
+        h.with(now, seamfront_core::shard::Shard::run_scheduling_cycle);
     }
 }
 
@@ -192,7 +192,10 @@
         first.blocked = blocked;
         let found = guaranteed(std::slice::from_ref(&team), [&first, &second].into_iter());
         assert_eq!(
-            found.iter().map(|j| j.as_str()).collect::<Vec<_>>(),
+            found
+                .iter()
+                .map(seamfront_core::types::JobId::as_str)
+                .collect::<Vec<_>>(),
             [inside]
         );
     }
@@ -234,7 +237,10 @@
         );
     }
     for k in 1..4 {
-        h.with(now + s(k), |s, context| s.run_scheduling_cycle(context));
+        h.with(
+            now + s(k),
+            seamfront_core::shard::Shard::run_scheduling_cycle,
+        );
     }
     assert_eq!(stopped(&h), 1);
 }
@@ -300,7 +306,10 @@
     h.shard
         .add_job(Rc::new(gang("j-0", 2, now - START_DEADLINE)), 5, now);
     h.shard.add_job(Rc::new(gang("j-1", 1, now)), 5, now);
-    h.with(now + s(1), |s, context| s.run_scheduling_cycle(context));
+    h.with(
+        now + s(1),
+        seamfront_core::shard::Shard::run_scheduling_cycle,
+    );
     assert!(stopped(&h) > 0, "room is being freed");
     assert_eq!((placed(&h, "j-0"), placed(&h, "j-1")), (0, 0));
 }
@@ -311,7 +320,10 @@
     let now = s(500);
     let (mut h, gang) = held_with_limit_for_two(3, &[], now);
     h.shard.add_job(Rc::new(gang("j-1", 1, now)), 5, now);
-    h.with(now + s(1), |s, context| s.run_scheduling_cycle(context));
+    h.with(
+        now + s(1),
+        seamfront_core::shard::Shard::run_scheduling_cycle,
+    );
     order_all(&mut h);
     h.shard
         .add_job(Rc::new(gang("j-0", 2, now - START_DEADLINE)), 5, now);
@@ -320,7 +332,10 @@
         ..array("j-7", 40, Priority::BestEffort, now)
     };
     h.shard.add_job(Rc::new(lesser), 5, now);
-    h.with(now + s(2), |s, context| s.run_scheduling_cycle(context));
+    h.with(
+        now + s(2),
+        seamfront_core::shard::Shard::run_scheduling_cycle,
+    );
     assert_eq!(
         (placed(&h, "j-1"), placed(&h, "j-0"), placed(&h, "j-7")),
         (1, 0, 0)
--- a/crates/seamfront-lease/src/log/transaction.rs
+++ b/crates/seamfront-lease/src/log/transaction.rs
@@ -128,7 +128,7 @@
             let again = std::mem::take(&mut transaction.resend);
             return again.then(|| transaction.write.clone());
         }
-        let operations = self.entries.values().any(|entry| entry.changed());
+        let operations = self.entries.values().any(super::LogEntry::changed);
         if self.fenced_queue.is_empty() && !operations {
             return None;
         }
--- a/crates/seamfront-lease/src/manager/handover.rs
+++ b/crates/seamfront-lease/src/manager/handover.rs
@@ -219,7 +219,7 @@
             }
             // Certainly not made: the receiver is not a member any more, or the store refused.
             StoreReply::Conflict { .. } | StoreReply::NoSuchLease | StoreReply::Refused => {
-                self.keep(index)
+                self.keep(index);
             }
             // It may yet be made. Our token is given up; if the claim stays ours, it is claimed anew under another, and
             // the transfer fails if it comes then.
--- a/crates/seamfront-lease/src/settings.rs
+++ b/crates/seamfront-lease/src/settings.rs
@@ -122,7 +122,7 @@
             .iter()
             .find(|name| !self.duties.contains(name));
         require(unknown.is_none(), "together", || {
-            format!("{:?} is not among the duties", unknown)
+            format!("{unknown:?} is not among the duties")
         })?;
         require(self.store_answer > Micros::ZERO, "store_answer", || {
             "must be more than 0".to_owned()
--- a/crates/seamfront-lease/tests/forms.rs
+++ b/crates/seamfront-lease/tests/forms.rs
@@ -258,13 +258,13 @@
 
     /// Ends the attempt that was asked for last.
     fn performed(&mut self, outcome: Outcome) {
-        let attempts = self.told.iter().filter_map(|effect| match effect {
+        let mut attempts = self.told.iter().filter_map(|effect| match effect {
             Effect::Perform {
                 operation, attempt, ..
             } => Some((operation.name, *attempt)),
             _ => None,
         });
-        let (operation, attempt) = attempts.last().expect("an attempt");
+        let (operation, attempt) = attempts.next_back().expect("an attempt");
         self.next.push(Command::Performed {
             duty: "renting".to_owned(),
             operation,
--- a/crates/seamfront-lease/tests/histories.rs
+++ b/crates/seamfront-lease/tests/histories.rs
@@ -146,7 +146,7 @@
     for seed in 0..20 {
         let former = |settings: &mut LeaseSettings| {
             settings.former_claim =
-                Some(seamfront_testing::member_simulation::FORMER_CLAIM.to_owned())
+                Some(seamfront_testing::member_simulation::FORMER_CLAIM.to_owned());
         };
         let mut world = Simulation::with(2_000 + seed, 3, former);
         for node in 0..3 {
--- a/crates/seamfront-report/src/plot.rs
+++ b/crates/seamfront-report/src/plot.rs
@@ -121,7 +121,7 @@
 
 type Chart<'a> = ChartContext<'a, SVGBackend<'a>, Cartesian2d<RangedCoordf64, RangedCoordf64>>;
 
-fn legend<'a>(chart: &mut Chart<'a>) -> Drawn<()> {
+fn legend(chart: &mut Chart<'_>) -> Drawn<()> {
     let mut labels = chart.configure_series_labels();
     labels
         .background_style(WHITE.mix(0.85))
--- a/crates/seamfront-testing/src/controller_process.rs
+++ b/crates/seamfront-testing/src/controller_process.rs
@@ -52,7 +52,7 @@
 
 /// Waits for what must come; only a run that hangs fails by the clock.
 pub fn eventually<T>(what: &str, mut f: impl FnMut() -> Option<T>) -> T {
-    let end = Instant::now() + Duration::from_secs(60);
+    let end = Instant::now() + Duration::from_mins(1);
     while Instant::now() < end {
         if let Some(t) = f() {
             return t;
--- a/crates/seamfront-testing/src/fleet_keeper.rs
+++ b/crates/seamfront-testing/src/fleet_keeper.rs
@@ -152,7 +152,7 @@
                     unknown.confirmed = Some(Confirmed {
                         since: now,
                         orders: open.clone(),
-                    })
+                    });
                 }
             }
         }
--- a/crates/seamfront-testing/src/shard_harness.rs
+++ b/crates/seamfront-testing/src/shard_harness.rs
@@ -2,10 +2,12 @@
 
 use seamfront_core::job::Job;
 use seamfront_core::machine::MachineRecord;
-use seamfront_core::port::{TaskState, Heartbeat, TaskStatus, Effect, CallId, Order};
+use seamfront_core::port::{CallId, Effect, Heartbeat, Order, TaskState, TaskStatus};
 use seamfront_core::record::{Layout, TaskRun, WorkRecord};
 use seamfront_core::shard::{Context, Shard, ShardWrite, StatusSource, StoredRecord, WriteOutcome};
-use seamfront_core::types::{Micros, Settings, Team, Resources, Tuning, JobSpec, JobKind, Priority, TaskKey, JobId};
+use seamfront_core::types::{
+    JobId, JobKind, JobSpec, Micros, Priority, Resources, Settings, TaskKey, Team, Tuning,
+};
 use std::rc::Rc;
 
 pub const CLAIM: u64 = 50;
@@ -140,7 +142,7 @@
             effects: Vec::new(),
             calls: 1,
         };
-        held.with(s(100), |s, context| s.loaded(context));
+        held.with(s(100), seamfront_core::shard::Shard::loaded);
         held
     }
 
@@ -195,7 +197,7 @@
             {
                 seen.push((machine.to_string(), record.shard.is_some()));
                 self.with(now, |s, context| {
-                    s.written(context, &w, WriteOutcome::Done(version))
+                    s.written(context, &w, WriteOutcome::Done(version));
                 });
             }
         }
--- a/crates/seamfront-testing/src/simulation/cloud.rs
+++ b/crates/seamfront-testing/src/simulation/cloud.rs
@@ -1,6 +1,9 @@
 //! Stand-in for the cloud that rents and deletes machines.
 
-use super::{Simulation, CallId, CloudRequest, ms, RngExt, Event, Command, CloudReply, machine_types, ListedMachine, ListedState, Micros, BadBoots, MachineId, Worker};
+use super::{
+    machine_types, ms, BadBoots, CallId, CloudReply, CloudRequest, Command, Event, ListedMachine,
+    ListedState, MachineId, Micros, RngExt, Simulation, Worker,
+};
 
 impl Simulation {
     pub(super) fn cloud(
@@ -72,7 +75,7 @@
                         // One that comes back just as it is given up is bad luck and no mistake.
                         let heard = self.now - w.lease_from < ms(3_000)
                             && self.now - w.steady_from > ms(5_000);
-                        let runs = w.tasks.values().any(|t| t.on_machine());
+                        let runs = w.tasks.values().any(super::workers::Task::on_machine);
                         if !w.dead && heard && runs && w.notice_at.is_none() {
                             let t = self.now.as_secs_decimal();
                             self.truth.broken.push(format!(
--- a/crates/seamfront-testing/src/simulation/faults.rs
+++ b/crates/seamfront-testing/src/simulation/faults.rs
@@ -1,6 +1,9 @@
 //! Faults: what can go wrong in a run, and how each is brought about.
 
-use super::{Micros, Simulation, MachineId, RngExt, workers, BTreeMap, Team, TaskState, Worker, TaskKey, ms, Event, PollStorm, BadBoots, JobId};
+use super::{
+    ms, workers, BTreeMap, BadBoots, Event, JobId, MachineId, Micros, PollStorm, RngExt,
+    Simulation, TaskKey, TaskState, Team, Worker,
+};
 
 /// What can go wrong; each is drawn by the seed and ends by itself.
 #[derive(Clone, Debug)]
@@ -192,7 +195,7 @@
             self.loses_answers(id) || self.cut_machines.get(id).is_some_and(|t| *t > now)
         };
         let out_of_reach =
-            up().any(|(id, w)| apart(id) && w.tasks.values().any(|t| t.on_machine()));
+            up().any(|(id, w)| apart(id) && w.tasks.values().any(super::workers::Task::on_machine));
         let cpus_by_team = |counts: fn(&workers::Task) -> bool| {
             let mut cpus: BTreeMap<&str, i64> = BTreeMap::new();
             for (k, _) in up()
--- a/crates/seamfront-testing/src/simulation/invariants.rs
+++ b/crates/seamfront-testing/src/simulation/invariants.rs
@@ -1,6 +1,9 @@
 //! Checks of the whole world: what is still owed at the end, who was not served, who is passed over.
 
-use super::{Simulation, JobKind, TaskState, JobId, BTreeMap, Micros, JobSpec, ms, BTreeSet, RngExt, Event, CloudRequest, Order, Resources, MachineId};
+use super::{
+    ms, BTreeMap, BTreeSet, CloudRequest, Event, JobId, JobKind, JobSpec, MachineId, Micros, Order,
+    Resources, RngExt, Simulation, TaskState,
+};
 
 impl Simulation {
     /// What is still owed once everything has been quiet for long.
@@ -12,7 +15,7 @@
             let over = self.final_answers.contains_key(id);
             match spec.kind {
                 JobKind::Service if self.wants_cancel.contains(id) && !over => {
-                    owed.push(format!("{id} not cancelled"))
+                    owed.push(format!("{id} not cancelled"));
                 }
                 JobKind::Service if !self.wants_cancel.contains(id) => {
                     let up = self.truth.workers.values().filter(|w| !w.dead);
--- a/crates/seamfront-testing/src/simulation/mod.rs
+++ b/crates/seamfront-testing/src/simulation/mod.rs
@@ -17,8 +17,15 @@
 use crate::store::{self, Store};
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
-use seamfront_core::port::{CallId, CloudRequest, Command, CloudReply, ListedMachine, ListedState, TaskState, Order, ClientRequestId, DirectOutcome, StoreRequest, Write, StoreReply, Answer, JobState, Effect, Heartbeat};
-use seamfront_core::types::{Micros, MachineId, Team, TaskKey, JobId, JobKind, JobSpec, Resources, Priority, Settings, Tuning, MachineType};
+use seamfront_core::port::{
+    Answer, CallId, ClientRequestId, CloudReply, CloudRequest, Command, DirectOutcome, Effect,
+    Heartbeat, JobState, ListedMachine, ListedState, Order, StoreReply, StoreRequest, TaskState,
+    Write,
+};
+use seamfront_core::types::{
+    JobId, JobKind, JobSpec, MachineId, MachineType, Micros, Priority, Resources, Settings,
+    TaskKey, Team, Tuning,
+};
 use seamfront_core::Engine;
 use std::collections::{BTreeMap, BTreeSet, BinaryHeap};
 use workers::{Truth, Worker};
@@ -758,7 +765,7 @@
                         request,
                         late: false,
                     },
-                )
+                );
             }
             Effect::Cloud {
                 call,
@@ -777,7 +784,7 @@
                         request,
                         late: false,
                     },
-                )
+                );
             }
             Effect::SendDirect {
                 call,
@@ -801,7 +808,7 @@
                         orders,
                         late: false,
                     },
-                )
+                );
             }
             Effect::SendToPeer { to, message } => {
                 if self.scale.machines >= LARGE {
@@ -836,10 +843,10 @@
                 orders,
             } => {
                 self.check_orders(node, &orders);
-                self.report_answered(node, life, to, ReportAnswer::Orders(fencing_token, orders))
+                self.report_answered(node, life, to, ReportAnswer::Orders(fencing_token, orders));
             }
             Effect::Redirect { to, member } => {
-                self.report_answered(node, life, to, ReportAnswer::Elsewhere(member))
+                self.report_answered(node, life, to, ReportAnswer::Elsewhere(member));
             }
             Effect::Healthy { .. } => {}
             Effect::Answer { to, answer } => {
--- a/crates/seamfront-testing/src/simulation/network.rs
+++ b/crates/seamfront-testing/src/simulation/network.rs
@@ -1,6 +1,9 @@
 //! Between controllers and workers: reports, their answers, and direct commands.
 
-use super::{Simulation, ClientRequestId, ReportAnswer, Asked, Event, Micros, RngExt, ms, MachineId, Command, Order, CallId, DirectOutcome, Resources, Worker};
+use super::{
+    ms, Asked, CallId, ClientRequestId, Command, DirectOutcome, Event, MachineId, Micros, Order,
+    ReportAnswer, Resources, RngExt, Simulation, Worker,
+};
 
 impl Simulation {
     pub(super) fn report_answered(
--- a/crates/seamfront-testing/src/simulation/old_version.rs
+++ b/crates/seamfront-testing/src/simulation/old_version.rs
@@ -1,7 +1,7 @@
 //! Stand-in for a controller that still runs the version in production. It writes old forms only and drops what it
 //! does not know: needed jobs in job records, parts of work records, and which versions others run.
 
-use super::{Simulation, StoreRequest, Write, StoreReply};
+use super::{Simulation, StoreReply, StoreRequest, Write};
 use serde_json::Value;
 
 /// Fields of job records that the version in production does not know.
--- a/crates/seamfront-testing/src/simulation/recording.rs
+++ b/crates/seamfront-testing/src/simulation/recording.rs
@@ -10,7 +10,10 @@
 //! A record names no type and no field of the sources: no `Debug` form, only keys, paths, names, numbers and JSON
 //! as it is stored or sent. A renaming therefore leaves it as it is.
 
-use super::{BTreeMap, Micros, Write, StoreRequest, CloudRequest, Order, Answer, JobState, Asked, Simulation, Effect, ClientRequestId, StoreReply};
+use super::{
+    Answer, Asked, BTreeMap, ClientRequestId, CloudRequest, Effect, JobState, Micros, Order,
+    Simulation, StoreReply, StoreRequest, Write,
+};
 use serde_json::{json, Value};
 use std::cell::RefCell;
 use std::fs::File;
@@ -165,7 +168,10 @@
             format!("POST /hosts {}", json!([name, kind, zone, spot, count]))
         }
         CloudRequest::Terminate { machines } => {
-            let names: Vec<&str> = machines.iter().map(|m| m.as_str()).collect();
+            let names: Vec<&str> = machines
+                .iter()
+                .map(seamfront_core::types::MachineId::as_str)
+                .collect();
             format!("POST /hosts/delete {}", json!(names))
         }
         CloudRequest::ListMachines { after } => {
--- a/crates/seamfront-testing/src/simulation/scenarios.rs
+++ b/crates/seamfront-testing/src/simulation/scenarios.rs
@@ -1,6 +1,9 @@
 //! What a run consists of: the jobs that users submit, the faults drawn, and how many seeds are played.
 
-use super::{NODES, Simulation, JobSpec, JobKind, RngExt, Priority, Resources, ms, Micros, Event, JobId, Fault, SMALL, Scale, BTreeMap};
+use super::{
+    ms, BTreeMap, Event, Fault, JobId, JobKind, JobSpec, Micros, Priority, Resources, RngExt,
+    Scale, Simulation, NODES, SMALL,
+};
 
 /// The claims on all shards.
 pub const SHARDS: [&str; NODES] = ["share/0", "share/1", "share/2"];
@@ -41,7 +44,7 @@
                 priorities[self.rng.random_range(1..4)]
             },
             tasks,
-            task_resources: Resources::needed(self.rng.random_range(1..4) as f64, 0.0, 4.0),
+            task_resources: Resources::needed(f64::from(self.rng.random_range(1..4)), 0.0, 4.0),
             types: None,
             zone: (self.rng.random_range(0..6) == 0).then(|| "x".into()),
             one_zone: kind == JobKind::Gang && self.rng.random_range(0..2) == 0,
@@ -122,7 +125,7 @@
     }
 }
 
-/// With SEED=313 and --nocapture that history tells its story, as far as LOG_LEVEL says.
+/// With SEED=313 and --nocapture that history tells its story, as far as `LOG_LEVEL` says.
 pub fn log_if_chosen(seed: u64) {
     if std::env::var("SEED").is_ok_and(|s| s == seed.to_string()) {
         let level = std::env::var("LOG_LEVEL")
--- a/crates/seamfront-testing/src/simulation/state_service.rs
+++ b/crates/seamfront-testing/src/simulation/state_service.rs
@@ -1,6 +1,9 @@
 //! The way to the state service and back: delays, losses, outages, late transactions, open watches.
 
-use super::{Simulation, CallId, StoreRequest, Command, StoreReply, ms, Event, Micros, LARGE, store, RngExt, Write};
+use super::{
+    ms, store, CallId, Command, Event, Micros, RngExt, Simulation, StoreReply, StoreRequest, Write,
+    LARGE,
+};
 
 impl Simulation {
     pub(super) fn state(
@@ -188,7 +191,7 @@
         match reply {
             Some(reply) if !late => {
                 let reply = self.as_old_version_reads(node, reply);
-                self.tell(node, life, Command::Store { call, reply })
+                self.tell(node, life, Command::Store { call, reply });
             }
             Some(_) => {}
             None => {
@@ -267,7 +270,7 @@
             } {
                 Some(reply) => {
                     let reply = self.as_old_version_reads(node, reply);
-                    self.tell(node, life, Command::Store { call, reply })
+                    self.tell(node, life, Command::Store { call, reply });
                 }
                 None if until + ms(2_000) < self.now => self.tell(
                     node,
--- a/crates/seamfront-testing/src/simulation/users.rs
+++ b/crates/seamfront-testing/src/simulation/users.rs
@@ -1,6 +1,9 @@
 //! Users: what they ask, and the rules on what they are told.
 
-use super::{Simulation, Asked, ClientRequestId, Command, Event, ms, RngExt, Micros, JobId, PollStorm, JobState, Resources, Answer, Worker, Node};
+use super::{
+    ms, Answer, Asked, ClientRequestId, Command, Event, JobId, JobState, Micros, Node, PollStorm,
+    Resources, RngExt, Simulation, Worker,
+};
 
 /// How often a user asks as a rule.
 const USUAL_POLL_MS: i64 = 6_000;
@@ -247,7 +250,7 @@
                 }
             }
             Answer::NotFound | Answer::Rejected(_) if self.accepted.contains(&job) => {
-                bad.push(format!("forgotten: {job}"))
+                bad.push(format!("forgotten: {job}"));
             }
             _ => {}
         }
--- a/crates/seamfront-testing/src/simulation/workers.rs
+++ b/crates/seamfront-testing/src/simulation/workers.rs
@@ -1,8 +1,8 @@
 //! Stand-in for the workers, and the truth about what runs where. The rules are checked here, on
 //! this truth, never on what an engine believes.
 
-use seamfront_core::port::{TaskState, Heartbeat, TaskStatus, Order, Exit};
-use seamfront_core::types::{Micros, Resources, TaskKey, JobId, JobSpec, MachineId, Team, JobKind};
+use seamfront_core::port::{Exit, Heartbeat, Order, TaskState, TaskStatus};
+use seamfront_core::types::{JobId, JobKind, JobSpec, MachineId, Micros, Resources, TaskKey, Team};
 use std::collections::{BTreeMap, BTreeSet};
 
 #[derive(Clone, Debug)]
@@ -314,7 +314,7 @@
             }
             if now - w.lease_from > self.lease {
                 w.incarnation += 1;
-                self.leases_ended += u64::from(w.tasks.values().any(|t| t.on_machine()));
+                self.leases_ended += u64::from(w.tasks.values().any(Task::on_machine));
                 w.tasks.clear();
                 w.lease_from = now;
                 w.in_flight = None;
@@ -351,10 +351,10 @@
                             .insert(k.index);
                     }
                     TaskState::Saving if t.until <= now => {
-                        t.state = TaskState::Exited(Exit::Stopped { saved: true })
+                        t.state = TaskState::Exited(Exit::Stopped { saved: true });
                     }
                     TaskState::Waiting if now - t.waiting_since > self.gang_wait => {
-                        t.state = TaskState::Exited(Exit::Alone)
+                        t.state = TaskState::Exited(Exit::Alone);
                     }
                     _ => {}
                 }
--- a/crates/seamfront-testing/src/store.rs
+++ b/crates/seamfront-testing/src/store.rs
@@ -1,6 +1,6 @@
 //! Stand-in for the state service.
 
-use seamfront_lease::store::{Write, StoreRequest, StoreReply, Entry};
+use seamfront_lease::store::{Entry, StoreReply, StoreRequest, Write};
 use seamfront_lease::time::Micros;
 use serde_json::Value;
 use std::collections::BTreeMap;
--- a/crates/seamfront-testing/src/store_service.rs
+++ b/crates/seamfront-testing/src/store_service.rs
@@ -10,7 +10,7 @@
 use std::time::{Duration, Instant};
 
 /// A watch is answered after so long, whatever it asks for.
-const LONGEST_WATCH: Duration = Duration::from_millis(2_000);
+const LONGEST_WATCH: Duration = Duration::from_secs(2);
 
 fn query(path: &str) -> BTreeMap<&str, &str> {
     let q = path.split_once('?').map_or("", |p| p.1);
@@ -28,6 +28,12 @@
     begin: Instant,
 }
 
+impl Default for StateService {
+    fn default() -> Self {
+        Self::new()
+    }
+}
+
 impl StateService {
     pub fn new() -> StateService {
         StateService {
@@ -80,7 +86,7 @@
 
 fn parse(method: &str, path: &str, body: &Value) -> StoreRequest {
     let q = query(path);
-    let text = |k: &str| q.get(k).map(|s| s.to_string());
+    let text = |k: &str| q.get(k).map(std::string::ToString::to_string);
     let number = |k: &str| q.get(k).and_then(|s| s.parse::<u64>().ok()).unwrap_or(0);
     let bare = path.split('?').next().unwrap_or("");
     let parts: Vec<&str> = bare.trim_start_matches('/').splitn(3, '/').collect();
--- a/crates/seamfront/examples/measure_duties/main.rs
+++ b/crates/seamfront/examples/measure_duties/main.rs
@@ -85,7 +85,7 @@
             // A handover begins when the holder stops; until then it is active. One that is frozen or cut off is not, though
             // its claim is still there.
             Some(now) if now == holder && matches!(fault, HolderFault::Handover) => {
-                since = world.now
+                since = world.now;
             }
             Some(now) if now != holder => return Some(world.now - since),
             _ => {}
--- a/crates/seamfront/src/cloud_client.rs
+++ b/crates/seamfront/src/cloud_client.rs
@@ -176,7 +176,10 @@
                 CloudCall::post("/hosts", &order)
             }
             CloudRequest::Terminate { machines } => {
-                let machines = machines.iter().map(|machine| machine.as_str()).collect();
+                let machines = machines
+                    .iter()
+                    .map(seamfront_core::types::MachineId::as_str)
+                    .collect();
                 CloudCall::post("/hosts/delete", &WireTermination { machines })
             }
             CloudRequest::ListMachines { after } => {
--- a/crates/seamfront/src/http/client.rs
+++ b/crates/seamfront/src/http/client.rs
@@ -14,7 +14,7 @@
 const IDLE_MAX: usize = 6;
 /// How long an idle connection is kept.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(20);
-const CONNECT_TIMEOUT: Duration = Duration::from_millis(1_000);
+const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// How a call failed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
--- a/crates/seamfront/src/peer_transport/mod.rs
+++ b/crates/seamfront/src/peer_transport/mod.rs
@@ -25,7 +25,7 @@
 }
 
 /// How long one step of a delivery may take: to connect, to agree on HTTP/2, to send.
-const STEP_TIMEOUT: Duration = Duration::from_millis(1_000);
+const STEP_TIMEOUT: Duration = Duration::from_secs(1);
 /// Bytes of a message at the most.
 const MESSAGE_MAX: usize = 1 << 20;
 
--- a/crates/seamfront/src/settings/operator_file.rs
+++ b/crates/seamfront/src/settings/operator_file.rs
@@ -10,8 +10,8 @@
 pub(super) fn parse(text: &str) -> Result<Tuning, SettingsError> {
     let file = Ini::load_from_str(text).map_err(SettingsError::MalformedOperatorFile)?;
     let mut tuning = Tuning::default();
-    for (section, properties) in file.iter() {
-        for (key, value) in properties.iter() {
+    for (section, properties) in &file {
+        for (key, value) in properties {
             let setting = Setting {
                 name: format!("{}.{key}", section.unwrap_or("")),
                 value,
--- a/crates/seamfront/tests/duty_freezes.rs
+++ b/crates/seamfront/tests/duty_freezes.rs
@@ -277,7 +277,7 @@
         let mut shared = self
             .0
             .lock()
-            .unwrap_or_else(|poisoned| poisoned.into_inner());
+            .unwrap_or_else(std::sync::PoisonError::into_inner);
         for member in shared.members.values_mut() {
             let _ = member.process.kill();
             let _ = member.process.wait();
--- a/crates/seamfront/tests/forms.rs
+++ b/crates/seamfront/tests/forms.rs
@@ -617,7 +617,7 @@
         r#"[{"name":"g4","size":{"c":48000,"g":4000,"r":384500},"cache_mb":100000,"fetch_mb_s":500,"price":6250,"spot_price":2125,"boot":40500000,"zones":["a","b"]},{"name":"m","size":{"c":8000,"g":0,"r":32000},"cache_mb":0,"fetch_mb_s":0,"price":0,"spot_price":0,"boot":0,"zones":[]}]"#
     );
     for lacking in [
-        r#"{}"#,
+        r"{}",
         r#"{"modelos":[{"cores":8,"ram_gb":32,"pracas":[]}]}"#,
     ] {
         assert_eq!(
--- a/crates/seamfront/tests/parsing.rs
+++ b/crates/seamfront/tests/parsing.rs
@@ -198,7 +198,10 @@
     assert_eq!(parse(json!([])).unwrap().dependencies, []);
     let dependencies = parse(json!(["j-9", "j-8", "j-9"])).unwrap().dependencies;
     assert_eq!(
-        dependencies.iter().map(|n| n.as_str()).collect::<Vec<_>>(),
+        dependencies
+            .iter()
+            .map(seamfront_core::types::JobId::as_str)
+            .collect::<Vec<_>>(),
         ["j-8", "j-9"]
     );
     for bad in [
