--- a/crates/seamfront-core/src/engine/fleet.rs
+++ b/crates/seamfront-core/src/engine/fleet.rs
@@ -62,7 +62,6 @@
             settings: &self.settings,
             now: self.now,
             machines: &self.machines,
-            machine_since: &self.machine_since,
             machine_types: self.machine_types.all(),
             fences,
             permits,
--- a/crates/seamfront-core/src/engine/health.rs
+++ b/crates/seamfront-core/src/engine/health.rs
@@ -7,8 +7,9 @@
 
 /// A store that has not replied for this long is taken for unreachable.
 const STORE_SILENCE: Micros = Micros::from_millis(2_500);
-/// Heartbeat intervals, and a time beyond them, after which silence of all workers is noticed.
+/// Heartbeat intervals after which, with [`HEARTBEAT_GRACE`], silence of all workers is noticed.
 const MISSED_HEARTBEATS: i64 = 3;
+/// Time beyond the missed heartbeats.
 const HEARTBEAT_GRACE: Micros = Micros::from_secs(2);
 /// How long a controller without machines believes itself unreachable.
 const PARTITION_MEMORY: Micros = Micros::from_secs(30);
--- a/crates/seamfront-core/src/engine/machines.rs
+++ b/crates/seamfront-core/src/engine/machines.rs
@@ -1,6 +1,7 @@
 //! Changes of machines, and the heartbeats of their workers.
 
 use super::Engine;
+use crate::known_machine::KnownMachine;
 use crate::machine::MachineRecord;
 use crate::machine_types::MachineTypesEvent;
 use crate::port::{ClientRequestId, Effect, Heartbeat, Order};
@@ -38,19 +39,25 @@
         let machines: Vec<_> = self
             .machines
             .iter()
-            .map(|(id, (record, version))| (id.clone(), record.clone(), *version))
+            .map(|(id, machine)| (id.clone(), machine.clone()))
             .collect();
-        for (id, record, version) in machines {
-            self.machine_changed(id, record, version);
+        for (id, machine) in machines {
+            self.machine_changed(id, machine.record, machine.version);
         }
     }
 
     pub(crate) fn machine_changed(&mut self, id: MachineId, record: MachineRecord, version: u64) {
         let size = self.type_size(&record.kind);
-        let before = self.machines.insert(id.clone(), (record.clone(), version));
-        if before.is_none_or(|b| b.0.shard != record.shard) {
-            self.machine_since.insert(id.clone(), self.now);
-        }
+        let before = self.machines.get(&id);
+        let assigned_at = before
+            .filter(|before| before.record.shard == record.shard)
+            .map_or(self.now, |before| before.assigned_at);
+        let machine = KnownMachine {
+            record: record.clone(),
+            version,
+            assigned_at,
+        };
+        self.machines.insert(id.clone(), machine);
         for shard in 0..self.shards.len() {
             let (id, record) = (id.clone(), record.clone());
             let now = self.now;
@@ -66,7 +73,6 @@
 
     pub(crate) fn machine_vanished(&mut self, id: &MachineId) {
         self.machines.remove(id);
-        self.machine_since.remove(id);
         for shard in 0..self.shards.len() {
             self.with_shard(shard, |s, context| s.machine_deleted(context, id));
         }
@@ -92,7 +98,7 @@
 
     fn answer_heartbeat(&mut self, heartbeat: &Heartbeat) -> HeartbeatAnswer {
         let machine = self.machines.get(&heartbeat.machine);
-        let Some(shard) = machine.and_then(|(record, _)| record.shard) else {
+        let Some(shard) = machine.and_then(|machine| machine.record.shard) else {
             return HeartbeatAnswer::Redirect { member: None };
         };
         if self.shards[shard].is_none() {
--- a/crates/seamfront-core/src/engine/messages.rs
+++ b/crates/seamfront-core/src/engine/messages.rs
@@ -1,5 +1,6 @@
 //! Messages between controllers: those sent periodically, and the dispatch of those received.
 
+use super::peers::Announcement;
 use super::{Engine, LiveJob};
 use crate::port::{Effect, PeerMessage};
 use crate::shard::{Shard, ShardPhase};
@@ -200,7 +201,11 @@
                 claims,
                 pending_writes,
             } => {
-                if self.peers.announced(from, self.now, ready, pending_writes) {
+                let announcement = Announcement {
+                    ready,
+                    pending_writes,
+                };
+                if self.peers.announced(from, self.now, announcement) {
                     self.with_session(|s, context| s.peer_claims(context, from, claims));
                 }
             }
--- a/crates/seamfront-core/src/engine/mod.rs
+++ b/crates/seamfront-core/src/engine/mod.rs
@@ -8,8 +8,8 @@
 use crate::fleet_duties::Duties;
 use crate::format_versions::{FormatRequest, FormatVersions};
 use crate::garbage_collector::GarbageCollector;
+use crate::known_machine::KnownMachine;
 use crate::leader::Leader;
-use crate::machine::MachineRecord;
 use crate::machine_types::{MachineTypes, MachineTypesRequest};
 use crate::outbox::{Outbox, Outgoing};
 use crate::port::{
@@ -64,9 +64,7 @@
     next_call: CallId,
     pub(crate) store: StoreSession,
     pub(crate) jobs: BTreeMap<JobId, LiveJob>,
-    pub(crate) machines: BTreeMap<MachineId, (MachineRecord, u64)>,
-    /// Since when each machine has belonged to its present shard.
-    pub(crate) machine_since: BTreeMap<MachineId, Micros>,
+    pub(crate) machines: BTreeMap<MachineId, KnownMachine>,
     pub(crate) shards: Vec<Option<Shard>>,
     pub(crate) leader: Option<Leader>,
     pub(crate) users: Users,
@@ -95,7 +93,6 @@
             store: StoreSession::new(members),
             jobs: BTreeMap::new(),
             machines: BTreeMap::new(),
-            machine_since: BTreeMap::new(),
             shards: (0..members).map(|_| None).collect(),
             leader: None,
             users: Users::default(),
--- a/crates/seamfront-core/src/engine/peers.rs
+++ b/crates/seamfront-core/src/engine/peers.rs
@@ -17,6 +17,14 @@
     pending_writes: usize,
 }
 
+/// What a controller announces of itself.
+pub(super) struct Announcement {
+    /// Whether it has all that it needs to take requests.
+    pub(super) ready: bool,
+    /// Writes that wait there.
+    pub(super) pending_writes: usize,
+}
+
 impl Peer {
     fn silent(&self, now: Micros) -> bool {
         now - self.last_heard >= SILENCE
@@ -67,17 +75,16 @@
         &mut self,
         member: usize,
         now: Micros,
-        ready: bool,
-        pending_writes: usize,
+        announcement: Announcement,
     ) -> bool {
         let Some(peer) = self.peers.get_mut(member) else {
             return false;
         };
         let gap = now - peer.last_heard > SILENCE;
         peer.last_heard = now;
-        peer.pending_writes = pending_writes;
+        peer.pending_writes = announcement.pending_writes;
         peer.ready_since = match peer.ready_since {
-            _ if !ready => None,
+            _ if !announcement.ready => None,
             Some(since) if !gap => Some(since),
             _ => Some(now),
         };
--- a/crates/seamfront-core/src/engine/session.rs
+++ b/crates/seamfront-core/src/engine/session.rs
@@ -109,10 +109,12 @@
             }
             ClaimId::Shard(index) => {
                 let mut shard = Shard::new(index, token, self.now);
-                for (id, (record, version)) in &self.machines {
+                for (id, machine) in &self.machines {
+                    let record = &machine.record;
                     if record.shard == Some(index) {
                         let size = self.type_size(&record.kind);
-                        shard.add_machine(id.clone(), record.clone(), *version, size, self.now);
+                        let version = machine.version;
+                        shard.add_machine(id.clone(), record.clone(), version, size, self.now);
                     }
                 }
                 self.shards[index] = Some(shard);
@@ -163,13 +165,11 @@
             return;
         };
         for id in shard.placed_elsewhere() {
-            let Some((record, version)) = self.machines.get(&id) else {
+            let machine = self.machines.get(&id);
+            let Some(machine) = machine.filter(|machine| machine.record.shard.is_none()) else {
                 continue;
             };
-            if record.shard.is_some() {
-                continue;
-            }
-            let (record, version) = (record.clone(), *version);
+            let (record, version) = (machine.record.clone(), machine.version);
             let size = self.type_size(&record.kind);
             if let Some(shard) = self.shards[index].as_mut() {
                 shard.add_machine(id, record, version, size, now);
--- a/crates/seamfront-core/src/leader/adoption.rs
+++ b/crates/seamfront-core/src/leader/adoption.rs
@@ -31,9 +31,11 @@
 
 fn machines_by_shard(context: &LeaderContext) -> Vec<MachinesByOffer> {
     let mut by_shard = vec![MachinesByOffer::new(); context.settings.members.len()];
-    for (record, _) in context.machines.values() {
-        if let Some(shard) = record.shard {
-            *by_shard[shard].entry(offer_of(record)).or_default() += 1;
+    for machine in context.machines.values() {
+        if let Some(shard) = machine.record.shard {
+            *by_shard[shard]
+                .entry(offer_of(&machine.record))
+                .or_default() += 1;
         }
     }
     by_shard
@@ -130,7 +132,7 @@
             context
                 .machines
                 .get(id)
-                .is_some_and(|(record, _)| record.shard.is_some())
+                .is_some_and(|machine| machine.record.shard.is_some())
         };
         listed
             .iter()
--- a/crates/seamfront-core/src/leader/assignment.rs
+++ b/crates/seamfront-core/src/leader/assignment.rs
@@ -48,15 +48,15 @@
         let mut writes = Vec::new();
         let mut ids = Vec::new();
         for Assignment { machine, shard } in assignments {
-            let Some((record, version)) = context.machines.get(&machine) else {
+            let Some(known) = context.machines.get(&machine) else {
                 continue;
             };
             let record = MachineRecord {
                 shard,
-                ..record.clone()
+                ..known.record.clone()
             };
             info!(machine = %machine, to = ?shard, "machine assigned");
-            conditions.push((machine_key(&machine), *version));
+            conditions.push((machine_key(&machine), known.version));
             writes.push(machine_write(&machine, &record));
             if shard.is_none() {
                 self.termination.unassigned_by_leader(machine.clone());
--- a/crates/seamfront-core/src/leader/context.rs
+++ b/crates/seamfront-core/src/leader/context.rs
@@ -1,7 +1,7 @@
 //! What the leader sees of its controller in a step.
 
 use crate::fleet_duties::{EffectPermit, Fence, FleetDuty, PerFleetDuty};
-use crate::machine::MachineRecord;
+use crate::known_machine::KnownMachine;
 use crate::types::{MachineId, MachineType, Micros, Resources, Settings};
 use crate::write_pacing::WritePacer;
 use std::collections::BTreeMap;
@@ -12,10 +12,8 @@
     pub(crate) settings: &'a Settings,
     /// The time of the step.
     pub(crate) now: Micros,
-    /// All machine records, with their versions.
-    pub(crate) machines: &'a BTreeMap<MachineId, (MachineRecord, u64)>,
-    /// Since when each machine has been assigned to its shard.
-    pub(crate) machine_since: &'a BTreeMap<MachineId, Micros>,
+    /// All machines in the view of the store.
+    pub(crate) machines: &'a BTreeMap<MachineId, KnownMachine>,
     /// Machine types on offer.
     pub(crate) machine_types: &'a [MachineType],
     /// What each duty's writes are fenced with; None where the duty is not held.
@@ -48,7 +46,7 @@
 
     /// The shard that a machine is assigned to.
     pub(super) fn shard_of(&self, id: &MachineId) -> Option<usize> {
-        self.machines.get(id).and_then(|(record, _)| record.shard)
+        self.machines.get(id)?.record.shard
     }
 
     /// What a machine of this type has in all; nothing for an unknown type.
--- a/crates/seamfront-core/src/leader/planning.rs
+++ b/crates/seamfront-core/src/leader/planning.rs
@@ -43,7 +43,7 @@
             let moved = context
                 .machines
                 .get(id)
-                .is_none_or(|(record, _)| record.shard == Some(draining.shard));
+                .is_none_or(|machine| machine.record.shard == Some(draining.shard));
             context.now - draining.since < DRAIN_TIMEOUT && !moved
         });
     }
@@ -135,7 +135,8 @@
     /// Machines assigned to shards, without those whose assignment is being written.
     fn supply<'s>(&'s self, context: &'s LeaderContext) -> Vec<Supply<'s>> {
         let mut machines = Vec::new();
-        for (id, (record, version)) in context.machines {
+        for (id, machine) in context.machines {
+            let record = &machine.record;
             let Some(shard) = record.shard else { continue };
             if self.writes_in_flight.contains(id) {
                 continue;
@@ -143,15 +144,14 @@
             let view = self
                 .current_view(shard, context.now)
                 .and_then(|view| view.machines.get(id))
-                .filter(|view| view.version == *version);
-            let since = context.machine_since.get(id).copied();
+                .filter(|view| view.version == machine.version);
             machines.push(Supply {
                 id,
                 shard,
                 record,
                 size: context.machine_size(&record.kind),
                 view,
-                age: context.now - since.unwrap_or(context.now),
+                age: context.now - machine.assigned_at,
             });
         }
         machines
--- a/crates/seamfront-core/src/leader/termination.rs
+++ b/crates/seamfront-core/src/leader/termination.rs
@@ -68,12 +68,12 @@
             context
                 .machines
                 .get(id)
-                .is_some_and(|(record, _)| record.shard.is_none())
+                .is_some_and(|machine| machine.record.shard.is_none())
         });
         let unassigned = context
             .machines
             .iter()
-            .filter(|(_, (record, _))| record.shard.is_none())
+            .filter(|(_, machine)| machine.record.shard.is_none())
             .map(|(id, _)| id.clone());
         let (last, mut ids): (Vec<MachineId>, Vec<MachineId>) =
             unassigned.partition(|id| self.unassigned_by_leader.contains(id));
--- a/crates/seamfront-core/src/lib.rs
+++ b/crates/seamfront-core/src/lib.rs
@@ -12,6 +12,7 @@
 pub mod gang;
 mod garbage_collector;
 pub mod job;
+mod known_machine;
 mod leader;
 pub mod machine;
 mod machine_types;
