--- a/crates/seamfront-core/src/capacity/planner.rs
+++ b/crates/seamfront-core/src/capacity/planner.rs
@@ -1,13 +1,14 @@
 //! Serving pending requests in order of priority: from idle machines, from incoming ones, from machines that can be
 //! provisioned, and last from those that work of lower priority uses.
 
+use super::demand::Demand;
 use super::provisioning::PoolSummary;
 use super::{
     hourly_price, is_cheap, ClusterSnapshot, Drain, Move, Plan, ShardRequest, Supply,
     CHEAP_IDLE_FACTOR,
 };
 use crate::port::ResourceRequest;
-use crate::types::{queue_rank, suits, MachineId, MachineType, Micros, Resources};
+use crate::types::{queue_rank, MachineId, Micros, Resources};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// How long ordinary work waits before work of lower priority is preempted in other shards for it.
@@ -40,76 +41,6 @@
     room: Resources,
 }
 
-/// One request, and what may serve it: it may be bound to one zone by now.
-pub(super) struct Demand<'a> {
-    pub(super) shard: usize,
-    pub(super) request: &'a ResourceRequest,
-    zone: Option<&'a str>,
-    /// Tasks that the plan has no room for yet.
-    pub(super) unplaced: u32,
-}
-
-impl<'a> Demand<'a> {
-    /// If nothing can be provisioned any more in the zone that a gang gathers in, another zone must hold all of it.
-    fn new(
-        snapshot: &ClusterSnapshot,
-        ShardRequest { shard, request }: ShardRequest<'a>,
-    ) -> Demand<'a> {
-        let zone = request.zone.as_deref().or(request.reserved_zone.as_deref());
-        if request.zone.is_none() && zone.is_some_and(|z| !snapshot.on_offer(request, z)) {
-            let unplaced = if request.together {
-                request.total
-            } else {
-                request.count
-            };
-            return Demand {
-                shard,
-                request,
-                zone: None,
-                unplaced,
-            };
-        }
-        Demand {
-            shard,
-            request,
-            zone,
-            unplaced: request.count,
-        }
-    }
-
-    /// Whether a machine of this type and zone may run it.
-    pub(super) fn allows(&self, kind: &str, zone: &str, spot: bool) -> bool {
-        (self.request.spot || !spot)
-            && self.zone.is_none_or(|want| want == zone)
-            && self
-                .request
-                .types
-                .as_ref()
-                .is_none_or(|types| types.iter().any(|t| t == kind))
-    }
-
-    fn allows_machine(&self, m: &Supply) -> bool {
-        self.allows(&m.record.kind, &m.record.zone, m.record.spot)
-    }
-
-    /// Whether it may use a machine of that size, by the rules for machine types.
-    pub(super) fn suits(&self, size: Resources, types: &[MachineType]) -> bool {
-        suits(
-            self.request.task,
-            self.request.types.as_deref(),
-            size,
-            types,
-        )
-    }
-
-    /// Places as many unplaced tasks as fit into that room; returns how many.
-    fn take(&mut self, room: Resources) -> i64 {
-        let taken = room.fits(self.request.task).min(i64::from(self.unplaced));
-        self.unplaced -= taken as u32;
-        taken
-    }
-}
-
 /// A plan in the making.
 pub(super) struct Planner<'p, 'a> {
     pub(super) snapshot: &'p ClusterSnapshot<'a>,
@@ -133,18 +64,30 @@
 
 impl<'p, 'a> Planner<'p, 'a> {
     pub(super) fn new(snapshot: &'p ClusterSnapshot<'a>) -> Self {
-        let not_draining = |m: &&Supply| m.up() && !snapshot.draining.contains_key(m.id);
+        let not_draining =
+            |machine: &&Supply| machine.up() && !snapshot.draining.contains_key(machine.id);
         let up: Vec<&Supply> = snapshot.machines.iter().filter(not_draining).collect();
         let mut preemptible: Vec<&Supply> = up
             .iter()
-            .filter(|m| m.view.is_some_and(|v| v.highest_priority.is_some()))
+            .filter(|machine| {
+                machine
+                    .view
+                    .is_some_and(|view| view.highest_priority.is_some())
+            })
             .copied()
             .collect();
-        preemptible.sort_by_key(|m| (m.view.map(|v| v.loss), m.id));
-        let mut idle: Vec<&Supply> = up.into_iter().filter(|m| m.idle().is_some()).collect();
-        idle.sort_by_key(|m| (!m.view.is_some_and(|v| v.released), m.id));
+        preemptible.sort_by_key(|machine| (machine.view.map(|view| view.loss), machine.id));
+        let mut idle: Vec<&Supply> = up
+            .into_iter()
+            .filter(|machine| machine.idle().is_some())
+            .collect();
+        idle.sort_by_key(|machine| (!machine.view.is_some_and(|view| view.released), machine.id));
         let mut unserved_gangs: BTreeMap<usize, u32> = BTreeMap::new();
-        for gang in snapshot.requests.iter().filter(|r| r.request.together) {
+        for gang in snapshot
+            .requests
+            .iter()
+            .filter(|shard_request| shard_request.request.together)
+        {
             *unserved_gangs.entry(gang.shard).or_default() += 1;
         }
         let mut planner = Planner {
@@ -155,7 +98,7 @@
             reserved_for_gang: snapshot
                 .machines
                 .iter()
-                .filter(|m| m.reserved_for_gang())
+                .filter(|machine| machine.reserved_for_gang())
                 .collect(),
             preemptible,
             incoming: Vec::new(),
@@ -167,7 +110,7 @@
         snapshot
             .machines
             .iter()
-            .for_each(|m| planner.count_machine(m));
+            .for_each(|machine| planner.count_machine(machine));
         planner
     }
 
@@ -177,54 +120,62 @@
     }
 
     fn count_provisionings(&mut self) {
-        for r in &self.snapshot.provisionings {
-            let Some(t) = self.snapshot.types.iter().find(|t| t.name == r.kind) else {
+        for record in &self.snapshot.provisionings {
+            let Some(machine_type) = self
+                .snapshot
+                .types
+                .iter()
+                .find(|machine_type| machine_type.name == record.kind)
+            else {
                 continue;
             };
-            for _ in 0..r.count {
-                let (kind, zone) = (r.kind.as_str(), r.zone.as_str());
+            for _ in 0..record.count {
                 self.incoming.push(IncomingMachine {
-                    shard: r.shard,
-                    kind,
-                    zone,
-                    spot: r.spot,
-                    room: t.size,
+                    shard: record.shard,
+                    kind: &record.kind,
+                    zone: &record.zone,
+                    spot: record.spot,
+                    room: machine_type.size,
                 });
             }
         }
     }
 
     /// A machine that is drained for a shard, or that boots and is not late, is incoming there.
-    fn count_machine(&mut self, m: &'p Supply<'a>) {
-        let p = self.snapshot;
-        let r = m.record;
+    fn count_machine(&mut self, machine: &'p Supply<'a>) {
+        let snapshot = self.snapshot;
+        let record = machine.record;
         let incoming = |shard: usize| IncomingMachine {
             shard,
-            kind: r.kind.as_str(),
-            zone: r.zone.as_str(),
-            spot: r.spot,
-            room: m.size,
+            kind: record.kind.as_str(),
+            zone: record.zone.as_str(),
+            spot: record.spot,
+            room: machine.size,
         };
-        if let Some(draining) = p.draining.get(m.id) {
+        if let Some(draining) = snapshot.draining.get(machine.id) {
             self.incoming.push(incoming(draining.shard));
-            if m.view.is_some_and(|v| v.released) {
+            if machine.view.is_some_and(|view| view.released) {
                 self.plan.moves.push(Move {
-                    machine: m.id.clone(),
+                    machine: machine.id.clone(),
                     to: draining.shard,
                 });
             }
             return;
         }
-        let boot = p
+        let boot = snapshot
             .types
             .iter()
-            .find(|t| t.name == r.kind)
-            .map_or(UNLISTED_TYPE_BOOT_TIME, |t| t.boot);
-        let not_up = m.view.is_none_or(|v| !v.up) && !m.bad();
-        if m.view.is_some_and(|v| !v.up) && p.boot_times.presumed_failed(m.id, boot, p.now) {
-            self.plan.terminations.push(m.id.clone());
-        } else if not_up && m.age < p.boot_times.late_after(&r.kind, boot) {
-            self.incoming.push(incoming(m.shard));
+            .find(|machine_type| machine_type.name == record.kind)
+            .map_or(UNLISTED_TYPE_BOOT_TIME, |machine_type| machine_type.boot);
+        let not_up = machine.view.is_none_or(|view| !view.up) && !machine.bad();
+        if machine.view.is_some_and(|view| !view.up)
+            && snapshot
+                .boot_times
+                .presumed_failed(machine.id, boot, snapshot.now)
+        {
+            self.plan.terminations.push(machine.id.clone());
+        } else if not_up && machine.age < snapshot.boot_times.late_after(&record.kind, boot) {
+            self.incoming.push(incoming(machine.shard));
         }
     }
 
@@ -265,14 +216,20 @@
         } else {
             0
         };
-        for m in self
+        for machine in self
             .reserved_for_gang
             .iter()
-            .filter(|m| m.shard == demand.shard)
+            .filter(|machine| machine.shard == demand.shard)
         {
-            if reserved_tasks > 0 && m.size.fits(request.task) > 0 && demand.allows_machine(m) {
-                self.claimed.insert(m.id);
-                let fit = m.size.fits(request.task).min(i64::from(reserved_tasks));
+            if reserved_tasks > 0
+                && machine.size.fits(request.task) > 0
+                && demand.allows_machine(machine)
+            {
+                self.claimed.insert(machine.id);
+                let fit = machine
+                    .size
+                    .fits(request.task)
+                    .min(i64::from(reserved_tasks));
                 reserved_tasks = reserved_tasks.saturating_sub(fit as u32);
             }
         }
@@ -282,35 +239,46 @@
     fn rebalance_idle(&mut self, demand: &mut Demand) {
         let request = demand.request;
         let mut zone_pick: Option<&str> = None;
-        for m in &self.idle {
-            if demand.unplaced == 0 || self.claimed.contains(m.id) || m.shard == demand.shard {
+        for machine in &self.idle {
+            if demand.unplaced == 0
+                || self.claimed.contains(machine.id)
+                || machine.shard == demand.shard
+            {
                 continue;
             }
-            let fits = m.size.fits(request.task) > 0 && demand.suits(m.size, self.snapshot.types);
-            if !fits || !demand.allows_machine(m) {
+            let fits = machine.size.fits(request.task) > 0
+                && demand.suits(machine.size, self.snapshot.types);
+            if !fits || !demand.allows_machine(machine) {
                 continue;
             }
-            if request.one_zone && zone_pick.is_some_and(|z| z != m.record.zone) {
+            if request.one_zone && zone_pick.is_some_and(|zone| zone != machine.record.zone) {
                 continue;
             }
-            zone_pick = Some(&m.record.zone);
-            self.claimed.insert(m.id);
+            zone_pick = Some(&machine.record.zone);
+            self.claimed.insert(machine.id);
             self.plan.moves.push(Move {
-                machine: m.id.clone(),
+                machine: machine.id.clone(),
                 to: demand.shard,
             });
-            demand.take(m.size);
+            demand.take(machine.size);
         }
     }
 
     /// Places tasks on machines that are going to join this shard.
     fn count_incoming(&mut self, demand: &mut Demand) {
         let shard = demand.shard;
-        for c in self.incoming.iter_mut().filter(|c| c.shard == shard) {
-            let suits = demand.suits(c.room, self.snapshot.types);
-            if demand.unplaced > 0 && suits && demand.allows(c.kind, c.zone, c.spot) {
-                let taken = demand.take(c.room);
-                c.room.sub(demand.request.task.times(taken));
+        for incoming in self
+            .incoming
+            .iter_mut()
+            .filter(|incoming| incoming.shard == shard)
+        {
+            let suits = demand.suits(incoming.room, self.snapshot.types);
+            if demand.unplaced > 0
+                && suits
+                && demand.allows(incoming.kind, incoming.zone, incoming.spot)
+            {
+                let taken = demand.take(incoming.room);
+                incoming.room.sub(demand.request.task.times(taken));
             }
         }
     }
@@ -319,53 +287,58 @@
     /// lower priority uses the rest of the machine, nor while such work is preempted for that gang. Unless the gang's
     /// request comes after this one, the machine is the gang's: gangs of several shards would otherwise drain it from
     /// each other without end.
-    fn held_for_earlier(&self, m: &Supply) -> bool {
-        let unserved_gang = self.unserved_gangs.get(&m.shard).is_some_and(|n| *n > 0);
-        self.claimed.contains(m.id) || (m.reserved_for_gang() && !unserved_gang)
+    fn held_for_earlier(&self, machine: &Supply) -> bool {
+        let unserved_gang = self
+            .unserved_gangs
+            .get(&machine.shard)
+            .is_some_and(|gangs| *gangs > 0);
+        self.claimed.contains(machine.id) || (machine.reserved_for_gang() && !unserved_gang)
     }
 
     /// Drains machines of work with lower priority.
     fn drain_preemptible(&mut self, demand: &mut Demand) {
         let request = demand.request;
-        for m in &self.preemptible {
+        for machine in &self.preemptible {
             if demand.unplaced == 0 || self.drained.len() >= MAX_DRAINS {
                 break;
             }
-            let helps = m.shard != demand.shard
-                && m.view
-                    .is_some_and(|v| v.highest_priority.is_some_and(|l| l > request.priority))
-                && m.size.fits(request.task) > 0
-                && demand.allows_machine(m)
-                && demand.suits(m.size, self.snapshot.types);
-            if !helps || self.drained.contains(m.id) || self.held_for_earlier(m) {
+            let helps = machine.shard != demand.shard
+                && machine.view.is_some_and(|view| {
+                    view.highest_priority
+                        .is_some_and(|priority| priority > request.priority)
+                })
+                && machine.size.fits(request.task) > 0
+                && demand.allows_machine(machine)
+                && demand.suits(machine.size, self.snapshot.types);
+            if !helps || self.drained.contains(machine.id) || self.held_for_earlier(machine) {
                 continue;
             }
-            self.drained.insert(m.id);
+            self.drained.insert(machine.id);
             self.plan.drains.push(Drain {
-                machine: m.id.clone(),
+                machine: machine.id.clone(),
                 to: demand.shard,
                 above: request.priority,
             });
-            demand.take(m.size);
+            demand.take(machine.size);
         }
     }
 
     /// Terminates machines that no request has claimed and that have been idle for long.
     pub(super) fn scale_in_idle(&mut self) {
-        let p = self.snapshot;
-        for m in &self.idle {
-            let price = hourly_price(p.types, &m.record.kind, m.record.spot);
-            let factor = if is_cheap(p.types, price) {
+        let snapshot = self.snapshot;
+        for machine in &self.idle {
+            let price = hourly_price(snapshot.types, &machine.record.kind, machine.record.spot);
+            let factor = if is_cheap(snapshot.types, price) {
                 CHEAP_IDLE_FACTOR
             } else {
                 1
             };
-            let keep = p.tuning.idle_keep.times(factor);
-            let spare = m.idle().is_some_and(|idle| idle > keep)
-                && !m.reserved_for_gang()
-                && !self.claimed.contains(m.id);
+            let keep = snapshot.tuning.idle_keep.times(factor);
+            let spare = machine.idle().is_some_and(|idle| idle > keep)
+                && !machine.reserved_for_gang()
+                && !self.claimed.contains(machine.id);
             if spare {
-                self.plan.terminations.push(m.id.clone());
+                self.plan.terminations.push(machine.id.clone());
             }
         }
     }
