--- a/crates/seamfront-core/src/engine/health.rs
+++ b/crates/seamfront-core/src/engine/health.rs
@@ -75,7 +75,7 @@
 
     /// Whether requests are to be sent to this controller. When the store replies to nobody, being taken out helps no
     /// user, who would only wait for the way back: then the controller stays and says so itself. That no controller can
-    /// serve it knows only from peers that it hears; one that reaches neither store nor peers is more likely cut off
+    /// serve it knows only from the announcements of peers; one that reaches neither store nor peers is more likely cut off
     /// alone, and leaves.
     pub(super) fn healthy(&self) -> bool {
         self.ready()
--- a/crates/seamfront-core/src/store_session/claim.rs
+++ b/crates/seamfront-core/src/store_session/claim.rs
@@ -22,7 +22,7 @@
     }
 }
 
-/// Value of a claim's key. The lease tells one incarnation of a member from the next.
+/// Value of a claim's key. The lease distinguishes one incarnation of a member from the next.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ClaimValue {
     /// Name of the member that holds it.
--- a/crates/seamfront-core/src/store_session/mod.rs
+++ b/crates/seamfront-core/src/store_session/mod.rs
@@ -1,8 +1,8 @@
 //! A controller's session with the key-value store: its lease, its views of what is stored, the claims on shards and on
 //! leadership, and the verification that these still stand.
 //!
-//! The session owns its state. In each step it puts its requests into an outbox and tells the engine by
-//! [`SessionEvent`]s, in order, what others must know.
+//! The session owns its state. In each step it puts its requests into an outbox and reports by
+//! [`SessionEvent`]s, in order, what concerns others.
 
 use crate::machine::MachineRecord;
 use crate::outbox::Outbox;
