--- a/crates/seamfront-core/src/engine/messages.rs
+++ b/crates/seamfront-core/src/engine/messages.rs
@@ -1,12 +1,12 @@
 //! Messages between controllers: those sent periodically, and the dispatch of those received.
 
 use super::peers::Announcement;
-use super::{Engine, LiveJob};
-use crate::port::{Effect, PeerMessage};
+use super::Engine;
+use crate::jobs::{EndRecord, JobRegistry};
+use crate::port::{ClaimAnnouncement, Effect, JobProgress, PeerMessage, Progress};
 use crate::shard::{Shard, ShardPhase};
 use crate::store_session::ClaimId;
 use crate::types::{JobId, Micros};
-use crate::user_api::EndRecord;
 use std::collections::BTreeMap;
 use tracing::warn;
 
@@ -19,16 +19,13 @@
 /// Most requests for resources in one update of the leader: a message between controllers has its bound.
 const MAX_RESOURCE_REQUESTS: usize = 1_000;
 
-/// Progress of a job: tasks done and tasks running.
-type TaskCounts = (u32, u32);
-
 /// When the periodic messages are due, and which progress the others know.
 #[derive(Debug, Default)]
 pub(super) struct PeriodicMessages {
     next_announcement: Micros,
     next_leader_update: Micros,
     next_progress: Micros,
-    sent_progress: BTreeMap<JobId, TaskCounts>,
+    sent_progress: BTreeMap<JobId, Progress>,
 }
 
 impl PeriodicMessages {
@@ -53,20 +50,24 @@
     fn changed_progress<'a>(
         &mut self,
         shards: impl Iterator<Item = &'a Shard>,
-        live: &BTreeMap<JobId, LiveJob>,
-    ) -> Vec<(JobId, u32, u32)> {
+        live: &JobRegistry,
+    ) -> Vec<JobProgress> {
         let mut changed = Vec::new();
         for shard in shards {
             for (id, job) in shard.jobs.iter().filter(|(_, job)| job.live()) {
-                let counts = (job.done.count(), job.running());
-                if self.sent_progress.get(id) != Some(&counts) {
-                    changed.push((id.clone(), counts.0, counts.1));
+                let progress = Progress {
+                    done: job.done.count(),
+                    running: job.running(),
+                };
+                if self.sent_progress.get(id) != Some(&progress) {
+                    let id = id.clone();
+                    changed.push(JobProgress { id, progress });
                 }
             }
         }
         self.sent_progress.retain(|id, _| live.contains_key(id));
-        for (id, done, running) in &changed {
-            self.sent_progress.insert(id.clone(), (*done, *running));
+        for job in &changed {
+            self.sent_progress.insert(job.id.clone(), job.progress);
         }
         changed
     }
@@ -110,7 +111,10 @@
         let claims = self
             .store
             .held_claims()
-            .map(|(claim, token)| (claim.to_string(), token))
+            .map(|(claim, token)| ClaimAnnouncement {
+                key: claim.to_string(),
+                version: token,
+            })
             .collect();
         let ready = self.ready() && !self.inbound_partition.detected();
         let pending_writes = self.pending_write_count();
@@ -234,7 +238,11 @@
                 };
                 self.end_confirmed(&job, end);
             }
-            PeerMessage::Progress { jobs } => self.progress_received(jobs),
+            PeerMessage::Progress { jobs } => {
+                for job in jobs {
+                    self.jobs.progress_reported(job);
+                }
+            }
         }
     }
 
@@ -244,12 +252,4 @@
         let claim = self.store.claim(ClaimId::Shard(shard));
         claim.is_some_and(|claim| claim.version == version)
     }
-
-    fn progress_received(&mut self, jobs: Vec<(JobId, u32, u32)>) {
-        for (id, done, running) in jobs {
-            if self.jobs.contains_key(&id) {
-                self.users.progress.insert(id, (done, running));
-            }
-        }
-    }
 }
--- a/crates/seamfront-core/src/engine/pending.rs
+++ b/crates/seamfront-core/src/engine/pending.rs
@@ -1,8 +1,8 @@
 //! What the reply to an outstanding call is for.
 
-use crate::dependencies::DependencyRequest;
 use crate::format_versions::FormatRequest;
 use crate::garbage_collector::CollectionRequest;
+use crate::jobs::DependencyRequest;
 use crate::leader::FencedRequest;
 use crate::machine_types::MachineTypesRequest;
 use crate::port::CallId;
--- a/crates/seamfront-core/src/engine/transactions.rs
+++ b/crates/seamfront-core/src/engine/transactions.rs
@@ -1,12 +1,12 @@
 //! Transactions on behalf of a shard: which writes go together, and what each consists of.
 
+use crate::jobs::{end_conditions, end_writes, EndRecord};
 use crate::machine::machine_key;
 use crate::port::{StoreReply, StoreRequest, Write};
 use crate::record::part_key;
 use crate::shard::{machine_write, work_key, ShardWrite, WriteOutcome};
 use crate::store_session::ClaimId;
 use crate::types::JobId;
-use crate::user_api::{end_conditions, end_writes, EndRecord};
 
 /// Bytes of records in one transaction, well below what the state service takes.
 const TRANSACTION_BYTES: usize = 40_000;
--- a/crates/seamfront-core/src/engine/writes.rs
+++ b/crates/seamfront-core/src/engine/writes.rs
@@ -5,7 +5,6 @@
 use crate::port::{StoreReply, StoreRequest};
 use crate::shard::{Shard, ShardPhase, ShardWrite, WriteOutcome};
 use crate::store_session::ClaimId;
-use crate::user_api::EndRecord;
 
 /// The schedulers' part of what the store takes, in thousandths; the rest is left to users.
 const SCHEDULERS_PART: i64 = 850;
@@ -156,12 +155,7 @@
         for write in shard_writes {
             let outcome = write_outcome(write, &write_key(shard, write), reply);
             if let (ShardWrite::End { job, tasks, .. }, WriteOutcome::Done(_)) = (write, outcome) {
-                let end = EndRecord {
-                    cancelled: false,
-                    tasks: *tasks,
-                };
-                self.users.ended.insert(job, end);
-                self.remove_live_job(job);
+                self.job_completed(job, *tasks);
             }
             self.with_shard(shard, |s, context| s.written(context, write, outcome));
         }
