--- a/crates/seamfront-core/src/engine/messages.rs
+++ b/crates/seamfront-core/src/engine/messages.rs
@@ -1,5 +1,6 @@
 //! Messages between controllers: those sent periodically, and the dispatch of those received.
 
+use super::peers::Announcement;
 use super::Engine;
 use crate::jobs::{EndRecord, JobRegistry};
 use crate::port::{ClaimAnnouncement, Effect, JobProgress, PeerMessage, Progress};
@@ -204,7 +205,11 @@
                 claims,
                 pending_writes,
             } => {
-                if self.peers.announced(from, self.now, ready, pending_writes) {
+                let announcement = Announcement {
+                    ready,
+                    pending_writes,
+                };
+                if self.peers.announced(from, self.now, announcement) {
                     self.with_session(|s, context| s.peer_claims(context, from, claims));
                 }
             }
--- a/crates/seamfront-core/src/engine/mod.rs
+++ b/crates/seamfront-core/src/engine/mod.rs
@@ -8,8 +8,8 @@
 use crate::format_versions::{FormatRequest, FormatVersions};
 use crate::garbage_collector::GarbageCollector;
 use crate::jobs::JobRegistry;
+use crate::known_machine::KnownMachine;
 use crate::leader::Leader;
-use crate::machine::MachineRecord;
 use crate::machine_types::{MachineTypes, MachineTypesRequest};
 use crate::outbox::{Outbox, Outgoing};
 use crate::port::{
@@ -51,9 +51,7 @@
     next_call: CallId,
     pub(crate) store: StoreSession,
     pub(crate) jobs: JobRegistry,
-    pub(crate) machines: BTreeMap<MachineId, (MachineRecord, u64)>,
-    /// Since when each machine has belonged to its present shard.
-    pub(crate) machine_since: BTreeMap<MachineId, Micros>,
+    pub(crate) machines: BTreeMap<MachineId, KnownMachine>,
     pub(crate) shards: Vec<Option<Shard>>,
     pub(crate) leader: Option<Leader>,
     user_api: UserApi,
@@ -81,7 +79,6 @@
             store: StoreSession::new(members),
             jobs: JobRegistry::default(),
             machines: BTreeMap::new(),
-            machine_since: BTreeMap::new(),
             shards: (0..members).map(|_| None).collect(),
             leader: None,
             user_api: UserApi::default(),
--- a/crates/seamfront-core/src/lib.rs
+++ b/crates/seamfront-core/src/lib.rs
@@ -12,6 +12,7 @@
 mod garbage_collector;
 pub mod job;
 mod jobs;
+mod known_machine;
 mod leader;
 pub mod machine;
 mod machine_types;
