--- a/crates/seamfront-core/src/engine/fleet.rs
+++ b/crates/seamfront-core/src/engine/fleet.rs
@@ -20,7 +20,7 @@
         }
         let permits = PerFleetDuty::from_fn(|duty| self.effect_permit(duty));
         self.with_leader(permits, |leader, context, outbox| {
-            leader.tick(context, outbox)
+            leader.tick(context, outbox);
         });
     }
 
@@ -135,13 +135,13 @@
     fn duty_effect(&mut self, effect: DutyEffect) {
         match effect {
             DutyEffect::Store { call, request } => {
-                self.send_to_store(request, Pending::Duty { call })
+                self.send_to_store(request, Pending::Duty { call });
             }
             DutyEffect::Active { duty, .. } => self.duty_begins(&duty),
             DutyEffect::Lost { duty, .. } => self.duty_ends(&duty),
             DutyEffect::Committed { request, outcome } => self.removal_done(request, &outcome),
             DutyEffect::Rejected { request, .. } => {
-                self.removal_done(request, &CommitOutcome::Refused)
+                self.removal_done(request, &CommitOutcome::Refused);
             }
             _ => {}
         }
--- a/crates/seamfront-core/src/engine/health.rs
+++ b/crates/seamfront-core/src/engine/health.rs
@@ -44,7 +44,7 @@
                 self.since = Some(now);
             }
             Some(since) if !silent || (!own_workers && now - since > PARTITION_MEMORY) => {
-                self.since = None
+                self.since = None;
             }
             _ => {}
         }
--- a/crates/seamfront-core/src/engine/mod.rs
+++ b/crates/seamfront-core/src/engine/mod.rs
@@ -110,13 +110,13 @@
     fn dispatch(&mut self, command: Command) {
         match command {
             Command::Submit { to, spec } => {
-                self.with_user_api(|api, context| api.submit(context, to, *spec))
+                self.with_user_api(|api, context| api.submit(context, to, *spec));
             }
             Command::Poll { to, id } => {
-                self.with_user_api(|api, context| api.poll(context, to, id))
+                self.with_user_api(|api, context| api.poll(context, to, id));
             }
             Command::Cancel { to, id } => {
-                self.with_user_api(|api, context| api.cancel(context, to, id))
+                self.with_user_api(|api, context| api.cancel(context, to, id));
             }
             Command::Heartbeat { to, heartbeat } => self.heartbeat(to, &heartbeat),
             Command::DirectResult {
@@ -142,7 +142,7 @@
         };
         if let Some(shard) = self.shards.iter().position(holds_machine) {
             self.with_shard(shard, |s, context| {
-                s.direct_result(context, call, machine, outcome)
+                s.direct_result(context, call, machine, outcome);
             });
         }
     }
--- a/crates/seamfront-core/src/engine/session.rs
+++ b/crates/seamfront-core/src/engine/session.rs
@@ -127,7 +127,7 @@
         match claim {
             // Without a version it rests on duties, not on this claim.
             ClaimId::Leader => {
-                self.leader = self.leader.take().filter(|l| l.claim_version().is_none())
+                self.leader = self.leader.take().filter(|l| l.claim_version().is_none());
             }
             ClaimId::Shard(shard) => self.shards[shard] = None,
         }
--- a/crates/seamfront-core/src/jobs/live.rs
+++ b/crates/seamfront-core/src/jobs/live.rs
@@ -82,9 +82,9 @@
             return own.clone();
         }
         Rc::new(JobSpec {
-            submitted,
-            deadline,
             priority,
+            deadline,
+            submitted,
             ..(**own).clone()
         })
     }
--- a/crates/seamfront-core/src/scheduling/preemption.rs
+++ b/crates/seamfront-core/src/scheduling/preemption.rs
@@ -135,7 +135,7 @@
         match mode {
             EvictionMode::Graceful => self.evict(context, victim, Cause::Preempted),
             EvictionMode::Immediate => {
-                self.evict_with(context, victim, Cause::Preempted, Micros::ZERO)
+                self.evict_with(context, victim, Cause::Preempted, Micros::ZERO);
             }
         }
     }
--- a/crates/seamfront-core/src/shard/heartbeats.rs
+++ b/crates/seamfront-core/src/shard/heartbeats.rs
@@ -91,7 +91,7 @@
             }
             match shown.get(key) {
                 Some(status) if status.attempt == p.attempt => {
-                    self.task_shown(context, &heartbeat.machine, key, status.state)
+                    self.task_shown(context, &heartbeat.machine, key, status.state);
                 }
                 _ if p.phase <= Phase::Recording || !evidence.omissions_count => {}
                 _ => self.task_omitted(context, &heartbeat.machine, key),
--- a/crates/seamfront-core/src/shard/machines.rs
+++ b/crates/seamfront-core/src/shard/machines.rs
@@ -14,35 +14,32 @@
         size: Resources,
         now: Micros,
     ) {
-        match self.machines.get_mut(&id) {
-            Some(m) => {
-                if version > m.version {
-                    m.version = version;
-                    // Kept or given back by the leader, or fenced anew by ourselves.
-                    m.lifecycle.released_since = None;
-                    m.lifecycle.draining_since = None;
-                }
-                // The engine's view may be behind what we wrote ourselves: one that we gave up a moment ago
-                // would be used again.
-                if version >= m.version {
-                    m.record = record;
-                }
-                m.size = size;
+        if let Some(m) = self.machines.get_mut(&id) {
+            if version > m.version {
+                m.version = version;
+                // Kept or given back by the leader, or fenced anew by ourselves.
+                m.lifecycle.released_since = None;
+                m.lifecycle.draining_since = None;
             }
-            None => {
-                let mut m = Machine::new(id.clone(), record, version, size, now);
-                for (job, j) in &self.jobs {
-                    for (i, _) in j.tasks.iter().filter(|(_, p)| p.machine == id) {
-                        m.used.add(j.spec.task_resources);
-                        m.tasks.insert(TaskKey {
-                            job: job.clone(),
-                            index: *i,
-                        });
-                    }
+            // The engine's view may be behind what we wrote ourselves: one that we gave up a moment ago
+            // would be used again.
+            if version >= m.version {
+                m.record = record;
+            }
+            m.size = size;
+        } else {
+            let mut m = Machine::new(id.clone(), record, version, size, now);
+            for (job, j) in &self.jobs {
+                for (i, _) in j.tasks.iter().filter(|(_, p)| p.machine == id) {
+                    m.used.add(j.spec.task_resources);
+                    m.tasks.insert(TaskKey {
+                        job: job.clone(),
+                        index: *i,
+                    });
                 }
-                self.unsent.insert(id.clone());
-                self.machines.insert(id, m);
             }
+            self.unsent.insert(id.clone());
+            self.machines.insert(id, m);
         }
         self.dirty = true;
     }
--- a/crates/seamfront-core/src/shard/task_removal.rs
+++ b/crates/seamfront-core/src/shard/task_removal.rs
@@ -53,7 +53,7 @@
                 }
             }
             Removal::Exited(Exit::Busy | Exit::Unknown) => {
-                self.avoid_after_refusal(context, task, machine)
+                self.avoid_after_refusal(context, task, machine);
             }
             _ => {}
         }
--- a/crates/seamfront-core/src/store_session/claims.rs
+++ b/crates/seamfront-core/src/store_session/claims.rs
@@ -106,7 +106,7 @@
                 NextStep::Wait => {}
                 NextStep::Adopt { version } => self.claim_acquired(context, claim, version),
                 NextStep::Acquire { expected_version } => {
-                    self.acquire(context, claim, lease, expected_version)
+                    self.acquire(context, claim, lease, expected_version);
                 }
             }
         }
--- a/crates/seamfront-core/src/store_session/failover.rs
+++ b/crates/seamfront-core/src/store_session/failover.rs
@@ -50,18 +50,15 @@
 
     /// Takes in a page. True if all has been read.
     fn take_page(&mut self, entries: Vec<Entry>, more: bool) -> bool {
-        match &mut self.parts {
-            Some(parts) => {
-                parts.extend(entries);
-                !more
-            }
-            None => {
-                self.records.extend(entries);
-                if !more {
-                    self.parts = Some(Vec::new());
-                }
-                false
+        if let Some(parts) = &mut self.parts {
+            parts.extend(entries);
+            !more
+        } else {
+            self.records.extend(entries);
+            if !more {
+                self.parts = Some(Vec::new());
             }
+            false
         }
     }
 }
--- a/crates/seamfront-core/src/store_session/mod.rs
+++ b/crates/seamfront-core/src/store_session/mod.rs
@@ -185,17 +185,17 @@
     ) {
         match request {
             SessionRequest::GrantLease | SessionRequest::RenewLease => {
-                self.lease_reply(context, reply)
+                self.lease_reply(context, reply);
             }
             SessionRequest::Watch(topic) => self.watch_reply(context, topic, reply),
             SessionRequest::AcquireClaim { claim, lease } => {
-                self.acquire_reply(context, claim, lease, reply)
+                self.acquire_reply(context, claim, lease, reply);
             }
             SessionRequest::TransferShard { shard, version } => {
-                self.transfer_reply(context, shard, version, &reply)
+                self.transfer_reply(context, shard, version, &reply);
             }
             SessionRequest::Verify { sent, claims } => {
-                self.verify_reply(context, sent, claims, reply)
+                self.verify_reply(context, sent, claims, reply);
             }
             SessionRequest::VerifyView {
                 sent,
@@ -203,10 +203,10 @@
                 revision,
             } => self.verify_view_reply(context, sent, &claims, revision, reply),
             SessionRequest::MachineChanges { shard, token } => {
-                self.machine_changes_reply(context, shard, token, reply)
+                self.machine_changes_reply(context, shard, token, reply);
             }
             SessionRequest::Records { shard, token } => {
-                self.records_reply(context, shard, token, reply)
+                self.records_reply(context, shard, token, reply);
             }
         }
     }
--- a/crates/seamfront-core/src/user_api/cancellation.rs
+++ b/crates/seamfront-core/src/user_api/cancellation.rs
@@ -66,7 +66,7 @@
                 context.answer_end(request, &id, end);
             }
             StoreReply::Conflict { .. } => {
-                self.look_up(context, request, id, LookupPurpose::Status)
+                self.look_up(context, request, id, LookupPurpose::Status);
             }
             _ => context.reject_with_retry_after(request),
         }
--- a/crates/seamfront-core/src/user_api/dependency_check.rs
+++ b/crates/seamfront-core/src/user_api/dependency_check.rs
@@ -158,7 +158,7 @@
                 context.answer(request, answer);
             }
             StoreReply::Conflict { .. } => {
-                self.look_up(context, request, id, LookupPurpose::Status)
+                self.look_up(context, request, id, LookupPurpose::Status);
             }
             _ => context.reject_with_retry_after(request),
         }
--- a/crates/seamfront-core/src/user_api/mod.rs
+++ b/crates/seamfront-core/src/user_api/mod.rs
@@ -201,20 +201,20 @@
                 purpose,
             } => self.look_up_reply(context, request, id, purpose, reply),
             UserRequest::LookUpEnd { request, id } => {
-                self.look_up_end_reply(context, request, &id, reply)
+                self.look_up_end_reply(context, request, &id, reply);
             }
             UserRequest::Cancel { request, id, end } => {
-                self.cancel_reply(context, request, id, end, reply)
+                self.cancel_reply(context, request, id, end, reply);
             }
             UserRequest::CheckDependency { check, record } => {
-                self.check_dependency_reply(context, check, record, reply)
+                self.check_dependency_reply(context, check, record, reply);
             }
             UserRequest::WriteParts { write } => self.parts_written(context, write, &reply),
             UserRequest::SubmitCancelled { submission } => {
-                self.submit_cancelled_reply(context, &submission, &reply)
+                self.submit_cancelled_reply(context, &submission, &reply);
             }
             UserRequest::RefreshView { queries, revision } => {
-                self.view_refreshed(context, queries, revision, false)
+                self.view_refreshed(context, queries, revision, false);
             }
         }
     }
--- a/crates/seamfront-core/src/user_api/status.rs
+++ b/crates/seamfront-core/src/user_api/status.rs
@@ -140,7 +140,7 @@
             match context.jobs.get(&query.id) {
                 Some(job) if job.dependencies.blocked() => blocked.push(query),
                 None if context.jobs.end_of(&query.id).is_none() => {
-                    self.look_up(context, query.request, query.id, LookupPurpose::Status)
+                    self.look_up(context, query.request, query.id, LookupPurpose::Status);
                 }
                 _ => context.answer_live(&query),
             }
--- a/crates/seamfront-core/src/user_api/submission.rs
+++ b/crates/seamfront-core/src/user_api/submission.rs
@@ -196,10 +196,10 @@
         let (request, id) = (submission.request, submission.spec.id.clone());
         match (reply, record) {
             (StoreReply::Entry(_), JobRecordKind::Job) => {
-                self.look_up(context, request, id, LookupPurpose::Status)
+                self.look_up(context, request, id, LookupPurpose::Status);
             }
             (StoreReply::Entry(entry), JobRecordKind::End) => {
-                answer_stored_end(context, request, &id, entry)
+                answer_stored_end(context, request, &id, entry);
             }
             (StoreReply::Missing, JobRecordKind::Job) => {
                 let read = StoreRequest::Get { key: end_key(&id) };
@@ -211,7 +211,7 @@
                 self.send(context, read, pending);
             }
             (StoreReply::Missing, JobRecordKind::End) => {
-                context.answer(request, Answer::Rejected(error))
+                context.answer(request, Answer::Rejected(error));
             }
             _ => context.reject_with_retry_after(request),
         }
--- a/crates/seamfront-core/tests/operational_faults.rs
+++ b/crates/seamfront-core/tests/operational_faults.rs
@@ -311,8 +311,8 @@
 /// controllers that end: what it costs the state service grows with its running tasks and its ranges, not with its size.
 #[test]
 fn a_sweep_of_many_short_tasks_beside_the_others_work() {
-    scenario("on_call.a_sweep_of_many_short_tasks_beside_the_others_work");
     const TASKS: u32 = 4_000;
+    scenario("on_call.a_sweep_of_many_short_tasks_beside_the_others_work");
     for seed in 2_130..2_133 {
         let mut w = Simulation::sized(
             seed,
--- a/crates/seamfront-core/tests/ranges.rs
+++ b/crates/seamfront-core/tests/ranges.rs
@@ -20,5 +20,8 @@
     let spans: Vec<(u32, u32)> =
         serde_json::from_value(serde_json::to_value(&ranges).unwrap()).unwrap();
     assert!(spans.windows(2).all(|w| w[0].1 < w[1].0));
-    assert_eq!(ranges.prefix(), (0..).find(|v| !set.contains(v)).unwrap());
+    assert_eq!(
+        ranges.prefix(),
+        (0..=u32::MAX).find(|v| !set.contains(v)).unwrap()
+    );
 }
--- a/crates/seamfront-lease/tests/histories.rs
+++ b/crates/seamfront-lease/tests/histories.rs
@@ -3,7 +3,7 @@
 use seamfront_lease::port::Command;
 use seamfront_lease::settings::{LeaseSettings, StoreLimits};
 use seamfront_lease::time::Micros;
-use seamfront_testing::member_simulation::{ms, Coverage, Simulation};
+use seamfront_testing::member_simulation::{ms, Coverage, Simulation, Trouble};
 
 const HISTORIES: u64 = 40;
 const TROUBLED: i64 = 240;
@@ -79,7 +79,7 @@
         world.run_for(pause);
         trouble(&mut world);
     }
-    world.trouble = Default::default();
+    world.trouble = Trouble::default();
     for node in &mut world.nodes {
         node.refused = Micros::ZERO;
     }
--- a/crates/seamfront/src/peer_transport/mod.rs
+++ b/crates/seamfront/src/peer_transport/mod.rs
@@ -20,7 +20,7 @@
 /// The service that `build.rs` generates.
 mod wire {
     // Generated code: its style is the generator's, and can't be changed here.
-    #![allow(clippy::all)]
+    #![allow(clippy::all, clippy::pedantic)]
     include!(concat!(env!("OUT_DIR"), "/seamfront.Mesh.rs"));
 }
 
