--- a/crates/seamfront-report/src/lib.rs
+++ b/crates/seamfront-report/src/lib.rs
@@ -1,7 +1,7 @@
 //! Records of measured runs, and reports made of them.
 //!
 //! A run's record is a text file with one JSON object a line: a series of durations as a histogram, or a count at a size.
-//! [`Recorder`] collects and writes one; [`read`] reads it; [`page`] makes one self-contained HTML page of it.
+//! [`Recorder`] collects and writes one; [`read`] reads it; [`page()`] makes one self-contained HTML page of it.
 //!
 //! ```
 //! use seamfront_report::{page, read, Recorder};
