--- a/crates/seamfront-testing/src/simulation/mod.rs
+++ b/crates/seamfront-testing/src/simulation/mod.rs
@@ -7,6 +7,7 @@
 mod network;
 mod old_version;
 pub mod recording;
+mod replay;
 pub mod scenarios;
 mod state_service;
 mod users;
@@ -177,6 +178,7 @@
 pub struct Simulation {
     pub now: Micros,
     seed: u64,
+    _replay_hint: replay::ReplayHint,
     scale: Scale,
     /// What the store was asked in each second: requests, and keys written.
     pub asked_of_store: BTreeMap<i64, (u32, u32)>,
@@ -410,6 +412,7 @@
         let mut w = Simulation {
             now: Micros::ZERO,
             seed,
+            _replay_hint: replay::ReplayHint::new(seed),
             scale,
             asked_of_store: BTreeMap::new(),
             largest: (0, 0),
--- /dev/null
+++ b/crates/seamfront-testing/src/simulation/replay.rs
@@ -0,0 +1,41 @@
+//! What a failed history prints: the one command that plays it again with its log.
+
+/// Prints that command when a test fails while its history is in use.
+pub(super) struct ReplayHint {
+    seed: u64,
+}
+
+impl ReplayHint {
+    pub(super) fn new(seed: u64) -> Self {
+        ReplayHint { seed }
+    }
+
+    fn command(&self) -> String {
+        let program = std::env::current_exe().unwrap_or_default();
+        let program = program
+            .file_stem()
+            .unwrap_or_default()
+            .to_string_lossy()
+            .into_owned();
+        // Cargo adds a hash to the name of the test's file.
+        let target = program
+            .rsplit_once('-')
+            .map_or(program.as_str(), |(target, _)| target);
+        let thread = std::thread::current();
+        // With a single thread tests run on the main one, which has not their name.
+        let test = thread
+            .name()
+            .filter(|name| *name != "main")
+            .unwrap_or_default();
+        let seed = self.seed;
+        format!("SEED={seed} LOG_LEVEL=debug cargo test --workspace --test {target} {test} -- --nocapture")
+    }
+}
+
+impl Drop for ReplayHint {
+    fn drop(&mut self) {
+        if std::thread::panicking() {
+            eprintln!("with its log: {}", self.command());
+        }
+    }
+}
