--- a/crates/seamfront-core/src/engine/fleet.rs
+++ b/crates/seamfront-core/src/engine/fleet.rs
@@ -94,7 +94,7 @@
     }
 
     /// Steps the duties, if they are on.
-    pub(crate) fn duties_tick(&mut self) {
+    pub(super) fn duties_tick(&mut self) {
         if !self.duties.enabled() {
             return;
         }
@@ -122,11 +122,11 @@
         }
     }
 
-    pub(crate) fn duty_reply(&mut self, call: CallId, reply: StoreReply) {
+    pub(super) fn duty_reply(&mut self, call: CallId, reply: StoreReply) {
         self.duty_step(vec![DutyCommand::Store { call, reply }]);
     }
 
-    pub(crate) fn duty_step(&mut self, commands: Vec<DutyCommand>) {
+    pub(super) fn duty_step(&mut self, commands: Vec<DutyCommand>) {
         for effect in self.duties.step(self.now, commands) {
             self.duty_effect(effect);
         }
@@ -247,7 +247,7 @@
     }
 
     /// Members that hold any of the leader's duties.
-    pub(crate) fn fleet_holders(&self) -> Vec<usize> {
+    pub(super) fn fleet_holders(&self) -> Vec<usize> {
         if !self.duties.in_force() {
             let claim = self.store.claim(ClaimId::Leader);
             return claim.map(|claim| claim.member).into_iter().collect();
--- a/crates/seamfront-core/src/engine/jobs.rs
+++ b/crates/seamfront-core/src/engine/jobs.rs
@@ -126,12 +126,12 @@
     }
 
     /// The store has shown a job live at this version.
-    pub(crate) fn job_appeared(&mut self, spec: Rc<JobSpec>, version: u64) {
+    pub(super) fn job_appeared(&mut self, spec: Rc<JobSpec>, version: u64) {
         self.with_jobs(|jobs, context| jobs.appeared(context, spec, version));
     }
 
     /// The view shows a job no longer.
-    pub(crate) fn job_vanished(&mut self, id: &JobId) {
+    pub(super) fn job_vanished(&mut self, id: &JobId) {
         self.with_jobs(|jobs, context| jobs.vanished(context, id));
     }
 
--- a/crates/seamfront-core/src/engine/machines.rs
+++ b/crates/seamfront-core/src/engine/machines.rs
@@ -22,12 +22,12 @@
 
 impl Engine {
     /// The size of machines of a type.
-    pub(crate) fn type_size(&self, kind: &str) -> Resources {
+    pub(super) fn type_size(&self, kind: &str) -> Resources {
         self.machine_types.size_of(kind)
     }
 
     /// Takes in the machine types that the cloud offers.
-    pub(crate) fn types_known(&mut self, types: Vec<MachineType>) {
+    pub(super) fn types_known(&mut self, types: Vec<MachineType>) {
         let event = self.machine_types.update(types);
         self.machine_types_event(event);
     }
@@ -46,7 +46,7 @@
         }
     }
 
-    pub(crate) fn machine_changed(&mut self, id: MachineId, record: MachineRecord, version: u64) {
+    pub(super) fn machine_changed(&mut self, id: MachineId, record: MachineRecord, version: u64) {
         let size = self.type_size(&record.kind);
         let before = self.machines.get(&id);
         let assigned_at = before
@@ -71,7 +71,7 @@
         }
     }
 
-    pub(crate) fn machine_vanished(&mut self, id: &MachineId) {
+    pub(super) fn machine_vanished(&mut self, id: &MachineId) {
         self.machines.remove(id);
         for shard in 0..self.shards.len() {
             self.with_shard(shard, |s, context| s.machine_deleted(context, id));
--- a/crates/seamfront-core/src/engine/messages.rs
+++ b/crates/seamfront-core/src/engine/messages.rs
@@ -182,7 +182,7 @@
     }
 
     /// Gives a message to the holder of a shard, be it this controller.
-    pub(crate) fn notify_holder(&mut self, shard: usize, message: PeerMessage) {
+    pub(super) fn notify_holder(&mut self, shard: usize, message: PeerMessage) {
         let me = self.settings.me;
         if self.shards[shard].is_some() {
             self.peer_message(me, message);
--- a/crates/seamfront-core/src/engine/mod.rs
+++ b/crates/seamfront-core/src/engine/mod.rs
@@ -43,27 +43,27 @@
 
 /// The scheduler of one controller: commands in, effects out.
 pub struct Engine {
-    pub(crate) settings: Rc<Settings>,
-    pub(crate) now: Micros,
-    pub(crate) wall_time: Micros,
-    pub(crate) effects: Vec<Effect>,
+    settings: Rc<Settings>,
+    now: Micros,
+    wall_time: Micros,
+    effects: Vec<Effect>,
     calls: BTreeMap<CallId, Pending>,
     next_call: CallId,
-    pub(crate) store: StoreSession,
-    pub(crate) jobs: JobRegistry,
-    pub(crate) machines: BTreeMap<MachineId, KnownMachine>,
-    pub(crate) shards: Vec<Option<Shard>>,
-    pub(crate) leader: Option<Leader>,
+    store: StoreSession,
+    jobs: JobRegistry,
+    machines: BTreeMap<MachineId, KnownMachine>,
+    shards: Vec<Option<Shard>>,
+    leader: Option<Leader>,
     user_api: UserApi,
     format_versions: FormatVersions,
-    pub(crate) duties: Duties,
-    pub(crate) garbage_collector: GarbageCollector,
-    pub(crate) machine_types: MachineTypes,
+    duties: Duties,
+    garbage_collector: GarbageCollector,
+    machine_types: MachineTypes,
     peers: Peers,
     inbound_partition: InboundPartition,
     periodic_messages: PeriodicMessages,
-    pub(crate) write_pacer: WritePacer,
-    pub(crate) leader_work_done: i64,
+    write_pacer: WritePacer,
+    leader_work_done: i64,
 }
 
 impl Engine {
@@ -183,7 +183,7 @@
     }
 
     /// Calls a shard with its context; None if it is not held here.
-    pub(crate) fn with_shard<R>(
+    fn with_shard<R>(
         &mut self,
         shard: usize,
         call: impl FnOnce(&mut Shard, &mut Context) -> R,
@@ -206,7 +206,7 @@
     }
 
     /// How work records may be laid out now.
-    pub(crate) fn layout(&self) -> Layout {
+    fn layout(&self) -> Layout {
         if self.format_versions.all_read_parts(&self.settings) {
             return Layout::in_parts(self.settings.value_bytes, self.settings.txn_ops);
         }
@@ -272,13 +272,13 @@
     }
 
     /// Sends a request to the store.
-    pub(crate) fn send_to_store(&mut self, request: StoreRequest, pending: impl Into<Pending>) {
+    fn send_to_store(&mut self, request: StoreRequest, pending: impl Into<Pending>) {
         let call = self.register_call(pending.into());
         self.effects.push(Effect::Store { call, request });
     }
 
     /// Sends a request to the cloud, with a time only before it.
-    pub(crate) fn send_to_cloud(
+    fn send_to_cloud(
         &mut self,
         request: CloudRequest,
         until: Option<Micros>,
@@ -292,7 +292,7 @@
         });
     }
 
-    /// Answers a user.
+    /// Hands a reply of the store to the owner of the request.
     fn store_reply(&mut self, call: CallId, reply: StoreReply) {
         let Some(pending) = self.calls.remove(&call) else {
             return;
@@ -318,6 +318,7 @@
         }
     }
 
+    /// Hands a reply of the cloud to the owner of the request.
     fn cloud_reply(&mut self, call: CallId, reply: CloudReply) {
         match self.calls.remove(&call) {
             Some(Pending::Leader(request)) => self.leader_cloud_reply(request, reply),
--- a/crates/seamfront-core/src/engine/session.rs
+++ b/crates/seamfront-core/src/engine/session.rs
@@ -19,21 +19,21 @@
 
 impl Engine {
     /// Whether a claim was verified recently enough to act under it.
-    pub(crate) fn lease_valid(&self, claim: ClaimId) -> bool {
+    pub(super) fn lease_valid(&self, claim: ClaimId) -> bool {
         self.store
             .last_verified(claim)
             .is_some_and(|sent| self.now - sent < self.settings.verification_ttl())
     }
 
     /// Ends acting under a claim at once.
-    pub(crate) fn drop_claim(&mut self, claim: ClaimId, why: &str) {
+    pub(super) fn drop_claim(&mut self, claim: ClaimId, why: &str) {
         if self.store.release(claim, why) {
             self.claim_lost(claim);
         }
     }
 
     /// Takes in the changes of a view that were asked for. True if the reply was usable.
-    pub(crate) fn apply_changes(&mut self, topic: Topic, reply: StoreReply) -> bool {
+    pub(super) fn apply_changes(&mut self, topic: Topic, reply: StoreReply) -> bool {
         self.with_session(|session, context| session.apply_changes(context, topic, reply))
     }
 
--- a/crates/seamfront-core/src/engine/writes.rs
+++ b/crates/seamfront-core/src/engine/writes.rs
@@ -31,7 +31,7 @@
     /// This controller's part of what the store takes, in thousandths of a write a second. It is divided by what waits
     /// where, as the controllers announce it, since one shard may need most of it while others need nothing; a silent
     /// controller keeps the part of the shards that it holds.
-    pub(crate) fn write_rate(&self) -> i64 {
+    pub(super) fn write_rate(&self) -> i64 {
         let members = self.settings.members.len() as i64;
         let total = self.settings.write_rps * SCHEDULERS_PART;
         let demand = self.peers.write_demand(self.now);
--- a/crates/seamfront-core/src/lib.rs
+++ b/crates/seamfront-core/src/lib.rs
@@ -1,5 +1,28 @@
-//! The scheduling core of seamfront: a deterministic engine without input or output, clock or
-//! threads. `docs/design.md` is the map.
+//! The scheduling core of seamfront: a deterministic engine without input or output, clock or threads.
+//!
+//! Commands go in, effects come out, and time is an argument; the same commands at the same times give the same effects.
+//! `docs/architecture.md` names the owners of the engine's state, `docs/design.md` says why it is safe.
+//!
+//! ```
+//! use seamfront_core::port::{Command, Effect};
+//! use seamfront_core::types::{Micros, Settings};
+//! use seamfront_core::Engine;
+//!
+//! /// Drives an engine for half a second of steady time that begins at a time of day.
+//! fn drive(
+//!     settings: Settings,
+//!     time_of_day: Micros,
+//!     mut next_commands: impl FnMut() -> Vec<Command>,
+//!     mut carry_out: impl FnMut(Effect),
+//! ) {
+//!     let mut engine = Engine::new(settings);
+//!     for step in 1..=10 {
+//!         let now = Micros::from_millis(50).times(step);
+//!         let effects = engine.step(now, time_of_day + now, next_commands());
+//!         effects.into_iter().for_each(&mut carry_out);
+//!     }
+//! }
+//! ```
 #![forbid(unsafe_code)]
 #![deny(missing_docs)]
 
