--- a/crates/seamfront-core/src/types/identifiers.rs
+++ b/crates/seamfront-core/src/types/identifiers.rs
@@ -1,27 +1,27 @@
-//! Names of jobs, machines and tasks.
+//! Identifiers of jobs, machines and tasks.
 
 use serde::{Deserialize, Serialize};
 use std::cmp::Ordering;
 use std::fmt;
 use std::sync::Arc;
 
-/// A name's first sixteen bytes, such that they compare like the text itself.
-fn head_of(text: &str) -> u128 {
-    let mut head = [0; 16];
+/// The first sixteen bytes of a text as a big-endian integer, so that the integers compare as the texts do.
+fn sort_prefix(text: &str) -> u128 {
+    let mut prefix = [0; 16];
     let n = text.len().min(16);
-    head[..n].copy_from_slice(&text.as_bytes()[..n]);
-    u128::from_be_bytes(head)
+    prefix[..n].copy_from_slice(&text.as_bytes()[..n]);
+    u128::from_be_bytes(prefix)
 }
 
-// Names are short, and comparing them is the most frequent operation of all: the bytes that decide nearly every
-// comparison are kept beside the pointer to the text.
+// Names are short, and comparing them is the most frequent operation of all. The first bytes, which decide nearly every
+// comparison, are stored inline next to the pointer to the text.
 macro_rules! name_type {
     ($(#[$doc:meta])* $name:ident) => {
         $(#[$doc])*
         #[derive(Clone, Serialize, Deserialize)]
         #[serde(from = "Arc<str>", into = "Arc<str>")]
         pub struct $name {
-            head: u128,
+            prefix: u128,
             text: Arc<str>,
         }
         impl $name {
@@ -32,7 +32,7 @@
         }
         impl From<Arc<str>> for $name {
             fn from(text: Arc<str>) -> Self {
-                $name { head: head_of(&text), text }
+                $name { prefix: sort_prefix(&text), text }
             }
         }
         impl From<$name> for Arc<str> {
@@ -58,8 +58,9 @@
         }
         impl Ord for $name {
             fn cmp(&self, o: &Self) -> Ordering {
-                self.head.cmp(&o.head).then_with(|| match (self.text.len(), o.text.len()) {
-                    // Shorter than the head: a zero byte there can't be told from the end of the text.
+                self.prefix.cmp(&o.prefix).then_with(|| match (self.text.len(), o.text.len()) {
+                    // Both texts lie within the prefix, which is padded with zeros: where the prefixes are equal, the
+                    // texts differ in trailing zero bytes at most.
                     (a, b) if a <= 16 && b <= 16 => a.cmp(&b),
                     _ => self.text.cmp(&o.text),
                 })
@@ -79,11 +80,11 @@
 }
 
 name_type!(
-    /// A job's id as its user chose it.
+    /// Identifier of a job, chosen by its user.
     JobId
 );
 name_type!(
-    /// A machine's name as the cloud gave it.
+    /// Name of a machine, assigned by the cloud.
     MachineId
 );
 
@@ -92,7 +93,7 @@
 pub struct TaskKey {
     /// The job.
     pub job: JobId,
-    /// Number of the task within it.
+    /// Index of the task within the job.
     pub index: u32,
 }
 
--- a/crates/seamfront-core/src/types/job_spec.rs
+++ b/crates/seamfront-core/src/types/job_spec.rs
@@ -1,65 +1,65 @@
-//! What a user submits: a job with its shape, priority and constraints.
+//! Job specifications: what a user submits, with the kind, the priority and the placement constraints of the job.
 
 use super::{suits, JobId, MachineType, Micros, Priority, Resources};
 use serde::{Deserialize, Serialize};
 
-/// Shape of a job.
+/// Kind of a job.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum JobKind {
-    /// Independent tasks, each runs to completion.
+    /// Independent tasks, each of which runs to completion.
     Array,
-    /// All tasks run at the same time or none does.
+    /// Tasks that run all at the same time or not at all.
     Gang,
     /// Replicas that run until the job is cancelled.
     Service,
 }
 
-/// A job as accepted; stored whole in its `job/` record.
+/// A job as it was accepted. This is the value of its `job/<id>` record.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct JobSpec {
-    /// Name, chosen by its user.
+    /// Identifier, chosen by its user.
     pub id: JobId,
-    /// The class that objectives are set for.
+    /// Class of jobs; service-level objectives are set per class.
     pub class: String,
-    /// The team whose limit and guarantee apply.
+    /// The team whose quota (guarantee and limit) applies.
     pub team: String,
-    /// Its shape.
+    /// Kind.
     pub kind: JobKind,
-    /// How important it is.
+    /// Priority.
     pub priority: Priority,
     /// Number of tasks.
     pub tasks: u32,
-    /// Resources that one task needs.
+    /// Resources that each task needs.
     #[serde(rename = "need")]
     pub task_resources: Resources,
-    /// Allowed machine types, or any.
+    /// Allowed machine types; `None` allows all.
     pub types: Option<Vec<String>>,
-    /// The only allowed zone, or any.
+    /// The only allowed zone; `None` allows all.
     pub zone: Option<String>,
     /// Whether all tasks must be in one zone.
     pub one_zone: bool,
-    /// Whether at most half of the tasks may be in one zone.
+    /// Whether at most half of the tasks, rounded up, may be in one zone.
     pub spread: bool,
     /// Whether spot machines may be used.
     pub spot: bool,
-    /// The image that its tasks need.
+    /// Name of the image that its tasks need.
     pub image: String,
     /// Size of the image in MB.
     pub image_mb: i64,
-    /// Its owner's estimate of a task's run time.
+    /// The user's estimate of a task's run time.
     pub estimate: Micros,
-    /// Progress after which a running task saves by itself; none: it never saves.
+    /// Run time after which a running task saves a checkpoint by itself; zero if its tasks save none.
     pub checkpoint: Micros,
-    /// Time a task needs to save when it is stopped.
+    /// Time that a task needs to save a checkpoint when it is stopped.
     pub save: Micros,
-    /// Time from its submission within which it should be complete.
+    /// Time from submission within which it should be complete.
     pub deadline: Option<Micros>,
-    /// Time of day of the first acceptance, so that order and deadlines outlive a controller.
+    /// Wall-clock time at which it was first accepted, so that queue order and deadlines survive a failover.
     pub submitted: Micros,
-    /// Jobs that must be done before any of its tasks starts.
+    /// Jobs that must be done before any of its tasks starts; the first part of the list if it is long.
     #[serde(rename = "needs", default, skip_serializing_if = "Vec::is_empty")]
     pub dependencies: Vec<JobId>,
-    /// How many more parts of that list are stored under keys of their own, written before the job.
+    /// Number of further parts of that list, each stored under a key of its own and written before the job's record.
     #[serde(rename = "needs_parts", default, skip_serializing_if = "is_zero")]
     pub dependency_parts: u32,
 }
@@ -69,7 +69,7 @@
 }
 
 impl JobSpec {
-    /// Most tasks that may be in one zone: of a job that is to be spread (`scatter`), half of them, rounded up.
+    /// Maximum number of tasks in one zone: half of them, rounded up, if the job is to be spread over zones.
     pub fn zone_cap(&self) -> u32 {
         if self.spread {
             self.tasks.div_ceil(2)
@@ -78,13 +78,13 @@
         }
     }
 
-    /// Whether a task may use a machine of this size as far as accelerators go. Machines with accelerators are few and
-    /// cost many times as much: jobs that need none stay off them, unless no other type would do.
+    /// Whether its tasks may use machines of this size, judged by accelerators alone. Machines with accelerators are
+    /// few and cost many times as much, so jobs that need no accelerator use them only if no other type fits.
     pub fn suits(&self, size: Resources, types: &[MachineType]) -> bool {
         suits(self.task_resources, self.types.as_deref(), size, types)
     }
 
-    /// The shortest time in which any machine that may run its tasks fetches the image.
+    /// The time that the fastest machine type which may run its tasks takes to fetch the image.
     pub fn fetch_at_best(&self, types: &[MachineType]) -> Micros {
         let fits =
             |t: &&MachineType| t.size.fits(self.task_resources) > 0 && self.suits(t.size, types);
@@ -99,7 +99,7 @@
         self.checkpoint > Micros::ZERO
     }
 
-    /// Whether a task may run on such a machine.
+    /// Whether its constraints allow a machine of this type, in this zone, spot or not.
     pub fn allows(&self, kind: &str, zone: &str, spot: bool) -> bool {
         (self.spot || !spot)
             && self.zone.as_deref().is_none_or(|z| z == zone)
--- a/crates/seamfront-core/src/types/machine_type.rs
+++ b/crates/seamfront-core/src/types/machine_type.rs
@@ -1,4 +1,4 @@
-//! Machine types on offer, and which jobs may use them.
+//! Machine types on offer, and the rule for which jobs may use types with accelerators.
 
 use super::{Micros, Resources};
 use serde::{Deserialize, Serialize};
@@ -8,24 +8,24 @@
 pub struct MachineType {
     /// Name.
     pub name: String,
-    /// Resources of such a machine.
+    /// All resources of a machine of this type.
     pub size: Resources,
     /// Capacity of the image cache, in MB.
     pub cache_mb: i64,
-    /// Rate of fetching images, in MB a second.
+    /// Rate at which images are fetched, in MB per second.
     pub fetch_mb_s: i64,
-    /// Thousandths of the currency unit per hour.
+    /// Price per hour of a regular machine, in thousandths of the currency unit.
     pub price: i64,
-    /// Price of a spot machine.
+    /// Price per hour of a spot machine, in thousandths of the currency unit.
     pub spot_price: i64,
-    /// Usual boot time.
+    /// Typical boot time.
     pub boot: Micros,
     /// Zones that offer it.
     pub zones: Vec<String>,
 }
 
 impl MachineType {
-    /// Price of an hour, in thousandths of the currency unit.
+    /// Price per hour, in thousandths of the currency unit.
     pub fn hourly_price(&self, spot: bool) -> i64 {
         if spot {
             self.spot_price
@@ -35,18 +35,18 @@
     }
 }
 
-/// Whether tasks of this size may use machines of `size`, as [`JobSpec::suits`](super::JobSpec::suits) decides it.
-/// `allowed` are the job's machine types.
+/// Whether tasks of this size may use machines of `size`, judged by accelerators alone: see
+/// [`JobSpec::suits`](super::JobSpec::suits). `allowed` lists the job's machine types; `None` allows all.
 pub fn suits(
     task_resources: Resources,
     allowed: Option<&[String]>,
     size: Resources,
     types: &[MachineType],
 ) -> bool {
-    let plain = |t: &MachineType| {
+    let suitable_without_accelerators = |t: &MachineType| {
         t.size.gpus == 0
             && t.size.fits(task_resources) > 0
             && allowed.is_none_or(|a| a.contains(&t.name))
     };
-    task_resources.gpus > 0 || size.gpus == 0 || !types.iter().any(plain)
+    task_resources.gpus > 0 || size.gpus == 0 || !types.iter().any(suitable_without_accelerators)
 }
--- a/crates/seamfront-core/src/types/mod.rs
+++ b/crates/seamfront-core/src/types/mod.rs
@@ -1,4 +1,4 @@
-//! Plain values shared by all modules: time, identifiers, resources, job specs, machine types and settings.
+//! Value types shared by all modules: time, identifiers, resources, job specifications, machine types and settings.
 
 mod identifiers;
 mod job_spec;
--- a/crates/seamfront-core/src/types/objective.rs
+++ b/crates/seamfront-core/src/types/objective.rs
@@ -1,11 +1,11 @@
-//! Service-level objectives: within what time jobs should start or finish.
+//! Service-level objectives: the times within which jobs should start or finish.
 
 use super::{JobSpec, Micros, Settings};
 
-/// Every job, the largest too, should have started this long after its submission.
+/// Every job, however large, should have started within this time from its submission.
 pub const START_DEADLINE: Micros = Micros::from_secs(240);
 
-/// What an objective sets a time for.
+/// The event that an objective sets a time for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Milestone {
     /// A task of the job has started.
@@ -14,31 +14,30 @@
     Finished,
 }
 
-/// A service-level objective of a class of jobs: a milestone reached within a time from submission.
+/// A service-level objective of a class of jobs: the time from submission within which a milestone is to be reached.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Objective {
-    /// The class that it is set for.
+    /// The class of jobs that it applies to.
     pub class: String,
-    /// What it sets a time for.
+    /// The milestone that it sets a time for.
     pub milestone: Milestone,
-    /// The time, from submission.
+    /// Time from submission.
     pub within: Micros,
 }
 
 impl Settings {
-    /// Until when a job that was submitted at `submitted` should start, as of `wall_time`: the earliest
-    /// of its deadline and of its class's objectives that can still be met. A job that can meet
-    /// none any more gets none.
+    /// The time by which a job must start to meet its deadline and the objectives of its class, as of `wall_time`: the
+    /// earliest one that has not passed. `None` if the job has no deadline and no objective, or can meet none any more.
     pub fn start_by(&self, spec: &JobSpec, wall_time: Micros) -> Option<Micros> {
-        self.times_to_start(spec).filter(|t| *t > wall_time).min()
+        self.start_deadlines(spec).filter(|t| *t > wall_time).min()
     }
 
-    /// Whether one of the times at which the job should have started has passed.
+    /// Whether the job can no longer start in time for its deadline or for one of the objectives of its class.
     pub fn late(&self, spec: &JobSpec, wall_time: Micros) -> bool {
-        self.times_to_start(spec).any(|t| t <= wall_time)
+        self.start_deadlines(spec).any(|t| t <= wall_time)
     }
 
-    fn times_to_start<'a>(&'a self, spec: &'a JobSpec) -> impl Iterator<Item = Micros> + 'a {
+    fn start_deadlines<'a>(&'a self, spec: &'a JobSpec) -> impl Iterator<Item = Micros> + 'a {
         let of_class = self
             .objectives
             .iter()
--- a/crates/seamfront-core/src/types/priority.rs
+++ b/crates/seamfront-core/src/types/priority.rs
@@ -2,26 +2,30 @@
 
 use serde::{Deserialize, Serialize};
 
-/// How important a job is. Declared from the most to the least important, so that sorting puts the important first.
+/// Priority of a job. Declared from the most to the least important, so that an ascending sort puts the most important
+/// first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum Priority {
-    /// Live services.
+    /// Services that serve live traffic.
     Critical,
-    /// Before ordinary work.
+    /// Work that goes before normal work.
     Urgent,
-    /// Ordinary work.
+    /// Normal work.
     Normal,
-    /// Work that gets the capacity left over.
+    /// Work that uses the capacity that is left over.
     BestEffort,
 }
 
-/// Rank in the scheduling queue: the priority, and within it starving work first (`false` sorts before `true`).
+/// Rank in the scheduling queue: the priority, and within a priority starving jobs first (`false` sorts before `true`).
 ///
-/// Work that has not started at all when two thirds of the time that it may take are over is starving: it ranks with
-/// the next more important priority, and before it, so that nothing waits for ever behind an endless stream of more
-/// important work. Of a job array only one task is raised: when arrays were raised as a whole, those of a long burst
-/// took the capacity of all ordinary work. The rank decides which job is placed next and for whom machines are
-/// reserved, never what may be preempted: there the priority itself counts.
+/// A job is starving if none of its tasks has started when two thirds of
+/// [`START_DEADLINE`](super::START_DEADLINE) have passed, or earlier if its image takes long to fetch. It is then raised
+/// to the next more important priority, though never to `Critical`, and ranks ahead of the jobs there that are not
+/// starving: no job waits for ever behind a continuous stream of more important ones. Of a job array only one task is
+/// raised: when whole arrays were raised, those of a long burst took the capacity of all normal work.
+///
+/// The rank decides which job is placed next and for which job machines are reserved. It does not decide what a job may
+/// preempt: that depends on its own priority.
 pub fn queue_rank(priority: Priority, starving: bool) -> (Priority, bool) {
     let raised = match priority {
         Priority::BestEffort => Priority::Normal,
--- a/crates/seamfront-core/src/types/resources.rs
+++ b/crates/seamfront-core/src/types/resources.rs
@@ -1,8 +1,8 @@
-//! Amounts of resources.
+//! Amounts of CPUs, accelerators and memory.
 
 use serde::{Deserialize, Serialize};
 
-/// Resources that a task needs or a machine has, in thousandths so that sums are exact.
+/// Resources that a task needs or a machine has. They are counted in thousandths, so that sums are exact.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Resources {
     /// Thousandths of a CPU.
@@ -11,13 +11,13 @@
     /// Thousandths of an accelerator.
     #[serde(rename = "g")]
     pub gpus: i64,
-    /// Thousandths of a GB.
+    /// Thousandths of a GB of memory.
     #[serde(rename = "r")]
     pub ram: i64,
 }
 
 impl Resources {
-    /// Rounds up: a task must never be counted smaller than it is.
+    /// Converts what a task needs, rounding up: a task must never be counted smaller than it is.
     pub fn needed(cpus: f64, gpus: f64, ram: f64) -> Resources {
         let up = |x: f64| (x * 1e3 - 1e-6).ceil() as i64;
         Resources {
@@ -27,7 +27,7 @@
         }
     }
 
-    /// Rounds down: a machine or a limit must never be counted larger than it is.
+    /// Converts what a machine or a quota offers, rounding down: neither must ever be counted larger than it is.
     pub fn offered(cpus: f64, gpus: f64, ram: f64) -> Resources {
         let down = |x: f64| (x * 1e3 + 1e-6).floor() as i64;
         Resources {
@@ -37,21 +37,21 @@
         }
     }
 
-    /// Adds.
+    /// Adds `o`.
     pub fn add(&mut self, o: Resources) {
         self.cpus += o.cpus;
         self.gpus += o.gpus;
         self.ram += o.ram;
     }
 
-    /// Subtracts; may go below zero.
+    /// Subtracts `o`; the result may be negative.
     pub fn sub(&mut self, o: Resources) {
         self.cpus -= o.cpus;
         self.gpus -= o.gpus;
         self.ram -= o.ram;
     }
 
-    /// The resources of `n` such tasks.
+    /// The resources of `n` tasks of this size.
     pub fn times(self, n: i64) -> Resources {
         Resources {
             cpus: self.cpus * n,
@@ -60,17 +60,17 @@
         }
     }
 
-    /// How many tasks of size `task` fit into this free capacity.
+    /// How many tasks of size `task` fit into this capacity; `i64::MAX` if they need nothing.
     pub fn fits(self, task: Resources) -> i64 {
-        let part = |have: i64, want: i64| {
-            if want <= 0 {
+        let fitting = |available: i64, needed: i64| {
+            if needed <= 0 {
                 i64::MAX
             } else {
-                have.max(0) / want
+                available.max(0) / needed
             }
         };
-        part(self.cpus, task.cpus)
-            .min(part(self.gpus, task.gpus))
-            .min(part(self.ram, task.ram))
+        fitting(self.cpus, task.cpus)
+            .min(fitting(self.gpus, task.gpus))
+            .min(fitting(self.ram, task.ram))
     }
 }
--- a/crates/seamfront-core/src/types/settings.rs
+++ b/crates/seamfront-core/src/types/settings.rs
@@ -1,67 +1,67 @@
-//! Settings that the engine is started with.
+//! Settings that the engine is started with: those of the platform and those of the operators.
 
 use super::{Micros, Objective, Resources};
 
-/// A team with its guarantee and its limit.
+/// A team with its quota: a guarantee and a limit.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Team {
     /// Name.
     pub name: String,
-    /// Resources that its unfinished jobs are guaranteed.
+    /// Resources guaranteed to its unfinished jobs.
     pub guarantee: Resources,
-    /// Most that its jobs may use; zero in a field means no limit there.
+    /// Maximum resources that its jobs may use; a resource that is zero here is not limited.
     pub limit: Resources,
 }
 
-/// The engine's configuration, from the platform's file and the INI.
+/// The engine's configuration, from the platform's file and the operators' INI file.
 #[derive(Clone, Debug)]
 pub struct Settings {
-    /// All member names in order, this one included.
+    /// Names of all members in order, this controller included.
     pub members: Vec<String>,
     /// Index of this controller in `members`.
     pub me: usize,
     /// All teams.
     pub teams: Vec<Team>,
-    /// Service-level objectives of classes of jobs.
+    /// Service-level objectives of the classes of jobs.
     pub objectives: Vec<Objective>,
-    /// Time between a worker's heartbeats.
+    /// Interval between an agent's heartbeats.
     pub heartbeat_interval: Micros,
-    /// A worker's lease.
+    /// Duration of an agent's lease.
     pub lease: Micros,
-    /// How long a gang's member waits for the others.
+    /// How long a task of a gang waits for the others.
     pub gang_wait: Micros,
-    /// Time in which gang members notice that one is missing.
+    /// Time within which the tasks of a gang notice that one of them is missing.
     pub gang_peer: Micros,
-    /// Time until nothing of a cancelled job may be left.
+    /// Time from a job's cancellation after which none of its tasks may be left on any machine.
     pub cancel: Micros,
-    /// Requests a second that the key-value store takes.
+    /// Requests per second that the key-value store accepts.
     pub state_rps: i64,
-    /// Writes a second that it takes.
+    /// Writes per second that the key-value store accepts.
     pub write_rps: i64,
-    /// Bytes that it takes in a value.
+    /// Maximum size of a value in the key-value store, in bytes.
     pub value_bytes: usize,
-    /// Changes that it takes in a transaction.
+    /// Maximum number of changes in a transaction of the key-value store.
     pub txn_ops: usize,
-    /// Requests a second that the cloud takes.
+    /// Requests per second that the cloud API accepts.
     pub cloud_rps: i64,
-    /// How far the cloud's list lags behind.
+    /// How far the cloud's list of machines may lag behind.
     pub list_lag: Micros,
-    /// Operators' own settings.
+    /// The operators' settings.
     pub tuning: Tuning,
 }
 
-/// The operators' own settings (INI).
+/// The operators' settings, from their INI file.
 #[derive(Clone, Debug)]
 pub struct Tuning {
-    /// Lease of a claim.
+    /// Duration of the lease of a claim.
     pub claim_ttl: Micros,
-    /// Time between moves of machines from one shard to another.
+    /// Minimum interval between requests to shards to release machines.
     pub move_every: Micros,
     /// How long an idle machine is kept.
     pub idle_keep: Micros,
-    /// Attempts after which a gang is parked.
+    /// Attempts of a gang's member after which the gang backs off.
     pub retry_limit: u32,
-    /// Whether duties with leases of their own are on.
+    /// Whether duties with leases of their own are enabled.
     pub duties: bool,
 }
 
@@ -78,27 +78,29 @@
 }
 
 impl Settings {
-    /// How long a holder may act on one verification of its claim (T in docs/design.md): a cancellation that did not
-    /// reach it must still be carried out in time, by expiry of the workers' leases.
+    /// How long a holder may act after one verification of its claim (T in docs/design.md). A cancellation of which the
+    /// holder does not learn must still take effect in time, by the expiry of the agents' leases.
     pub fn verification_ttl(&self) -> Micros {
         let margin = Micros::from_millis(3_500);
         let ttl = self.cancel - self.lease.with_drift() - margin;
         ttl.max(Micros::from_secs(2))
     }
 
-    /// Whether the settings leave enough time for [`Settings::verification_ttl`].
+    /// Whether [`Settings::cancel`] leaves room for the agents' lease, the margin and the minimum of
+    /// [`Settings::verification_ttl`].
     pub fn verification_ttl_fits(&self) -> bool {
         self.cancel - self.lease.with_drift() >= Micros::from_millis(5_500)
     }
 
-    /// Least time between two requests of one controller to the store for the same purpose, so that all controllers
-    /// together take a fifth of the store's rate.
+    /// Minimum interval between two requests of one controller to the store for the same purpose, so that all
+    /// controllers together use a fifth of the store's request rate. It is never longer than 200 ms.
     pub fn ask_every(&self) -> Micros {
         let every = Micros(5_000_000 * self.members.len() as i64 / self.state_rps.max(1));
         every.min(Micros::from_millis(200))
     }
 
-    /// The shard of a team: teams are assigned to shards in turn, the largest first, so that shards are of like size.
+    /// The shard of a team. Teams are assigned to shards in turn, the largest guarantee first, so that shards are of
+    /// similar size.
     pub fn shard_of(&self, team: &str) -> Option<usize> {
         let mut order: Vec<&Team> = self.teams.iter().collect();
         let size = |t: &Team| t.guarantee.cpus + 8 * t.guarantee.gpus;
@@ -109,7 +111,7 @@
             .map(|i| i % self.members.len())
     }
 
-    /// A team by its name.
+    /// The team with this name.
     pub fn team(&self, name: &str) -> Option<&Team> {
         self.teams.iter().find(|t| t.name == name)
     }
