--- a/crates/seamfront-core/src/port/cloud.rs
+++ b/crates/seamfront-core/src/port/cloud.rs
@@ -1,67 +1,67 @@
-//! The cloud: requests and replies.
+//! Requests to the cloud API and its replies.
 
 use crate::types::{MachineId, MachineType, Micros};
 
-/// A request to the cloud.
+/// A request to the cloud API.
 #[derive(Clone, Debug, PartialEq)]
 pub enum CloudRequest {
-    /// Read the machine types and prices.
+    /// Read the machine types on offer and their prices.
     MachineTypes,
-    /// Scale out: create machines. The request is idempotent under its name, which is never used again.
+    /// Provision machines of one offer. The request is idempotent by its name, which is never used for another one.
     Provision {
-        /// Idempotency key of the request.
+        /// Name of the request, its idempotency key.
         name: String,
         /// Machine type.
         kind: String,
         /// Zone.
         zone: String,
-        /// Whether they are to be spot machines.
+        /// Whether to provision spot machines.
         spot: bool,
-        /// How many.
+        /// Number of machines.
         count: u32,
     },
-    /// Scale in: terminate machines.
+    /// Terminate machines.
     Terminate {
         /// Names of the machines.
         machines: Vec<MachineId>,
     },
     /// Read a page of the list of machines.
     ListMachines {
-        /// The last machine of the page before.
+        /// The last machine of the previous page; `None` for the first page.
         after: Option<MachineId>,
     },
 }
 
-/// A reply of the cloud.
+/// A reply of the cloud API.
 #[derive(Clone, Debug)]
 pub enum CloudReply {
-    /// Machine types and prices.
+    /// The machine types on offer and their prices.
     MachineTypes(Vec<MachineType>),
-    /// Machines that were created.
+    /// Names of the provisioned machines, which may be fewer than requested.
     Provisioned(Vec<MachineId>),
-    /// The cloud has no capacity for the offer.
+    /// The cloud has no capacity for the requested offer.
     NoCapacity,
-    /// The machines and all on them no longer exist.
+    /// The machines no longer exist, nor does anything on them.
     Terminated,
     /// A page of the list of machines.
     Page {
         /// The machines, in order.
         machines: Vec<ListedMachine>,
-        /// Whether there are more after the last.
+        /// Whether there are further pages.
         more: bool,
     },
     /// The request failed, or its outcome is unknown.
     Failed,
 }
 
-/// State of a listed machine.
+/// State of a machine in the cloud's list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ListedState {
-    /// Not up yet.
+    /// Booting.
     Starting,
-    /// Up, or was until a moment ago.
+    /// Running, or was until a moment ago: the list lags behind.
     Running,
-    /// Stopped by itself.
+    /// Stopped without having been terminated.
     Failed,
 }
 
@@ -70,7 +70,7 @@
 pub struct ListedMachine {
     /// Name.
     pub id: MachineId,
-    /// Type.
+    /// Machine type.
     pub kind: String,
     /// Zone.
     pub zone: String,
--- a/crates/seamfront-core/src/port/mod.rs
+++ b/crates/seamfront-core/src/port/mod.rs
@@ -1,24 +1,25 @@
-//! Commands to the engine and its effects. Adapters translate these to the wire.
+//! The engine's interface: the commands that it takes and the effects that it returns. Adapters translate between these
+//! and the wire formats.
 
 use crate::types::{JobId, JobSpec, MachineId, Micros};
 
+mod agents;
 mod cloud;
 mod peers;
 mod users;
-mod workers;
 
+pub use agents::{DirectOutcome, Exit, Heartbeat, Order, TaskState, TaskStatus};
 pub use cloud::{CloudReply, CloudRequest, ListedMachine, ListedState};
 pub use peers::{
     ClaimAnnouncement, JobProgress, MachineView, PeerMessage, Progress, ResourceRequest,
 };
 pub use seamfront_lease::store::{Entry, StoreReply, StoreRequest, Write};
 pub use users::{Answer, JobState, SubmissionError};
-pub use workers::{DirectOutcome, Exit, Heartbeat, Order, TaskState, TaskStatus};
 
-/// Identifies a client's request that awaits its answer; only the adapters know the connection behind it.
+/// Identifies a client's request that has not been answered yet. Only the adapters know its connection.
 pub type ClientRequestId = u64;
 
-/// Identifies a call of the engine: to the key-value store, the cloud, or directly to a worker.
+/// Identifies a call made by the engine: to the key-value store, to the cloud API, or directly to an agent.
 pub type CallId = u64;
 
 /// An input of the engine.
@@ -31,7 +32,7 @@
         /// The job.
         spec: Box<JobSpec>,
     },
-    /// A user asks about a job.
+    /// A user asks for the state of a job.
     Poll {
         /// The request.
         to: ClientRequestId,
@@ -45,51 +46,51 @@
         /// The job.
         id: JobId,
     },
-    /// A worker sends a heartbeat with its status.
+    /// An agent sends a heartbeat.
     Heartbeat {
         /// The request.
         to: ClientRequestId,
         /// The heartbeat.
         heartbeat: Box<Heartbeat>,
     },
-    /// The outcome of [`Effect::SendDirect`].
+    /// A call made by [`Effect::SendDirect`] has ended.
     DirectResult {
-        /// The call that it answers.
+        /// The call that has ended.
         call: CallId,
-        /// The machine that the orders were for.
+        /// The machine whose agent the orders were sent to.
         machine: MachineId,
-        /// The outcome.
+        /// Its outcome.
         outcome: DirectOutcome,
     },
     /// The key-value store has replied.
     Store {
-        /// The call that it answers.
+        /// The call that has ended.
         call: CallId,
-        /// The answer.
+        /// The reply.
         reply: StoreReply,
     },
-    /// The cloud has replied.
+    /// The cloud API has replied.
     Cloud {
-        /// The call that it answers.
+        /// The call that has ended.
         call: CallId,
-        /// The answer.
+        /// The reply.
         reply: CloudReply,
     },
     /// Another controller has sent a message.
     Peer {
-        /// Index of the sender.
+        /// Member index of the sender.
         from: usize,
         /// The message.
         message: PeerMessage,
     },
-    /// The load balancer asks whether this controller can take requests.
+    /// The load balancer checks whether this controller can take requests.
     Health {
         /// The request.
         to: ClientRequestId,
     },
 }
 
-/// An output of the engine, for the adapters to carry out.
+/// An output of the engine that the adapters carry out.
 #[derive(Clone, Debug)]
 pub enum Effect {
     /// Answer a user.
@@ -99,63 +100,64 @@
         /// The answer.
         answer: Answer,
     },
-    /// Answer a worker's heartbeat with orders.
+    /// Answer an agent's heartbeat with orders.
     HeartbeatReply {
         /// The request.
         to: ClientRequestId,
-        /// The fencing token that gives the right to command.
+        /// The fencing token under which the orders are given.
         fencing_token: u64,
-        /// The orders, in the order in which they are to be carried out.
+        /// The orders, to be carried out in this sequence.
         orders: Vec<Order>,
     },
-    /// Redirect a worker to the owner of its machine, which is not this controller.
+    /// Redirect an agent to the controller that holds its machine's shard.
     Redirect {
         /// The request.
         to: ClientRequestId,
-        /// Index of the owner, where it is known.
+        /// Member index of that controller; `None` if it is not known.
         member: Option<usize>,
     },
-    /// Answer the load balancer.
+    /// Answer a health check of the load balancer.
     Healthy {
         /// The request.
         to: ClientRequestId,
         /// Whether this controller can take requests.
         yes: bool,
     },
-    /// Send orders directly to a worker.
+    /// Send orders directly to an agent.
     SendDirect {
-        /// The call, for its outcome.
+        /// The call; its outcome comes as [`Command::DirectResult`].
         call: CallId,
         /// The machine.
         machine: MachineId,
-        /// Its worker's address.
+        /// Address of the machine's agent.
         addr: String,
-        /// The worker incarnation that the orders are meant for.
+        /// The incarnation of the agent that the orders are meant for.
         incarnation: u64,
-        /// The fencing token that gives the right to command.
+        /// The fencing token under which the orders are given.
         fencing_token: u64,
-        /// The orders, in the order in which they are to be carried out.
+        /// The orders, to be carried out in this sequence.
         orders: Vec<Order>,
     },
     /// Send a request to the key-value store.
     Store {
-        /// The call, for its answer.
+        /// The call; its reply comes as [`Command::Store`].
         call: CallId,
         /// The request.
         request: StoreRequest,
     },
-    /// Send a request to the cloud.
+    /// Send a request to the cloud API.
     Cloud {
-        /// The call, for its answer.
+        /// The call; its reply comes as [`Command::Cloud`].
         call: CallId,
         /// The request.
         request: CloudRequest,
-        /// It may be sent only before this time, by a clock read just then; else it has failed.
+        /// The adapter reads the clock right before sending. At or after this time it does not send the request but
+        /// reports it as failed. `None` sets no limit.
         until: Option<Micros>,
     },
     /// Send a message to another controller.
     SendToPeer {
-        /// Index of the receiver.
+        /// Member index of the receiver.
         to: usize,
         /// The message.
         message: PeerMessage,
--- a/crates/seamfront-core/src/port/peers.rs
+++ b/crates/seamfront-core/src/port/peers.rs
@@ -3,90 +3,92 @@
 use crate::types::{JobId, MachineId, Micros, Priority, Resources};
 use serde::{Deserialize, Serialize};
 
-/// Resources that a job lacks: its tasks that find no free capacity in the shard, all of one size.
+/// A request for resources that a job lacks: those of its tasks that find no free capacity in their shard, all of one
+/// size.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ResourceRequest {
-    /// The job that waits.
+    /// The waiting job.
     pub job: JobId,
-    /// What one task takes.
+    /// Resources that each task needs.
     pub task: Resources,
-    /// How many tasks find no room.
+    /// Number of tasks without free capacity.
     pub count: u32,
-    /// Tasks of the job in all.
+    /// Total number of the job's tasks.
     pub total: u32,
-    /// All of them at once (gangs), or as machines come.
+    /// Whether all tasks must start together, as in a gang; otherwise each starts as soon as there is a machine for it.
     pub together: bool,
-    /// Whether all must be in one zone.
+    /// Whether all tasks must be in one zone.
     pub one_zone: bool,
-    /// Where places are held for it already, if all must be in one zone.
+    /// The zone in which some of the tasks are already placed or have reserved capacity, if all must be in one zone.
     #[serde(rename = "gathering")]
     pub reserved_zone: Option<String>,
-    /// Whether at most half may be in one zone.
+    /// Whether at most half of the tasks, rounded up, may be in one zone.
     pub spread: bool,
-    /// How important it is.
+    /// Priority.
     pub priority: Priority,
-    /// Whether it lies within its team's guarantee.
+    /// Whether the job is within its team's guarantee.
     pub guaranteed: bool,
-    /// See [`crate::types::queue_rank`].
+    /// Whether the job is starving; see [`crate::types::queue_rank`].
     #[serde(rename = "overdue")]
     pub starving: bool,
-    /// Allowed machine types.
+    /// Allowed machine types; `None` allows all.
     pub types: Option<Vec<String>>,
-    /// The only allowed zone.
+    /// The only allowed zone; `None` allows all.
     pub zone: Option<String>,
     /// Whether spot machines may be used.
     pub spot: bool,
-    /// Size of its image in MB.
+    /// Size of the image in MB.
     pub image_mb: i64,
-    /// Its owner's estimate of a task's run time.
+    /// The user's estimate of a task's run time.
     pub estimate: Micros,
-    /// How long it has waited.
+    /// How long the job has been waiting.
     pub waited: Micros,
-    /// Time left until it must start to be in time, if it still can be.
+    /// Time left until the job must start; see [`Settings::start_by`](crate::types::Settings::start_by).
     pub left: Option<Micros>,
-    /// Whether it is a service.
+    /// Whether the job is a service.
     pub service: bool,
 }
 
-/// A machine as the holder of its shard sees it, sent to the leader. Thousands of these are sent in a second: names are
-/// short on the wire, and default values are left out.
+/// A machine as seen by the holder of its shard, who sends it to the leader. Thousands of these are sent per second, so
+/// their fields have short names on the wire, and default values are omitted.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct MachineView {
     /// Name.
     #[serde(rename = "i")]
     pub id: MachineId,
-    /// Version of its record.
+    /// Version of the machine's record.
     #[serde(rename = "v")]
     pub version: u64,
-    /// Whether its worker's heartbeats arrive and our replies reach it.
+    /// Whether its agent's heartbeats arrive, and the shard holder's replies reach the agent.
     #[serde(rename = "n", default, skip_serializing_if = "is_default")]
     pub up: bool,
-    /// What the tasks placed there take.
+    /// Resources of the tasks placed on it.
     #[serde(rename = "u", default, skip_serializing_if = "is_default")]
     pub used: Resources,
-    /// Of that, by services, which do not end by themselves.
+    /// The part of `used` that belongs to services, which do not end by themselves.
     #[serde(rename = "p", default, skip_serializing_if = "is_default")]
     pub pinned: Resources,
-    /// How long it has been empty with nothing unsettled; only then may the leader ask for its release.
+    /// How long it has had no tasks and nothing unsettled. Only then does its shard release it without a drain.
     #[serde(rename = "e", default, skip_serializing_if = "is_default")]
     pub idle: Option<Micros>,
-    /// A gang has reserved capacity here until all of its tasks are placed, beside less important work or until that is
-    /// preempted: not to be scaled in, though more urgent work elsewhere may get it.
+    /// Whether a gang has reserved capacity on it until all of the gang's tasks are placed; less important work may run
+    /// beside it or until it is preempted. Such a machine is not scaled in, but may go to more urgent work of another
+    /// shard.
     #[serde(rename = "g", default, skip_serializing_if = "is_default")]
     pub reserved_for_gang: bool,
-    /// Whether its shard has released it to the leader.
+    /// Whether its shard has released it for the leader.
     #[serde(rename = "r", default, skip_serializing_if = "is_default")]
     pub released: bool,
-    /// To be replaced: its worker is silent, it fails, or the cloud is about to take it back.
+    /// Whether it is to be replaced: its agent is silent, tasks fail on it, or the cloud is about to preempt it.
     #[serde(rename = "b", default, skip_serializing_if = "is_default")]
     pub bad: bool,
-    /// About to be taken back by the cloud.
+    /// Whether the cloud has given notice that it will preempt the machine.
     #[serde(rename = "t", default, skip_serializing_if = "is_default")]
     pub leaving: bool,
-    /// The most important priority among its tasks, and the work that clearing it would lose.
+    /// The most important priority among its tasks; `None` without tasks.
     #[serde(rename = "l", default, skip_serializing_if = "is_default")]
     pub highest_priority: Option<Priority>,
-    /// Work that would be lost.
+    /// Work that would be lost by evicting all of its tasks.
     #[serde(rename = "w", default, skip_serializing_if = "is_default")]
     pub loss: Micros,
 }
@@ -99,7 +101,7 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(from = "(String, u64)", into = "(String, u64)")]
 pub struct ClaimAnnouncement {
-    /// Key of the claim's record.
+    /// Key of the claim's record in the store.
     pub key: String,
     /// Version of that record.
     pub version: u64,
@@ -117,12 +119,12 @@
     }
 }
 
-/// How many tasks of a job are done and how many run.
+/// Progress of a job.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Progress {
-    /// Tasks that are done.
+    /// Number of tasks that are done.
     pub done: u32,
-    /// Tasks that run.
+    /// Number of running tasks.
     pub running: u32,
 }
 
@@ -151,55 +153,55 @@
     }
 }
 
-/// Between controllers. Nothing here is needed for safety; it saves time.
+/// A message between controllers. Safety never depends on its delivery: messages only save time.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum PeerMessage {
-    /// Sent regularly: the claims that the sender holds, and how many writes are pending there.
+    /// Sent at regular intervals: the claims that the sender holds, and its number of pending writes.
     Alive {
-        /// Whether the sender can take requests and workers reach it.
+        /// Whether the sender can take requests and agents reach it.
         ready: bool,
-        /// The claims that it holds.
+        /// Claims that the sender holds.
         claims: Vec<ClaimAnnouncement>,
-        /// How many writes are pending there.
+        /// Number of the sender's pending writes.
         #[serde(default, rename = "awaited")]
         pending_writes: usize,
     },
-    /// State of a shard, for the leader.
+    /// State of a shard, sent to the leader by the shard's holder.
     #[serde(rename = "Share")]
     Shard {
         /// Number of the shard.
         #[serde(rename = "share")]
         shard: usize,
-        /// Version of its holder's claim.
+        /// Version of the holder's claim on the shard.
         version: u64,
-        /// What jobs there lack.
+        /// Resources that the shard's jobs lack.
         #[serde(rename = "needs")]
         requests: Vec<ResourceRequest>,
-        /// Its machines.
+        /// Machines of the shard.
         machines: Vec<MachineView>,
     },
-    /// The leader asks for idle machines to be released; with `above`, also to be cleared of work
-    /// that is less important.
+    /// The leader asks the holder of a shard to release idle machines; with `above`, also to drain machines of less
+    /// important work.
     Release {
         /// Number of the shard.
         #[serde(rename = "share")]
         shard: usize,
-        /// The machines asked for.
+        /// Machines to release.
         machines: Vec<MachineId>,
-        /// Priority of the work that they are for, where they may be cleared.
+        /// Priority of the work that the machines are for, if they may be drained of work of lower priority.
         above: Option<Priority>,
     },
-    /// To the holder of a job's shard, once its end is recorded, so that it starts nothing until its view shows the end
-    /// a moment later. Nothing depends on its arrival.
+    /// Sent to the holder of a job's shard once the end of the job is recorded, so that the holder starts no task of it
+    /// before its view of the store shows the end a moment later. Nothing depends on the delivery of this message.
     Cancelled {
         /// The job.
         job: JobId,
-        /// How many tasks it has.
+        /// Number of the job's tasks.
         tasks: u32,
     },
-    /// Progress of live jobs, for display.
+    /// Progress of live jobs, shown to users.
     Progress {
-        /// The jobs whose progress has changed.
+        /// Jobs whose progress has changed.
         jobs: Vec<JobProgress>,
     },
 }
--- a/crates/seamfront-core/src/port/users.rs
+++ b/crates/seamfront-core/src/port/users.rs
@@ -1,17 +1,17 @@
-//! Answers to users.
+//! Answers to users' requests.
 
 use crate::types::{JobId, Micros};
 
-/// Why a job can never run.
+/// The reason why a submitted job can never run.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum SubmissionError {
-    /// No such team is in the settings.
+    /// The settings have no such team.
     #[error("equipe: unknown team")]
     UnknownTeam,
-    /// A task is larger than each machine that it may use.
+    /// A task is larger than every machine type that it may use.
     #[error("no allowed machine type fits a task")]
     NoMachineFits,
-    /// One task of an array, or all tasks of another job, exceed the limit.
+    /// One task of a job array, or all tasks together of any other job, exceed the team's limit.
     #[error("the job needs more than its team's limit")]
     OverLimit,
     /// One of its dependencies was never accepted.
@@ -24,24 +24,24 @@
 pub enum Answer {
     /// The state of a job.
     Status {
-        /// Whether it was created for this very request.
+        /// Whether this request created the job.
         created: bool,
         /// The job.
         id: JobId,
         /// Its state.
         state: JobState,
-        /// Tasks that are done.
+        /// Number of tasks that are done.
         done: u32,
-        /// Tasks that run.
+        /// Number of running tasks.
         running: u32,
     },
-    /// There is no such job.
+    /// No such job was accepted.
     NotFound,
-    /// The job can never run.
+    /// The job was rejected, since it can never run.
     Rejected(SubmissionError),
-    /// It can't be known or accepted now.
+    /// The request can't be answered now.
     RetryLater {
-        /// Time after which to retry.
+        /// Delay before the client should retry.
         after: Micros,
     },
 }
@@ -55,6 +55,6 @@
     Running,
     /// All tasks are done.
     Done,
-    /// Cancelled.
+    /// The job was cancelled.
     Cancelled,
 }
