--- a/crates/seamfront-core/src/leader/adoption.rs
+++ b/crates/seamfront-core/src/leader/adoption.rs
@@ -1,4 +1,4 @@
-//! Adoption: machines that the cloud lists and that have no record.
+//! Adoption: writing the records of machines that the cloud lists and that have none.
 
 use super::{Assignment, Leader, LeaderContext, LeaderOutbox, LeaderRequest};
 use crate::capacity::{hourly_price, Offer};
@@ -11,14 +11,14 @@
 use std::collections::{BTreeMap, BTreeSet};
 use tracing::info;
 
-/// A listed machine without a record. The costliest are adopted first.
+/// Orders the machines to be adopted: the most expensive first, since they lose most by waiting.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct AdoptionKey {
     hourly_price: Reverse<i64>,
     id: MachineId,
 }
 
-/// How many machines of each offer a shard has.
+/// Number of a shard's machines by offer.
 type MachinesByOffer = BTreeMap<Offer, usize>;
 
 fn offer_of(record: &MachineRecord) -> Offer {
@@ -41,7 +41,7 @@
     by_shard
 }
 
-/// The shard with the fewest machines of that offer, and of those the one with the fewest machines.
+/// The shard with the fewest machines of this offer and, among equals, with the fewest machines in all.
 fn least_supplied_shard(by_shard: &[MachinesByOffer], offer: &Offer) -> Option<usize> {
     (0..by_shard.len()).min_by_key(|shard| {
         let machines = &by_shard[*shard];
@@ -51,16 +51,16 @@
 }
 
 impl Leader {
-    /// Takes in the cloud's list. Machines on it without a record come from provisioning requests that were applied
-    /// late, or from before the cluster's first start: they go to the shards with the fewest such machines. Those that
-    /// have failed are assigned to no shard, which terminates them.
+    /// Handles the cloud's complete list of machines. Machines without a record come from provisioning requests that
+    /// the cloud carried out late, or from before the cluster's first start: they are assigned to the shards with the
+    /// fewest machines of their offer. Failed machines are assigned to no shard, so that they are terminated.
     pub(super) fn machines_listed(
         &mut self,
         context: &mut LeaderContext,
         outbox: &mut LeaderOutbox,
         listed: &[ListedMachine],
     ) {
-        let adoptions = self.adoptions_of(context, listed);
+        let adoptions = self.plan_adoptions(context, listed);
         let failed = self.failed_machines(context, listed);
         let unassigned = failed
             .into_iter()
@@ -73,7 +73,7 @@
         self.adoptions = adoptions;
     }
 
-    fn adoptions_of(
+    fn plan_adoptions(
         &self,
         context: &LeaderContext,
         listed: &[ListedMachine],
@@ -82,7 +82,7 @@
         let being_recorded = self.machines_being_recorded();
         let mut adoptions = BTreeMap::new();
         for machine in listed {
-            if being_recorded.contains(&machine.id) || !self.adoptable(context, machine) {
+            if being_recorded.contains(&machine.id) || !self.is_adoptable(context, machine) {
                 continue;
             }
             let offer = Offer {
@@ -111,7 +111,7 @@
         adoptions
     }
 
-    /// Machines whose records are in a transaction, or are about to be.
+    /// Machines whose records are being written or are about to be.
     fn machines_being_recorded(&self) -> BTreeSet<&MachineId> {
         self.provisioning
             .provisioned_machines()
@@ -119,13 +119,13 @@
             .collect()
     }
 
-    fn adoptable(&self, context: &LeaderContext, machine: &ListedMachine) -> bool {
+    fn is_adoptable(&self, context: &LeaderContext, machine: &ListedMachine) -> bool {
         !self.termination.is_terminated(&machine.id)
             && !context.machines.contains_key(&machine.id)
             && !self.provisioning.may_have_provisioned(machine, context.now)
     }
 
-    /// Listed machines that have failed and are still assigned to a shard.
+    /// Machines that the cloud lists as failed and that are still assigned to a shard.
     fn failed_machines(&self, context: &LeaderContext, listed: &[ListedMachine]) -> Vec<MachineId> {
         let being_recorded = self.machines_being_recorded();
         let assigned = |id: &MachineId| {
@@ -143,21 +143,23 @@
             .collect()
     }
 
-    /// Gives listed machines their records as fast as the store takes them: after the first start of a large cluster
-    /// all machines are listed at once. The costliest come first, since they lose most by waiting.
+    /// Writes the records of machines to be adopted, at the rate that the store allows: at the first start of a large
+    /// cluster all machines are listed at once.
     pub(super) fn adoption_tick(&mut self, context: &mut LeaderContext, outbox: &mut LeaderOutbox) {
-        let room = context.leader_writes().min(context.settings.txn_ops / 2);
-        if self.adoptions.is_empty() || room == 0 {
+        let max_records = context
+            .available_leader_writes()
+            .min(context.settings.txn_ops / 2);
+        if self.adoptions.is_empty() || max_records == 0 {
             return;
         }
         let mut ids = Vec::new();
         let mut conditions = Vec::new();
         let mut writes = Vec::new();
-        while ids.len() < room {
+        while ids.len() < max_records {
             let Some((AdoptionKey { id, .. }, record)) = self.adoptions.pop_first() else {
                 break;
             };
-            info!(machine = %id, shard = ?record.shard, "adopting a listed machine");
+            info!(machine = %id, shard = ?record.shard, "adopting machine that the cloud lists without a record");
             conditions.push((machine_key(&id), 0));
             writes.push(machine_write(&id, &record));
             ids.push(id);
--- a/crates/seamfront-core/src/leader/assignment.rs
+++ b/crates/seamfront-core/src/leader/assignment.rs
@@ -1,4 +1,4 @@
-//! Assignment of machines to shards, or to none.
+//! Assignment of machines to shards; a machine assigned to no shard is terminated.
 
 use super::{Leader, LeaderContext, LeaderOutbox, LeaderRequest};
 use crate::fleet_duties::FleetDuty;
@@ -7,7 +7,7 @@
 use crate::types::MachineId;
 use tracing::info;
 
-/// A machine and the shard that it is to be assigned to; None terminates it.
+/// A machine and the shard that it is to be assigned to; `None` if it is to be terminated.
 #[derive(Clone, Debug)]
 pub(super) struct Assignment {
     pub(super) machine: MachineId,
@@ -15,9 +15,9 @@
 }
 
 impl Leader {
-    /// Moves machines between shards and unassigns those that are to be terminated. Under the leader's claim all of
-    /// that is one transaction, so a gang gets its machines together. Where duties have claims of their own, each duty
-    /// has a transaction.
+    /// Moves machines between shards and unassigns those that are to be terminated. Under the leader's claim this is
+    /// one transaction, so that a gang gets its machines together. If the duties have claims of their own, each duty
+    /// has a transaction of its own.
     pub(super) fn assign(
         &mut self,
         context: &mut LeaderContext,
@@ -25,16 +25,16 @@
         assignments: Vec<Assignment>,
     ) {
         if self.claim_version.is_some() {
-            return self.assign_under(context, outbox, FleetDuty::Rebalance, assignments);
+            return self.assign_for_duty(context, outbox, FleetDuty::Rebalance, assignments);
         }
         let (moved, unassigned) = assignments
             .into_iter()
             .partition(|assignment| assignment.shard.is_some());
-        self.assign_under(context, outbox, FleetDuty::Rebalance, moved);
-        self.assign_under(context, outbox, FleetDuty::ScaleIn, unassigned);
+        self.assign_for_duty(context, outbox, FleetDuty::Rebalance, moved);
+        self.assign_for_duty(context, outbox, FleetDuty::ScaleIn, unassigned);
     }
 
-    fn assign_under(
+    fn assign_for_duty(
         &mut self,
         context: &mut LeaderContext,
         outbox: &mut LeaderOutbox,
@@ -59,7 +59,7 @@
             conditions.push((machine_key(&machine), known.version));
             writes.push(machine_write(&machine, &record));
             if shard.is_none() {
-                self.termination.unassigned_by_leader(machine.clone());
+                self.termination.mark_unassigned_by_leader(machine.clone());
             }
             ids.push(machine);
         }
--- a/crates/seamfront-core/src/leader/context.rs
+++ b/crates/seamfront-core/src/leader/context.rs
@@ -1,4 +1,4 @@
-//! What the leader sees of its controller in a step.
+//! The state of the controller that the leader uses in a step.
 
 use crate::fleet_duties::{EffectPermit, Fence, FleetDuty, PerFleetDuty};
 use crate::known_machine::KnownMachine;
@@ -6,41 +6,41 @@
 use crate::write_pacing::WritePacer;
 use std::collections::BTreeMap;
 
-/// What the leader sees of its controller in a step.
+/// The state of the controller that the leader uses in a step.
 pub(crate) struct LeaderContext<'a> {
     /// The controller's settings.
     pub(crate) settings: &'a Settings,
     /// The time of the step.
     pub(crate) now: Micros,
-    /// All machines in the view of the store.
+    /// All machines, from the view of the store.
     pub(crate) machines: &'a BTreeMap<MachineId, KnownMachine>,
     /// Machine types on offer.
     pub(crate) machine_types: &'a [MachineType],
-    /// What each duty's writes are fenced with; None where the duty is not held.
+    /// The fence of each duty's writes; `None` if this controller does not hold the duty.
     pub(crate) fences: PerFleetDuty<Option<Fence>>,
-    /// Which duties may act on the outside now; none while replies are taken in.
+    /// Permits of the duties that may act on the cloud now; none while a reply is handled.
     pub(crate) permits: PerFleetDuty<Option<EffectPermit>>,
-    /// Writes that this controller may make a second, in thousandths.
+    /// Rate at which this controller may write, in thousandths of a write per second.
     pub(crate) write_rate: i64,
-    /// Paces the writes of this controller.
+    /// Limits the rate of this controller's writes.
     pub(crate) write_pacer: &'a mut WritePacer,
-    /// Counts the items examined; see [`crate::Engine::work_done`].
+    /// Number of items examined; see [`crate::Engine::work_done`].
     pub(crate) work_done: &'a mut i64,
 }
 
 impl LeaderContext<'_> {
-    /// What a duty's writes are fenced with, if it is held here.
+    /// The fence of a duty's writes, if this controller holds the duty.
     pub(super) fn fence(&self, duty: FleetDuty) -> Option<&Fence> {
         self.fences.get(duty).as_ref()
     }
 
-    /// The permit of a duty's effects, if it may act now.
+    /// The permit of a duty, if it may act now.
     pub(super) fn permit(&self, duty: FleetDuty) -> Option<EffectPermit> {
         *self.permits.get(duty)
     }
 
     /// Whether a duty may act now.
-    pub(super) fn may(&self, duty: FleetDuty) -> bool {
+    pub(super) fn may_act(&self, duty: FleetDuty) -> bool {
         self.permit(duty).is_some()
     }
 
@@ -49,7 +49,7 @@
         self.machines.get(id)?.record.shard
     }
 
-    /// What a machine of this type has in all; nothing for an unknown type.
+    /// All resources of a machine of this type; zero for an unknown type.
     pub(super) fn machine_size(&self, kind: &str) -> Resources {
         self.machine_types
             .iter()
@@ -58,17 +58,18 @@
             .unwrap_or_default()
     }
 
-    /// Writes that the whole controller may make now.
-    pub(super) fn affordable_writes(&self) -> usize {
+    /// Number of writes that the controller may make now.
+    pub(super) fn available_writes(&self) -> usize {
         self.write_pacer.available_writes()
     }
 
-    /// Records that the leader may write now: half of what the controller may, so that shards held here make progress.
-    pub(super) fn leader_writes(&self) -> usize {
+    /// Number of writes that the leader may make now: half of the controller's, so that the shards that this controller
+    /// holds make progress too.
+    pub(super) fn available_leader_writes(&self) -> usize {
         self.write_pacer.available_writes() / 2
     }
 
-    /// Takes writes from the budget.
+    /// Takes `count` writes from the controller's budget.
     pub(super) fn spend_writes(&mut self, count: usize) {
         self.write_pacer.spend(count);
     }
--- a/crates/seamfront-core/src/leader/listing.rs
+++ b/crates/seamfront-core/src/leader/listing.rs
@@ -1,4 +1,4 @@
-//! The cloud's lists of machine types and of machines.
+//! Reading the cloud's lists of machine types and of machines.
 
 use super::{Leader, LeaderContext, LeaderEvent, LeaderOutbox, LeaderRequest};
 use crate::port::{CloudReply, CloudRequest, ListedMachine, Write};
@@ -6,17 +6,17 @@
 
 /// Key of the record of machine types.
 const TYPES_KEY: &str = "types";
-/// Time between two readings of the machine types.
+/// Interval between reads of the machine types.
 const TYPES_INTERVAL: Micros = Micros::from_secs(30);
-/// Shortest time between two readings of the list of machines.
-const LIST_INTERVAL_MIN: Micros = Micros::from_secs(2);
-/// Delay after a request that failed.
+/// Minimum interval between reads of the list of machines.
+const MIN_LIST_INTERVAL: Micros = Micros::from_secs(2);
+/// Delay before a failed read is repeated.
 const RETRY_DELAY: Micros = Micros::from_secs(2);
 
 /// The state of reading the cloud's lists.
 #[derive(Debug)]
 pub(super) struct ListingState {
-    /// Pages of the list of machines read so far.
+    /// The machines on the pages read so far.
     machines: Vec<ListedMachine>,
     list_in_flight: bool,
     next_list_at: Micros,
@@ -35,7 +35,7 @@
         }
     }
 
-    /// Forgets pages read so far; replies to requests sent under another token are not taken any more.
+    /// Discards the pages read so far. Replies to requests sent under another fencing token will be ignored.
     pub(super) fn restart(&mut self) {
         self.machines.clear();
         self.list_in_flight = false;
@@ -44,7 +44,7 @@
 }
 
 impl Leader {
-    /// Asks for the machine types and for the next page of the list of machines when that is due.
+    /// Requests the machine types and the next page of the list of machines when they are due.
     pub(super) fn listing_tick(&mut self, context: &LeaderContext, outbox: &mut LeaderOutbox) {
         let now = context.now;
         if now < self.cloud_backoff_until {
@@ -52,7 +52,7 @@
         }
         if !self.listing.types_in_flight && now >= self.listing.next_types_at {
             self.listing.types_in_flight = true;
-            self.ask_cloud(
+            self.send_to_cloud(
                 context,
                 outbox,
                 CloudRequest::MachineTypes,
@@ -63,11 +63,11 @@
             self.listing.list_in_flight = true;
             let after = self.listing.machines.last().map(|m| m.id.clone());
             let cloud_request = CloudRequest::ListMachines { after };
-            self.ask_cloud(context, outbox, cloud_request, LeaderRequest::ListMachines);
+            self.send_to_cloud(context, outbox, cloud_request, LeaderRequest::ListMachines);
         }
     }
 
-    /// Takes in the cloud's machine types and records them in the store.
+    /// Handles the cloud's machine types and writes them to the store.
     pub(super) fn types_reply(
         &mut self,
         context: &mut LeaderContext,
@@ -90,12 +90,12 @@
             outbox,
             Vec::new(),
             vec![write],
-            LeaderRequest::TypesWritten,
+            LeaderRequest::RecordMachineTypes,
         );
         Some(LeaderEvent::MachineTypesListed(types))
     }
 
-    /// Takes in a page of the list of machines.
+    /// Handles a page of the list of machines.
     pub(super) fn list_reply(
         &mut self,
         context: &mut LeaderContext,
@@ -110,7 +110,7 @@
         };
         self.listing.machines.extend(machines);
         if !more {
-            let interval = context.settings.list_lag.over(3).max(LIST_INTERVAL_MIN);
+            let interval = context.settings.list_lag.over(3).max(MIN_LIST_INTERVAL);
             self.listing.next_list_at = context.now + interval;
             let listed = std::mem::take(&mut self.listing.machines);
             self.machines_listed(context, outbox, &listed);
--- a/crates/seamfront-core/src/leader/mod.rs
+++ b/crates/seamfront-core/src/leader/mod.rs
@@ -1,8 +1,8 @@
 //! The leader: the only controller that acts on the cloud and assigns machines to shards.
 //!
-//! It provisions machines, adopts those that the cloud lists without a record, moves machines between shards and
-//! terminates those that are not needed. Its work rests either on the leader's claim or on the fleet's duties, each with
-//! a fencing token of its own (see [`crate::fleet_duties`]).
+//! It provisions machines, adopts those that the cloud lists and that have no record, moves machines between shards and
+//! terminates those that are not needed. The right to do so comes either from the leader's claim or from the fleet's
+//! duties, each of which has its own fencing token (see [`crate::fleet_duties`]).
 
 use crate::boot_times::BootTimes;
 use crate::fleet_duties::FleetDuty;
@@ -32,37 +32,37 @@
 pub(crate) use requests::{FencedRequest, LeaderEvent, LeaderRequest};
 use termination::TerminationState;
 
-/// What the leader sends out in a step.
+/// The leader's outgoing requests and effects of one step.
 pub(crate) type LeaderOutbox = Outbox<FencedRequest>;
 
-/// Time between two plans.
+/// Interval between capacity plans.
 const PLAN_INTERVAL: Micros = Micros::from_millis(250);
 
-/// What a shard's owner has last reported to the leader.
+/// The latest state of a shard as sent to the leader by the shard's holder.
 #[derive(Clone, Debug)]
 struct ShardView {
     received_at: Micros,
-    /// Resources that pending work needs.
+    /// Resources that the shard's jobs lack.
     requests: Vec<ResourceRequest>,
     /// The shard's machines.
     machines: BTreeMap<MachineId, MachineView>,
 }
 
-/// The state of the leader, or of the fleet's duties that are held here.
+/// The state of the leader, or of those of the fleet's duties that this controller holds.
 pub(crate) struct Leader {
-    /// Version of the leader's claim; None where its work rests on duties, each with a token of its own.
+    /// Version of the leader's claim; `None` if the fleet's duties have claims and tokens of their own.
     claim_version: Option<u64>,
-    /// By shard: what its owner has last reported.
+    /// By shard: its latest state; `None` before the first update.
     views: Vec<Option<ShardView>>,
     listing: ListingState,
     provisioning: ProvisioningState,
     termination: TerminationState,
     rebalancing: RebalanceState,
-    /// Listed machines without a record, with the record that each will get.
+    /// Machines that the cloud lists and that have no record yet, with the record to be written for each.
     adoptions: BTreeMap<AdoptionKey, MachineRecord>,
-    /// Machines whose assignment is being written.
+    /// Machines whose adoption or assignment is being written.
     writes_in_flight: BTreeSet<MachineId>,
-    /// How long machines take until they are up.
+    /// How long machines take to boot.
     boot_times: BootTimes,
     next_plan_at: Micros,
     /// No requests are sent to the cloud before this time.
@@ -70,7 +70,7 @@
 }
 
 impl Leader {
-    /// A leader that has just acquired its claim, or its first duty.
+    /// The state of a leader that has just acquired its claim or its first duty.
     pub(crate) fn new(claim_version: Option<u64>, now: Micros, shards: usize) -> Leader {
         Leader {
             claim_version,
@@ -87,17 +87,18 @@
         }
     }
 
-    /// Version of the leader's claim, if its work rests on that.
+    /// Version of the leader's claim; `None` if the fleet's duties have claims and tokens of their own.
     pub(crate) fn claim_version(&self) -> Option<u64> {
         self.claim_version
     }
 
-    /// A duty begins here under a new token: replies to requests under another one are not taken any more.
+    /// Resets the state of a duty that this controller has acquired under a new fencing token. Replies to requests sent
+    /// under another token are ignored from now on.
     pub(crate) fn duty_begins(&mut self, duty: FleetDuty) {
         self.writes_in_flight.clear();
         match duty {
             FleetDuty::ScaleOut => {
-                // Others may have started and completed provisioning meanwhile.
+                // Other holders may have started or completed provisioning requests in the meantime.
                 self.provisioning.restart();
                 self.adoptions.clear();
                 self.listing.restart();
@@ -107,20 +108,20 @@
         }
     }
 
-    /// Does what is due of the duties that may act now.
+    /// Performs what is due for those duties that may act now.
     pub(crate) fn tick(&mut self, context: &mut LeaderContext, outbox: &mut LeaderOutbox) {
-        let may_scale_out = context.may(FleetDuty::ScaleOut);
-        if !FleetDuty::ALL.iter().any(|duty| context.may(*duty)) {
+        let may_scale_out = context.may_act(FleetDuty::ScaleOut);
+        if !FleetDuty::ALL.iter().any(|duty| context.may_act(*duty)) {
             return;
         }
         if may_scale_out {
-            if !self.former_provisionings_read(context, outbox) {
+            if !self.predecessor_records_read(context, outbox) {
                 return;
             }
             self.listing_tick(context, outbox);
             self.provisioning_tick(context, outbox);
         }
-        if context.may(FleetDuty::ScaleIn) {
+        if context.may_act(FleetDuty::ScaleIn) {
             self.termination_tick(context, outbox);
         }
         if may_scale_out {
@@ -136,21 +137,21 @@
         }
         self.next_plan_at = now + PLAN_INTERVAL;
         self.rebalancing.forget_ended_drains(context);
-        self.termination.forget_old(now);
+        self.termination.forget_old_terminations(now);
         let termination = &self.termination;
         self.boot_times.retain(|id| !termination.is_terminated(id));
         self.execute_plan(context, outbox);
     }
 
-    /// How many machine records wait to be written.
+    /// Number of machine records that are still to be written.
     pub(crate) fn pending_writes(&self) -> usize {
         self.adoptions.len()
             + self.rebalancing.pending_assignments
-            + self.termination.pending
+            + self.termination.pending_count
             + self.provisioning.pending_writes()
     }
 
-    /// Takes in a report of a shard's owner.
+    /// Handles an update from a shard's holder.
     pub(crate) fn shard_updated(
         &mut self,
         now: Micros,
@@ -174,7 +175,7 @@
         });
     }
 
-    /// Sends a transaction that fails if the request's duty is held under another token.
+    /// Sends a transaction to the store that fails if the claim of the request's duty has another fencing token.
     fn commit(
         &self,
         context: &mut LeaderContext,
@@ -195,7 +196,7 @@
         outbox.store(StoreRequest::CompareAndSwap { conditions, writes }, pending);
     }
 
-    /// Sends a request to the store that changes nothing.
+    /// Sends a read request to the store.
     fn read(
         &self,
         context: &LeaderContext,
@@ -213,8 +214,8 @@
         outbox.store(store_request, pending);
     }
 
-    /// Sends a request to the cloud if its duty may act now.
-    fn ask_cloud(
+    /// Sends a request to the cloud API if its duty may act now.
+    fn send_to_cloud(
         &self,
         context: &LeaderContext,
         outbox: &mut LeaderOutbox,
--- a/crates/seamfront-core/src/leader/planning.rs
+++ b/crates/seamfront-core/src/leader/planning.rs
@@ -1,4 +1,4 @@
-//! Making a capacity plan and carrying it out.
+//! Making capacity plans and carrying them out.
 
 use super::{Assignment, Leader, LeaderContext, LeaderOutbox, ShardView};
 use crate::capacity::{
@@ -9,21 +9,21 @@
 use crate::types::{MachineId, Micros};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// What a shard's owner has reported counts for this long.
+/// How long the state sent by a shard's holder counts as current.
 const VIEW_TTL: Micros = Micros::from_secs(4);
-/// A drain that has not ended after this time is given up.
+/// A drain that has not ended after this time is abandoned.
 const DRAIN_TIMEOUT: Micros = Micros::from_secs(20);
-/// A machine is examined about this often while a plan is made.
-const WORK_PER_MACHINE: usize = 4;
+/// Approximate number of times that each machine is examined while a plan is made; counted as work done.
+const EXAMINATIONS_PER_MACHINE: usize = 4;
 
 /// Machines that are being moved between shards.
 #[derive(Debug)]
 pub(super) struct RebalanceState {
     /// Machines that are being drained for another shard.
     pub(super) draining: BTreeMap<MachineId, Draining>,
-    /// When the owners of shards may be asked to release machines again.
+    /// Earliest time of the next requests to shards to release machines.
     next_release_at: Micros,
-    /// Released machines that the last plan assigned to another shard or to none.
+    /// Number of released machines that the last plan assigned to another shard or to none.
     pub(super) pending_assignments: usize,
 }
 
@@ -36,8 +36,8 @@
         }
     }
 
-    /// Forgets drains that have ended: the machine was moved, or its owner refused, or it takes too long. A shard that
-    /// still needs the machine requests it again.
+    /// Forgets drains whose machine has been moved or no longer exists, and drains that take too long, for instance
+    /// because the shard's holder refused. A shard that still needs the machine requests it again.
     pub(super) fn forget_ended_drains(&mut self, context: &LeaderContext) {
         self.draining.retain(|id, draining| {
             let moved = context
@@ -49,25 +49,25 @@
     }
 }
 
-/// A plan, and the machines that their owners had released when it was made.
-struct PlanRound {
+/// A plan, and the machines that their shards had released when it was made.
+struct PlanWithReleases {
     plan: Plan,
     released: BTreeSet<MachineId>,
 }
 
 impl Leader {
-    /// Makes a plan and carries out the parts whose duties may act now.
+    /// Makes a plan and carries out those parts of it whose duties may act now.
     pub(super) fn execute_plan(&mut self, context: &mut LeaderContext, outbox: &mut LeaderOutbox) {
-        let PlanRound { mut plan, released } = self.make_plan(context);
+        let PlanWithReleases { mut plan, released } = self.make_plan(context);
         if !self.all_views_current(context.now) {
-            // A shard whose owner does not report may need machines that seem idle.
+            // A shard without a current view may need machines that seem idle.
             plan.terminations.retain(|id| released.contains(id));
         }
-        if !context.may(FleetDuty::Rebalance) {
+        if !context.may_act(FleetDuty::Rebalance) {
             plan.moves.clear();
             plan.drains.clear();
         }
-        if !context.may(FleetDuty::ScaleIn) {
+        if !context.may_act(FleetDuty::ScaleIn) {
             plan.terminations.clear();
         }
         self.start_provisionings(context, outbox, plan.provisionings);
@@ -77,15 +77,16 @@
         self.request_releases(context, outbox, unreleased);
         self.start_drains(context, outbox, plan.drains);
         self.rebalancing.pending_assignments = assignable.len();
-        // Assignments that the store does not take now are planned again.
-        let room = context.settings.txn_ops.min(context.affordable_writes());
-        assignable.truncate(room);
+        // Assignments beyond this limit are planned again.
+        let max_assignments = context.settings.txn_ops.min(context.available_writes());
+        assignable.truncate(max_assignments);
         self.assign(context, outbox, assignable);
     }
 
-    fn make_plan(&self, context: &mut LeaderContext) -> PlanRound {
+    fn make_plan(&self, context: &mut LeaderContext) -> PlanWithReleases {
         let snapshot = self.snapshot(context);
-        let work_done = snapshot.machines.len() * WORK_PER_MACHINE + snapshot.requests.len();
+        let work_done =
+            snapshot.machines.len() * EXAMINATIONS_PER_MACHINE + snapshot.requests.len();
         let plan = capacity::plan(&snapshot);
         let released = snapshot
             .machines
@@ -94,7 +95,7 @@
             .map(|machine| machine.id.clone())
             .collect();
         *context.work_done += work_done as i64;
-        PlanRound { plan, released }
+        PlanWithReleases { plan, released }
     }
 
     fn snapshot<'s>(&'s self, context: &'s LeaderContext) -> ClusterSnapshot<'s> {
@@ -111,7 +112,7 @@
         }
     }
 
-    /// What a shard's owner has reported, unless that is too old.
+    /// The latest state of a shard, unless it is too old.
     fn current_view(&self, shard: usize, now: Micros) -> Option<&ShardView> {
         let view = self.views.get(shard)?.as_ref()?;
         (now - view.received_at < VIEW_TTL).then_some(view)
@@ -132,7 +133,7 @@
         requests
     }
 
-    /// Machines assigned to shards, without those whose assignment is being written.
+    /// Machines assigned to shards, except those whose assignment is being written.
     fn supply<'s>(&'s self, context: &'s LeaderContext) -> Vec<Supply<'s>> {
         let mut machines = Vec::new();
         for (id, machine) in context.machines {
@@ -164,7 +165,7 @@
         records: Vec<ProvisioningRecord>,
     ) {
         let at_limit = self.provisioning.at_limit();
-        if !context.may(FleetDuty::ScaleOut) || at_limit || context.machine_types.is_empty() {
+        if !context.may_act(FleetDuty::ScaleOut) || at_limit || context.machine_types.is_empty() {
             return;
         }
         for record in records {
@@ -172,7 +173,7 @@
         }
     }
 
-    /// Asks the owners of shards to release machines.
+    /// Asks the holders of shards to release machines.
     fn request_releases(
         &mut self,
         context: &LeaderContext,
@@ -201,7 +202,7 @@
         }
     }
 
-    /// Asks the owners of shards to release machines that run work of lower priority.
+    /// Asks the holders of shards to release machines after draining them of work of lower priority.
     fn start_drains(
         &mut self,
         context: &LeaderContext,
@@ -229,7 +230,7 @@
     }
 }
 
-/// The assignments that a plan's moves and terminations amount to, in that order.
+/// The assignments for a plan's moves and terminations, in that order.
 fn assignments(moves: Vec<Move>, terminations: Vec<MachineId>) -> impl Iterator<Item = Assignment> {
     let moves = moves.into_iter().map(|planned| Assignment {
         machine: planned.machine,
--- a/crates/seamfront-core/src/leader/provisioning.rs
+++ b/crates/seamfront-core/src/leader/provisioning.rs
@@ -1,6 +1,6 @@
-//! Provisioning, from the plan to the records of the provisioned machines.
+//! Provisioning, from the request in the plan to the records of the provisioned machines.
 
-use super::provisioning_state::{FormerRecords, Provisioning, ProvisioningStep};
+use super::provisioning_state::{PredecessorRecords, Provisioning, ProvisioningStep};
 use super::{Leader, LeaderContext, LeaderOutbox, LeaderRequest};
 use crate::capacity::{Offer, ProvisioningRecord};
 use crate::fleet_duties::FleetDuty;
@@ -12,13 +12,13 @@
 
 /// Prefix of the keys of provisioning records.
 const RECORD_PREFIX: &str = "rent/";
-/// Time between two provisioning requests to the cloud.
+/// Minimum interval between provisioning requests to the cloud.
 const REQUEST_INTERVAL: Micros = Micros::from_millis(250);
-/// Delay before a request is repeated whose outcome is unknown.
+/// Delay before a request whose outcome is unknown is repeated.
 const REQUEST_RETRY_DELAY: Micros = Micros::from_secs(1);
-/// Delay before machine records are written again if the reply to their write does not come.
+/// Delay before machine records are written again if there is no reply to the first write.
 const RECORD_TIMEOUT: Micros = Micros::from_secs(3);
-/// Delay before machine records are written again after a write that failed.
+/// Delay before machine records are written again after a failed write.
 const RECORD_RETRY_DELAY: Micros = Micros::from_millis(500);
 
 fn record_key(name: &str) -> String {
@@ -33,23 +33,23 @@
 }
 
 impl Leader {
-    /// Whether the provisioning records of former leaders have been read; starts to read them.
-    pub(super) fn former_provisionings_read(
+    /// Whether the provisioning records of predecessors have been read. Starts reading them if that has not been done.
+    pub(super) fn predecessor_records_read(
         &mut self,
         context: &LeaderContext,
         outbox: &mut LeaderOutbox,
     ) -> bool {
-        if self.provisioning.former_records == FormerRecords::Unread {
-            self.provisioning.former_records = FormerRecords::Reading;
+        if self.provisioning.predecessor_records == PredecessorRecords::Unread {
+            self.provisioning.predecessor_records = PredecessorRecords::Reading;
             let entries = Vec::new();
-            let request = LeaderRequest::ListProvisionings { entries };
+            let request = LeaderRequest::ListProvisioningRecords { entries };
             self.read(context, outbox, list_request(None), request);
         }
-        self.provisioning.former_records == FormerRecords::Read
+        self.provisioning.predecessor_records == PredecessorRecords::Read
     }
 
-    /// Takes in a page of former leaders' provisioning records. All of them are repeated once the last page is here.
-    pub(super) fn former_records_reply(
+    /// Handles a page of predecessors' provisioning records. After the last page all of their requests are repeated.
+    pub(super) fn predecessor_records_reply(
         &mut self,
         context: &LeaderContext,
         outbox: &mut LeaderOutbox,
@@ -68,26 +68,26 @@
         }
         if !complete {
             let after = entries.last().map(|entry| entry.key.clone());
-            let request = LeaderRequest::ListProvisionings { entries };
+            let request = LeaderRequest::ListProvisioningRecords { entries };
             return self.read(context, outbox, list_request(after), request);
         }
         for entry in entries {
             let name = entry.key.strip_prefix(RECORD_PREFIX).unwrap_or(&entry.key);
             match serde_json::from_value(entry.value) {
                 Ok(record) => {
-                    info!(name, "repeating a former leader's provisioning request");
-                    let provisioning = Provisioning::of_former_leader(record, context.now);
+                    info!(name, "repeating a predecessor's provisioning request");
+                    let provisioning = Provisioning::from_predecessor(record, context.now);
                     self.provisioning
                         .in_flight
                         .insert(name.to_owned(), provisioning);
                 }
-                Err(error) => warn!(name, %error, "unreadable provisioning record"),
+                Err(error) => warn!(name, %error, "unreadable provisioning record ignored"),
             }
         }
-        self.provisioning.former_records = FormerRecords::Read;
+        self.provisioning.predecessor_records = PredecessorRecords::Read;
     }
 
-    /// Sends the next provisioning request that is due, and records the machines that the cloud has provisioned.
+    /// Sends the next provisioning request that is due, and writes the records of provisioned machines.
     pub(super) fn provisioning_tick(
         &mut self,
         context: &mut LeaderContext,
@@ -106,7 +106,7 @@
             .map(|(name, _)| name.clone())
             .collect();
         for name in due {
-            // The machines boot meanwhile: their records can wait until the store takes them.
+            // The records can wait for the write budget, since the machines are booting in the meantime.
             if context.write_pacer.has_budget() {
                 self.record_provisioned_machines(context, outbox, &name);
             }
@@ -129,11 +129,11 @@
         let name = name.clone();
         let cloud_request = provisioning.cloud_request(&name);
         let request = LeaderRequest::Provision { name };
-        self.ask_cloud(context, outbox, cloud_request, request);
+        self.send_to_cloud(context, outbox, cloud_request, request);
     }
 
-    /// Writes the records of provisioned machines; the last transaction removes the provisioning record. What a former
-    /// leader has provisioned may be more than one transaction takes.
+    /// Writes the records of provisioned machines. The machines of a predecessor's request may need several
+    /// transactions; the last one removes the provisioning record.
     fn record_provisioned_machines(
         &mut self,
         context: &mut LeaderContext,
@@ -150,9 +150,9 @@
             .filter(|id| !context.machines.contains_key(id))
             .cloned()
             .collect();
-        let most = context.settings.txn_ops.saturating_sub(1).max(1);
-        let last = ids.len() <= most;
-        ids.truncate(most);
+        let max_records = context.settings.txn_ops.saturating_sub(1).max(1);
+        let last = ids.len() <= max_records;
+        ids.truncate(max_records);
         let record = provisioning.machine_record();
         let conditions = ids.iter().map(|id| (machine_key(id), 0)).collect();
         let mut writes: Vec<Write> = ids.iter().map(|id| machine_write(id, &record)).collect();
@@ -166,7 +166,7 @@
         self.commit(context, outbox, conditions, writes, request);
     }
 
-    /// Starts provisioning: its record is written before the cloud is asked.
+    /// Starts provisioning by writing its record; the request to the cloud follows once that is stored.
     pub(super) fn start_provisioning(
         &mut self,
         context: &mut LeaderContext,
@@ -176,11 +176,11 @@
         let Some(fence) = context.fence(FleetDuty::ScaleOut) else {
             return;
         };
-        self.provisioning.last_number += 1;
-        // Unique for ever: no two claims have the same fencing token.
+        self.provisioning.last_request_number += 1;
+        // Unique for ever, since no two claims have the same fencing token.
         let name = format!(
             "r-{}-{}",
-            fence.fencing_token, self.provisioning.last_number
+            fence.fencing_token, self.provisioning.last_request_number
         );
         info!(name, kind = %record.kind, zone = %record.zone, spot = record.spot, count = record.count, shard = record.shard, "provisioning machines");
         let key = record_key(&name);
@@ -196,11 +196,11 @@
         self.commit(context, outbox, vec![(key, 0)], vec![write], request);
     }
 
-    /// Takes in the outcome of writing a provisioning record.
+    /// Handles the outcome of writing a provisioning record.
     pub(super) fn provisioning_recorded(&mut self, name: &str, reply: &StoreReply) {
         let StoreReply::Committed { .. } = reply else {
-            // Whether it was recorded is unknown: the cloud was not asked under this name, and a successor that finds
-            // the record may ask.
+            // The record may have been written nevertheless. No request was sent to the cloud under this name, so a
+            // successor that finds the record may send it.
             self.provisioning.in_flight.remove(name);
             return;
         };
@@ -209,7 +209,7 @@
         }
     }
 
-    /// Takes in the outcome of writing provisioned machines' records.
+    /// Handles the outcome of writing the records of provisioned machines.
     pub(super) fn provisioned_machines_recorded(
         &mut self,
         now: Micros,
@@ -237,7 +237,7 @@
         }
     }
 
-    /// Takes in the cloud's reply to a provisioning request.
+    /// Handles the cloud's reply to a provisioning request.
     pub(super) fn provision_reply(&mut self, now: Micros, name: &str, reply: CloudReply) {
         let Some(provisioning) = self.provisioning.in_flight.get_mut(name) else {
             return;
@@ -249,7 +249,8 @@
             CloudReply::Provisioned(ids) => self.machines_provisioned(now, name, offer, ids),
             CloudReply::NoCapacity => self.provisioning.no_capacity(name, offer, now),
             _ => {
-                // Unknown: the same name again, under which the cloud provisions nothing twice.
+                // The outcome is unknown: the request is repeated under the same name, so that the cloud does not
+                // provision twice.
                 provisioning.step = ProvisioningStep::Ready;
                 provisioning.retry_at = now + REQUEST_RETRY_DELAY;
             }
--- a/crates/seamfront-core/src/leader/provisioning_state.rs
+++ b/crates/seamfront-core/src/leader/provisioning_state.rs
@@ -1,4 +1,4 @@
-//! Provisioning requests in flight, and offers that the cloud has refused.
+//! The state of provisioning: requests in flight, and offers that the cloud has refused.
 
 use crate::capacity::{Offer, ProvisioningRecord, UnavailableOffer};
 use crate::machine::MachineRecord;
@@ -7,38 +7,39 @@
 use std::collections::BTreeMap;
 use tracing::info;
 
-/// How much a listed machine's age may be off.
+/// Tolerance for the age of a machine in the cloud's list.
 const LISTED_AGE_SLACK: Micros = Micros::from_secs(1);
-/// A former leader sent its requests at most this long before its successor reads the records of them.
-const FORMER_REQUEST_AGE: Micros = Micros::from_secs(30);
-/// Provisioning requests in flight from which on no others are started.
+/// A predecessor sent its requests at most this long before its successor reads their records.
+const MAX_PREDECESSOR_REQUEST_AGE: Micros = Micros::from_secs(30);
+/// While this many provisioning requests are in flight, plans start no further ones.
 const MAX_IN_FLIGHT: usize = 6;
-/// An offer without capacity is not requested for this long, times the refusals in a row.
-const UNAVAILABLE_FOR: Micros = Micros::from_secs(15);
-/// Refusals in a row that still prolong that time.
+/// After a refusal an offer is not requested for this long, multiplied by the number of consecutive refusals.
+const REFUSED_OFFER_BACKOFF: Micros = Micros::from_secs(15);
+/// Maximum number of consecutive refusals that prolong the backoff.
 const MAX_COUNTED_REFUSALS: u32 = 4;
 
+/// The step that a provisioning request has reached.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum ProvisioningStep {
     /// Its record is being written.
     Recording,
-    /// Recorded; the cloud may be asked.
+    /// Its record is stored; the request may be sent to the cloud.
     Ready,
-    /// The cloud has been asked.
+    /// The request has been sent to the cloud.
     Requested,
-    /// The cloud has replied; the machines' records are being written.
+    /// The cloud has replied; the records of the machines are being written.
     RecordingMachines,
 }
 
-/// A provisioning request that is not completed.
+/// A provisioning request in flight.
 #[derive(Clone, Debug)]
 pub(super) struct Provisioning {
     pub(super) record: ProvisioningRecord,
     pub(super) step: ProvisioningStep,
-    /// When the cloud may have been asked first.
+    /// The earliest time at which the request may have been sent to the cloud; `None` if it has not been sent.
     pub(super) requested_at: Option<Micros>,
     pub(super) retry_at: Micros,
-    /// Provisioned machines whose records are not known to be written.
+    /// Provisioned machines whose records have not been confirmed as written.
     pub(super) machines: Vec<MachineId>,
 }
 
@@ -53,12 +54,12 @@
         }
     }
 
-    /// One that a former leader has recorded.
-    pub(super) fn of_former_leader(record: ProvisioningRecord, now: Micros) -> Self {
+    /// A request that a predecessor has recorded.
+    pub(super) fn from_predecessor(record: ProvisioningRecord, now: Micros) -> Self {
         Provisioning {
             record,
             step: ProvisioningStep::Ready,
-            requested_at: Some(now - FORMER_REQUEST_AGE),
+            requested_at: Some(now - MAX_PREDECESSOR_REQUEST_AGE),
             retry_at: now,
             machines: Vec::new(),
         }
@@ -76,8 +77,8 @@
         }
     }
 
-    /// Whether the cloud may have provisioned this machine for it, and its reply is not known: such a machine is not
-    /// adopted, or it could go to another shard than the one that it was provisioned for.
+    /// Whether the cloud may have provisioned this machine for the request, whose reply has not arrived. Such a machine
+    /// is not adopted, since adoption could assign it to another shard than the one that it was provisioned for.
     fn may_have_provisioned(&self, machine: &ListedMachine, now: Micros) -> bool {
         let record = &self.record;
         let no_reply = self.step != ProvisioningStep::RecordingMachines;
@@ -110,33 +111,35 @@
     }
 }
 
-/// Whether the records that former leaders left have been read.
+/// Whether the provisioning records of predecessors have been read.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub(super) enum FormerRecords {
+pub(super) enum PredecessorRecords {
     #[default]
     Unread,
     Reading,
     Read,
 }
 
-/// Provisioning requests and what the cloud has refused.
+/// The state of provisioning.
 #[derive(Debug, Default)]
 pub(super) struct ProvisioningState {
-    pub(super) former_records: FormerRecords,
+    pub(super) predecessor_records: PredecessorRecords,
+    /// Requests in flight by name.
     pub(super) in_flight: BTreeMap<String, Provisioning>,
-    /// Number of the last provisioning request of this leader.
-    pub(super) last_number: u64,
+    /// Number of the last provisioning request that this leader started.
+    pub(super) last_request_number: u64,
+    /// Offers that the cloud has refused.
     pub(super) unavailable_offers: BTreeMap<Offer, UnavailableOffer>,
 }
 
 impl ProvisioningState {
-    /// Forgets the requests in flight; their records are read again.
+    /// Discards the requests in flight; they are read again from their records.
     pub(super) fn restart(&mut self) {
         self.in_flight.clear();
-        self.former_records = FormerRecords::Unread;
+        self.predecessor_records = PredecessorRecords::Unread;
     }
 
-    /// Whether no further provisioning requests may be started.
+    /// Whether a plan may start no further provisioning requests.
     pub(super) fn at_limit(&self) -> bool {
         self.in_flight.len() >= MAX_IN_FLIGHT
     }
@@ -148,14 +151,14 @@
             .map(|provisioning| &provisioning.record)
     }
 
-    /// Provisioned machines whose records are not known to be written.
+    /// Provisioned machines whose records have not been confirmed as written.
     pub(super) fn provisioned_machines(&self) -> impl Iterator<Item = &MachineId> {
         self.in_flight
             .values()
             .flat_map(|provisioning| provisioning.machines.iter())
     }
 
-    /// How many machine records are still to be written.
+    /// Number of machine records that are still to be written.
     pub(super) fn pending_writes(&self) -> usize {
         self.in_flight
             .values()
@@ -171,22 +174,21 @@
             .any(|provisioning| provisioning.may_have_provisioned(machine, now))
     }
 
-    /// The cloud has provisioned fewer machines than requested.
+    /// Notes that the cloud has provisioned fewer machines than requested.
     pub(super) fn partly_available(&mut self, offer: Offer, now: Micros) {
-        let until = now + UNAVAILABLE_FOR;
+        let until = now + REFUSED_OFFER_BACKOFF;
         let refusals = 1;
         self.unavailable_offers
             .insert(offer, UnavailableOffer { until, refusals });
     }
 
-    /// The cloud has provisioned nothing.
+    /// Notes that the cloud has no capacity for an offer.
     pub(super) fn no_capacity(&mut self, name: &str, offer: Offer, now: Micros) {
-        let refusals = self
-            .unavailable_offers
-            .get(&offer)
-            .map_or(1, |former| (former.refusals + 1).min(MAX_COUNTED_REFUSALS));
+        let refusals = self.unavailable_offers.get(&offer).map_or(1, |previous| {
+            (previous.refusals + 1).min(MAX_COUNTED_REFUSALS)
+        });
         info!(name, kind = %offer.kind, zone = %offer.zone, spot = offer.spot, times = refusals, "no capacity");
-        let until = now + UNAVAILABLE_FOR.times(i64::from(refusals));
+        let until = now + REFUSED_OFFER_BACKOFF.times(i64::from(refusals));
         self.unavailable_offers
             .insert(offer, UnavailableOffer { until, refusals });
     }
--- a/crates/seamfront-core/src/leader/replies.rs
+++ b/crates/seamfront-core/src/leader/replies.rs
@@ -1,14 +1,14 @@
-//! Replies to the leader's requests.
+//! Handling of the replies to the leader's requests.
 
 use super::{FencedRequest, Leader, LeaderContext, LeaderEvent, LeaderOutbox, LeaderRequest};
 use crate::port::{CloudReply, StoreReply};
 use crate::types::Micros;
 
-/// Delay of further requests to the cloud after one that failed.
+/// Time without requests to the cloud after one that failed.
 const CLOUD_BACKOFF: Micros = Micros::from_millis(700);
 
 impl Leader {
-    /// Takes in a reply of the store. Replies to requests under another token are ignored.
+    /// Handles a reply of the store. Replies to requests sent under another fencing token are ignored.
     pub(crate) fn store_reply(
         &mut self,
         context: &mut LeaderContext,
@@ -33,8 +33,8 @@
             }
         }
         match request {
-            LeaderRequest::ListProvisionings { entries } => {
-                self.former_records_reply(context, outbox, entries, reply);
+            LeaderRequest::ListProvisioningRecords { entries } => {
+                self.predecessor_records_reply(context, outbox, entries, reply);
             }
             LeaderRequest::RecordProvisioning { name } => self.provisioning_recorded(&name, &reply),
             LeaderRequest::RecordMachines { name, ids, last } => {
@@ -45,8 +45,8 @@
                     self.writes_in_flight.remove(&id);
                 }
             }
-            LeaderRequest::ForgetMachines | LeaderRequest::TypesWritten => {}
-            // The cloud's replies come by [`Leader::cloud_reply`].
+            LeaderRequest::DeleteMachineRecords | LeaderRequest::RecordMachineTypes => {}
+            // Replies of the cloud are handled by [`Leader::cloud_reply`].
             LeaderRequest::MachineTypes
             | LeaderRequest::ListMachines
             | LeaderRequest::Provision { .. }
@@ -55,7 +55,7 @@
         None
     }
 
-    /// Takes in a reply of the cloud. Replies to requests under another token are ignored.
+    /// Handles a reply of the cloud. Replies to requests sent under another fencing token are ignored.
     pub(crate) fn cloud_reply(
         &mut self,
         context: &mut LeaderContext,
@@ -77,13 +77,13 @@
             LeaderRequest::Terminate { ids } => {
                 self.terminate_reply(context, outbox, &ids, &reply);
             }
-            // The store's replies come by [`Leader::store_reply`].
-            LeaderRequest::ListProvisionings { .. }
+            // Replies of the store are handled by [`Leader::store_reply`].
+            LeaderRequest::ListProvisioningRecords { .. }
             | LeaderRequest::RecordProvisioning { .. }
             | LeaderRequest::RecordMachines { .. }
             | LeaderRequest::AssignMachines { .. }
-            | LeaderRequest::ForgetMachines
-            | LeaderRequest::TypesWritten => {}
+            | LeaderRequest::DeleteMachineRecords
+            | LeaderRequest::RecordMachineTypes => {}
         }
         None
     }
--- a/crates/seamfront-core/src/leader/requests.rs
+++ b/crates/seamfront-core/src/leader/requests.rs
@@ -1,12 +1,12 @@
-//! The leader's outstanding requests, and what it reports to the engine.
+//! The leader's outstanding requests, and its events for the engine.
 
 use crate::fleet_duties::FleetDuty;
 use crate::port::Entry;
 use crate::types::{MachineId, MachineType};
 
-/// An outstanding request of the leader, with the token under which it was sent.
+/// An outstanding request of the leader, with the fencing token under which it was sent.
 pub(crate) struct FencedRequest {
-    /// The fencing token of the request's duty.
+    /// The fencing token of the request's duty when it was sent.
     pub(crate) fencing_token: u64,
     /// The request.
     pub(crate) request: LeaderRequest,
@@ -14,46 +14,46 @@
 
 /// An outstanding request of the leader.
 pub(crate) enum LeaderRequest {
-    /// Reading of the provisioning records that former leaders left.
-    ListProvisionings {
+    /// Reading the provisioning records of predecessors.
+    ListProvisioningRecords {
         /// Records read so far.
         entries: Vec<Entry>,
     },
-    /// The write of a provisioning record, before the cloud is asked.
+    /// Writing a provisioning record, before the request is sent to the cloud.
     RecordProvisioning {
         /// Name of the provisioning request.
         name: String,
     },
-    /// The write of provisioned machines' records.
+    /// Writing the records of provisioned machines.
     RecordMachines {
         /// Name of the provisioning request.
         name: String,
-        /// Machines whose records are written.
+        /// The machines.
         ids: Vec<MachineId>,
-        /// Whether these are the last machines of the provisioning request.
+        /// Whether this transaction also removes the provisioning record, as the last one of the request.
         last: bool,
     },
-    /// The write of the records of machines that are assigned to shards, or to none.
+    /// Writing the records of machines that are assigned to shards, or to none.
     AssignMachines {
         /// The duty that assigns them.
         duty: FleetDuty,
-        /// Machines whose records are written.
+        /// The machines.
         ids: Vec<MachineId>,
     },
-    /// Removal of the records of terminated machines.
-    ForgetMachines,
-    /// The write of the record of machine types.
-    TypesWritten,
-    /// The cloud's machine types.
+    /// Deleting the records of terminated machines.
+    DeleteMachineRecords,
+    /// Writing the record of machine types.
+    RecordMachineTypes,
+    /// Reading the cloud's machine types.
     MachineTypes,
-    /// A page of the cloud's list of machines.
+    /// Reading a page of the cloud's list of machines.
     ListMachines,
-    /// Provisioning of machines.
+    /// Provisioning machines.
     Provision {
         /// Name of the provisioning request.
         name: String,
     },
-    /// Termination of machines.
+    /// Terminating machines.
     Terminate {
         /// The machines.
         ids: Vec<MachineId>,
@@ -61,15 +61,17 @@
 }
 
 impl LeaderRequest {
-    /// The duty that it belongs to.
+    /// The duty that the request belongs to.
     pub(crate) fn duty(&self) -> FleetDuty {
         match self {
             LeaderRequest::AssignMachines { duty, .. } => *duty,
-            LeaderRequest::ForgetMachines | LeaderRequest::Terminate { .. } => FleetDuty::ScaleIn,
-            LeaderRequest::ListProvisionings { .. }
+            LeaderRequest::DeleteMachineRecords | LeaderRequest::Terminate { .. } => {
+                FleetDuty::ScaleIn
+            }
+            LeaderRequest::ListProvisioningRecords { .. }
             | LeaderRequest::RecordProvisioning { .. }
             | LeaderRequest::RecordMachines { .. }
-            | LeaderRequest::TypesWritten
+            | LeaderRequest::RecordMachineTypes
             | LeaderRequest::MachineTypes
             | LeaderRequest::ListMachines
             | LeaderRequest::Provision { .. } => FleetDuty::ScaleOut,
@@ -77,15 +79,15 @@
     }
 }
 
-/// What the engine must know of a reply to the leader.
+/// An event for the engine that follows from a reply to the leader.
 pub(crate) enum LeaderEvent {
-    /// The cloud has named the machine types on offer.
+    /// The cloud has listed the machine types on offer.
     MachineTypesListed(Vec<MachineType>),
-    /// A transaction failed on the duty's fence: the duty is not held here any more.
+    /// A transaction failed on the duty's fence: this controller does not hold the duty any more.
     FenceRefused {
         /// The duty.
         duty: FleetDuty,
-        /// The token that was refused.
+        /// The refused fencing token.
         fencing_token: u64,
     },
 }
--- a/crates/seamfront-core/src/leader/termination.rs
+++ b/crates/seamfront-core/src/leader/termination.rs
@@ -7,27 +7,28 @@
 use std::collections::{BTreeMap, BTreeSet};
 use tracing::info;
 
-/// Time between two termination requests to the cloud.
+/// Minimum interval between termination requests to the cloud.
 const TERMINATE_INTERVAL: Micros = Micros::from_millis(500);
-/// Machines terminated in one request, at most.
-const MAX_PER_REQUEST: usize = 100;
-/// Machines that may be terminated in one request however busy the store is.
-const MIN_PER_REQUEST: usize = 4;
-/// The cloud's list may show terminated machines for this long.
-const TERMINATED_KEPT_FOR: Micros = Micros::from_secs(180);
-/// One write in the unit of a write rate over an interval: thousandths of a write times microseconds of a second.
-const RATE_TIMES_MICROS_PER_WRITE: i64 = 1_000_000_000;
+/// Maximum number of machines in one termination request.
+const MAX_MACHINES_PER_REQUEST: usize = 100;
+/// Number of machines that one termination request may hold even if the write budget is used up.
+const MIN_MACHINES_PER_REQUEST: usize = 4;
+/// Terminated machines are remembered for this long, since the cloud's list may still show them.
+const TERMINATED_RETENTION: Micros = Micros::from_secs(180);
+/// Divisor that turns the product of a write rate, in thousandths of a write per second, and an interval, in
+/// microseconds, into a number of writes.
+const RATE_INTERVAL_SCALE: i64 = 1_000_000_000;
 
-/// Machines that are to be terminated, and those that have been.
+/// The state of termination.
 #[derive(Debug)]
 pub(super) struct TerminationState {
-    /// Machines that the cloud has terminated, and when: its list may still show them.
+    /// Machines that the cloud has terminated, with the time of its reply.
     terminated: BTreeMap<MachineId, Micros>,
     request_in_flight: bool,
     next_request_at: Micros,
-    /// Machines that are to be terminated.
-    pub(super) pending: usize,
-    /// Machines that the leader itself has unassigned. They are terminated last: no shard waits for that.
+    /// Number of machines that are still to be terminated.
+    pub(super) pending_count: usize,
+    /// Machines that the leader itself has unassigned. They are terminated last, since no shard waits for their end.
     unassigned_by_leader: BTreeSet<MachineId>,
 }
 
@@ -37,12 +38,12 @@
             terminated: BTreeMap::new(),
             request_in_flight: false,
             next_request_at: now,
-            pending: 0,
+            pending_count: 0,
             unassigned_by_leader: BTreeSet::new(),
         }
     }
 
-    /// Replies to requests sent under another token are not taken any more.
+    /// Allows a new request at once: replies to requests sent under another fencing token will be ignored.
     pub(super) fn restart(&mut self) {
         self.request_in_flight = false;
     }
@@ -51,18 +52,18 @@
         self.terminated.contains_key(id)
     }
 
-    /// The leader unassigns a machine.
-    pub(super) fn unassigned_by_leader(&mut self, id: MachineId) {
+    /// Notes that the leader itself unassigns a machine.
+    pub(super) fn mark_unassigned_by_leader(&mut self, id: MachineId) {
         self.unassigned_by_leader.insert(id);
     }
 
-    /// Forgets terminations from so long ago that the cloud's list reflects them.
-    pub(super) fn forget_old(&mut self, now: Micros) {
+    /// Forgets machines that were terminated so long ago that the cloud's list does not show them any more.
+    pub(super) fn forget_old_terminations(&mut self, now: Micros) {
         self.terminated
-            .retain(|_, terminated_at| now - *terminated_at < TERMINATED_KEPT_FOR);
+            .retain(|_, terminated_at| now - *terminated_at < TERMINATED_RETENTION);
     }
 
-    /// Machines assigned to no shard, those that the leader has unassigned last.
+    /// Machines assigned to no shard; those that the leader itself has unassigned come last.
     fn unassigned_machines(&mut self, context: &LeaderContext) -> Vec<MachineId> {
         self.unassigned_by_leader.retain(|id| {
             context
@@ -82,24 +83,24 @@
     }
 }
 
-/// Machines terminated in one request. Half of the writes that the store takes in the interval, if need be: jobs on
-/// machines that failed by the hundred wait for this, while a busy store would leave the leader no writes otherwise.
-fn request_size(context: &LeaderContext) -> usize {
-    let half_of_rate =
-        context.write_rate * TERMINATE_INTERVAL.0 / (2 * RATE_TIMES_MICROS_PER_WRITE);
-    let affordable = context
-        .leader_writes()
+/// Maximum number of machines in the next termination request. Even if the write budget is used up, a request may use
+/// half of the writes that accrue to the controller in an interval: when hundreds of machines fail at once, the jobs on
+/// them wait for the terminations, and a busy store would otherwise leave the leader no writes.
+fn max_machines_in_request(context: &LeaderContext) -> usize {
+    let half_of_rate = context.write_rate * TERMINATE_INTERVAL.0 / (2 * RATE_INTERVAL_SCALE);
+    let allowed_by_writes = context
+        .available_leader_writes()
         .max(half_of_rate as usize)
-        .max(MIN_PER_REQUEST);
+        .max(MIN_MACHINES_PER_REQUEST);
     context
         .settings
         .txn_ops
-        .min(MAX_PER_REQUEST)
-        .min(affordable)
+        .min(MAX_MACHINES_PER_REQUEST)
+        .min(allowed_by_writes)
 }
 
 impl Leader {
-    /// Asks the cloud to terminate machines that are assigned to no shard.
+    /// Requests the termination of machines that are assigned to no shard.
     pub(super) fn termination_tick(&mut self, context: &LeaderContext, outbox: &mut LeaderOutbox) {
         let now = context.now;
         let termination = &mut self.termination;
@@ -111,8 +112,8 @@
         }
         termination.next_request_at = now + TERMINATE_INTERVAL;
         let mut ids = termination.unassigned_machines(context);
-        termination.pending = ids.len();
-        ids.truncate(request_size(context));
+        termination.pending_count = ids.len();
+        ids.truncate(max_machines_in_request(context));
         if ids.is_empty() {
             return;
         }
@@ -122,10 +123,10 @@
             machines: ids.clone(),
         };
         let request = LeaderRequest::Terminate { ids };
-        self.ask_cloud(context, outbox, cloud_request, request);
+        self.send_to_cloud(context, outbox, cloud_request, request);
     }
 
-    /// Takes in the cloud's reply to a termination request; removes the records of terminated machines.
+    /// Handles the cloud's reply to a termination request, and deletes the records of terminated machines.
     pub(super) fn terminate_reply(
         &mut self,
         context: &mut LeaderContext,
@@ -146,13 +147,13 @@
                 key: machine_key(id),
             })
             .collect();
-        // The shards' owners see the records' removal.
+        // The holders of the machines' former shards learn of the termination by the deletion.
         self.commit(
             context,
             outbox,
             Vec::new(),
             writes,
-            LeaderRequest::ForgetMachines,
+            LeaderRequest::DeleteMachineRecords,
         );
     }
 }
