--- a/crates/seamfront-core/src/garbage_collector.rs
+++ b/crates/seamfront-core/src/garbage_collector.rs
@@ -1,9 +1,9 @@
-//! The duty of removing records that belong to nothing any more: parts of work records and lists of needed jobs that
-//! outlived their job. One controller at a time performs it, under a lease and a fencing token of its own.
+//! Garbage collection of records that remain after their job has ended: parts of work records and parts of dependency
+//! lists. It is a duty with a lease and a fencing token of its own, so one controller at a time performs it.
 //!
-//! A record is removed only if its job's end record is in the store: then the job can never exist again, so no write in
-//! flight can need the record. The end record's version, the absence of the work record's head and the duty's token are
-//! conditions of the removal.
+//! Records are removed only if their job's end record is in the store: then the job can never exist again, and no write
+//! in flight can need the records. The version of the end record, the absence of the work record's head and the duty's
+//! fencing token are conditions of the removal.
 
 use crate::fleet_duties::GARBAGE_COLLECTION;
 use crate::jobs::end_key;
@@ -14,27 +14,28 @@
 use std::collections::BTreeMap;
 use tracing::info;
 
-/// Time between two sweeps.
-const SWEEP_INTERVAL: Micros = Micros::from_secs(120);
-/// Delay of the next sweep after a request that failed or whose outcome is unknown.
+/// Time between the end of a pass and the start of the next one.
+const PASS_INTERVAL: Micros = Micros::from_secs(120);
+/// Delay of the next pass after a request that failed or whose outcome is unknown.
 const RETRY_DELAY: Micros = Micros::from_secs(2);
-/// A removal's conditions and changes beside the records: the claim, the log, the end, the head.
-const OPERATIONS_BESIDE_RECORDS: usize = 4;
+/// Operations in a removal's transaction besides the removed records: conditions and changes for the claim, the
+/// operation log, the end record and the head of the work record.
+const RESERVED_OPERATIONS: usize = 4;
 
-/// Prefixes of the keys that are swept, in order.
+/// Key prefixes of the records that may be garbage, in the order in which a pass reads them.
 const PREFIXES: [&str; 2] = ["part/", "needs/"];
 
-/// The job that a record belongs to, and the head of the work record that it is a part of.
+/// What a record belongs to: a job and, for a part of a work record, the head of that work record.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct RecordOwner {
     job: JobId,
-    /// Key of the head without which the record means nothing.
+    /// Key of the head of the work record; a part without its head has no meaning. `None` for other records.
     head: Option<String>,
 }
 
 impl RecordOwner {
-    /// The owner that a key names.
-    fn of_key(key: &str) -> Option<RecordOwner> {
+    /// Reads the owner from a record's key; `None` if the key has an unknown form.
+    fn from_key(key: &str) -> Option<RecordOwner> {
         if let Some(rest) = key.strip_prefix("part/") {
             let (shard, rest) = rest.split_once('/')?;
             let (job, _) = rest.rsplit_once('/')?;
@@ -51,90 +52,95 @@
     }
 }
 
-/// Records of one job that may be orphaned.
+/// Records of one owner that are removed if its job has ended.
 #[derive(Debug)]
-struct OrphanedRecords {
+struct CandidateRecords {
     owner: RecordOwner,
     keys: Vec<String>,
 }
 
+/// A pass over all records that may be garbage.
 #[derive(Debug, Default)]
-enum Sweep {
+enum Pass {
+    /// No pass is under way.
     #[default]
     Idle,
-    /// Reading the keys with a prefix a page at a time, and examining the records of each page.
+    /// The keys with a prefix are read page by page, and the records of each page are examined.
     Reading {
         /// Index into [`PREFIXES`].
         prefix: usize,
-        /// The last key read.
+        /// The last key that was read.
         after: Option<String>,
-        /// Whether there are further pages.
+        /// Whether there are further pages with this prefix.
         more: bool,
-        /// Records of the page that are still to be examined.
-        candidates: Vec<OrphanedRecords>,
+        /// Records of the last page that are still to be examined.
+        candidates: Vec<CandidateRecords>,
     },
 }
 
-/// What the garbage collector sends next in a sweep.
-enum SweepStep {
+/// The next step of a pass.
+enum PassStep {
+    /// A request is to be sent to the store.
     Request(StoreRequest, CollectionRequest),
+    /// The pass goes on to the next prefix.
     NextPrefix,
+    /// The pass is completed.
     Completed,
 }
 
-/// The garbage collector of this controller; it runs while the duty is held here.
+/// The garbage collector of this controller. It is active while the controller holds the duty.
 #[derive(Debug, Default)]
 pub(crate) struct GarbageCollector {
-    sweep: Sweep,
+    pass: Pass,
     request_in_flight: bool,
     next_request_at: Micros,
     last_removal: RequestId,
-    /// Records removed in this sweep.
+    /// Number of records removed in this pass.
     removed: usize,
 }
 
-/// An outstanding request of the garbage collector.
+/// An outstanding read request of the garbage collector.
 pub(crate) enum CollectionRequest {
     /// A page of keys.
     OrphanedRecords,
-    /// The end record of the job that records belong to.
+    /// The end record of the job that owns the records examined.
     OwnerEnd,
 }
 
 impl GarbageCollector {
-    /// Ends the sweep; the next one starts at `next` at the earliest.
+    /// Stops the pass; the next one starts at `next` at the earliest.
     pub(crate) fn stop(&mut self, next: Micros) {
-        self.sweep = Sweep::Idle;
+        self.pass = Pass::Idle;
         self.request_in_flight = false;
         self.next_request_at = next;
     }
 
-    /// Continues the sweep, or starts one when it is due. Called only while the duty is held here.
+    /// Continues the pass, or starts one if it is due. Called only while this controller holds the duty.
     pub(crate) fn tick(&mut self, now: Micros, outbox: &mut Outbox<CollectionRequest>) {
         if self.request_in_flight || now < self.next_request_at {
             return;
         }
-        if let Sweep::Idle = self.sweep {
-            self.start_sweep();
+        if let Pass::Idle = self.pass {
+            self.start_pass();
         }
         match self.next_step() {
-            SweepStep::Request(request, pending) => {
+            PassStep::Request(request, pending) => {
                 self.request_in_flight = true;
                 outbox.store(request, pending);
             }
-            SweepStep::NextPrefix => {}
-            SweepStep::Completed => {
+            PassStep::NextPrefix => {}
+            PassStep::Completed => {
                 if self.removed > 0 {
                     info!(removed = self.removed, "records of ended jobs removed");
                 }
-                self.stop(now + SWEEP_INTERVAL);
+                self.stop(now + PASS_INTERVAL);
             }
         }
     }
 
-    fn start_sweep(&mut self) {
+    fn start_pass(&mut self) {
         self.removed = 0;
-        self.sweep = Sweep::Reading {
+        self.pass = Pass::Reading {
             prefix: 0,
             after: None,
             more: true,
@@ -142,39 +148,39 @@
         };
     }
 
-    fn next_step(&mut self) -> SweepStep {
-        let Sweep::Reading {
+    fn next_step(&mut self) -> PassStep {
+        let Pass::Reading {
             prefix,
             after,
             more,
             candidates,
-        } = &mut self.sweep
+        } = &mut self.pass
         else {
-            return SweepStep::NextPrefix;
+            return PassStep::NextPrefix;
         };
-        if let Some(orphaned) = candidates.last() {
+        if let Some(records) = candidates.last() {
             let request = StoreRequest::Get {
-                key: end_key(&orphaned.owner.job),
+                key: end_key(&records.owner.job),
             };
-            return SweepStep::Request(request, CollectionRequest::OwnerEnd);
+            return PassStep::Request(request, CollectionRequest::OwnerEnd);
         }
         if *more {
             let request = StoreRequest::List {
                 prefix: PREFIXES[*prefix].to_owned(),
                 after: after.clone(),
             };
-            return SweepStep::Request(request, CollectionRequest::OrphanedRecords);
+            return PassStep::Request(request, CollectionRequest::OrphanedRecords);
         }
         if *prefix + 1 < PREFIXES.len() {
             *prefix += 1;
             *after = None;
             *more = true;
-            return SweepStep::NextPrefix;
+            return PassStep::NextPrefix;
         }
-        SweepStep::Completed
+        PassStep::Completed
     }
 
-    /// Takes in a page of keys. Records of live jobs are kept.
+    /// Handles a page of keys. Records of live jobs are kept.
     pub(crate) fn page_reply(
         &mut self,
         now: Micros,
@@ -190,12 +196,12 @@
         else {
             return self.stop(now + RETRY_DELAY);
         };
-        let Sweep::Reading {
+        let Pass::Reading {
             after,
             more,
             candidates,
             ..
-        } = &mut self.sweep
+        } = &mut self.pass
         else {
             return;
         };
@@ -203,10 +209,11 @@
         if let Some(last) = entries.last() {
             *after = Some(last.key.clone());
         }
-        *candidates = orphaned_records(entries, is_live);
+        *candidates = candidate_records(entries, is_live);
     }
 
-    /// Takes in the end record of the job examined last; returns the removal of its records if the job has ended.
+    /// Handles the reply to the read of an end record. If the job has ended, returns the command that removes its
+    /// records.
     pub(crate) fn owner_end_reply(
         &mut self,
         settings: &Settings,
@@ -214,18 +221,23 @@
         reply: StoreReply,
     ) -> Option<DutyCommand> {
         self.request_in_flight = false;
-        let Sweep::Reading { candidates, .. } = &mut self.sweep else {
+        let Pass::Reading { candidates, .. } = &mut self.pass else {
             return None;
         };
         match reply {
             StoreReply::Entry(end) => {
-                let orphaned = candidates.last()?;
+                let records = candidates.last()?;
                 self.last_removal += 1;
                 self.request_in_flight = true;
-                let most = records_per_removal(settings);
-                Some(removal(self.last_removal, orphaned, &end, most))
+                let max_records = records_per_removal(settings);
+                Some(removal_command(
+                    self.last_removal,
+                    records,
+                    &end,
+                    max_records,
+                ))
             }
-            // Not ended, or not begun.
+            // The job has not ended, or has not been submitted yet.
             StoreReply::Missing => {
                 candidates.pop();
                 None
@@ -237,7 +249,7 @@
         }
     }
 
-    /// Takes in the outcome of a removal.
+    /// Handles the outcome of a removal.
     pub(crate) fn removal_done(
         &mut self,
         settings: &Settings,
@@ -249,22 +261,22 @@
             return;
         }
         self.request_in_flight = false;
-        let Sweep::Reading { candidates, .. } = &mut self.sweep else {
+        let Pass::Reading { candidates, .. } = &mut self.pass else {
             return;
         };
         match outcome {
             CommitOutcome::Committed(_) => {
-                let Some(orphaned) = candidates.last_mut() else {
+                let Some(records) = candidates.last_mut() else {
                     return;
                 };
-                let removed = orphaned.keys.len().min(records_per_removal(settings));
-                orphaned.keys.drain(..removed);
+                let removed = records.keys.len().min(records_per_removal(settings));
+                records.keys.drain(..removed);
                 self.removed += removed;
-                if orphaned.keys.is_empty() {
+                if records.keys.is_empty() {
                     candidates.pop();
                 }
             }
-            // The records are in use after all.
+            // A condition does not hold: the records may be in use.
             CommitOutcome::Conflict(_) => {
                 candidates.pop();
             }
@@ -273,46 +285,46 @@
     }
 }
 
-/// How many records one transaction removes at most.
+/// Maximum number of records that one transaction removes.
 fn records_per_removal(settings: &Settings) -> usize {
-    settings
-        .txn_ops
-        .saturating_sub(OPERATIONS_BESIDE_RECORDS)
-        .max(1)
+    settings.txn_ops.saturating_sub(RESERVED_OPERATIONS).max(1)
 }
 
-/// The records of a page that belong to no live job, by owner.
-fn orphaned_records(entries: Vec<Entry>, is_live: impl Fn(&JobId) -> bool) -> Vec<OrphanedRecords> {
-    let mut found: BTreeMap<RecordOwner, Vec<String>> = BTreeMap::new();
+/// The records of a page that belong to no live job, grouped by owner.
+fn candidate_records(
+    entries: Vec<Entry>,
+    is_live: impl Fn(&JobId) -> bool,
+) -> Vec<CandidateRecords> {
+    let mut by_owner: BTreeMap<RecordOwner, Vec<String>> = BTreeMap::new();
     for entry in entries {
-        // Records with an unknown form of key are left alone.
-        let Some(owner) = RecordOwner::of_key(&entry.key) else {
+        // Records whose keys have an unknown form are kept.
+        let Some(owner) = RecordOwner::from_key(&entry.key) else {
             continue;
         };
         if !is_live(&owner.job) {
-            found.entry(owner).or_default().push(entry.key);
+            by_owner.entry(owner).or_default().push(entry.key);
         }
     }
-    found
+    by_owner
         .into_iter()
-        .map(|(owner, keys)| OrphanedRecords { owner, keys })
+        .map(|(owner, keys)| CandidateRecords { owner, keys })
         .collect()
 }
 
-/// Removes as many of a job's records as one transaction takes, on condition that the job has ended and the records'
-/// head does not exist.
-fn removal(
+/// The command that removes up to `max_records` of an owner's records, on condition that the job has ended and the head
+/// of the work record does not exist.
+fn removal_command(
     request: RequestId,
-    orphaned: &OrphanedRecords,
+    records: &CandidateRecords,
     end: &Entry,
-    most: usize,
+    max_records: usize,
 ) -> DutyCommand {
     let mut conditions = vec![(end.key.clone(), end.version)];
-    conditions.extend(orphaned.owner.head.iter().map(|head| (head.clone(), 0)));
-    let writes = orphaned
+    conditions.extend(records.owner.head.iter().map(|head| (head.clone(), 0)));
+    let writes = records
         .keys
         .iter()
-        .take(most)
+        .take(max_records)
         .map(|key| Write::Delete { key: key.clone() })
         .collect();
     DutyCommand::Commit {
