--- a/crates/seamfront-core/src/capacity/demand.rs
+++ b/crates/seamfront-core/src/capacity/demand.rs
@@ -1,26 +1,29 @@
-//! A request while a plan is made: which machines may serve it, and how many of its tasks have no room yet.
+//! A resource request while a plan is made: which machines may serve it, and how many of its tasks the plan has not
+//! placed yet.
 
 use super::{ClusterSnapshot, ShardRequest, Supply};
 use crate::port::ResourceRequest;
 use crate::types::{suits, MachineType, Resources};
 
-/// One request, and what may serve it: it may be bound to one zone by now.
+/// A resource request with its progress in the plan, and the zone that it is bound to.
 pub(super) struct Demand<'a> {
     pub(super) shard: usize,
     pub(super) request: &'a ResourceRequest,
+    /// The only zone that may serve it, if the request names one or capacity is reserved for it in one.
     zone: Option<&'a str>,
-    /// Tasks that the plan has no room for yet.
+    /// Number of tasks that the plan has no capacity for yet.
     pub(super) unplaced: u32,
 }
 
 impl<'a> Demand<'a> {
-    /// If nothing can be provisioned any more in the zone that a gang gathers in, another zone must hold all of it.
+    /// The demand for a request. If nothing can be provisioned in the zone where capacity is reserved for it, the
+    /// request is not bound to that zone; a gang then needs capacity for all of its tasks.
     pub(super) fn new(
         snapshot: &ClusterSnapshot,
         ShardRequest { shard, request }: ShardRequest<'a>,
     ) -> Demand<'a> {
         let zone = request.zone.as_deref().or(request.reserved_zone.as_deref());
-        if request.zone.is_none() && zone.is_some_and(|z| !snapshot.on_offer(request, z)) {
+        if request.zone.is_none() && zone.is_some_and(|z| !snapshot.can_provision(request, z)) {
             let unplaced = if request.together {
                 request.total
             } else {
@@ -41,10 +44,10 @@
         }
     }
 
-    /// Whether a machine of this type and zone may run it.
+    /// Whether machines of this type and zone may serve the request.
     pub(super) fn allows(&self, kind: &str, zone: &str, spot: bool) -> bool {
         (self.request.spot || !spot)
-            && self.zone.is_none_or(|want| want == zone)
+            && self.zone.is_none_or(|required| required == zone)
             && self
                 .request
                 .types
@@ -52,6 +55,7 @@
                 .is_none_or(|types| types.iter().any(|t| t == kind))
     }
 
+    /// Whether the type and the zone of a machine allow it to serve the request.
     pub(super) fn allows_machine(&self, machine: &Supply) -> bool {
         self.allows(
             &machine.record.kind,
@@ -60,7 +64,7 @@
         )
     }
 
-    /// Whether it may use a machine of that size, by the rules for machine types.
+    /// Whether the request may use machines of this size as far as accelerators go, see [`suits`].
     pub(super) fn suits(&self, size: Resources, types: &[MachineType]) -> bool {
         suits(
             self.request.task,
@@ -70,10 +74,10 @@
         )
     }
 
-    /// Places as many unplaced tasks as fit into that room; returns how many.
-    pub(super) fn take(&mut self, room: Resources) -> i64 {
-        let taken = room.fits(self.request.task).min(i64::from(self.unplaced));
-        self.unplaced -= taken as u32;
-        taken
+    /// Places as many of the unplaced tasks as fit into `free`. Returns their number.
+    pub(super) fn place(&mut self, free: Resources) -> i64 {
+        let placed = free.fits(self.request.task).min(i64::from(self.unplaced));
+        self.unplaced -= placed as u32;
+        placed
     }
 }
--- a/crates/seamfront-core/src/capacity/mod.rs
+++ b/crates/seamfront-core/src/capacity/mod.rs
@@ -1,6 +1,5 @@
-//! Capacity planning: how many machines of which type the cluster should have, and in which shards.
-//!
-//! A plan is a pure function of a [`ClusterSnapshot`]; the leader carries it out.
+//! Capacity planning: decides how many machines of which type the cluster should have, and in which shards. A plan is a
+//! pure function of a [`ClusterSnapshot`]; the leader carries it out.
 
 use crate::boot_times::BootTimes;
 use crate::machine::MachineRecord;
@@ -13,8 +12,8 @@
 mod planner;
 mod provisioning;
 
-/// Value of `rent/<name>`: written before the cloud is asked, so that a successor repeats the same request under the
-/// same name instead of provisioning twice.
+/// A provisioning operation, stored at `rent/<name>` before the request is sent to the cloud. A successor can then
+/// repeat the request under the same name, and nothing is provisioned twice.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ProvisioningRecord {
     /// The shard that the machines are for.
@@ -26,152 +25,159 @@
     pub zone: String,
     /// Whether spot machines are requested.
     pub spot: bool,
-    /// How many machines.
+    /// Number of machines.
     pub count: u32,
 }
 
-/// What the cloud may be asked to provision.
+/// A kind of machine that the cloud offers: a type in a zone, as spot or ordinary machine.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Offer {
     /// Machine type.
     pub kind: String,
     /// Zone.
     pub zone: String,
-    /// Whether it is for spot machines.
+    /// Whether the machines are spot machines.
     pub spot: bool,
 }
 
-/// An offer that the cloud has refused.
+/// State of an offer for which the cloud has refused a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct UnavailableOffer {
-    /// Not requested again before this time.
+    /// It is not requested again before this time.
     pub until: Micros,
-    /// How often it was refused in a row.
+    /// Number of refusals in a row.
     pub refusals: u32,
 }
 
-/// A machine that is being drained of less important work for another shard.
+/// The drain of a machine: its less important work is preempted so that the machine can move to another shard.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Draining {
-    /// The shard that it is for.
+    /// The shard that will get the machine.
     pub shard: usize,
-    /// When its owner was asked.
+    /// When the holder of the machine's present shard was asked to drain it.
     pub since: Micros,
 }
 
-/// Resources that pending work of a shard needs.
+/// A request for resources by pending work of a shard.
 #[derive(Clone, Copy, Debug)]
 pub struct ShardRequest<'a> {
     /// The shard.
     pub shard: usize,
-    /// The resources.
+    /// The request.
     pub request: &'a ResourceRequest,
 }
 
-/// A machine as the plan sees it.
+/// A machine that belongs to a shard, with what the planner knows of it.
 pub struct Supply<'a> {
     /// The machine.
     pub id: &'a MachineId,
-    /// The shard that owns it.
+    /// The shard that it is assigned to.
     pub shard: usize,
-    /// Its record in the state service.
+    /// Its record in the key-value store.
     pub record: &'a MachineRecord,
-    /// All of its resources.
+    /// Its total resources.
     pub size: Resources,
-    /// What its shard's owner has last reported of it.
+    /// The latest view of it that the holder of its shard has sent, if that is not too old.
     pub view: Option<&'a MachineView>,
     /// Time since it was assigned to its shard.
     pub age: Micros,
 }
 
 impl Supply<'_> {
-    fn up(&self) -> bool {
+    /// Whether it is up, and neither to be replaced nor about to be taken back by the cloud.
+    fn usable(&self) -> bool {
         self.view.is_some_and(|v| v.up && !v.bad && !v.leaving)
     }
+
+    /// Whether it is to be replaced.
     fn bad(&self) -> bool {
         self.view.is_some_and(|v| v.bad)
     }
+
+    /// Whether a pending gang has capacity reserved on it.
     fn reserved_for_gang(&self) -> bool {
         self.view.is_some_and(|v| v.reserved_for_gang)
     }
+
+    /// How long it has been idle, `None` if it is in use.
     fn idle(&self) -> Option<Micros> {
         self.view.and_then(|v| v.idle)
     }
 }
 
-/// Everything that a plan is made from.
+/// The complete input of a plan.
 pub struct ClusterSnapshot<'a> {
-    /// The time of the plan.
+    /// The time of the snapshot.
     pub now: Micros,
-    /// Requests of all shards.
+    /// Resource requests of all shards.
     pub requests: Vec<ShardRequest<'a>>,
     /// All machines that are assigned to a shard.
     pub machines: Vec<Supply<'a>>,
-    /// Provisioning in flight.
+    /// Provisioning operations in progress.
     pub provisionings: Vec<&'a ProvisioningRecord>,
     /// Machine types on offer.
     pub types: &'a [MachineType],
-    /// Offers that the cloud has refused.
+    /// Offers for which the cloud has refused a request.
     pub unavailable_offers: &'a BTreeMap<Offer, UnavailableOffer>,
-    /// Operators' settings.
+    /// Settings made by operators.
     pub tuning: &'a Tuning,
-    /// How long machines take until they are up.
+    /// Boot times observed so far, and the machines that are booting.
     pub boot_times: &'a BootTimes,
-    /// Machines that are being drained for another shard.
+    /// Machines that are being drained so that they can move to another shard.
     pub draining: &'a BTreeMap<MachineId, Draining>,
 }
 
-/// An idle machine that is to be moved to another shard.
+/// A planned move of an idle or drained machine to another shard.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Move {
     /// The machine.
     pub machine: MachineId,
-    /// The shard that it goes to.
+    /// The shard that gets the machine.
     pub to: usize,
 }
 
-/// A machine that is to be drained of less important work for another shard.
+/// A planned drain of a machine for another shard.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Drain {
     /// The machine.
     pub machine: MachineId,
-    /// The shard that it is for.
+    /// The shard that gets the machine.
     pub to: usize,
-    /// Work of lower priority than this is preempted.
+    /// Work with a lower priority than this is preempted.
     pub above: Priority,
 }
 
-/// What the leader should do now.
+/// Changes that the leader should make to the cluster now.
 #[derive(Debug, Default)]
 pub struct Plan {
-    /// Machines to be moved.
+    /// Machines to move to another shard.
     pub moves: Vec<Move>,
-    /// Machines to be terminated.
+    /// Machines to terminate.
     pub terminations: Vec<MachineId>,
-    /// Machines to be drained.
+    /// Machines to drain.
     pub drains: Vec<Drain>,
-    /// Machines to be provisioned.
+    /// Machines to provision.
     pub provisionings: Vec<ProvisioningRecord>,
 }
 
-/// A machine that costs less than this fraction (one in so many) of the costliest type on offer is cheap: less work is
-/// left waiting for it, and it is kept idle longer. What the whole cluster spends is no measure: for a large cluster
-/// every machine would be cheap.
+/// A machine type is cheap if its price times this factor is below the highest price on offer. Cheap machines are
+/// provisioned for a smaller backlog and kept longer when idle. The price is not compared with the cost of the whole
+/// cluster, since every machine of a large cluster would then be cheap.
 const CHEAP_PRICE_DIVISOR: i64 = 5;
-/// Cheap machines are kept idle this many times as long.
+/// Factor on the time for which idle machines are kept, if they are cheap.
 const CHEAP_IDLE_FACTOR: i64 = 4;
 
-/// Makes a plan; the same snapshot gives the same plan.
+/// Makes a plan. The same snapshot always gives the same plan.
 pub fn plan(snapshot: &ClusterSnapshot) -> Plan {
     let mut planner = planner::Planner::new(snapshot);
     for request in planner::requests_in_order(snapshot) {
-        planner.satisfy(request);
+        planner.serve(request);
     }
     planner.scale_in_idle();
     planner.into_plan()
 }
 
-/// Price of an hour of a machine of this type, in thousandths of the currency unit; zero for an unknown type.
+/// Price per hour of a machine of this type, in thousandths of the currency unit. Zero if the type is unknown.
 pub fn hourly_price(types: &[MachineType], kind: &str, spot: bool) -> i64 {
     types
         .iter()
@@ -179,6 +185,7 @@
         .map_or(0, |t| t.hourly_price(spot))
 }
 
+/// Whether a price is low compared with the most expensive type, see `CHEAP_PRICE_DIVISOR`.
 fn is_cheap(types: &[MachineType], price: i64) -> bool {
     types
         .iter()
--- a/crates/seamfront-core/src/capacity/planner.rs
+++ b/crates/seamfront-core/src/capacity/planner.rs
@@ -1,5 +1,5 @@
-//! Serving pending requests in order of priority: from idle machines, from incoming ones, from machines that can be
-//! provisioned, and last from those that work of lower priority uses.
+//! Serves resource requests in order of priority: from idle machines of other shards, from machines that are about to
+//! join the shard, by provisioning, and finally by draining machines that run work of lower priority.
 
 use super::demand::Demand;
 use super::provisioning::PoolSummary;
@@ -11,14 +11,15 @@
 use crate::types::{queue_rank, MachineId, Micros, Resources};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// How long ordinary work waits before work of lower priority is preempted in other shards for it.
+/// How long a request waits before work of lower priority is preempted for it in other shards. A quarter of it for
+/// requests within their team's guarantee; services do not wait.
 const PREEMPTION_DELAY: Micros = Micros::from_secs(5);
-/// Machines drained in one plan: what they free is seen before more work is preempted.
+/// Most machines that one plan drains. The effect of these drains is observed before more work is preempted.
 const MAX_DRAINS: usize = 3;
-/// Boot time of a type that the cloud no longer lists.
+/// Assumed boot time of machines of a type that the cloud no longer lists.
 const UNLISTED_TYPE_BOOT_TIME: Micros = Micros::from_secs(60);
 
-/// The requests in the order in which they are served.
+/// The requests in the order in which they are served: by rank, guarantee, time left and time waited.
 pub(super) fn requests_in_order<'a>(snapshot: &ClusterSnapshot<'a>) -> Vec<ShardRequest<'a>> {
     let mut requests = snapshot.requests.clone();
     requests.sort_by_key(|ShardRequest { request, .. }| {
@@ -32,42 +33,43 @@
     requests
 }
 
-/// A machine that is going to join a shard, with the room that no request has taken yet.
+/// A machine that is about to join a shard, or is booting in it.
 struct IncomingMachine<'a> {
     shard: usize,
     kind: &'a str,
     zone: &'a str,
     spot: bool,
-    room: Resources,
+    /// Resources that no request has been given yet.
+    free: Resources,
 }
 
-/// A plan in the making.
+/// State while a plan is made.
 pub(super) struct Planner<'p, 'a> {
     pub(super) snapshot: &'p ClusterSnapshot<'a>,
     pub(super) plan: Plan,
     pub(super) summary: PoolSummary<'a>,
-    /// Idle machines, those that their owners have released first.
+    /// Idle machines, those that the holders of their shards have released first.
     idle: Vec<&'p Supply<'a>>,
-    /// Machines on which gangs reserve room.
+    /// Machines with capacity reserved for a pending gang.
     reserved_for_gang: Vec<&'p Supply<'a>>,
-    /// Machines that may be drained for more important work, the least loss of progress first.
+    /// Machines that may be drained for more important work, those with the least loss of progress first.
     preemptible: Vec<&'p Supply<'a>>,
-    /// Machines that are going to join shards. Their room shrinks as requests take it.
+    /// Machines that are about to join a shard or are booting. Their free resources shrink as requests are served.
     incoming: Vec<IncomingMachine<'p>>,
-    /// By shard: gangs whose requests have not been served yet in this plan.
+    /// By shard: number of gangs whose requests this plan has not served yet.
     unserved_gangs: BTreeMap<usize, u32>,
-    /// Machines that a request keeps or takes.
-    claimed: BTreeSet<&'p MachineId>,
-    /// Machines that this plan drains.
+    /// Machines that this plan keeps for a request or moves to one.
+    allocated: BTreeSet<&'p MachineId>,
+    /// Machines that this plan drains for a request.
     drained: BTreeSet<&'p MachineId>,
 }
 
 impl<'p, 'a> Planner<'p, 'a> {
     pub(super) fn new(snapshot: &'p ClusterSnapshot<'a>) -> Self {
         let not_draining =
-            |machine: &&Supply| machine.up() && !snapshot.draining.contains_key(machine.id);
-        let up: Vec<&Supply> = snapshot.machines.iter().filter(not_draining).collect();
-        let mut preemptible: Vec<&Supply> = up
+            |machine: &&Supply| machine.usable() && !snapshot.draining.contains_key(machine.id);
+        let available: Vec<&Supply> = snapshot.machines.iter().filter(not_draining).collect();
+        let mut preemptible: Vec<&Supply> = available
             .iter()
             .filter(|machine| {
                 machine
@@ -77,7 +79,7 @@
             .copied()
             .collect();
         preemptible.sort_by_key(|machine| (machine.view.map(|view| view.loss), machine.id));
-        let mut idle: Vec<&Supply> = up
+        let mut idle: Vec<&Supply> = available
             .into_iter()
             .filter(|machine| machine.idle().is_some())
             .collect();
@@ -103,23 +105,24 @@
             preemptible,
             incoming: Vec::new(),
             unserved_gangs,
-            claimed: BTreeSet::new(),
+            allocated: BTreeSet::new(),
             drained: BTreeSet::new(),
         };
-        planner.count_provisionings();
+        planner.add_provisionings();
         snapshot
             .machines
             .iter()
-            .for_each(|machine| planner.count_machine(machine));
+            .for_each(|machine| planner.add_machine(machine));
         planner
     }
 
-    /// The plan as it stands.
+    /// The plan made so far.
     pub(super) fn into_plan(self) -> Plan {
         self.plan
     }
 
-    fn count_provisionings(&mut self) {
+    /// Counts the machines of provisioning operations in progress as incoming.
+    fn add_provisionings(&mut self) {
         for record in &self.snapshot.provisionings {
             let Some(machine_type) = self
                 .snapshot
@@ -135,14 +138,15 @@
                     kind: &record.kind,
                     zone: &record.zone,
                     spot: record.spot,
-                    room: machine_type.size,
+                    free: machine_type.size,
                 });
             }
         }
     }
 
-    /// A machine that is drained for a shard, or that boots and is not late, is incoming there.
-    fn count_machine(&mut self, machine: &'p Supply<'a>) {
+    /// Counts a machine as incoming if it is being drained for another shard, or if it is booting and not late. Plans
+    /// its move once it is drained, or its termination if it is presumed to have failed.
+    fn add_machine(&mut self, machine: &'p Supply<'a>) {
         let snapshot = self.snapshot;
         let record = machine.record;
         let incoming = |shard: usize| IncomingMachine {
@@ -150,7 +154,7 @@
             kind: record.kind.as_str(),
             zone: record.zone.as_str(),
             spot: record.spot,
-            room: machine.size,
+            free: machine.size,
         };
         if let Some(draining) = snapshot.draining.get(machine.id) {
             self.incoming.push(incoming(draining.shard));
@@ -179,8 +183,8 @@
         }
     }
 
-    /// Finds machines for a request.
-    pub(super) fn satisfy(&mut self, shard_request: ShardRequest) {
+    /// Serves a request from all sources of machines in turn.
+    pub(super) fn serve(&mut self, shard_request: ShardRequest) {
         let ShardRequest { shard, request } = shard_request;
         if let Some(gangs) = self
             .unserved_gangs
@@ -195,7 +199,7 @@
         if demand.unplaced == 0 {
             return;
         }
-        self.count_incoming(&mut demand);
+        self.place_on_incoming(&mut demand);
         if demand.unplaced == 0 {
             return;
         }
@@ -207,8 +211,9 @@
         }
     }
 
-    /// Machines on which a gang reserves room already are not for requests after it. What those reserve may be taken for
-    /// this one: gangs that each hold a part of the machines that all of them need would wait for ever.
+    /// Keeps the machines on which a gang has capacity reserved from being used for requests after it. A machine
+    /// reserved for a later request may still be used for this one: if each gang could keep a part of the machines that
+    /// all of them need, they would deadlock.
     fn keep_reserved(&mut self, demand: &Demand) {
         let request = demand.request;
         let mut reserved_tasks = if request.together {
@@ -225,7 +230,7 @@
                 && machine.size.fits(request.task) > 0
                 && demand.allows_machine(machine)
             {
-                self.claimed.insert(machine.id);
+                self.allocated.insert(machine.id);
                 let fit = machine
                     .size
                     .fits(request.task)
@@ -235,13 +240,14 @@
         }
     }
 
-    /// Moves idle machines of other shards: they are up now, while incoming ones may take long.
+    /// Moves idle machines of other shards to the shard of this request. They come before incoming machines since they
+    /// are up already.
     fn rebalance_idle(&mut self, demand: &mut Demand) {
         let request = demand.request;
-        let mut zone_pick: Option<&str> = None;
+        let mut chosen_zone: Option<&str> = None;
         for machine in &self.idle {
             if demand.unplaced == 0
-                || self.claimed.contains(machine.id)
+                || self.allocated.contains(machine.id)
                 || machine.shard == demand.shard
             {
                 continue;
@@ -251,58 +257,58 @@
             if !fits || !demand.allows_machine(machine) {
                 continue;
             }
-            if request.one_zone && zone_pick.is_some_and(|zone| zone != machine.record.zone) {
+            if request.one_zone && chosen_zone.is_some_and(|zone| zone != machine.record.zone) {
                 continue;
             }
-            zone_pick = Some(&machine.record.zone);
-            self.claimed.insert(machine.id);
+            chosen_zone = Some(&machine.record.zone);
+            self.allocated.insert(machine.id);
             self.plan.moves.push(Move {
                 machine: machine.id.clone(),
                 to: demand.shard,
             });
-            demand.take(machine.size);
+            demand.place(machine.size);
         }
     }
 
-    /// Places tasks on machines that are going to join this shard.
-    fn count_incoming(&mut self, demand: &mut Demand) {
+    /// Places tasks on machines that are about to join this shard, or are booting in it.
+    fn place_on_incoming(&mut self, demand: &mut Demand) {
         let shard = demand.shard;
         for incoming in self
             .incoming
             .iter_mut()
             .filter(|incoming| incoming.shard == shard)
         {
-            let suits = demand.suits(incoming.room, self.snapshot.types);
+            let suits = demand.suits(incoming.free, self.snapshot.types);
             if demand.unplaced > 0
                 && suits
                 && demand.allows(incoming.kind, incoming.zone, incoming.spot)
             {
-                let taken = demand.take(incoming.room);
-                incoming.room.sub(demand.request.task.times(taken));
+                let placed = demand.place(incoming.free);
+                incoming.free.sub(demand.request.task.times(placed));
             }
         }
     }
 
-    /// Whether a request served before this one holds the machine. Room that a gang reserves is not idle while work of
-    /// lower priority uses the rest of the machine, nor while such work is preempted for that gang. Unless the gang's
-    /// request comes after this one, the machine is the gang's: gangs of several shards would otherwise drain it from
-    /// each other without end.
-    fn held_for_earlier(&self, machine: &Supply) -> bool {
+    /// Whether a request served before this one has the machine. That may be so although the machine is not idle: it
+    /// can have capacity reserved for a gang while it still runs work of lower priority, or while such work is being
+    /// preempted for the gang. Unless the gang's request comes after this one, the machine is left to the gang.
+    /// Otherwise gangs of several shards would drain it from each other endlessly.
+    fn allocated_to_earlier(&self, machine: &Supply) -> bool {
         let unserved_gang = self
             .unserved_gangs
             .get(&machine.shard)
             .is_some_and(|gangs| *gangs > 0);
-        self.claimed.contains(machine.id) || (machine.reserved_for_gang() && !unserved_gang)
+        self.allocated.contains(machine.id) || (machine.reserved_for_gang() && !unserved_gang)
     }
 
-    /// Drains machines of work with lower priority.
+    /// Drains machines of other shards that run work of lower priority.
     fn drain_preemptible(&mut self, demand: &mut Demand) {
         let request = demand.request;
         for machine in &self.preemptible {
             if demand.unplaced == 0 || self.drained.len() >= MAX_DRAINS {
                 break;
             }
-            let helps = machine.shard != demand.shard
+            let eligible = machine.shard != demand.shard
                 && machine.view.is_some_and(|view| {
                     view.highest_priority
                         .is_some_and(|priority| priority > request.priority)
@@ -310,7 +316,8 @@
                 && machine.size.fits(request.task) > 0
                 && demand.allows_machine(machine)
                 && demand.suits(machine.size, self.snapshot.types);
-            if !helps || self.drained.contains(machine.id) || self.held_for_earlier(machine) {
+            if !eligible || self.drained.contains(machine.id) || self.allocated_to_earlier(machine)
+            {
                 continue;
             }
             self.drained.insert(machine.id);
@@ -319,11 +326,12 @@
                 to: demand.shard,
                 above: request.priority,
             });
-            demand.take(machine.size);
+            demand.place(machine.size);
         }
     }
 
-    /// Terminates machines that no request has claimed and that have been idle for long.
+    /// Terminates machines that are not needed for any request and have been idle for longer than idle machines are
+    /// kept.
     pub(super) fn scale_in_idle(&mut self) {
         let snapshot = self.snapshot;
         for machine in &self.idle {
@@ -334,18 +342,18 @@
                 1
             };
             let keep = snapshot.tuning.idle_keep.times(factor);
-            let spare = machine.idle().is_some_and(|idle| idle > keep)
+            let surplus = machine.idle().is_some_and(|idle| idle > keep)
                 && !machine.reserved_for_gang()
-                && !self.claimed.contains(machine.id);
-            if spare {
+                && !self.allocated.contains(machine.id);
+            if surplus {
                 self.plan.terminations.push(machine.id.clone());
             }
         }
     }
 }
 
-/// Whether work of lower priority may be preempted for a request. Live services do not wait for a machine to boot, nor
-/// does urgent work that would be late by then; other work preempts only if there is nothing to provision.
+/// Whether work of lower priority may be preempted in other shards for a request. Services do not wait for machines to
+/// boot. Other work preempts only if it has waited for some time and nothing can be provisioned for it.
 fn may_preempt(request: &ResourceRequest, nothing_to_provision: bool) -> bool {
     let delay = if request.guaranteed {
         PREEMPTION_DELAY.over(4)
--- a/crates/seamfront-core/src/capacity/provisioning.rs
+++ b/crates/seamfront-core/src/capacity/provisioning.rs
@@ -1,4 +1,5 @@
-//! What is provisioned for requests that neither idle nor incoming machines can serve.
+//! Decides what to provision for requests that idle and incoming machines cannot serve: for how many tasks, and which
+//! machines are cheapest for them.
 
 use super::demand::Demand;
 use super::planner::Planner;
@@ -8,29 +9,33 @@
 use crate::types::{MachineType, Micros, Resources};
 use std::collections::BTreeMap;
 
-/// Nothing is provisioned for work that the shard's machines complete in time: until it must start, within these bounds.
-const BACKLOG_TIME_MIN: Micros = Micros::from_secs(20);
-const BACKLOG_TIME_MAX: Micros = Micros::from_secs(60);
-/// The time for work without a deadline, which can wait longer.
-const BACKLOG_TIME_NO_DEADLINE: Micros = Micros::from_secs(90);
-/// Shorter estimates of a task's run time count as this long.
-const ESTIMATE_MIN: Micros = Micros::from_secs(5);
-/// Machines provisioned in one request, at most.
+/// Nothing is provisioned for a request if the shard's machines can complete the backlog before the request must start.
+/// The time they have for that is at least this long.
+const MIN_BACKLOG_TIME: Micros = Micros::from_secs(20);
+/// Upper bound of that time.
+const MAX_BACKLOG_TIME: Micros = Micros::from_secs(60);
+/// That time for requests without a deadline, which can wait longer.
+const NO_DEADLINE_BACKLOG_TIME: Micros = Micros::from_secs(90);
+/// Lower bound for estimates of a task's run time.
+const MIN_ESTIMATE: Micros = Micros::from_secs(5);
+/// Most machines provisioned by one request to the cloud.
 const MAX_MACHINES_PER_REQUEST: u32 = 20;
 
-/// Machines that are alike to a plan: of one shard, type, zone and price, with as much used by services. A far larger
-/// cluster has hardly more pools than a small one.
+/// Machines that a plan need not tell apart: they have the same shard, type and zone, are all spot machines or all not,
+/// and services use the same resources on each. Even a very large cluster has only a few more pools than a small one.
 struct MachinePool<'a> {
     shard: usize,
     record: &'a MachineRecord,
     size: Resources,
-    /// Used by services.
+    /// Resources that services use on each machine.
     pinned: Resources,
+    /// Number of machines.
     count: i64,
-    /// Processors that batch work uses in all of them, in thousandths.
+    /// CPUs that batch work uses on all of them together, in thousandths.
     busy: i64,
 }
 
+/// Groups the machines into pools, without those that are to be replaced.
 fn pools<'a>(snapshot: &ClusterSnapshot<'a>) -> Vec<MachinePool<'a>> {
     let mut found: BTreeMap<_, MachinePool> = BTreeMap::new();
     for machine in snapshot.machines.iter().filter(|machine| !machine.bad()) {
@@ -63,19 +68,19 @@
     found.into_values().collect()
 }
 
-/// Work that competes for the same machines.
+/// Key of work that competes for the same machines.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct BacklogKey {
     shard: usize,
     needs_gpus: bool,
 }
 
-/// Sums over all machines and requests, kept for the whole plan.
+/// Totals over machines and requests, kept while a plan is made.
 pub(super) struct PoolSummary<'a> {
     pools: Vec<MachinePool<'a>>,
-    /// Machines in each zone.
+    /// Number of machines in each zone.
     by_zone: BTreeMap<&'a str, i64>,
-    /// Work of the requests served so far, in thousandths of a processor times seconds.
+    /// Work of the requests served so far, in thousandths of a CPU times seconds.
     backlog: BTreeMap<BacklogKey, i64>,
 }
 
@@ -94,8 +99,8 @@
 }
 
 impl ClusterSnapshot<'_> {
-    /// Whether the cloud has lately refused such a machine.
-    fn refuses(&self, kind: &str, zone: &str, spot: bool) -> bool {
+    /// Whether the cloud has recently refused to provision such a machine.
+    fn recently_refused(&self, kind: &str, zone: &str, spot: bool) -> bool {
         let offer = Offer {
             kind: kind.to_owned(),
             zone: zone.to_owned(),
@@ -106,51 +111,52 @@
             .is_some_and(|refused| refused.until > self.now)
     }
 
-    /// Whether any machine that may run the request can be provisioned in this zone.
-    pub(super) fn on_offer(&self, request: &ResourceRequest, zone: &str) -> bool {
-        let named = |t: &MachineType| {
+    /// Whether any machine that may serve the request can be provisioned in this zone.
+    pub(super) fn can_provision(&self, request: &ResourceRequest, zone: &str) -> bool {
+        let allowed = |t: &MachineType| {
             request
                 .types
                 .as_ref()
                 .is_none_or(|names| names.contains(&t.name))
         };
-        let here = |t: &MachineType| {
-            t.size.fits(request.task) > 0 && named(t) && t.zones.iter().any(|z| z == zone)
+        let offered = |t: &MachineType| {
+            t.size.fits(request.task) > 0 && allowed(t) && t.zones.iter().any(|z| z == zone)
         };
-        let spots: &[bool] = if request.spot {
+        let spot_options: &[bool] = if request.spot {
             &[true, false]
         } else {
             &[false]
         };
-        self.types
-            .iter()
-            .filter(|t| here(t))
-            .any(|t| spots.iter().any(|spot| !self.refuses(&t.name, zone, *spot)))
+        self.types.iter().filter(|t| offered(t)).any(|t| {
+            spot_options
+                .iter()
+                .any(|spot| !self.recently_refused(&t.name, zone, *spot))
+        })
     }
 }
 
-/// How many tasks of a request a shard's machines could run, now or later.
+/// Number of tasks of a request that the machines of a shard can run at the same time, apart from services on them.
 #[derive(Default)]
-struct Slots<'a> {
-    all: i64,
+struct TaskSlots<'a> {
+    total: i64,
     by_zone: BTreeMap<&'a str, i64>,
-    /// Processors that batch work uses there, in thousandths.
+    /// CPUs that batch work uses on these machines, in thousandths.
     busy: i64,
 }
 
 /// A machine that could be provisioned.
 struct Candidate<'a> {
-    kind: &'a MachineType,
+    machine_type: &'a MachineType,
     zone: &'a str,
     spot: bool,
-    /// Tasks that fit on it.
+    /// Number of tasks that fit on it.
     fit: i64,
 }
 
 impl<'a> Planner<'_, 'a> {
-    /// Room for a request's tasks on the shard's machines.
-    fn slots(&self, demand: &Demand) -> Slots<'a> {
-        let mut slots = Slots::default();
+    /// Slots for a request's tasks on the machines of its shard.
+    fn slots(&self, demand: &Demand) -> TaskSlots<'a> {
+        let mut slots = TaskSlots::default();
         for pool in self
             .summary
             .pools
@@ -166,39 +172,39 @@
                 && demand.allows(&record.kind, &record.zone, record.spot)
             {
                 slots.busy += pool.busy;
-                slots.all += fit * pool.count;
+                slots.total += fit * pool.count;
                 *slots.by_zone.entry(record.zone.as_str()).or_default() += fit * pool.count;
             }
         }
         slots
     }
 
-    /// For how many tasks the shard's machines lack room, if they are to complete the running work and the backlog
-    /// before this request must start.
-    fn missing_slots(&mut self, demand: &Demand, slots: &Slots) -> i64 {
+    /// Number of slots that the shard lacks to complete the running work and the backlog, this request included, within
+    /// [`Self::backlog_time`]. Adds the request to the backlog.
+    fn missing_slots(&mut self, demand: &Demand, slots: &TaskSlots) -> i64 {
         let request = demand.request;
         let cpus_per_task = request.task.cpus.max(1);
-        let estimate_ms = request.estimate.max(ESTIMATE_MIN).0 / 1_000;
+        let estimate_ms = request.estimate.max(MIN_ESTIMATE).0 / 1_000;
         let key = BacklogKey {
             shard: demand.shard,
             needs_gpus: request.task.gpus > 0,
         };
         let backlog = self.summary.backlog.entry(key).or_default();
         *backlog += i64::from(request.count) * estimate_ms * cpus_per_task / 1_000;
-        // Running work is half done on average.
+        // Running work is assumed to be half done on average.
         let remaining_work = *backlog + slots.busy * estimate_ms / 2_000;
         let time_ms = self.backlog_time(demand).0 / 1_000;
-        let missing_cpus = remaining_work * 1_000 / time_ms - slots.all * cpus_per_task;
+        let missing_cpus = remaining_work * 1_000 / time_ms - slots.total * cpus_per_task;
         missing_cpus.max(0) / cpus_per_task
     }
 
-    /// The time in which the shard's machines must complete the backlog, or more are provisioned. Half as long where
-    /// suitable machines are cheap.
+    /// The time within which the shard's machines have to complete the backlog; if they can't, more are provisioned.
+    /// Half as long if a suitable machine is cheap.
     fn backlog_time(&self, demand: &Demand) -> Micros {
         let request = demand.request;
         let types = self.snapshot.types;
-        let time = request.left.map_or(BACKLOG_TIME_NO_DEADLINE, |left| {
-            left.clamp(BACKLOG_TIME_MIN, BACKLOG_TIME_MAX)
+        let time = request.left.map_or(NO_DEADLINE_BACKLOG_TIME, |left| {
+            left.clamp(MIN_BACKLOG_TIME, MAX_BACKLOG_TIME)
         });
         let lowest_price = types
             .iter()
@@ -211,56 +217,60 @@
         time
     }
 
-    /// For how many tasks machines should be provisioned. For services that is all of them.
+    /// Number of tasks for which machines should be provisioned. For a service that is all unplaced tasks.
     fn tasks_to_provision_for(&mut self, demand: &Demand) -> u32 {
         let request = demand.request;
         if request.service {
             return demand.unplaced;
         }
         let slots = self.slots(demand);
-        let short = self
+        let shortfall = self
             .missing_slots(demand, &slots)
             .min(i64::from(demand.unplaced)) as u32;
         if !request.together {
-            return if slots.all == 0 { short.max(1) } else { short };
+            return if slots.total == 0 {
+                shortfall.max(1)
+            } else {
+                shortfall
+            };
         }
-        // All of a gang must find room at once, whether or not some of it is reserved already.
-        let most = if request.one_zone {
+        // All of a gang has to fit at the same time, whether or not capacity for some of it is reserved already.
+        let usable_slots = if request.one_zone {
             slots.by_zone.values().max().copied().unwrap_or(0)
         } else {
-            slots.all
+            slots.total
         };
-        let lacking = (i64::from(request.total) - most).max(0) as u32;
-        match (lacking, short) {
+        let missing = (i64::from(request.total) - usable_slots).max(0) as u32;
+        match (missing, shortfall) {
             (0, 0) => 0,
             (0, _) => request.count,
-            _ => lacking,
+            _ => missing,
         }
     }
 
-    /// The candidate that is cheapest for these tasks; of equally cheap ones, in the zone with the fewest machines, so
-    /// that a job whose tasks must be spread finds both zones.
+    /// The cheapest candidate for this number of tasks. Among equally cheap ones, the one in the zone with the fewest
+    /// machines is chosen, so that spread jobs find machines in more than one zone.
     fn best_candidate(&self, demand: &Demand, tasks: u32) -> Option<Candidate<'a>> {
         self.candidates(demand)
             .into_iter()
             .min_by_key(|candidate| self.cost(candidate, tasks))
     }
 
-    /// The machines that may be provisioned for a request.
+    /// All machines that could be provisioned for a request.
     fn candidates(&self, demand: &Demand) -> Vec<Candidate<'a>> {
         let snapshot = self.snapshot;
         let mut candidates = Vec::new();
-        for kind in snapshot.types {
-            let fit = kind.size.fits(demand.request.task);
-            if fit <= 0 || !demand.suits(kind.size, snapshot.types) {
+        for machine_type in snapshot.types {
+            let fit = machine_type.size.fits(demand.request.task);
+            if fit <= 0 || !demand.suits(machine_type.size, snapshot.types) {
                 continue;
             }
-            for zone in &kind.zones {
+            for zone in &machine_type.zones {
                 for spot in [true, false] {
-                    let available = !snapshot.refuses(&kind.name, zone, spot);
-                    if available && demand.allows(&kind.name, zone, spot) {
+                    let available = !snapshot.recently_refused(&machine_type.name, zone, spot);
+                    if available && demand.allows(&machine_type.name, zone, spot) {
                         candidates.push(Candidate {
-                            kind,
+                            machine_type,
                             zone,
                             spot,
                             fit,
@@ -272,39 +282,42 @@
         candidates
     }
 
-    /// The price of a task in thousandths, and in its last digits the number of machines in the zone.
+    /// Cost of a candidate for this number of tasks: the hourly price per task, and in its low-order digits the number
+    /// of machines in the zone.
     fn cost(&self, candidate: &Candidate, tasks: u32) -> i64 {
         let tasks_placed = candidate.fit.min(i64::from(tasks)).max(1);
-        let price_per_task = candidate.kind.hourly_price(candidate.spot) * 1_000 / tasks_placed;
+        let price_per_task =
+            candidate.machine_type.hourly_price(candidate.spot) * 1_000 / tasks_placed;
         let in_zone = self.summary.by_zone.get(candidate.zone).copied();
         price_per_task * 1_000 + in_zone.unwrap_or(0)
     }
 
-    /// Plans provisioning for the tasks that machines should be provisioned for.
+    /// Plans the provisioning of machines for a request.
     pub(super) fn provision_for(&mut self, demand: &Demand) {
         let mut tasks = self.tasks_to_provision_for(demand);
         while tasks > 0 {
             let Some(candidate) = self.best_candidate(demand, tasks) else {
                 return;
             };
-            let same = |record: &ProvisioningRecord| {
-                record.kind == candidate.kind.name
+            let same_offer = |record: &ProvisioningRecord| {
+                record.kind == candidate.machine_type.name
                     && record.zone == candidate.zone
                     && record.spot == candidate.spot
             };
-            if self.plan.provisionings.iter().any(same) {
-                // One request per offer and round; the rest follows when the answer is known.
+            if self.plan.provisionings.iter().any(same_offer) {
+                // A plan has one request per offer. The rest is provisioned once the cloud has answered it.
                 return;
             }
-            let most = if demand.request.spread {
+            let max_count = if demand.request.spread {
                 1
             } else {
                 MAX_MACHINES_PER_REQUEST
             };
-            let count = (((i64::from(tasks) + candidate.fit - 1) / candidate.fit) as u32).min(most);
+            let count =
+                (((i64::from(tasks) + candidate.fit - 1) / candidate.fit) as u32).min(max_count);
             self.plan.provisionings.push(ProvisioningRecord {
                 shard: demand.shard,
-                kind: candidate.kind.name.clone(),
+                kind: candidate.machine_type.name.clone(),
                 zone: candidate.zone.to_owned(),
                 spot: candidate.spot,
                 count,
