--- a/crates/seamfront-core/src/job.rs
+++ b/crates/seamfront-core/src/job.rs
@@ -310,7 +310,7 @@
     /// are tried each time: only its first ones may be bad.
     pub fn next_tasks(&self, n: u32) -> Vec<u32> {
         let open = || {
-            (self.done.prefix()..self.spec.tasks)
+            (self.done.first_missing()..self.spec.tasks)
                 .filter(|i| !self.tasks.contains_key(i) && !self.done.contains(*i))
         };
         let tried_before = if self.failing() && self.gang.is_none() {
@@ -337,7 +337,7 @@
     pub fn record_headroom(&self, layout: &Layout) -> u32 {
         let run_bytes = self.run_bytes();
         let fixed_bytes = RECORD_FIXED_BYTES + self.spec.team.len();
-        let mut used = self.done.pieces() * (run_bytes + 1);
+        let mut used = self.done.range_count() * (run_bytes + 1);
         if let Some(gang) = &self.gang {
             used += gang.attempts.iter().filter(|a| **a > 0).count() * run_bytes;
         }
--- a/crates/seamfront-core/src/ranges.rs
+++ b/crates/seamfront-core/src/ranges.rs
@@ -1,26 +1,26 @@
-//! A compact set of task numbers, kept as ranges: tasks end nearly in order, so the set of a job array of 100,000
-//! tasks still fits into a small record.
+//! A compact set of task numbers, stored as ranges. Tasks end nearly in order, so the set of completed tasks of a job
+//! array of 100,000 tasks still fits into a small record.
 
 use serde::{Deserialize, Serialize};
 
-/// Sorted, disjoint, non-adjacent half-open ranges.
+/// A set of numbers, as sorted, disjoint, non-adjacent half-open ranges.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct Ranges(Vec<(u32, u32)>);
 
 impl Ranges {
-    /// All numbers below `n`.
+    /// The set of all numbers below `n`.
     pub fn full(n: u32) -> Ranges {
         Ranges(vec![(0, n)])
     }
 
-    /// From sorted, disjoint, non-adjacent ranges.
-    pub fn from_pieces(pieces: Vec<(u32, u32)>) -> Ranges {
-        Ranges(pieces)
+    /// A set made of these half-open ranges, which must be sorted, disjoint and non-adjacent.
+    pub fn from_ranges(ranges: Vec<(u32, u32)>) -> Ranges {
+        Ranges(ranges)
     }
 
-    /// The ranges in order.
-    pub fn pieces_iter(&self) -> impl Iterator<Item = (u32, u32)> + '_ {
+    /// The half-open ranges of the set, in order.
+    pub fn iter_ranges(&self) -> impl Iterator<Item = (u32, u32)> + '_ {
         self.0.iter().copied()
     }
 
@@ -30,7 +30,7 @@
         self.0.get(at).is_some_and(|r| r.0 <= x)
     }
 
-    /// False if it was in the set already.
+    /// Adds a number. Returns false if it was in the set already.
     pub fn insert(&mut self, x: u32) -> bool {
         let at = self.0.partition_point(|r| r.1 < x);
         match self.0.get_mut(at) {
@@ -48,18 +48,18 @@
         true
     }
 
-    /// How many numbers are in the set.
+    /// Number of elements of the set.
     pub fn count(&self) -> u32 {
         self.0.iter().map(|r| r.1 - r.0).sum()
     }
 
-    /// Of how many ranges the set consists.
-    pub fn pieces(&self) -> usize {
+    /// Number of ranges that the set consists of.
+    pub fn range_count(&self) -> usize {
         self.0.len()
     }
 
-    /// Everything below this is in the set.
-    pub fn prefix(&self) -> u32 {
+    /// The smallest number that is not in the set.
+    pub fn first_missing(&self) -> u32 {
         self.0.first().filter(|r| r.0 == 0).map_or(0, |r| r.1)
     }
 }
--- a/crates/seamfront-core/src/record.rs
+++ b/crates/seamfront-core/src/record.rs
@@ -326,7 +326,7 @@
         draining: head.draining,
         attempts,
         next_attempt: head.next_attempt,
-        done: Ranges::from_pieces(done),
+        done: Ranges::from_ranges(done),
         placed,
         failures: head.failures,
     })
@@ -335,7 +335,7 @@
 /// All entries of a record's lists, in the order of their positions.
 fn items_of(record: &WorkRecord) -> Vec<Item> {
     let attempts = record.attempts.iter().map(|a| Item::Attempts(*a));
-    let done = record.done.pieces_iter().map(Item::Done);
+    let done = record.done.iter_ranges().map(Item::Done);
     let placed = record
         .placed
         .iter()
--- a/crates/seamfront-core/tests/ranges.rs
+++ b/crates/seamfront-core/tests/ranges.rs
@@ -21,7 +21,7 @@
         serde_json::from_value(serde_json::to_value(&ranges).unwrap()).unwrap();
     assert!(spans.windows(2).all(|w| w[0].1 < w[1].0));
     assert_eq!(
-        ranges.prefix(),
+        ranges.first_missing(),
         (0..=u32::MAX).find(|v| !set.contains(v)).unwrap()
     );
 }
