--- a/crates/seamfront-core/src/gang.rs
+++ b/crates/seamfront-core/src/gang.rs
@@ -1,11 +1,11 @@
-//! Gang scheduling: the coordinated drain of a gang, after "Gang Preemption in Workron". This module is only the
-//! state machine; placements, orders and records are the shard's.
+//! Gang scheduling: the state machine for the coordinated drain of a gang, after the article "Gang Preemption in
+//! Workron". Placements, orders and records are kept by the shard.
 //!
-//! A gang is admitted whole. When a member fails, is preempted or must move, all members that may
-//! have a process go to `Preempting` and get stop orders until they are known to be gone; the
-//! epoch rises, and since it is also the attempt number, nothing of an older round can be taken
-//! for the new one. Siblings get their attempt refunded when the drain starts, the trigger keeps
-//! its own. Once nothing runs, a strict verdict decides.
+//! A gang is admitted as a whole. When a member fails, is preempted or has to move, the gang is drained: all members
+//! that may have a process become `Preempting` and get stop orders until they are known to be gone. The epoch rises
+//! with each drain. It is also the attempt number, so that messages about an older attempt can't be mistaken for the
+//! new one. A member whose failure triggered the drain is charged an attempt; the others get theirs back when the drain
+//! starts. Once no member runs, the gang either may be admitted again or has failed, see [`Verdict`].
 
 use serde::{Deserialize, Serialize};
 
@@ -14,46 +14,47 @@
 pub enum Member {
     /// Not placed.
     Blocked,
-    /// Placed in this cycle; the record that allows it is not written yet, so nothing was ordered.
+    /// Placed, but the record that lists the placement is not stored yet, so no order was sent.
     Reserved,
-    /// May be ordered to start. Unlike in the article it may have a process: replies get lost.
+    /// May be ordered to start. Unlike in the article, it may already have a process, since the agent's reply can be
+    /// lost.
     Pending,
-    /// Its worker has shown it.
+    /// Reported by the agent of its machine.
     Running,
-    /// Being stopped.
+    /// Being stopped by a drain.
     Preempting,
-    /// Known to be gone in this drain.
+    /// Known to be gone from its machine during a drain.
     Preempted,
     /// Its work is complete.
     Done,
-    /// The gang has failed; it waits until it is readmitted.
+    /// The gang has failed and was not readmitted yet.
     Failed,
 }
 
-/// The result of a gang's drain.
+/// Result of a completed drain.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Verdict {
-    /// It may be admitted again.
+    /// The gang may be admitted again.
     Blocked,
-    /// A member has used up its attempts, or has ended.
+    /// The gang has failed: a member has used up its attempts, or has ended.
     Failed,
 }
 
-/// A gang's drain state.
+/// The state of a gang's members, and of its drain.
 #[derive(Clone, Debug)]
 pub struct Gang {
-    /// Rises with each drain; also the attempt number of all members.
+    /// Number of the current attempt of all members, raised by each drain.
     pub epoch: u64,
-    /// Whether a drain is under way.
+    /// Whether a drain is in progress.
     pub draining: bool,
-    /// State of each member.
+    /// State of each member, by task number.
     pub members: Vec<Member>,
-    /// Attempts that each member has used up.
+    /// Attempts that each member has used up, by task number.
     pub attempts: Vec<u32>,
 }
 
 impl Gang {
-    /// A gang of that size, none of it placed.
+    /// A gang of `size` members, none of them placed.
     pub fn new(size: u32) -> Gang {
         Gang {
             epoch: 1,
@@ -63,36 +64,36 @@
         }
     }
 
-    /// Only a gang that is blocked as a whole may be admitted.
+    /// Whether the gang may be admitted: no drain is in progress and all members are blocked.
     pub fn admissible(&self) -> bool {
         !self.draining && self.members.iter().all(|m| *m == Member::Blocked)
     }
 
-    /// Reserves places for all members at once.
+    /// Marks all members as reserved. The gang must be admissible.
     pub fn reserve_all(&mut self) {
         debug_assert!(self.admissible());
         self.members.fill(Member::Reserved);
     }
 
-    /// The record that allows the member is written: it may be ordered to start.
-    pub fn recorded(&mut self, i: u32) {
-        let m = &mut self.members[i as usize];
-        if *m == Member::Reserved {
-            *m = Member::Pending;
+    /// The record that lists the member's placement is stored: the member may be ordered to start.
+    pub fn mark_pending(&mut self, index: u32) {
+        let member = &mut self.members[index as usize];
+        if *member == Member::Reserved {
+            *member = Member::Pending;
         }
     }
 
-    /// The worker shows the member: this counts as an attempt.
-    pub fn claimed(&mut self, i: u32) {
-        let i = i as usize;
+    /// The agent has reported the member, which uses up an attempt.
+    pub fn mark_running(&mut self, index: u32) {
+        let i = index as usize;
         if matches!(self.members[i], Member::Pending | Member::Reserved) {
             self.members[i] = Member::Running;
             self.attempts[i] += 1;
         }
     }
 
-    /// Starts a drain. `trigger` is the member whose failure caused it; none where the gang is
-    /// evicted for other work. Returns false if one is under way already.
+    /// Starts a drain. `trigger` is the member whose failure caused it, or `None` if the gang is evicted for other
+    /// work. Returns false if a drain is in progress already.
     pub fn drain(&mut self, trigger: Option<u32>) -> bool {
         if self.draining {
             return false;
@@ -108,7 +109,7 @@
                     *m = Member::Preempting;
                 }
                 Member::Pending => {
-                    // Failed before its worker ever showed it: the failure still counts.
+                    // It failed before its agent reported it; the failure counts all the same.
                     if trigger == Some(i as u32) {
                         self.attempts[i] += 1;
                     }
@@ -121,24 +122,27 @@
         true
     }
 
-    /// The member is certainly on no machine any more.
-    pub fn gone(&mut self, i: u32) {
-        let m = &mut self.members[i as usize];
-        if *m == Member::Preempting {
-            *m = Member::Preempted;
+    /// The member is known to be gone from its machine.
+    pub fn mark_preempted(&mut self, index: u32) {
+        let member = &mut self.members[index as usize];
+        if *member == Member::Preempting {
+            *member = Member::Preempted;
         }
     }
 
-    /// In this protocol one member's completion is the gang's: a recorded success, not a failure.
-    pub fn all_done(&mut self) {
+    /// Marks all members as done. In this protocol, the completion of one member completes the whole gang; it is not a
+    /// failure of the others.
+    pub fn mark_all_done(&mut self) {
         self.draining = false;
         self.members.fill(Member::Done);
     }
 
-    /// Completes the drain once no member runs: the gang has failed if any member has used up its attempts or ended.
+    /// Completes the drain, unless a member may still run. The gang has failed if any member has used up `retry_limit`
+    /// attempts or has ended. Returns `None` if no drain was completed.
     pub fn complete(&mut self, retry_limit: u32) -> Option<Verdict> {
-        let busy = |m: &Member| matches!(m, Member::Running | Member::Pending | Member::Preempting);
-        if !self.draining || self.members.iter().any(busy) {
+        let may_run =
+            |m: &Member| matches!(m, Member::Running | Member::Pending | Member::Preempting);
+        if !self.draining || self.members.iter().any(may_run) {
             return None;
         }
         self.draining = false;
@@ -155,7 +159,7 @@
         Some(Verdict::Blocked)
     }
 
-    /// Admits a failed gang again with all attempts: every accepted job must run.
+    /// Makes a failed gang admissible again, with all attempts restored, because every accepted job must run.
     pub fn readmit(&mut self) {
         self.members.fill(Member::Blocked);
         self.attempts.fill(0);
--- a/crates/seamfront-core/src/placement.rs
+++ b/crates/seamfront-core/src/placement.rs
@@ -1,4 +1,5 @@
-//! Bin packing: which machine for which task, by room, constraints and cost. It knows nothing of how jobs run.
+//! Bin packing: chooses machines for tasks by free capacity, constraints and cost. The state of running jobs is not
+//! considered here.
 
 use crate::job::Job;
 use crate::machine::Machine;
@@ -9,7 +10,8 @@
 /// Machines by name.
 pub type Machines = BTreeMap<MachineId, Machine>;
 
-/// Machines of one type in one zone, all spot or none: whether a job may use them is decided for all at once.
+/// Machines of the same type, zone and size that are all spot machines or all not. Whether a job may use them is
+/// decided once for the whole group.
 struct MachineGroup {
     kind: String,
     zone: String,
@@ -17,51 +19,52 @@
     size: Resources,
 }
 
-/// A usable machine with its room in one cycle: lowered by what the cycle places or reserves.
+/// A usable machine and its free capacity in a scheduling cycle, less what the cycle has placed or reserved there.
 pub struct MachineCapacity {
     /// The machine's name.
     pub id: MachineId,
+    /// Index of its group.
     group: usize,
-    /// Free now.
+    /// Resources that are free now.
     pub free: Resources,
-    /// Free once everything that is being stopped has gone.
+    /// Resources that are free once all tasks being stopped there are gone.
     pub after_preemption: Resources,
 }
 
-/// Which room of a machine is meant.
+/// Which free capacity of a machine is considered.
 #[derive(Clone, Copy, PartialEq)]
 pub enum Availability {
-    /// Free now.
+    /// What is free now.
     Now,
-    /// Free once what is being stopped has gone.
+    /// What is free once all tasks being stopped are gone.
     AfterPreemption,
 }
 
-/// How many of the tasks asked for must find a place.
+/// How many of the requested tasks have to fit.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FillPolicy {
-    /// As many as find one.
+    /// As many as possible.
     Partial,
-    /// All, or none is placed.
+    /// All of them; otherwise none is placed.
     AllOrNothing,
 }
 
-/// The room on usable machines in one cycle, in the order of the machines' names. Machines are named by their index in
-/// it, and looked up only where they have room for what is asked: most are full.
+/// Free capacity of all usable machines in one scheduling cycle. Machines are identified by their index in it. A search
+/// first goes through this compact list and looks up only the machines with enough free capacity, since most are full.
 #[derive(Default)]
 pub struct FreeCapacity {
     groups: Vec<MachineGroup>,
-    /// The usable machines.
+    /// The usable machines, sorted by name.
     pub machines: Vec<MachineCapacity>,
-    /// The cost of searches so far: machines looked up, and entries of the list at a fraction of that.
+    /// Cost of all searches so far, in machine lookups; `ENTRIES_PER_LOOKUP` list entries count as one lookup.
     pub work_done: Cell<i64>,
 }
 
-/// This many entries of the list cost as much as one machine looked up.
+/// Number of entries of [`FreeCapacity::machines`] that cost as much to examine as one lookup of a machine.
 const ENTRIES_PER_LOOKUP: i64 = 16;
 
 impl FreeCapacity {
-    /// The room of these machines.
+    /// The free capacity of these machines, which must be sorted by name.
     pub fn of<'m>(machines: impl Iterator<Item = &'m Machine>) -> FreeCapacity {
         let mut capacity = FreeCapacity::default();
         for m in machines {
@@ -90,91 +93,96 @@
     }
 
     /// The index of a machine in `machines`.
-    pub fn find(&self, id: &MachineId) -> Option<usize> {
-        self.machines.binary_search_by(|s| s.id.cmp(id)).ok()
+    pub fn index_of(&self, id: &MachineId) -> Option<usize> {
+        self.machines
+            .binary_search_by(|machine| machine.id.cmp(id))
+            .ok()
     }
 
-    /// The zone of the machine at an index.
-    pub fn zone(&self, k: usize) -> &str {
-        &self.groups[self.machines[k].group].zone
+    /// The zone of the machine at `index`.
+    pub fn zone(&self, index: usize) -> &str {
+        &self.groups[self.machines[index].group].zone
     }
 
-    /// The total resources of the machine at an index.
-    pub fn size(&self, k: usize) -> Resources {
-        self.groups[self.machines[k].group].size
+    /// The total resources of the machine at `index`.
+    pub fn size(&self, index: usize) -> Resources {
+        self.groups[self.machines[index].group].size
     }
 
-    /// The room left on the machine at an index.
-    pub fn left(&self, k: usize, availability: Availability) -> Resources {
+    /// The free capacity of the machine at `index`.
+    pub fn available(&self, index: usize, availability: Availability) -> Resources {
         match availability {
-            Availability::Now => self.machines[k].free,
-            Availability::AfterPreemption => self.machines[k].after_preemption,
+            Availability::Now => self.machines[index].free,
+            Availability::AfterPreemption => self.machines[index].after_preemption,
         }
     }
 
-    /// Takes room on the machine at an index.
-    pub fn hold(&mut self, k: usize, task_resources: Resources) {
-        self.machines[k].free.sub(task_resources);
-        self.machines[k].after_preemption.sub(task_resources);
+    /// Subtracts resources from the free capacity of the machine at `index`.
+    pub fn reserve(&mut self, index: usize, task_resources: Resources) {
+        self.machines[index].free.sub(task_resources);
+        self.machines[index].after_preemption.sub(task_resources);
     }
 
+    /// Adds the cost of a search that examined this many entries and looked up this many machines.
     fn count_work(&self, entries: usize, machines: usize) {
         self.work_done
             .set(self.work_done.get() + 1 + entries as i64 / ENTRIES_PER_LOOKUP + machines as i64);
     }
 }
 
-/// The cost of using a spot machine where an ordinary one suits better, or the reverse: about the fetch of an image.
-const WRONG_KIND_MS: i64 = 15_000;
+/// Cost of using a spot machine where an ordinary one is preferred, or the reverse, in milliseconds. It is about as
+/// much as fetching an image.
+const SPOT_MISMATCH_MS: i64 = 15_000;
 
-/// The machines that a job may use, and how it ranks them.
+/// A request to place tasks of a job: which machines it may use, and how they are ranked.
 pub struct PlacementRequest<'a> {
-    /// The job as things stand.
+    /// The job.
     pub spec: &'a JobSpec,
-    /// Machines that it should not use, by when.
+    /// Machines that the job should avoid, with the time until which it should.
     pub avoid: &'a BTreeMap<MachineId, Micros>,
     /// The time of the cycle.
     pub now: Micros,
     /// Machine types on offer.
     pub types: &'a [MachineType],
-    /// Whether machines that do not suit the task (see `JobSpec::suits`) may be used all the same,
-    /// as long as they are not about to be returned: idle machines are kept for so long.
-    pub any_size: Option<Micros>,
-    /// Only machines that have the image.
-    pub cached: bool,
+    /// If set, tasks that need no accelerators may also use machines with accelerators, which do not suit them by
+    /// [`JobSpec::suits`]. The value is the idle time after which such a machine is terminated: one that may soon be
+    /// terminated is not used, see [`Machine::accepts_cpu_only_work`].
+    pub accelerator_idle_keep: Option<Micros>,
+    /// Whether only machines that have the job's image cached may be used.
+    pub require_cached_image: bool,
 }
 
-/// Candidates of one zone.
+/// Candidates in one zone.
 struct ZoneCandidates<'r> {
     name: &'r str,
-    /// Tasks of the job in the zone.
+    /// Number of the job's tasks in the zone.
     tasks: u32,
-    /// Candidates with room, the best last.
-    left: Vec<OpenCandidate>,
+    /// Candidates that can take more tasks, the best last.
+    open: Vec<OpenCandidate>,
 }
 
-/// A candidate with room for more tasks.
+/// A candidate that can take more tasks.
 struct OpenCandidate {
-    /// Its position in the list of all candidates.
+    /// Its position in the sorted list of all candidates.
     position: usize,
-    /// How many tasks still fit.
+    /// Number of tasks that still fit.
     fits: u32,
 }
 
-/// A machine with room for at least one task. The fields are compared in their order.
+/// A machine with enough capacity for at least one task. Candidates are ordered by cost first.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct Candidate {
     /// Lower is better, see [`PlacementRequest::cost`].
     cost: i64,
-    /// The machine's index in the capacity.
+    /// The machine's index in [`FreeCapacity::machines`].
     index: usize,
-    /// How many tasks fit.
+    /// Number of tasks that fit.
     fits: u32,
 }
 
-/// Most tasks counted on one machine.
+/// Upper bound for the number of tasks that fit on one machine, which is unlimited for tasks that need no resources.
 const MAX_TASKS_PER_MACHINE: i64 = 1 << 20;
-/// Fetch rate of a machine whose type is not known, in MB/s.
+/// Assumed rate of image fetches on a machine of an unknown type, in MB/s.
 const DEFAULT_FETCH_MB_S: i64 = 100;
 
 impl<'a> PlacementRequest<'a> {
@@ -185,83 +193,86 @@
             avoid: &job.avoided_machines,
             now,
             types,
-            any_size: None,
-            cached: false,
+            accelerator_idle_keep: None,
+            require_cached_image: false,
         }
     }
 
-    /// For each group: none if the job may not use it, else whether its machines suit the job's tasks. If not, only
-    /// machines that accept work without accelerators may be used.
-    fn groups(&self, capacity: &FreeCapacity) -> Vec<Option<bool>> {
-        let ask = |g: &MachineGroup| {
+    /// For each group: `None` if the job may not use it, else whether its machines suit the job's tasks. In a group
+    /// that does not suit them, only machines that accept work without accelerators may be used.
+    fn group_suitability(&self, capacity: &FreeCapacity) -> Vec<Option<bool>> {
+        let suitability = |g: &MachineGroup| {
             let allowed = self.spec.allows(&g.kind, &g.zone, g.spot);
             let suits = self.spec.suits(g.size, self.types);
-            (allowed && (suits || self.any_size.is_some())).then_some(suits)
+            (allowed && (suits || self.accelerator_idle_keep.is_some())).then_some(suits)
         };
-        capacity.groups.iter().map(ask).collect()
+        capacity.groups.iter().map(suitability).collect()
     }
 
+    /// Whether the job may use a machine of a group that it may use; `suits` is the suitability of that group.
     fn allowed(&self, m: &Machine, suits: bool) -> bool {
         (suits
             || self
-                .any_size
+                .accelerator_idle_keep
                 .is_some_and(|keep| m.accepts_cpu_only_work(self.now, keep)))
-            && (!self.cached || m.image_cache.has_image(&self.spec.image))
+            && (!self.require_cached_image || m.image_cache.has_image(&self.spec.image))
             && self.avoid.get(&m.id).is_none_or(|until| *until <= self.now)
     }
 
-    /// Machines that the job may use, of those that pass `keep`, with their index.
-    pub fn places<'m>(
+    /// Machines that the job may use and that pass `filter`, with their index.
+    pub fn eligible_machines<'m>(
         &self,
         machines: &'m Machines,
         capacity: &FreeCapacity,
-        keep: impl Fn(usize, &MachineCapacity) -> bool,
+        filter: impl Fn(usize, &MachineCapacity) -> bool,
     ) -> Vec<(usize, &'m Machine)> {
-        let groups = self.groups(capacity);
-        let worth = capacity
+        let groups = self.group_suitability(capacity);
+        let entries = capacity
             .machines
             .iter()
             .enumerate()
-            .filter(|(k, s)| groups[s.group].is_some() && keep(*k, s));
-        let found = worth.filter_map(|(k, s)| Some((k, machines.get(&s.id)?, groups[s.group]?)));
-        let mut work_done = 0;
+            .filter(|(index, entry)| groups[entry.group].is_some() && filter(*index, entry));
+        let found = entries.filter_map(|(index, entry)| {
+            Some((index, machines.get(&entry.id)?, groups[entry.group]?))
+        });
+        let mut lookups = 0;
         let found = found
-            .inspect(|_| work_done += 1)
+            .inspect(|_| lookups += 1)
             .filter(|(_, m, suits)| self.allowed(m, *suits));
-        let found = found.map(|(k, m, _)| (k, m)).collect();
-        capacity.count_work(capacity.machines.len(), work_done);
+        let found = found.map(|(index, m, _)| (index, m)).collect();
+        capacity.count_work(capacity.machines.len(), lookups);
         found
     }
 
-    /// How many tasks would fit on the empty machines of each zone.
-    pub fn by_zone<'r>(&self, capacity: &'r FreeCapacity) -> BTreeMap<&'r str, i64> {
-        let groups = self.groups(capacity);
-        let mut all = BTreeMap::new();
-        for s in capacity
+    /// Number of tasks that the machines of each zone could hold if they were empty.
+    pub fn max_tasks_by_zone<'r>(&self, capacity: &'r FreeCapacity) -> BTreeMap<&'r str, i64> {
+        let groups = self.group_suitability(capacity);
+        let mut max_tasks = BTreeMap::new();
+        for entry in capacity
             .machines
             .iter()
-            .filter(|s| groups[s.group].is_some())
+            .filter(|entry| groups[entry.group].is_some())
         {
-            let g = &capacity.groups[s.group];
-            *all.entry(g.zone.as_str()).or_insert(0) += g.size.fits(self.spec.task_resources);
+            let g = &capacity.groups[entry.group];
+            *max_tasks.entry(g.zone.as_str()).or_insert(0) += g.size.fits(self.spec.task_resources);
         }
         capacity.count_work(capacity.machines.len(), 0);
-        all
+        max_tasks
     }
 
-    /// The cost of the machine being spot or not, in milliseconds. Jobs with checkpoints prefer spot machines where they
-    /// may use them: they lose little by a preemption. Others, which would have to start anew and be late, prefer
-    /// ordinary machines.
-    pub fn kind_ms(&self, m: &Machine) -> i64 {
-        let wrong = self.spec.spot && m.record.spot != self.spec.saves();
-        if wrong {
-            WRONG_KIND_MS
+    /// Cost of using a spot machine or an ordinary one against the job's preference, in milliseconds. Of the jobs that
+    /// may use spot machines, those with checkpoints prefer them, since they lose little if the cloud preempts the
+    /// machine. The others prefer ordinary machines: they would have to start again and be late.
+    pub fn spot_mismatch_ms(&self, m: &Machine) -> i64 {
+        let mismatch = self.spec.spot && m.record.spot != self.spec.saves();
+        if mismatch {
+            SPOT_MISMATCH_MS
         } else {
             0
         }
     }
 
-    /// How long its image would take to fetch there, in milliseconds.
+    /// Estimated time to fetch the job's image to a machine, in milliseconds.
     pub fn fetch_ms(&self, m: &Machine) -> i64 {
         let rate = self
             .types
@@ -274,27 +285,28 @@
             / rate.max(1)
     }
 
-    /// Lower is better: a cached image, then the fullest machine, so that others become empty and
-    /// can be returned.
-    fn cost(&self, m: &Machine, capacity: Resources) -> i64 {
-        let left = 1_000 * capacity.cpus.max(0) / m.size.cpus.max(1);
-        self.kind_ms(m) + self.fetch_ms(m) + left
+    /// Cost of placing a task on a machine with this free capacity; lower is better. Besides the time to fetch the
+    /// image, the machine with the lowest share of free CPUs is preferred, so that others become empty and can be
+    /// terminated.
+    fn cost(&self, m: &Machine, free: Resources) -> i64 {
+        let free_per_mille = 1_000 * free.cpus.max(0) / m.size.cpus.max(1);
+        self.spot_mismatch_ms(m) + self.fetch_ms(m) + free_per_mille
     }
 
-    /// Machines that have room for at least one task, best first.
+    /// Machines with enough capacity for at least one task, best first.
     fn candidates(
         &self,
         machines: &Machines,
         capacity: &FreeCapacity,
         availability: Availability,
     ) -> Vec<Candidate> {
-        let left = |k: usize| capacity.left(k, availability);
-        let fits = |k: usize| left(k).fits(self.spec.task_resources);
+        let available = |index: usize| capacity.available(index, availability);
+        let fits = |index: usize| available(index).fits(self.spec.task_resources);
         let mut found: Vec<Candidate> = self
-            .places(machines, capacity, |k, _| fits(k) > 0)
+            .eligible_machines(machines, capacity, |index, _| fits(index) > 0)
             .into_iter()
             .map(|(index, m)| Candidate {
-                cost: self.cost(m, left(index)),
+                cost: self.cost(m, available(index)),
                 index,
                 fits: fits(index).min(MAX_TASKS_PER_MACHINE) as u32,
             })
@@ -303,19 +315,21 @@
         found
     }
 
-    /// Places for `n` tasks at once, one entry for each task, or for as many as `policy` allows. `tasks_by_zone` counts the job's tasks, those that are only leaving included.
+    /// Chooses machines for `wanted` tasks, or for fewer if `policy` allows that. The result has the index of a machine
+    /// for each task. `tasks_by_zone` is the number of the job's tasks in each zone, including tasks that are being
+    /// stopped.
     pub fn choose(
         &self,
         machines: &Machines,
         capacity: &FreeCapacity,
         availability: Availability,
         tasks_by_zone: &BTreeMap<String, u32>,
-        n: u32,
+        wanted: u32,
         policy: FillPolicy,
     ) -> Vec<usize> {
         let found = self.candidates(machines, capacity, availability);
         if !self.spec.one_zone {
-            return self.fill(capacity, &found, tasks_by_zone, n, policy);
+            return self.fill(capacity, &found, tasks_by_zone, wanted, policy);
         }
         let mut zones: Vec<&str> = tasks_by_zone.keys().map(String::as_str).take(1).collect();
         if zones.is_empty() {
@@ -332,7 +346,7 @@
                 .filter(|candidate| capacity.zone(candidate.index) == zone)
                 .copied()
                 .collect();
-            let chosen = self.fill(capacity, &here, tasks_by_zone, n, policy);
+            let chosen = self.fill(capacity, &here, tasks_by_zone, wanted, policy);
             if !chosen.is_empty() {
                 return chosen;
             }
@@ -340,33 +354,33 @@
         Vec::new()
     }
 
-    /// Assigns tasks to candidates, best first. Of a job that is spread each task goes to the zone where the job has
-    /// least.
+    /// Assigns tasks to candidates, best first. Each task of a spread job goes to the zone with the fewest of the job's
+    /// tasks.
     fn fill(
         &self,
         capacity: &FreeCapacity,
         found: &[Candidate],
         tasks_by_zone: &BTreeMap<String, u32>,
-        n: u32,
+        wanted: u32,
         policy: FillPolicy,
     ) -> Vec<usize> {
         let zone_cap = self.spec.zone_cap();
         let mut zones = candidates_by_zone(capacity, found, tasks_by_zone);
         let mut chosen = Vec::new();
-        while (chosen.len() as u32) < n {
+        while (chosen.len() as u32) < wanted {
             let open = zones.iter_mut().filter(|zone| zone.tasks < zone_cap);
             let open = open.filter_map(|zone| {
-                let position = zone.left.last()?.position;
+                let position = zone.open.last()?.position;
                 let tasks = if self.spec.spread { zone.tasks } else { 0 };
                 Some(((tasks, position), zone))
             });
             let Some(((_, position), zone)) = open.min_by_key(|(key, _)| *key) else {
                 break;
             };
-            zone.take_best();
+            zone.assign_to_best();
             chosen.push(found[position].index);
         }
-        if (chosen.len() as u32) < n && policy == FillPolicy::AllOrNothing {
+        if (chosen.len() as u32) < wanted && policy == FillPolicy::AllOrNothing {
             return Vec::new();
         }
         chosen
@@ -374,18 +388,19 @@
 }
 
 impl ZoneCandidates<'_> {
-    /// Assigns a task to the best candidate.
-    fn take_best(&mut self) {
+    /// Assigns a task to the best open candidate.
+    fn assign_to_best(&mut self) {
         self.tasks += 1;
-        if let Some(best) = self.left.last_mut() {
+        if let Some(best) = self.open.last_mut() {
             best.fits -= 1;
             if best.fits == 0 {
-                self.left.pop();
+                self.open.pop();
             }
         }
     }
 }
 
+/// Groups candidates, which are sorted best first, by zone.
 fn candidates_by_zone<'r>(
     capacity: &'r FreeCapacity,
     found: &[Candidate],
@@ -399,11 +414,11 @@
             zones.push(ZoneCandidates {
                 name,
                 tasks: tasks_by_zone.get(name).copied().unwrap_or(0),
-                left: Vec::new(),
+                open: Vec::new(),
             });
             zones.len() - 1
         });
-        zones[zone].left.push(OpenCandidate {
+        zones[zone].open.push(OpenCandidate {
             position,
             fits: candidate.fits,
         });
--- a/crates/seamfront-core/src/quota.rs
+++ b/crates/seamfront-core/src/quota.rs
@@ -1,4 +1,5 @@
-//! Quota: teams' usage, limits and guarantees. A team belongs to one shard, so the shard's holder alone counts.
+//! Quota: the usage, limits and guarantees of teams. Each team belongs to one shard, so the holder of that shard keeps
+//! its usage alone.
 
 use crate::job::Job;
 use crate::types::{JobId, JobKind, JobSpec, Resources, Team};
@@ -11,16 +12,16 @@
 }
 
 impl Quota {
-    /// Counts a task that was placed.
-    pub fn take(&mut self, team: &str, task_resources: Resources) {
+    /// Adds a placed task to its team's usage.
+    pub fn charge(&mut self, team: &str, task_resources: Resources) {
         self.used
             .entry(team.to_owned())
             .or_default()
             .add(task_resources);
     }
 
-    /// Counts a task that was removed.
-    pub fn give(&mut self, team: &str, task_resources: Resources) {
+    /// Subtracts a removed task from its team's usage.
+    pub fn release(&mut self, team: &str, task_resources: Resources) {
         if let Some(u) = self.used.get_mut(team) {
             u.sub(task_resources);
         }
@@ -31,15 +32,16 @@
         self.used.get(team).copied().unwrap_or_default()
     }
 
-    /// How many more tasks of this size the team's limit allows now, with `reserved` kept for others.
+    /// Number of tasks of this size that the team's limit still allows, with `reserved` kept for other jobs.
     pub fn headroom(&self, team: &Team, task_resources: Resources, reserved: Resources) -> i64 {
         let mut used = self.used(&team.name);
         used.add(reserved);
-        limit_left(team.limit, used).fits(task_resources)
+        remaining(team.limit, used).fits(task_resources)
     }
 }
 
-fn limit_left(limit: Resources, used: Resources) -> Resources {
+/// What is left of `limit` after `used`. A resource without a limit is unbounded, and so is memory, which has no quota.
+fn remaining(limit: Resources, used: Resources) -> Resources {
     let left = |l: i64, u: i64| if l <= 0 { i64::MAX } else { (l - u).max(0) };
     Resources {
         cpus: left(limit.cpus, used.cpus),
@@ -48,18 +50,20 @@
     }
 }
 
-/// Whether a job can ever run within its team's limit: one task of an array, all tasks of the others.
+/// Whether a job can ever run within its team's limit: at least one task of an array, or all tasks of a gang or
+/// service.
 pub fn within_limit(team: &Team, spec: &JobSpec) -> bool {
-    let n = if spec.kind == JobKind::Array {
+    let required = if spec.kind == JobKind::Array {
         1
     } else {
         i64::from(spec.tasks)
     };
-    limit_left(team.limit, Resources::default()).fits(spec.task_resources) >= n
+    remaining(team.limit, Resources::default()).fits(spec.task_resources) >= required
 }
 
-/// Jobs that lie within their team's guarantee together with the team's earlier unfinished jobs. A resource that the
-/// guarantee does not name is not measured; one that it names must be used.
+/// Jobs within their team's guarantee: the job and the team's unfinished jobs submitted before it together request no
+/// more than the guarantee. Resources without a guarantee are not counted, and the job must use one that has a
+/// guarantee.
 pub fn guaranteed<'a>(teams: &[Team], jobs: impl Iterator<Item = &'a Job>) -> BTreeSet<JobId> {
     let mut by_age: Vec<&Job> = jobs.filter(|job| job.live() && !job.blocked).collect();
     by_age.sort_by(|a, b| (a.spec.submitted, &a.spec.id).cmp(&(b.spec.submitted, &b.spec.id)));
@@ -79,8 +83,8 @@
     within
 }
 
-/// Whether a job with tasks of this size uses a guaranteed resource, and all that its team has requested up to it is
-/// guaranteed.
+/// Whether a job with tasks of this size uses a guaranteed resource, and `requested`, the request of its team up to and
+/// including the job, is within the guarantee.
 fn within_guarantee(guarantee: Resources, task: Resources, requested: Resources) -> bool {
     let covered = |guarantee: i64, requested: i64| guarantee <= 0 || requested <= guarantee;
     let uses_guarantee =
--- a/crates/seamfront-core/src/scheduling/admission.rs
+++ b/crates/seamfront-core/src/scheduling/admission.rs
@@ -1,7 +1,8 @@
-//! Scheduling one pending job: which of its tasks may be placed, and where they find room.
+//! Admission of one pending job: decides how many of its tasks may be placed now, places them where there is capacity,
+//! and preempts other work or requests machines for the rest.
 
 use super::assignment::PlannedPlacement;
-use super::cycle::{SchedulingCycle, SearchTerms, UnschedulableJob};
+use super::cycle::{SchedulingConditions, SchedulingCycle, UnschedulableJob};
 use super::preemption::EvictionMode;
 use super::reservation::{is_live_service, GangReservation};
 use crate::job::Job;
@@ -12,34 +13,35 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::rc::Rc;
 
-/// Time beyond one and a quarter heartbeat intervals within which a preempted task has ended.
+/// A preempted task is expected to have ended after one and a quarter heartbeat intervals plus this margin.
 const PREEMPTION_MARGIN: Micros = Micros::from_secs(1);
 
-/// A pending job as the cycle schedules it.
+/// A pending job, with what a cycle needs to know to schedule it.
 struct PendingJob {
     id: JobId,
     spec: Rc<JobSpec>,
     is_gang: bool,
-    /// Nothing of it has started, though it should soon have.
+    /// See [`Job::starving`].
     starving: bool,
-    /// How many of its tasks may be placed now.
+    /// Number of tasks that may be placed now.
     wanted: u32,
-    terms: SearchTerms,
-    /// A search in vain for it tells that one for like jobs is in vain too.
-    comparable: bool,
+    conditions: SchedulingConditions,
+    /// A failed search for this job is remembered and spares the search for similar jobs, and the other way round. See
+    /// [`UnschedulableJob`].
+    failure_cacheable: bool,
 }
 
-/// Tasks that found a place.
+/// Tasks of a job for which capacity was found.
 struct Assigned {
-    /// How many, those for which room is being freed included.
+    /// Number of tasks, including those that wait for capacity being freed.
     tasks: u32,
-    /// Whether any was placed.
+    /// Whether at least one was placed.
     placed: bool,
 }
 
 impl Shard {
-    /// Places the tasks of a job that find room, preempts other work for the rest if it may, and requests capacity
-    /// from the leader for what remains.
+    /// Places as many tasks of a job as there is capacity for, preempts other work for the rest if the job may do so,
+    /// and requests machines from the leader for the tasks that are still unplaced.
     pub(super) fn place_job(
         &mut self,
         context: &mut Context,
@@ -53,14 +55,15 @@
         };
         let pending = self.pending_job(context, job, team, guaranteed, cycle);
         if pending.wanted == 0 || (pending.is_gang && pending.wanted < pending.spec.tasks) {
-            // While a gang waits for its part of the quota it reserves what room there is, or both would take their
-            // time.
+            // A gang that waits for quota reserves free capacity meanwhile. Otherwise it would wait for quota first and
+            // for capacity after that.
             if pending.is_gang && pending.starving && cycle.reserve_quota(&pending.spec) {
                 self.reserve_for_gang(context, id, pending.spec.tasks, cycle);
             }
             return;
         }
-        if pending.comparable && cycle.is_unschedulable(&pending.spec, pending.terms) {
+        if pending.failure_cacheable && cycle.known_unschedulable(&pending.spec, pending.conditions)
+        {
             return self.request_capacity(context, &pending, pending.wanted, cycle);
         }
         let wanted = pending.wanted;
@@ -69,11 +72,11 @@
         if missing == 0 {
             return;
         }
-        let Some(assigned) = self.place_on_free_room(context, &pending, missing, cycle) else {
+        let Some(assigned) = self.place_on_free_capacity(context, &pending, missing, cycle) else {
             return;
         };
         missing -= assigned.tasks;
-        if missing > 0 && pending.terms.may_preempt {
+        if missing > 0 && pending.conditions.may_preempt {
             let allowed = self.preemption_quota(team, &pending.spec, missing, cycle);
             if allowed == 0 || (pending.is_gang && allowed < missing) {
                 return;
@@ -81,16 +84,16 @@
             let mode = EvictionMode::Graceful;
             missing -= self.preempt_for(context, id, allowed, guaranteed, cycle, mode);
         }
-        if pending.comparable && missing == wanted {
+        if pending.failure_cacheable && missing == wanted {
             cycle.unschedulable.push(UnschedulableJob {
                 spec: pending.spec.clone(),
-                terms: pending.terms,
+                conditions: pending.conditions,
             });
         }
         if missing > 0 {
             self.request_capacity(context, &pending, missing, cycle);
         } else if pending.is_gang && pending.starving && !assigned.placed {
-            // Its room is being freed: what finds free room meanwhile must not use up the quota.
+            // Capacity for it is being freed. Jobs placed meanwhile must not use up the quota that it will need.
             cycle.reserve_quota(&pending.spec);
         }
     }
@@ -107,13 +110,14 @@
         let starving = job.starving(context.wall_time, context.types);
         let within_guarantee = guaranteed.contains(&spec.id);
         let start_by = context.settings.start_by(&spec, context.wall_time);
-        let terms = SearchTerms {
+        let conditions = SchedulingConditions {
             guaranteed: within_guarantee,
             in_time: start_by.is_some(),
             may_preempt: self.may_preempt(context, &spec, within_guarantee),
         };
-        // Like jobs are decided as a class: arrays that can't be told from one that found nothing.
-        let comparable = match spec.kind {
+        // Whether an array with zone constraints finds capacity also depends on where its placed tasks are, so it tells
+        // nothing about other arrays.
+        let failure_cacheable = match spec.kind {
             JobKind::Array => !spec.one_zone && !spec.spread,
             JobKind::Gang => true,
             JobKind::Service => false,
@@ -122,15 +126,15 @@
             id: spec.id.clone(),
             is_gang: job.gang.is_some(),
             starving,
-            wanted: self.wanted_tasks(context, job, team, starving, cycle),
-            terms,
-            comparable: comparable && job.avoided_machines.is_empty(),
+            wanted: self.placeable_tasks(context, job, team, starving, cycle),
+            conditions,
+            failure_cacheable: failure_cacheable && job.avoided_machines.is_empty(),
             spec,
         }
     }
 
-    /// How many tasks of a job may be placed now, whether or not there is room.
-    fn wanted_tasks(
+    /// How many tasks of a job may be placed now, whether or not there is capacity for them.
+    fn placeable_tasks(
         &self,
         context: &Context,
         job: &Job,
@@ -149,7 +153,7 @@
             .min(quota)
             .min(job.record_headroom(&context.layout))
             .min(job.concurrent_attempts());
-        // A starving array is raised for its first task only; the rest goes by its own priority again.
+        // A starving array gets its raised rank for one task only. The others are queued by the array's own priority.
         if starving && spec.kind == JobKind::Array {
             wanted.min(1)
         } else {
@@ -157,7 +161,7 @@
         }
     }
 
-    /// For how many of a job's missing tasks work may be preempted within its team's quota.
+    /// For how many of the `missing` tasks of a job other work may be preempted: as many as its team's quota lets run.
     fn preemption_quota(
         &self,
         team: &Team,
@@ -166,15 +170,15 @@
         cycle: &SchedulingCycle,
     ) -> u32 {
         let mut reserved: Resources = cycle.quota_reserved(&spec.team);
-        reserved.add(cycle.quota_awaiting_room(&spec.team));
+        reserved.add(cycle.quota_awaiting_preemption(&spec.team));
         self.quota
             .headroom(team, spec.task_resources, reserved)
             .min(i64::from(missing)) as u32
     }
 
-    /// Places up to `missing` tasks of a job where there is room, or where room is being freed already; all or none
-    /// of a gang. None if the job is not known.
-    fn place_on_free_room(
+    /// Assigns up to `missing` tasks of a job to free capacity, which places them, or to capacity that is being freed
+    /// already, which reserves it. A gang gets places for all of them or none. Returns `None` if the job is unknown.
+    fn place_on_free_capacity(
         &mut self,
         context: &mut Context,
         pending: &PendingJob,
@@ -191,21 +195,23 @@
         } else {
             FillPolicy::Partial
         };
-        // Work that can still be in time is worth keeping a machine with accelerators for; other work is not.
-        let keep = if pending.terms.in_time {
+        // A job that can still start in time may use a machine with accelerators even if that keeps the machine from
+        // being terminated; other jobs may not.
+        let idle_keep = if pending.conditions.in_time {
             Micros::MAX
         } else {
             context.settings.tuning.idle_keep
         };
-        // Services rather preempt work on machines without accelerators than settle on accelerators for good;
-        // arrays leave soon, and what has checkpoints can be moved at little loss.
-        let mut sizes = vec![None];
+        // The second pass lets jobs that need no accelerators use machines that have some. Services are excluded: they
+        // would stay there for good, so they preempt work on other machines instead. Tasks of arrays end soon, and
+        // tasks with checkpoints can be moved at little loss.
+        let mut passes = vec![None];
         if spec.kind != JobKind::Service && spec.task_resources.gpus <= 0 {
-            sizes.push(Some(keep));
+            passes.push(Some(idle_keep));
         }
         let mut rest = missing;
-        for any_size in sizes {
-            placement.any_size = any_size;
+        for accelerator_idle_keep in passes {
+            placement.accelerator_idle_keep = accelerator_idle_keep;
             rest -= cycle.assign(
                 &placement,
                 &self.machines,
@@ -219,7 +225,7 @@
             }
         }
         if !plan.is_empty() {
-            self.place(context, &pending.id, &plan);
+            self.place_tasks(context, &pending.id, &plan);
         }
         Some(Assigned {
             tasks: missing - rest,
@@ -227,9 +233,9 @@
         })
     }
 
-    /// A live service whose image takes longer to fetch than it takes to preempt work goes where the image is, and
-    /// work with checkpoints there is stopped at once: it loses what it did since its last checkpoint. Returns how
-    /// many tasks are placed, or have room made for them.
+    /// Places tasks of a live service on machines that have its image cached, if fetching the image would take longer
+    /// than preempting work there. Only tasks with checkpoints are preempted, and at once: they lose what they did
+    /// since their last checkpoint. Returns the number of tasks that are placed or wait for capacity being freed.
     fn place_where_image_cached(
         &mut self,
         context: &mut Context,
@@ -241,12 +247,13 @@
         let Some(job) = self.jobs.get(id) else {
             return 0;
         };
-        let preempted_in = context.settings.heartbeat_interval.times(5).over(4) + PREEMPTION_MARGIN;
-        if !is_live_service(&job.spec) || job.spec.fetch_at_best(context.types) <= preempted_in {
+        let preemption_time =
+            context.settings.heartbeat_interval.times(5).over(4) + PREEMPTION_MARGIN;
+        if !is_live_service(&job.spec) || job.spec.fetch_at_best(context.types) <= preemption_time {
             return 0;
         }
         let mut placement = PlacementRequest::of(job, context.now, context.types);
-        placement.cached = true;
+        placement.require_cached_image = true;
         let mut tasks_by_zone = self.tasks_by_zone(job);
         let mut plan = Vec::new();
         let assigned = cycle.assign(
@@ -258,7 +265,7 @@
             &mut plan,
         );
         if !plan.is_empty() {
-            self.place(context, id, &plan);
+            self.place_tasks(context, id, &plan);
         }
         if assigned == wanted {
             return assigned;
@@ -267,7 +274,7 @@
         assigned + self.preempt_for(context, id, wanted - assigned, guaranteed, cycle, mode)
     }
 
-    /// A job's tasks by the zone of their machines.
+    /// Number of a job's tasks in each zone.
     pub(super) fn tasks_by_zone(&self, job: &Job) -> BTreeMap<String, u32> {
         job.zones(|machine| {
             let m = self.machines.get(machine);
@@ -275,8 +282,8 @@
         })
     }
 
-    /// Requests capacity from the leader for tasks that found no room. For a gang all room that it can use is
-    /// reserved, and the rest requested.
+    /// Requests machines from the leader for `missing` tasks. A gang first reserves all capacity that it can use, and
+    /// requests machines for the rest.
     fn request_capacity(
         &mut self,
         context: &Context,
@@ -297,7 +304,7 @@
                 cycle.reserve_quota(&job.spec);
             }
         }
-        let guaranteed = pending.terms.guaranteed;
+        let guaranteed = pending.conditions.guaranteed;
         let mut request = self.resource_request(context, job, reservation.missing, guaranteed);
         request.reserved_zone = reservation.zone.or(request.reserved_zone);
         self.requests.push(request);
@@ -311,7 +318,7 @@
         guaranteed: bool,
     ) -> ResourceRequest {
         let spec = &job.spec;
-        // The rest of a job that must be in one zone can only go where a part of it is.
+        // Once some tasks of a single-zone job are placed, the others have to go to the same zone.
         let reserved_zone = if spec.one_zone {
             self.tasks_by_zone(job).into_keys().next()
         } else {
--- a/crates/seamfront-core/src/scheduling/assignment.rs
+++ b/crates/seamfront-core/src/scheduling/assignment.rs
@@ -1,4 +1,4 @@
-//! Placing tasks on machines that were chosen for them.
+//! Placing tasks on the machines that were chosen for them, with the state of job, quota and machine that goes with it.
 
 use crate::job::{Phase, Placement};
 use crate::shard::{Context, Shard};
@@ -8,13 +8,19 @@
 /// A machine chosen for one task.
 pub(super) struct PlannedPlacement {
     pub(super) machine: MachineId,
-    /// How long the task's image takes to fetch there, in milliseconds.
+    /// Estimated time to fetch the task's image there, in milliseconds.
     pub(super) fetch_ms: i64,
 }
 
 impl Shard {
-    /// Places the next tasks of a job as planned. They are ordered once the record that names them is written.
-    pub(super) fn place(&mut self, context: &mut Context, id: &JobId, plan: &[PlannedPlacement]) {
+    /// Places the next tasks of a job as planned. The orders to start them follow once the job's record that lists them
+    /// is stored.
+    pub(super) fn place_tasks(
+        &mut self,
+        context: &mut Context,
+        id: &JobId,
+        plan: &[PlannedPlacement],
+    ) {
         let Some(job) = self.jobs.get_mut(id) else {
             return;
         };
@@ -57,7 +63,7 @@
                 promoted,
             };
             job.tasks.insert(index, placement);
-            self.quota.take(&spec.team, spec.task_resources);
+            self.quota.charge(&spec.team, spec.task_resources);
             if let Some(m) = self.machines.get_mut(machine) {
                 m.used.add(spec.task_resources);
                 m.image_cache.fetches_changed = true;
@@ -71,9 +77,9 @@
     }
 }
 
-/// How much later a gang's member is to start: one whose image is cached would wait for the others' fetches and give
-/// up.
+/// Start delay of a gang's member. Without it, a member whose image is cached would wait for the members that still
+/// fetch theirs, and time out.
 fn member_delay(context: &Context, slowest_ms: i64, fetch_ms: i64) -> Micros {
-    let patience_ms = context.settings.gang_wait.over(3).0 / 1_000;
-    Micros::from_millis((slowest_ms - fetch_ms - patience_ms).max(0))
+    let tolerated_wait_ms = context.settings.gang_wait.over(3).0 / 1_000;
+    Micros::from_millis((slowest_ms - fetch_ms - tolerated_wait_ms).max(0))
 }
--- a/crates/seamfront-core/src/scheduling/cycle.rs
+++ b/crates/seamfront-core/src/scheduling/cycle.rs
@@ -1,4 +1,4 @@
-//! The state of one scheduling cycle: free room, reservations, and what was searched for in vain.
+//! The state of one scheduling cycle: free capacity, reservations, and the jobs known not to fit.
 
 use super::assignment::PlannedPlacement;
 use crate::machine::Machine;
@@ -8,62 +8,61 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::rc::Rc;
 
-/// The state of one scheduling cycle.
+/// State that the jobs scheduled in one cycle share.
 pub(super) struct SchedulingCycle {
-    /// Room on usable machines, less what this cycle assigned or reserved.
+    /// Capacity of usable machines, less what this cycle has assigned or reserved.
     pub(super) capacity: FreeCapacity,
-    /// Machines with room reserved for gangs that do not have all their places yet.
+    /// Machines with capacity reserved for gangs that cannot be placed yet.
     pub(super) gang_reservations: BTreeSet<MachineId>,
-    /// By index in `capacity`: preemptible work there. Made on first use; work that the cycle preempts itself may
-    /// still be in it.
+    /// Preemptible work on each machine, by index in `capacity`. Computed on first use and not updated after that: it
+    /// may still include work that this cycle has preempted.
     pub(super) preemptible: Option<Vec<PreemptibleWork>>,
-    /// Jobs that found neither room nor work to preempt in this cycle: a job that asks for no less on the same
-    /// terms will not either, and is not searched for.
+    /// Jobs that found neither free capacity nor work to preempt in this cycle. A job under the same conditions that
+    /// needs at least as much would not either, so the search for it is skipped.
     pub(super) unschedulable: Vec<UnschedulableJob>,
-    /// By team: quota reserved for a starving gang, or smaller jobs after it would use up every bit that comes
-    /// free.
+    /// By team: quota reserved for a starving gang. Without it, smaller jobs would use up all quota as it is released.
     quota_reserved: BTreeMap<String, Resources>,
-    /// By team: quota that tasks will use for which room is being freed. No more work is preempted than for what
-    /// the rest of the quota lets run; what finds free room meanwhile may go before.
-    quota_awaiting_room: BTreeMap<String, Resources>,
+    /// By team: quota that tasks will use once capacity has been freed for them. Work is preempted only for tasks that
+    /// the rest of the quota lets run. Jobs that find free capacity meanwhile may still use this quota.
+    quota_awaiting_preemption: BTreeMap<String, Resources>,
 }
 
 /// Work on a machine that might be preempted.
 #[derive(Clone, Copy, Default)]
 pub(super) struct PreemptibleWork {
-    /// The least important priority.
+    /// The least important priority among it, `None` if there is no such work.
     pub(super) lowest_priority: Option<Priority>,
-    /// By priority: whether any of it is beyond its team's guarantee.
+    /// By priority: whether any work is beyond its team's guarantee.
     pub(super) beyond_guarantee: [bool; 4],
 }
 
-/// The terms on which a job searches for room, besides its resources.
+/// Conditions under which capacity is searched for a job, besides those in its [`JobSpec`].
 #[derive(Clone, Copy, PartialEq, Eq)]
-pub(super) struct SearchTerms {
-    /// It is within its team's guarantee.
+pub(super) struct SchedulingConditions {
+    /// The job is within its team's guarantee.
     pub(super) guaranteed: bool,
-    /// It can still start in time.
+    /// The job can still start in time.
     pub(super) in_time: bool,
-    /// It may preempt other work.
+    /// The job may preempt other work.
     pub(super) may_preempt: bool,
 }
 
-/// A job that was searched for in vain.
+/// A job for which a search in this cycle found neither capacity nor work to preempt.
 pub(super) struct UnschedulableJob {
     pub(super) spec: Rc<JobSpec>,
-    pub(super) terms: SearchTerms,
+    pub(super) conditions: SchedulingConditions,
 }
 
 impl Shard {
-    /// A cycle with the present room on usable machines.
+    /// A new cycle with the current free capacity of usable machines.
     pub(super) fn start_cycle(&self, context: &Context) -> SchedulingCycle {
         let heartbeat_interval = context.settings.heartbeat_interval;
         let usable = |m: &&Machine| m.usable(context.now, heartbeat_interval, self.version);
         let mut capacity = FreeCapacity::of(self.machines.values().filter(usable));
         for job in self.jobs.values() {
             for p in job.tasks.values().filter(|p| p.stop.is_some()) {
-                if let Some(k) = capacity.find(&p.machine) {
-                    let after_preemption = &mut capacity.machines[k].after_preemption;
+                if let Some(index) = capacity.index_of(&p.machine) {
+                    let after_preemption = &mut capacity.machines[index].after_preemption;
                     after_preemption.add(job.spec.task_resources);
                 }
             }
@@ -74,27 +73,27 @@
             preemptible: None,
             unschedulable: Vec::new(),
             quota_reserved: BTreeMap::new(),
-            quota_awaiting_room: BTreeMap::new(),
+            quota_awaiting_preemption: BTreeMap::new(),
         }
     }
 }
 
 impl SchedulingCycle {
-    /// Quota of a team that is reserved for a starving gang.
+    /// The part of a team's quota that is reserved for a starving gang.
     pub(super) fn quota_reserved(&self, team: &str) -> Resources {
         self.quota_reserved.get(team).copied().unwrap_or_default()
     }
 
-    /// Quota of a team that will be used by tasks for which room is being freed.
-    pub(super) fn quota_awaiting_room(&self, team: &str) -> Resources {
-        self.quota_awaiting_room
+    /// The part of a team's quota that tasks will use once capacity has been freed for them.
+    pub(super) fn quota_awaiting_preemption(&self, team: &str) -> Resources {
+        self.quota_awaiting_preemption
             .get(team)
             .copied()
             .unwrap_or_default()
     }
 
-    /// Reserves a gang's part of its team's quota. One gang at a time: all that are starving would together reserve
-    /// the whole quota and leave it unused. Returns whether it was reserved for this one.
+    /// Reserves the quota that a gang needs, for one gang of a team at a time: all starving gangs together could
+    /// reserve the whole quota and leave it unused. Returns whether the quota was reserved.
     pub(super) fn reserve_quota(&mut self, gang: &JobSpec) -> bool {
         if self.quota_reserved.contains_key(&gang.team) {
             return false;
@@ -104,8 +103,8 @@
         true
     }
 
-    /// Finds places for up to `wanted` tasks: free ones go to the plan, and room that is being freed already is
-    /// reserved, so that nothing less important takes it. Returns how many in all.
+    /// Assigns up to `wanted` tasks to machines. Free capacity goes to `plan`. Capacity that is being freed already is
+    /// reserved, so that no less important job takes it. Returns the number of tasks assigned in either way.
     pub(super) fn assign(
         &mut self,
         placement: &PlacementRequest,
@@ -126,15 +125,15 @@
                 policy,
             );
             assigned += chosen.len() as u32;
-            for k in chosen {
-                let zone = self.capacity.zone(k).to_owned();
+            for index in chosen {
+                let zone = self.capacity.zone(index).to_owned();
                 *tasks_by_zone.entry(zone).or_insert(0) += 1;
-                self.capacity.hold(k, placement.spec.task_resources);
+                self.capacity.reserve(index, placement.spec.task_resources);
                 if availability == Availability::AfterPreemption {
-                    self.await_preemption(placement.spec, k);
+                    self.await_preemption(placement.spec, index);
                     continue;
                 }
-                let id = &self.capacity.machines[k].id;
+                let id = &self.capacity.machines[index].id;
                 if let Some(m) = machines.get(id) {
                     plan.push(PlannedPlacement {
                         machine: id.clone(),
@@ -149,44 +148,49 @@
         assigned
     }
 
-    /// Room for a task is being freed on this machine.
-    pub(super) fn await_preemption(&mut self, spec: &JobSpec, k: usize) {
-        self.quota_awaiting_room
+    /// Counts a task that waits for capacity being freed on the machine at `index`.
+    pub(super) fn await_preemption(&mut self, spec: &JobSpec, index: usize) {
+        self.quota_awaiting_preemption
             .entry(spec.team.clone())
             .or_default()
             .add(spec.task_resources);
-        self.mark_gang_reservation(spec, k);
+        self.mark_gang_reservation(spec, index);
     }
 
-    /// Room on this machine is reserved for a gang until it has all its places: the leader must know, or it would
-    /// have the machine drained for another shard.
-    pub(super) fn mark_gang_reservation(&mut self, spec: &JobSpec, k: usize) {
+    /// If the job is a gang, notes that the machine at `index` has capacity reserved for it. The leader is told, since
+    /// it might otherwise have the machine drained for another shard.
+    pub(super) fn mark_gang_reservation(&mut self, spec: &JobSpec, index: usize) {
         if spec.kind == JobKind::Gang {
             self.gang_reservations
-                .insert(self.capacity.machines[k].id.clone());
+                .insert(self.capacity.machines[index].id.clone());
         }
     }
 
-    /// Whether a search for this job is known to be in vain.
-    pub(super) fn is_unschedulable(&self, spec: &JobSpec, terms: SearchTerms) -> bool {
+    /// Whether an earlier search in this cycle shows that this job finds no capacity.
+    pub(super) fn known_unschedulable(
+        &self,
+        spec: &JobSpec,
+        conditions: SchedulingConditions,
+    ) -> bool {
         self.unschedulable.iter().any(|other| {
-            other.terms == terms
+            other.conditions == conditions
                 && other.spec.team == spec.team
                 && at_least_as_demanding(spec, &other.spec)
         })
     }
 }
 
-/// Whether a search in vain for `b` shows that one for `a` is in vain too. Room only shrinks in a cycle, but for
-/// what is being preempted, and that is reserved for the job that preempts it.
+/// Whether `a` cannot find capacity if `b` could not. During a cycle free capacity only shrinks; what preemption frees
+/// is reserved for the job that preempts.
 fn at_least_as_demanding(a: &JobSpec, b: &JobSpec) -> bool {
-    let more = a.task_resources.cpus >= b.task_resources.cpus
+    let demands_more = a.task_resources.cpus >= b.task_resources.cpus
         && a.task_resources.gpus >= b.task_resources.gpus
         && a.task_resources.ram >= b.task_resources.ram;
-    // All of a gang at once: a smaller one might still find room.
-    let more = more && (a.kind != JobKind::Gang || a.tasks >= b.tasks);
-    let terms = |s: &JobSpec| (s.kind, s.priority, s.spot, s.one_zone, s.spread, s.saves());
-    more && terms(a) == terms(b)
+    // A gang is placed as a whole: a smaller one might still fit.
+    let demands_more = demands_more && (a.kind != JobKind::Gang || a.tasks >= b.tasks);
+    let constraints = |s: &JobSpec| (s.kind, s.priority, s.spot, s.one_zone, s.spread, s.saves());
+    demands_more
+        && constraints(a) == constraints(b)
         && a.types == b.types
         && a.zone == b.zone
         && a.task_resources.gpus.signum() == b.task_resources.gpus.signum()
--- a/crates/seamfront-core/src/scheduling/mod.rs
+++ b/crates/seamfront-core/src/scheduling/mod.rs
@@ -1,5 +1,5 @@
-//! The scheduling cycle of a shard: which pending jobs get room, in which order, and which work is preempted for
-//! them. Tasks of one job are alike and are decided together, as a class.
+//! The scheduling cycle of a shard: decides which pending jobs get capacity, in which order, and which work is
+//! preempted for them. All tasks of a job have the same requirements, so they are scheduled together.
 
 mod admission;
 mod assignment;
@@ -15,16 +15,16 @@
 use crate::types::{JobId, MachineId, Micros, Priority};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Cycles follow changes, but not more often than this: a burst is decided together.
+/// Shortest time between two cycles. A cycle runs after a change; changes in quick succession share one cycle.
 const MIN_CYCLE_INTERVAL: Micros = Micros::from_millis(40);
-/// Microseconds without a cycle for each machine visited in the last one. A visit takes well below one, and a
-/// controller may have less than a tenth of a core.
-const REST_PER_VISIT: i64 = 8;
-/// Without a change, a cycle now and then notices what time alone has changed.
+/// Pause after a cycle, in microseconds for each unit of its cost, which is about one machine visited. A visit takes
+/// well below a microsecond, but a controller may have less than a tenth of a core.
+const PAUSE_MICROS_PER_VISIT: i64 = 8;
+/// Longest time between two cycles. Deadlines, backoffs and the like expire without any other change.
 const IDLE_CYCLE_INTERVAL: Micros = Micros::from_millis(500);
 
 impl Shard {
-    /// Runs a cycle, if it is time for it: places pending jobs, and preempts work for those that may.
+    /// Runs a scheduling cycle if one is due: places pending jobs, and preempts other work for jobs that may do so.
     pub fn run_scheduling_cycle(&mut self, context: &mut Context) {
         if self.phase != ShardPhase::Ready
             || !context.lease_valid
@@ -37,7 +37,7 @@
         self.requests.clear();
         let guaranteed = quota::guaranteed(&context.settings.teams, self.jobs.values());
         for m in self.machines.values_mut() {
-            refresh_fetches(m, &self.jobs);
+            refresh_image_fetches(m, &self.jobs);
         }
         let mut cycle = self.start_cycle(context);
         let mut services_reserved = false;
@@ -55,14 +55,14 @@
         );
     }
 
-    /// Time from one cycle to the next. A cycle over many pending jobs and machines costs much: the next one comes
-    /// later in proportion.
+    /// Time from one cycle to the next. It grows with the cost of the last cycle, so that many pending jobs and
+    /// machines don't keep the controller busy all the time.
     fn cycle_interval(&self) -> Micros {
         if !self.dirty {
             return IDLE_CYCLE_INTERVAL;
         }
-        let rest = Micros(self.last_cycle_cost * REST_PER_VISIT);
-        MIN_CYCLE_INTERVAL.max(rest.min(IDLE_CYCLE_INTERVAL))
+        let pause = Micros(self.last_cycle_cost * PAUSE_MICROS_PER_VISIT);
+        MIN_CYCLE_INTERVAL.max(pause.min(IDLE_CYCLE_INTERVAL))
     }
 
     fn is_critical(&self, id: &JobId) -> bool {
@@ -71,7 +71,8 @@
             .is_some_and(|job| job.spec.priority == Priority::Critical)
     }
 
-    /// Marks the machines with room reserved for gangs, in place of those of the last cycle.
+    /// Replaces the marks on machines with capacity reserved for gangs: clears those of the last cycle and sets those
+    /// of this one.
     fn mark_gang_reservations(&mut self, reservations: BTreeSet<MachineId>) {
         for id in std::mem::replace(&mut self.gang_reservations, reservations) {
             if let Some(m) = self.machines.get_mut(&id) {
@@ -86,8 +87,8 @@
     }
 }
 
-/// Brings up to date which images a machine's tasks wait for, if these may have changed.
-fn refresh_fetches(m: &mut Machine, jobs: &BTreeMap<JobId, Job>) {
+/// Updates the set of images that the machine is fetching for its tasks, if it may have changed.
+fn refresh_image_fetches(m: &mut Machine, jobs: &BTreeMap<JobId, Job>) {
     if !m.image_cache.fetches_changed {
         return;
     }
--- a/crates/seamfront-core/src/scheduling/preemption.rs
+++ b/crates/seamfront-core/src/scheduling/preemption.rs
@@ -1,4 +1,4 @@
-//! Preemption: evicting less important work so that more important work finds room.
+//! Preemption: chooses and evicts less important work to free capacity for more important work.
 
 use super::cycle::{PreemptibleWork, SchedulingCycle};
 use crate::job::{Cause, Job};
@@ -9,26 +9,27 @@
 use std::collections::{BTreeMap, BTreeSet};
 use tracing::info;
 
-/// A normal job may preempt if it has to start within its run time and this margin.
+/// A job of normal priority may preempt if its latest start time is less than its estimated run time plus this margin
+/// away.
 const START_MARGIN: Micros = Micros::from_secs(30);
-/// What evicting a task with checkpoints costs, in milliseconds.
+/// Cost of evicting a task with checkpoints, in milliseconds of lost work.
 const CHECKPOINTED_LOSS_MS: i64 = 2_000;
-/// What evicting a task without checkpoints costs besides its run time, in milliseconds.
+/// Cost of evicting a task without checkpoints, in milliseconds, in addition to its run time so far.
 const RESTART_LOSS_MS: i64 = 1_000;
 
 /// How preempted tasks are stopped.
 #[derive(Clone, Copy, PartialEq, Eq)]
 pub(super) enum EvictionMode {
-    /// With time to save.
+    /// With time to save a checkpoint.
     Graceful,
-    /// At once, only where the job's image is cached, and only tasks with checkpoints.
+    /// Without time to save. Only for tasks with checkpoints, on machines that have the preempting job's image cached.
     Immediate,
 }
 
-/// Work on a machine whose eviction makes room for one task. The fields are compared in their order.
+/// Work on a machine whose eviction frees enough capacity for one task. Slots are ordered by cost first.
 #[derive(Clone, PartialEq, Eq, PartialOrd, Ord)]
 struct PreemptionSlot {
-    /// What evicting it and using the machine costs, in milliseconds.
+    /// Cost of evicting the victims and using the machine, in milliseconds.
     cost: i64,
     /// The machine's index in the cycle's capacity.
     index: usize,
@@ -44,20 +45,20 @@
 /// A task that may be preempted.
 struct Victim<'t> {
     priority: Priority,
-    /// What evicting it costs, in milliseconds.
+    /// Cost of evicting it, in milliseconds.
     loss: i64,
     task: &'t TaskKey,
     resources: Resources,
 }
 
-/// Victims that together make room for a task.
+/// Victims on one machine whose eviction frees enough capacity for one task.
 struct VictimSet {
     cost: i64,
     tasks: Vec<TaskKey>,
 }
 
 impl Shard {
-    /// The preemptible work on each machine of `capacity`.
+    /// The preemptible work on each machine, by its index in `capacity`.
     fn preemptible_work(
         &self,
         guaranteed: &BTreeSet<JobId>,
@@ -68,30 +69,32 @@
             let beyond = job.spec.kind != JobKind::Service && !guaranteed.contains(&job.spec.id);
             for p in job.tasks.values().filter(|p| p.stop.is_none()) {
                 let priority = job.effective_priority(p);
-                if let Some(k) = capacity.find(&p.machine) {
-                    work[k].lowest_priority = work[k].lowest_priority.max(Some(priority));
-                    work[k].beyond_guarantee[priority as usize] |= beyond && !p.promoted;
+                if let Some(index) = capacity.index_of(&p.machine) {
+                    work[index].lowest_priority = work[index].lowest_priority.max(Some(priority));
+                    work[index].beyond_guarantee[priority as usize] |= beyond && !p.promoted;
                 }
             }
         }
         work
     }
 
-    /// Whether a job may preempt other work. Only work of higher priority does, and of ordinary work only what would
-    /// be late otherwise: eviction costs progress.
+    /// Whether a job may preempt other work. Critical and urgent jobs may, and all jobs within their team's guarantee.
+    /// Eviction costs progress, so other jobs of normal priority may only if they would be late otherwise, and other
+    /// best-effort jobs never may.
     pub(super) fn may_preempt(&self, context: &Context, spec: &JobSpec, guaranteed: bool) -> bool {
         match spec.priority {
             Priority::Critical | Priority::Urgent => true,
             Priority::Normal => {
-                let soon = context.wall_time + spec.estimate + START_MARGIN;
+                let preempt_before = context.wall_time + spec.estimate + START_MARGIN;
                 let start_by = context.settings.start_by(spec, context.wall_time);
-                guaranteed || start_by.is_some_and(|t| t < soon)
+                guaranteed || start_by.is_some_and(|t| t < preempt_before)
             }
             Priority::BestEffort => guaranteed,
         }
     }
 
-    /// Preempts less important work for up to `wanted` tasks of a job; returns for how many room will come.
+    /// Preempts less important work for up to `wanted` tasks of a job. Returns the number of tasks for which capacity
+    /// is being freed.
     pub(super) fn preempt_for(
         &mut self,
         context: &mut Context,
@@ -124,7 +127,7 @@
                 let machine = &mut cycle.capacity.machines[slot.index];
                 machine.after_preemption.add(freed);
             }
-            cycle.capacity.hold(slot.index, spec.task_resources);
+            cycle.capacity.reserve(slot.index, spec.task_resources);
             cycle.await_preemption(&spec, slot.index);
         }
         info!(job = %id, tasks = chosen.slots.len(), "preempting for job");
@@ -140,7 +143,8 @@
         }
     }
 
-    /// The cheapest preemption on each machine that makes room for one task of the job, the cheapest first.
+    /// For each machine where preemption can free enough capacity for one task of the job, the cheapest way to do so.
+    /// Sorted by cost.
     fn preemption_slots(
         &self,
         context: &Context,
@@ -152,24 +156,24 @@
         let spec = &job.spec;
         let capacity = &cycle.capacity;
         let mut placement = PlacementRequest::of(job, context.now, context.types);
-        placement.cached = mode == EvictionMode::Immediate;
+        placement.require_cached_image = mode == EvictionMode::Immediate;
         let reclaims = guaranteed.contains(&spec.id);
         let preemptible = cycle.preemptible.as_deref().unwrap_or_default();
-        let may_free = |k: usize| {
-            let work = &preemptible[k];
-            let lower = work.lowest_priority.is_some_and(|p| p > spec.priority);
-            lower || (reclaims && work.beyond_guarantee[spec.priority as usize])
+        let has_victims = |index: usize| {
+            let work = &preemptible[index];
+            let less_important = work.lowest_priority.is_some_and(|p| p > spec.priority);
+            less_important || (reclaims && work.beyond_guarantee[spec.priority as usize])
         };
-        let places = placement.places(&self.machines, capacity, |k, _| {
-            may_free(k) && capacity.size(k).fits(spec.task_resources) > 0
+        let machines = placement.eligible_machines(&self.machines, capacity, |index, _| {
+            has_victims(index) && capacity.size(index).fits(spec.task_resources) > 0
         });
         let mut slots: Vec<PreemptionSlot> = Vec::new();
-        for (index, m) in places {
-            let free = capacity.left(index, Availability::AfterPreemption);
+        for (index, m) in machines {
+            let free = capacity.available(index, Availability::AfterPreemption);
             if let Some(victims) = self.victims(context, m, free, spec, guaranteed, mode) {
-                // An image that must be fetched costs time as well.
+                // The machine's cost includes the time to fetch the image there.
                 slots.push(PreemptionSlot {
-                    cost: victims.cost + placement.fetch_ms(m) + placement.kind_ms(m),
+                    cost: victims.cost + placement.fetch_ms(m) + placement.spot_mismatch_ms(m),
                     index,
                     victims: victims.tasks,
                 });
@@ -194,7 +198,7 @@
             .iter()
             .filter_map(|task| self.victim(context, task, spec, guaranteed, mode))
             .collect();
-        // The least important first, and of those the cheapest.
+        // Least important first, then cheapest.
         candidates.sort_by(|a, b| {
             let priorities = b.priority.cmp(&a.priority);
             priorities.then_with(|| (a.loss, a.task).cmp(&(b.loss, b.task)))
@@ -214,8 +218,9 @@
         (free.fits(spec.task_resources) > 0 && !victims.tasks.is_empty()).then_some(victims)
     }
 
-    /// The task as a victim, if it may be preempted for `spec`. Besides work of lower priority, a job within its
-    /// team's guarantee may preempt work of the same priority that another team runs beyond its own.
+    /// The task as a victim, or `None` if it may not be preempted for `spec`. Any job may preempt work of lower
+    /// priority. A job within its team's guarantee may also preempt work of the same priority that another team runs
+    /// beyond its own guarantee.
     fn victim<'t>(
         &self,
         context: &Context,
@@ -235,7 +240,8 @@
         let priority = job.effective_priority(p);
         let reclaimable = guaranteed.contains(&spec.id)
             && priority == spec.priority
-            // It would be the first to be placed again, and be preempted again, in every cycle.
+            // Placed while its job was starving: the job would be placed first again and preempted again, in every
+            // cycle.
             && !p.promoted
             && job.spec.kind != JobKind::Service
             && job.spec.team != spec.team
@@ -259,8 +265,8 @@
     }
 }
 
-/// The slots for most tasks, and of those the cheapest, in one zone where the job must be in one. All or none of a
-/// gang.
+/// Chooses slots for as many tasks as possible, up to `wanted`, at the lowest cost. All slots are in one zone if the
+/// job requires that. Returns `None` if there is no slot, or too few for all of a gang.
 fn choose_slots<'s>(
     spec: &JobSpec,
     tasks_by_zone: &BTreeMap<String, u32>,
@@ -291,7 +297,7 @@
     best
 }
 
-/// The cheapest slots in a zone, or in all, as far as the job's limit of tasks in a zone allows.
+/// The cheapest slots in `zone`, or in all zones if it is `None`, within the job's limit of tasks per zone.
 fn choose_slots_in<'s>(
     zone: Option<&str>,
     spec: &JobSpec,
--- a/crates/seamfront-core/src/scheduling/queue.rs
+++ b/crates/seamfront-core/src/scheduling/queue.rs
@@ -1,30 +1,34 @@
-//! The order in which pending jobs are placed.
+//! The scheduling queue: the order in which a cycle places pending jobs.
 
 use crate::job::Job;
 use crate::shard::{Context, Shard};
 use crate::types::{queue_rank, JobId, JobKind, Micros, Priority, Resources};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// The sort key of a pending job; the fields are compared in their order.
+/// Sort key of a pending job. The fields are compared in the order in which they are declared.
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
 struct QueueKey {
     rank: (Priority, bool),
     beyond_guarantee: bool,
-    /// Binary logarithm of a gang's size where its team's gangs are limited by quota, else 0.
-    size_step: u32,
+    /// Binary logarithm of the number of tasks of a gang whose team is limited by quota, the maximum if that gang is
+    /// late; 0 for all other jobs.
+    size_class: u32,
     start_by: Micros,
     submitted: Micros,
     id: JobId,
 }
 
 impl Shard {
-    /// Pending jobs in the order in which they are placed: by rank, then guarantee, then by when they must start
-    /// to be in time, the oldest first. Jobs that can't be in time any more come after jobs that can.
+    /// Pending jobs in the order in which they are placed: by rank, then those within their team's guarantee first,
+    /// then by the latest time at which they can start without being late, then by submission. Jobs that can meet none
+    /// of their deadlines any more come after those that can.
     ///
-    /// Of a team's gangs that together ask for more than its quota leaves, and can keep all their times, the
-    /// smallest go first, in steps of twice the size: most are in time that way, while by age all would be late
-    /// together. The largest have their turn in the end. Where machines are what is lacking it is otherwise: a gang
-    /// holds those that it finds, and to let a smaller one take them back leaves them idle for longer.
+    /// If the pending gangs of a team together need more quota than the team has left, those that are not late yet are
+    /// placed by size, the smallest first, in classes that double in size. Most of them start in time that way; in
+    /// order of age all of them would be late. The largest come last, but do get their turn.
+    ///
+    /// This does not apply if machines are scarce rather than quota. A gang keeps the machines reserved for it while it
+    /// waits for the rest, and giving them to a smaller gang would leave them idle for longer.
     pub(super) fn queue_order(
         &self,
         context: &Context,
@@ -36,16 +40,16 @@
                 && job.gang.as_ref().is_none_or(|gang| gang.admissible())
         };
         let pending: Vec<&Job> = self.jobs.values().filter(pending).collect();
-        let limited = self.teams_limited_by_quota(context, &pending);
+        let quota_limited = self.teams_limited_by_quota(context, &pending);
         let mut keys: Vec<QueueKey> = pending
             .into_iter()
-            .map(|job| queue_key(context, job, guaranteed, &limited))
+            .map(|job| queue_key(context, job, guaranteed, &quota_limited))
             .collect();
         keys.sort();
         keys.into_iter().map(|key| key.id).collect()
     }
 
-    /// Teams whose pending gangs together ask for more than the team's quota leaves.
+    /// Teams whose pending gangs together need more quota than the team has left.
     fn teams_limited_by_quota<'c>(
         &self,
         context: &Context<'c>,
@@ -70,7 +74,7 @@
     context: &Context,
     job: &Job,
     guaranteed: &BTreeSet<JobId>,
-    limited: &BTreeSet<&str>,
+    quota_limited: &BTreeSet<&str>,
 ) -> QueueKey {
     let spec = &job.spec;
     let starving = job.starving(context.wall_time, context.types);
@@ -79,8 +83,8 @@
         .start_by(spec, context.wall_time)
         .filter(|_| !starving)
         .unwrap_or(Micros::MAX);
-    let size_step = match spec.kind {
-        JobKind::Gang if !limited.contains(spec.team.as_str()) => 0,
+    let size_class = match spec.kind {
+        JobKind::Gang if !quota_limited.contains(spec.team.as_str()) => 0,
         JobKind::Gang if context.settings.late(spec, context.wall_time) => u32::MAX,
         JobKind::Gang => spec.tasks.ilog2(),
         JobKind::Array | JobKind::Service => 0,
@@ -88,7 +92,7 @@
     QueueKey {
         rank: queue_rank(spec.priority, starving),
         beyond_guarantee: !guaranteed.contains(&spec.id),
-        size_step,
+        size_class,
         start_by,
         submitted: spec.submitted,
         id: spec.id.clone(),
--- a/crates/seamfront-core/src/scheduling/reservation.rs
+++ b/crates/seamfront-core/src/scheduling/reservation.rs
@@ -1,4 +1,4 @@
-//! Room reserved for live services that are expected, and for gangs that do not find all their places.
+//! Reservations: capacity kept free for expected live services, and capacity held for gangs that cannot be placed yet.
 
 use super::cycle::SchedulingCycle;
 use crate::job::Job;
@@ -8,30 +8,30 @@
 use crate::types::{JobId, JobKind, JobSpec, MachineType, Micros, Priority};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Services submitted within this time tell how many will come.
+/// Services submitted within this time are the basis for the expected arrival rate.
 const ARRIVAL_WINDOW: Micros = Micros::from_secs(60);
 
-/// What was reserved for a gang.
+/// Result of reserving capacity for a gang.
 pub(super) struct GangReservation {
-    /// Places that are missing.
+    /// Number of members without reserved capacity.
     pub(super) missing: u32,
-    /// The zone in which they are missing, if the gang must be in one and has places there.
+    /// The zone with the reserved capacity, if the gang must be in one zone and anything was reserved.
     pub(super) zone: Option<String>,
 }
 
-/// Room on a machine for a gang's members.
-struct GangRoom {
+/// Capacity of a machine for members of a gang.
+struct GangCapacity {
     /// The machine's index in the cycle's capacity.
     index: usize,
-    /// How many members fit.
+    /// Number of members that fit.
     members: u32,
 }
 
 impl Shard {
-    /// Reserves free room for live services, which must start at once when they come. Room is kept from all less
-    /// important work for those that will come before room could be made or provisioned, and for one like the
-    /// largest at least: where the images are that such services have here, since a fetch takes longer than they
-    /// may. Nothing is preempted for that.
+    /// Reserves free capacity for live services, so that new ones can start at once; less important work can't use it.
+    /// Enough is reserved for the services expected to arrive before capacity could be freed or provisioned for them,
+    /// and at least for one as large as the largest present service. Machines that have images of such services cached
+    /// are preferred, because a service may not wait for a fetch. Nothing is preempted for these reservations.
     pub(super) fn reserve_for_services(&self, context: &Context, cycle: &mut SchedulingCycle) {
         let services: Vec<&Job> = self
             .jobs
@@ -47,26 +47,29 @@
         };
         let spec = &largest.spec;
         let expected = expected_tasks(context, &services, spec);
-        // Half of a job that is spread must find room in another zone.
+        // At most half of a spread job may be in one zone.
         let zone_limit = if spec.spread {
             expected.div_ceil(2)
         } else {
             expected
         };
         let mut reserved: BTreeMap<String, u32> = BTreeMap::new();
-        for k in self.machines_for_services(context, cycle, &services, largest) {
-            let lacking = expected.saturating_sub(reserved.values().sum());
-            let zone = cycle.capacity.zone(k).to_owned();
+        for index in self.machines_for_services(context, cycle, &services, largest) {
+            let missing = expected.saturating_sub(reserved.values().sum());
+            let zone = cycle.capacity.zone(index).to_owned();
             let in_zone = reserved.entry(zone).or_default();
-            let tasks = i64::from(lacking.min(zone_limit.saturating_sub(*in_zone)));
-            let free = cycle.capacity.machines[k].free;
+            let tasks = i64::from(missing.min(zone_limit.saturating_sub(*in_zone)));
+            let free = cycle.capacity.machines[index].free;
             let tasks = tasks.min(free.fits(spec.task_resources));
             *in_zone += tasks as u32;
-            cycle.capacity.hold(k, spec.task_resources.times(tasks));
+            cycle
+                .capacity
+                .reserve(index, spec.task_resources.times(tasks));
         }
     }
 
-    /// Machines with free room for a task of the largest service, those with most images of services first.
+    /// Machines with free capacity for a task of the largest service, by index in the cycle's capacity. Those that have
+    /// the most service images cached come first.
     fn machines_for_services(
         &self,
         context: &Context,
@@ -84,19 +87,19 @@
         };
         let placement = PlacementRequest::of(largest, context.now, context.types);
         let task_resources = largest.spec.task_resources;
-        let free = placement.places(&self.machines, &cycle.capacity, |_, capacity| {
+        let free = placement.eligible_machines(&self.machines, &cycle.capacity, |_, capacity| {
             capacity.free.fits(task_resources) > 0
         });
-        let mut best: Vec<(usize, usize)> = free
+        let mut ranked: Vec<(usize, usize)> = free
             .into_iter()
-            .map(|(k, m)| (usize::MAX - cached_images(m), k))
+            .map(|(index, m)| (usize::MAX - cached_images(m), index))
             .collect();
-        best.sort_unstable();
-        best.into_iter().map(|(_, k)| k).collect()
+        ranked.sort_unstable();
+        ranked.into_iter().map(|(_, index)| index).collect()
     }
 
-    /// Reserves room for a gang that does not find places for all members, or smaller jobs would take every place
-    /// that comes free and it would starve.
+    /// Reserves capacity for a gang that does not fit as a whole. Otherwise smaller jobs would take all capacity as it
+    /// becomes free, and the gang would starve.
     pub(super) fn reserve_for_gang(
         &self,
         context: &Context,
@@ -113,17 +116,17 @@
         };
         let spec = &job.spec;
         let placement = PlacementRequest::of(job, context.now, context.types);
-        let mut rooms = self.gang_rooms(&placement, wanted, cycle);
-        let Some(zone) = best_zone(&placement, &rooms, wanted, cycle) else {
+        let mut by_zone = self.gang_capacity_by_zone(&placement, wanted, cycle);
+        let Some(zone) = best_zone(&placement, &by_zone, wanted, cycle) else {
             return none;
         };
         let mut missing = wanted;
-        for room in rooms.remove(&zone).unwrap_or_default() {
-            let members = room.members.min(missing);
+        for capacity in by_zone.remove(&zone).unwrap_or_default() {
+            let members = capacity.members.min(missing);
             missing -= members;
             let resources = spec.task_resources.times(i64::from(members));
-            cycle.capacity.hold(room.index, resources);
-            cycle.mark_gang_reservation(spec, room.index);
+            cycle.capacity.reserve(capacity.index, resources);
+            cycle.mark_gang_reservation(spec, capacity.index);
         }
         let partly_reserved = spec.one_zone && missing < wanted;
         GangReservation {
@@ -132,80 +135,84 @@
         }
     }
 
-    /// Room for a gang's members by zone, see [`zone_key`].
-    fn gang_rooms(
+    /// Machines with capacity for members of a gang, by [`zone_key`].
+    fn gang_capacity_by_zone(
         &self,
         placement: &PlacementRequest,
         wanted: u32,
         cycle: &SchedulingCycle,
-    ) -> BTreeMap<String, Vec<GangRoom>> {
-        let members = |k: usize| {
+    ) -> BTreeMap<String, Vec<GangCapacity>> {
+        let members = |index: usize| {
             cycle
                 .capacity
-                .left(k, Availability::AfterPreemption)
+                .available(index, Availability::AfterPreemption)
                 .fits(placement.spec.task_resources)
                 .clamp(0, i64::from(wanted)) as u32
         };
-        let mut rooms: BTreeMap<String, Vec<GangRoom>> = BTreeMap::new();
-        let places = placement.places(&self.machines, &cycle.capacity, |k, _| members(k) > 0);
-        for (index, _) in places {
+        let mut by_zone: BTreeMap<String, Vec<GangCapacity>> = BTreeMap::new();
+        let machines = placement.eligible_machines(&self.machines, &cycle.capacity, |index, _| {
+            members(index) > 0
+        });
+        for (index, _) in machines {
             let zone = zone_key(placement.spec, cycle.capacity.zone(index));
-            rooms.entry(zone).or_default().push(GangRoom {
+            by_zone.entry(zone).or_default().push(GangCapacity {
                 index,
                 members: members(index),
             });
         }
-        rooms
+        by_zone
     }
 }
 
-/// A service that users wait for.
+/// Whether a job is a live service, that is one that users wait for: a service of critical priority.
 pub(super) fn is_live_service(spec: &JobSpec) -> bool {
     spec.kind == JobKind::Service && spec.priority == Priority::Critical
 }
 
-/// How many tasks of live services will come before a machine for them could be provisioned, at least those of one
-/// like the largest.
+/// Number of tasks of live services that are expected to arrive before a machine could be provisioned for them, at
+/// least the number of tasks of the largest service.
 fn expected_tasks(context: &Context, services: &[&Job], largest: &JobSpec) -> u32 {
     let fits = |t: &&MachineType| {
         t.size.fits(largest.task_resources) > 0 && largest.suits(t.size, context.types)
     };
     let boot_time = context.types.iter().filter(fits).map(|t| t.boot).min();
-    let ahead = boot_time.unwrap_or(Micros::ZERO).times(3).over(2);
+    let lead_time = boot_time.unwrap_or(Micros::ZERO).times(3).over(2);
     let recent: i64 = services
         .iter()
         .filter(|job| context.wall_time - job.spec.submitted < ARRIVAL_WINDOW)
         .map(|job| i64::from(job.spec.tasks))
         .sum();
-    (recent * ahead.0 / ARRIVAL_WINDOW.0).max(i64::from(largest.tasks)) as u32
+    (recent * lead_time.0 / ARRIVAL_WINDOW.0).max(i64::from(largest.tasks)) as u32
 }
 
-/// The zone where most members fit now, and of those where most could fit on empty machines.
+/// The zone where the most of the `wanted` members fit now; among equals, the one whose machines could hold the most
+/// members if they were empty.
 fn best_zone(
     placement: &PlacementRequest,
-    rooms: &BTreeMap<String, Vec<GangRoom>>,
+    by_zone: &BTreeMap<String, Vec<GangCapacity>>,
     wanted: u32,
     cycle: &SchedulingCycle,
 ) -> Option<String> {
-    let mut possible: BTreeMap<String, i64> = BTreeMap::new();
-    for (zone, tasks) in placement.by_zone(&cycle.capacity) {
-        *possible.entry(zone_key(placement.spec, zone)).or_default() += tasks;
+    let mut if_empty: BTreeMap<String, i64> = BTreeMap::new();
+    for (zone, tasks) in placement.max_tasks_by_zone(&cycle.capacity) {
+        *if_empty.entry(zone_key(placement.spec, zone)).or_default() += tasks;
     }
     let free = |zone: &String| {
-        let rooms = rooms.get(zone);
-        rooms
-            .map_or(0, |rooms| {
-                rooms.iter().map(|room| room.members).sum::<u32>()
+        let machines = by_zone.get(zone);
+        machines
+            .map_or(0, |machines| {
+                machines.iter().map(|machine| machine.members).sum::<u32>()
             })
             .min(wanted)
     };
-    possible
+    if_empty
         .keys()
-        .max_by_key(|zone| (free(zone), possible[*zone]))
+        .max_by_key(|zone| (free(zone), if_empty[*zone]))
         .cloned()
 }
 
-/// The zone for a job that must be in one, else one key for all zones.
+/// Key under which a job's capacity in `zone` is counted: the zone itself for a job that must be in one zone, else the
+/// same empty key for all zones.
 fn zone_key(spec: &JobSpec, zone: &str) -> String {
     if spec.one_zone {
         zone.to_owned()
--- a/crates/seamfront-core/src/shard/heartbeats.rs
+++ b/crates/seamfront-core/src/shard/heartbeats.rs
@@ -133,7 +133,7 @@
         }
         p.phase = phase;
         if let Some(gang) = &mut job.gang {
-            gang.claimed(key.index);
+            gang.mark_running(key.index);
         }
     }
 
--- a/crates/seamfront-core/src/shard/jobs.rs
+++ b/crates/seamfront-core/src/shard/jobs.rs
@@ -62,7 +62,7 @@
             job.ending = Some(Ending::Completing);
         }
         for (i, p) in &mut job.tasks {
-            self.quota.take(&job.spec.team, job.spec.task_resources);
+            self.quota.charge(&job.spec.team, job.spec.task_resources);
             if ended {
                 p.stop = Some(Stop::immediate(Cause::Cancelled, now));
             }
--- a/crates/seamfront-core/src/shard/records.rs
+++ b/crates/seamfront-core/src/shard/records.rs
@@ -299,7 +299,7 @@
         p.since = now;
         machines.push(p.machine.clone());
         if let Some(gang) = &mut job.gang {
-            gang.recorded(*index);
+            gang.mark_pending(*index);
         }
     }
     machines
--- a/crates/seamfront-core/src/shard/task_removal.rs
+++ b/crates/seamfront-core/src/shard/task_removal.rs
@@ -69,7 +69,7 @@
     ) -> Option<RemovedPlacement> {
         let job = self.jobs.get_mut(&task.job)?;
         let p = job.tasks.remove(&task.index)?;
-        self.quota.give(&job.spec.team, job.spec.task_resources);
+        self.quota.release(&job.spec.team, job.spec.task_resources);
         let machine = self.machines.get_mut(&p.machine);
         let silent = machine.as_ref().is_none_or(|m| {
             m.silent_for(context.now) > context.settings.heartbeat_interval.times(2)
@@ -203,7 +203,7 @@
         };
         self.drain_gang(context, &task.job, trigger, Cause::Peers, Micros::ZERO);
         if let Some(g) = self.jobs.get_mut(&task.job).and_then(|j| j.gang.as_mut()) {
-            g.gone(task.index);
+            g.mark_preempted(task.index);
         }
     }
 
@@ -216,7 +216,7 @@
         }
         if let Some(g) = &mut job.gang {
             // They complete together: when one is done, all are.
-            g.all_done();
+            g.mark_all_done();
             job.done = crate::ranges::Ranges::full(job.spec.tasks);
         } else if task.index < job.spec.tasks {
             job.done.insert(task.index);
--- a/crates/seamfront-core/tests/gang.rs
+++ b/crates/seamfront-core/tests/gang.rs
@@ -5,8 +5,8 @@
 fn run(g: &mut Gang) {
     g.reserve_all();
     for i in 0..g.members.len() as u32 {
-        g.recorded(i);
-        g.claimed(i);
+        g.mark_pending(i);
+        g.mark_running(i);
     }
 }
 
@@ -14,7 +14,7 @@
     assert!(g.drain(trigger));
     assert_eq!(g.complete(3), None, "verdict while members may run");
     for i in 0..g.members.len() as u32 {
-        g.gone(i);
+        g.mark_preempted(i);
     }
     g.complete(3).expect("all are gone")
 }
@@ -61,9 +61,9 @@
 fn reserved_members_have_nothing_to_stop_but_pending_ones_may() {
     let mut g = Gang::new(3);
     g.reserve_all();
-    g.recorded(1);
-    g.recorded(2);
-    g.claimed(2);
+    g.mark_pending(1);
+    g.mark_pending(2);
+    g.mark_running(2);
     g.drain(Some(2));
     assert_eq!(
         g.members,
@@ -73,9 +73,9 @@
         !g.drain(Some(1)),
         "a second failure joins the drain under way"
     );
-    g.gone(2);
+    g.mark_preempted(2);
     assert_eq!(g.complete(3), None);
-    g.gone(1);
+    g.mark_preempted(1);
     assert_eq!(g.complete(3), Some(Verdict::Blocked));
 }
 
@@ -84,7 +84,7 @@
     let mut g = Gang::new(2);
     run(&mut g);
     g.drain(None);
-    g.gone(0);
+    g.mark_preempted(0);
     g.members[1] = Member::Failed;
     assert_eq!(g.complete(3), Some(Verdict::Failed));
 }
--- a/crates/seamfront-core/tests/placement.rs
+++ b/crates/seamfront-core/tests/placement.rs
@@ -67,8 +67,8 @@
             avoid: &avoid,
             now: Micros::ZERO,
             types: &[],
-            any_size: None,
-            cached: false,
+            accelerator_idle_keep: None,
+            require_cached_image: false,
         };
         let partial = rng.random_range(0..2) == 0;
         let got = placement.choose(
@@ -147,11 +147,11 @@
         if quota.headroom(&team, task_resources, Resources::default()) > 0
             && rng.random_range(0..3) > 0
         {
-            quota.take("t", task_resources);
+            quota.charge("t", task_resources);
             held.push(task_resources);
         } else if !held.is_empty() {
             let k = rng.random_range(0..held.len());
-            quota.give("t", held.swap_remove(k));
+            quota.release("t", held.swap_remove(k));
         }
         let used = quota.used("t");
         assert!(used.cpus <= limit.cpus && used.cpus >= 0);
