--- a/crates/seamfront-core/src/machine/agent.rs
+++ b/crates/seamfront-core/src/machine/agent.rs
@@ -1,41 +1,42 @@
-//! Liveness of a machine's agent: its incarnation, its heartbeats and the replies to them.
+//! Liveness of a machine's agent: its incarnation, its heartbeats and our replies to them.
 
 use crate::types::Micros;
 
-/// From this many replies in a row that an agent did not acknowledge, they are taken not to arrive.
-const MAX_UNACKNOWLEDGED_REPLIES: u32 = 4;
+/// An agent that leaves this many replies in a row unacknowledged is assumed not to receive them.
+const UNACKNOWLEDGED_REPLIES_LIMIT: u32 = 4;
 
 /// Replies to heartbeats that the agent has not acknowledged.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct UnacknowledgedReplies {
     /// Number of replies.
     pub count: u32,
-    /// Time of the first of them.
+    /// Time of the first one.
     pub since: Micros,
 }
 
-/// The agent on a machine, as known from its heartbeats.
+/// The agent of a machine, as known from its heartbeats and its replies to direct commands.
 #[derive(Clone, Debug, Default)]
 pub struct Agent {
-    /// Address at which it takes direct commands.
+    /// Address at which it accepts direct commands.
     pub address: Option<String>,
     /// Its incarnation, 0 before its first heartbeat.
     pub incarnation: u64,
-    /// Time of the first message of this incarnation, of whatever kind.
+    /// Time of the first message of this incarnation: a heartbeat or a reply to a direct command.
     pub incarnation_seen_at: Option<Micros>,
     /// Sequence number of the newest message of this incarnation.
     pub sequence: u64,
     /// Time of the newest heartbeat. It may have been delayed by the network, or come from a machine that
     /// receives no replies.
     pub last_heartbeat: Option<Micros>,
-    /// Time of the newest heartbeat that showed our present fencing token: recent, and from an agent that
-    /// receives our replies.
+    /// Time of the newest heartbeat that showed our current fencing token. Such a heartbeat was sent recently, by an
+    /// agent that receives our replies.
     pub last_acknowledged: Option<Micros>,
-    /// Replies since then that it has not acknowledged.
+    /// Replies since `last_acknowledged` that the agent has not acknowledged.
     pub unacknowledged: Option<UnacknowledgedReplies>,
-    /// Time of the last successful reply of this holder: the agent's lease was renewed before it.
+    /// Time of this holder's last reply with orders. The agent counts the lease that a reply renews from an earlier
+    /// time, that of the heartbeat.
     pub last_reply: Option<Micros>,
-    /// Its lease expired and it has sent no heartbeat since.
+    /// Its lease expired, and no heartbeat has shown our current token since.
     pub lease_expired: bool,
 }
 
@@ -46,7 +47,7 @@
             .map_or(Micros::ZERO, |replies| now - replies.since)
     }
 
-    /// Counts a reply that it has yet to acknowledge.
+    /// Counts a reply to a heartbeat that did not show our current token.
     pub(super) fn count_unacknowledged(&mut self, now: Micros) {
         let replies = self.unacknowledged.get_or_insert(UnacknowledgedReplies {
             count: 0,
@@ -55,9 +56,9 @@
         replies.count += 1;
     }
 
-    /// So many replies in a row were not acknowledged that they are taken not to arrive.
+    /// Whether it has left so many replies unacknowledged that it is assumed not to receive them.
     pub(super) fn misses_replies(&self) -> bool {
         self.unacknowledged
-            .is_some_and(|replies| replies.count >= MAX_UNACKNOWLEDGED_REPLIES)
+            .is_some_and(|replies| replies.count >= UNACKNOWLEDGED_REPLIES_LIMIT)
     }
 }
--- a/crates/seamfront-core/src/machine/fencing.rs
+++ b/crates/seamfront-core/src/machine/fencing.rs
@@ -1,8 +1,8 @@
-//! Fencing of a machine: the token its agent has seen, and the direct command that may still be carried out.
+//! Fencing of a machine: the highest token that its agent has seen, and the direct command that is not settled yet.
 
 use crate::port::CallId;
 
-/// Orders sent straight to an agent. While the command is outstanding it may still be carried out.
+/// A direct command to an agent. Until it is settled, the agent may still carry it out.
 #[derive(Clone, Debug)]
 pub struct DirectCommand {
     /// The call that carries it.
@@ -11,8 +11,8 @@
     pub fencing_token: u64,
     /// The incarnation of the agent that it is addressed to.
     pub incarnation: u64,
-    /// The call ended without an answer. Settled only by a higher token seen, a new incarnation, or the end of
-    /// the machine.
+    /// The call ended without an answer, so it is not known whether the command was carried out. It is settled only
+    /// when the agent has seen a higher token or has a new incarnation, or when its lease or the machine has ended.
     pub unknown: bool,
 }
 
@@ -21,8 +21,9 @@
 pub struct Fencing {
     /// The highest fencing token that the agent has shown.
     pub highest_seen_token: u64,
-    /// There are signs that our replies do not arrive: the token is raised, to see whether the new one does.
+    /// The token is to be raised: our replies may not arrive, and the agent shows the new token if they do; or a write
+    /// that may be applied late has to be fenced off.
     pub token_raise_due: bool,
-    /// The direct command that is not settled yet.
+    /// The direct command that is not settled yet, if any.
     pub direct_command: Option<DirectCommand>,
 }
--- a/crates/seamfront-core/src/machine/health.rs
+++ b/crates/seamfront-core/src/machine/health.rs
@@ -3,16 +3,17 @@
 use crate::types::{JobId, Micros};
 use std::collections::BTreeSet;
 
-/// This many different jobs have to fail on a machine for it to be quarantined.
+/// A machine is quarantined once this many different jobs have failed on it.
 const FAILED_JOBS_LIMIT: usize = 2;
-/// Completed tasks in one sample of a machine's pace.
+/// Number of completed tasks in one sample of a machine's pace.
 pub const PACE_TASKS: i64 = 10;
-/// Mean run time, in percent of the jobs' own means, above which a machine counts as slow.
+/// A machine counts as slow if its tasks' run times exceed this percentage of their jobs' means, on average over a
+/// sample.
 const PACE_SLOW_PERCENT: i64 = 190;
-/// Most that a single run counts in a sample, in percent of its job's mean.
+/// Upper bound on what a single run counts in a sample, in percent of its job's mean.
 const PACE_MAX_PERCENT: i64 = 400;
 
-/// Run times of tasks that completed lately on a machine.
+/// Run times of the tasks that completed on a machine since the last full sample.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct PaceSample {
     /// Number of completed tasks.
@@ -28,27 +29,27 @@
     pub failed_jobs: BTreeSet<JobId>,
     /// It is much slower than other machines of its type.
     pub slow: bool,
-    /// The present sample of its pace.
+    /// The current, incomplete sample of its pace.
     pub pace: PaceSample,
-    /// It refused a task for lack of room: our count and the agent's differ, and nothing is placed until that
-    /// may have settled.
+    /// No task is placed on it before this time. It refused one for lack of room, so our count of its resources and the
+    /// agent's differ, and need time to agree again.
     pub full_until: Micros,
 }
 
 impl Health {
-    /// Different jobs have failed on it.
+    /// Whether so many different jobs have failed on it that the machine itself is suspected.
     pub fn failing(&self) -> bool {
         self.failed_jobs.len() >= FAILED_JOBS_LIMIT
     }
 
-    /// Not worth keeping: jobs fail on it, or it is much slower than its type.
+    /// Whether it is quarantined: different jobs fail on it, or it is much slower than other machines of its type.
     pub fn quarantined(&self) -> bool {
         self.slow || self.failing()
     }
 
-    /// Counts the run time of a completed task against the mean of its job. Machines of a type differ by a tenth;
-    /// one that is much slower than the others is not worth its price. Judged on enough tasks, since single ones
-    /// differ for reasons of their own.
+    /// Compares the run time of a completed task with the mean of its job. Machines of a type normally differ by a
+    /// tenth; one that is much slower than the others is not worth its price. The machine is judged on a whole sample,
+    /// since the run times of single tasks also differ for other reasons.
     pub fn record_run(&mut self, ran: Micros, mean: Micros) {
         let percent = 100 * ran.0 / mean.0.max(1);
         self.pace.tasks += 1;
--- a/crates/seamfront-core/src/machine/image_cache.rs
+++ b/crates/seamfront-core/src/machine/image_cache.rs
@@ -1,4 +1,4 @@
-//! Images in a machine's cache, and those being fetched.
+//! The image cache of a machine: cached images, and images being fetched.
 
 use std::collections::BTreeMap;
 
@@ -16,15 +16,15 @@
 pub struct ImageCache {
     /// Cached images, the least recently used first.
     pub images: Vec<CachedImage>,
-    /// Images being fetched for tasks placed on the machine, with their size in MB. Concurrent fetches share the
-    /// machine's rate.
+    /// Images being fetched for tasks placed on the machine, with their sizes in MB. Concurrent fetches share the
+    /// machine's fetch rate.
     pub fetching: BTreeMap<String, i64>,
-    /// The tasks placed on the machine, or its cached images, have changed since `fetching` was made.
+    /// The tasks placed on the machine, or its cached images, have changed since `fetching` was computed.
     pub fetches_changed: bool,
 }
 
 impl Default for ImageCache {
-    /// An empty cache, whose fetches are not known yet.
+    /// An empty cache whose fetches have yet to be computed.
     fn default() -> Self {
         ImageCache {
             images: Vec::new(),
@@ -40,7 +40,7 @@
         self.images.iter().any(|image| image.name == name)
     }
 
-    /// What must be fetched before a task with this image can start, in MB.
+    /// MB that must be fetched before a task with this image can start, other images included.
     pub fn to_fetch_mb(&self, name: &str, size_mb: i64) -> i64 {
         if self.has_image(name) {
             return 0;
@@ -54,7 +54,8 @@
         others + size_mb
     }
 
-    /// Notes the use of an image. The agent keeps the most recently used images as far as its cache goes.
+    /// Marks an image as the most recently used one, and evicts as the agent does: the least recently used images go
+    /// until the others fit into the cache. The image itself always stays.
     pub fn use_image(&mut self, name: &str, size_mb: i64, cache_mb: i64) {
         self.images.retain(|image| image.name != name);
         self.images.push(CachedImage {
--- a/crates/seamfront-core/src/machine/lifecycle.rs
+++ b/crates/seamfront-core/src/machine/lifecycle.rs
@@ -1,24 +1,24 @@
-//! Lifecycle of a machine in its shard, from the first claim to its return to the cloud.
+//! Lifecycle of a machine in its shard, from its takeover by this holder to its release or termination.
 
 use crate::types::Micros;
 
-/// Where a machine stands between its claim by this holder and its release or decommissioning.
+/// The stage of a machine between its takeover by this holder and its release or decommissioning.
 #[derive(Clone, Debug)]
 pub struct Lifecycle {
     /// Time at which this holder took it over.
     pub owned_since: Micros,
-    /// When the cloud will preempt it.
+    /// When the cloud will preempt it, if it has sent a notice.
     pub preemption_deadline: Option<Micros>,
-    /// Since when it has been released for the leader.
+    /// Since when it has been released to the leader.
     pub released_since: Option<Micros>,
-    /// Since when it has been drained for more important work of another shard.
+    /// Since when it has been drained for higher-priority work of another shard.
     pub draining_since: Option<Micros>,
-    /// To be returned to the cloud whatever is on it.
+    /// It is to be terminated, whatever may run on it.
     pub condemned: bool,
     /// Its record is being written.
     pub write_in_flight: bool,
-    /// A write that decommissions it was made and may still be applied: if the machine comes back meanwhile,
-    /// nothing must be placed on it that would be returned with it.
+    /// A write that decommissions it was made and may still be applied. If the machine comes back meanwhile, no task
+    /// may be placed on it, since the task would be lost with it.
     pub decommission_pending: bool,
 }
 
@@ -36,13 +36,14 @@
         }
     }
 
-    /// It is condemned, or a write that decommissions it may be applied: whatever were started on it now would be
-    /// returned with it.
+    /// Whether it is condemned, or a write that decommissions it may still be applied. A task started on it now would
+    /// be lost with it.
     pub fn decommissioning(&self) -> bool {
         self.condemned || self.decommission_pending
     }
 
-    /// It stays in the shard for now: no preemption notice, and neither released, drained nor decommissioned.
+    /// Whether it stays in the shard for now: it has no preemption notice and is neither released, drained nor
+    /// decommissioned.
     pub(super) fn in_service(&self) -> bool {
         self.preemption_deadline.is_none()
             && self.released_since.is_none()
--- a/crates/seamfront-core/src/machine/mod.rs
+++ b/crates/seamfront-core/src/machine/mod.rs
@@ -18,15 +18,16 @@
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeSet;
 
-/// Margin after the computed end of a lease before it counts as expired.
+/// Added to the computed end of a lease before it counts as expired.
 const LEASE_MARGIN: Micros = Micros::from_millis(200);
-/// Allowance for a delayed heartbeat before a machine is no longer used.
+/// A machine is no longer used once its last acknowledged heartbeat is older than two intervals and this margin.
 const HEARTBEAT_MARGIN: Micros = Micros::from_secs(1);
 
-/// `machine/<id>`. Its version is part of the machine's fencing token, so rewriting it fences the machine.
+/// A machine's record in the store, `machine/<id>`. Its version is part of the machine's fencing token, so rewriting it
+/// raises the token.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct MachineRecord {
-    /// The shard that it belongs to; none while it is being returned to the cloud.
+    /// The shard that it belongs to; none while it is being terminated.
     #[serde(rename = "share")]
     pub shard: Option<usize>,
     /// Machine type.
@@ -57,15 +58,15 @@
     pub used: Resources,
     /// Tasks placed on it.
     pub tasks: BTreeSet<TaskKey>,
-    /// Tasks that this shard did not place on it, yet its agent shows as not ended: they are stopped.
+    /// Tasks that this shard did not place on it, but that its agent lists as not exited: they are stopped.
     pub unexpected_tasks: BTreeSet<TaskKey>,
     /// Liveness of its agent.
     pub agent: Agent,
     /// Fencing of its agent.
     pub fencing: Fencing,
-    /// Where it stands between claim and return.
+    /// Its stage between takeover and release or decommissioning.
     pub lifecycle: Lifecycle,
-    /// How long it has been unused.
+    /// How long it or its accelerators have been unused.
     pub usage: Usage,
     /// Its image cache.
     pub image_cache: ImageCache,
@@ -74,7 +75,7 @@
 }
 
 impl Machine {
-    /// A machine that has just come to this holder.
+    /// A machine that this holder has just taken over.
     pub fn new(
         id: MachineId,
         record: MachineRecord,
@@ -99,8 +100,8 @@
         }
     }
 
-    /// The fencing token of its present owner. Both versions are revisions of one counter, so every later owner's
-    /// token is higher.
+    /// The fencing token of its current owner: the newer of the claim's version and the version of its own record. Both
+    /// are revisions of the store's one counter, so every later owner's token is higher.
     pub fn fencing_token(&self, claim_version: u64) -> u64 {
         claim_version.max(self.version)
     }
@@ -112,15 +113,15 @@
         free
     }
 
-    /// Nothing is placed on it, shown by its agent or being ordered.
+    /// Whether no task is placed on it, its agent lists no unexpected task, and no direct command is unsettled.
     pub fn empty(&self) -> bool {
         self.tasks.is_empty()
             && self.unexpected_tasks.is_empty()
             && self.fencing.direct_command.is_none()
     }
 
-    /// Whether new tasks may be placed on it. Only where the agent has shown our present token: a heartbeat
-    /// without it may be late by any time, or come from a machine that receives no replies.
+    /// Whether new tasks may be placed on it. Its agent must have shown our current token: a heartbeat without it may
+    /// be delayed by any time, or come from a machine that receives no replies.
     pub fn usable(&self, now: Micros, heartbeat_interval: Micros, claim_version: u64) -> bool {
         let max_age = heartbeat_interval.times(2) + HEARTBEAT_MARGIN;
         self.record.shard.is_some()
@@ -135,7 +136,7 @@
             && self.health.full_until <= now
     }
 
-    /// Time since its last heartbeat.
+    /// Time since its last heartbeat, or since this holder took it over if that was later.
     pub fn silent_for(&self, now: Micros) -> Micros {
         let owned_since = self.lifecycle.owned_since;
         now - self
@@ -145,7 +146,7 @@
             .max(owned_since)
     }
 
-    /// Notes a reply to a heartbeat, and counts it where that heartbeat did not show our present token.
+    /// Records a reply to a heartbeat. It counts as unacknowledged until the agent has shown our current token.
     pub fn reply_sent(&mut self, now: Micros, claim_version: u64) {
         self.agent.last_reply = Some(now);
         if self.fencing.highest_seen_token < self.fencing_token(claim_version) {
@@ -153,20 +154,20 @@
         }
     }
 
-    /// Its heartbeats arrive and our replies do not. While such a machine may hold tasks it gets no more replies,
-    /// so that its lease, which those replies might renew, is known to expire.
+    /// Whether its heartbeats arrive and our replies apparently do not. While such a machine may hold tasks it gets no
+    /// more replies: they might renew its lease, which must expire for sure.
     pub fn ignores_replies(&self) -> bool {
         self.agent.misses_replies() && !self.tasks.is_empty()
     }
 
-    /// When nothing that was ordered before can still run on it: its lease has expired, counted from this
-    /// holder's last reply, from the start of its incarnation, or, for an agent not seen yet, from the last reply
-    /// that any former holder may have sent (`lease_valid` after the claim).
+    /// When its agent's lease has certainly expired, so that no task ordered before can still run. The lease is counted
+    /// from this holder's last reply or from the first message of the incarnation, whichever is later. Until the agent
+    /// has shown our token, a former holder may have renewed the lease up to `lease_valid` after the takeover.
     pub fn lease_expiry(&self, claim_version: u64, lease: Micros, lease_valid: Micros) -> Micros {
         let former = self.lifecycle.owned_since + lease_valid.with_drift();
-        let answered = self.agent.last_reply.max(self.agent.incarnation_seen_at);
-        let last = match answered {
-            // Once the agent has shown our token it drops whatever a former holder replies.
+        let renewed = self.agent.last_reply.max(self.agent.incarnation_seen_at);
+        let last = match renewed {
+            // An agent that has shown our token ignores replies of former holders.
             Some(t) if self.fencing.highest_seen_token >= self.fencing_token(claim_version) => t,
             Some(t) => t.max(former),
             None => former,
@@ -174,8 +175,9 @@
         last + lease.with_drift() + LEASE_MARGIN
     }
 
-    /// Whether tasks without accelerators may be placed on it. They may fill a machine with accelerators while
-    /// these are used now and then, but must not keep it from becoming empty when they are not.
+    /// Whether tasks without accelerators may be placed on it. On a machine with accelerators they may fill the
+    /// remaining room as long as the accelerators are used from time to time, but they must not keep a machine whose
+    /// accelerators are unused from becoming empty.
     pub fn accepts_cpu_only_work(&self, now: Micros, keep: Micros) -> bool {
         self.size.gpus == 0
             || self
