--- a/crates/seamfront-core/src/machine_types.rs
+++ b/crates/seamfront-core/src/machine_types.rs
@@ -1,33 +1,33 @@
-//! The machine types on offer: read from the store, or else asked of the cloud.
+//! The machine types that the cloud offers: read from the store, and requested from the cloud if none are stored.
 //!
-//! They are kept in the store too, so that a controller that starts during an outage of the cloud knows them.
+//! They are kept in the store so that a controller that starts during an outage of the cloud API knows them.
 
 use crate::outbox::Outbox;
 use crate::port::{CloudReply, CloudRequest, StoreReply, StoreRequest};
 use crate::types::{MachineType, Micros, Resources};
 use tracing::{info, warn};
 
-/// The key under which the types are stored.
-const KEY: &str = "types";
-/// Time between two readings, until the types are known.
+/// Key of the types in the store.
+const TYPES_KEY: &str = "types";
+/// Interval between reads of the store until the types are known.
 const READ_INTERVAL: Micros = Micros::from_millis(700);
 
-/// An outstanding request for the machine types on offer.
+/// An outstanding request for the machine types.
 pub(crate) enum MachineTypesRequest {
-    /// The stored types are read.
+    /// To the store, for the stored types.
     FromStore,
-    /// The cloud is asked.
+    /// To the cloud.
     FromCloud,
 }
 
-/// What others must know of a change of the types.
+/// A change of the types that other components must handle.
 #[must_use]
 pub(crate) enum MachineTypesEvent {
-    /// There are new types: all sizes that follow from them are to be computed anew.
+    /// The types were updated: the sizes of all machines must be computed again.
     Updated,
 }
 
-/// The machine types on offer as this controller knows them.
+/// The machine types that the cloud offers, as far as this controller knows them.
 #[derive(Debug, Default)]
 pub(crate) struct MachineTypes {
     types: Vec<MachineType>,
@@ -41,30 +41,30 @@
         !self.types.is_empty()
     }
 
-    /// All types; none while they are not known.
+    /// All types; empty until they are known.
     pub(crate) fn all(&self) -> &[MachineType] {
         &self.types
     }
 
-    /// The size of machines of a type; nothing if the type is not known.
+    /// The resources of a machine of a type; zero if the type is not known.
     pub(crate) fn size_of(&self, name: &str) -> Resources {
         let found = self.types.iter().find(|t| t.name == name);
         found.map(|t| t.size).unwrap_or_default()
     }
 
-    /// Takes in the types that the cloud offers. An empty list says nothing.
+    /// Replaces the known types with those that the cloud offers. An empty list is ignored.
     pub(crate) fn update(&mut self, types: Vec<MachineType>) -> Option<MachineTypesEvent> {
         if types.is_empty() {
             return None;
         }
         if !self.known() {
-            info!(types = types.len(), "machine types known");
+            info!(types = types.len(), "machine types loaded");
         }
         self.types = types;
         Some(MachineTypesEvent::Updated)
     }
 
-    /// Reads the stored types while none are known.
+    /// Requests the stored types at intervals until any are known.
     pub(crate) fn tick(&mut self, now: Micros, outbox: &mut Outbox<MachineTypesRequest>) {
         if self.known() || self.request_in_flight || now < self.next_read {
             return;
@@ -72,12 +72,12 @@
         self.request_in_flight = true;
         self.next_read = now + READ_INTERVAL;
         let request = StoreRequest::Get {
-            key: KEY.to_owned(),
+            key: TYPES_KEY.to_owned(),
         };
         outbox.store(request, MachineTypesRequest::FromStore);
     }
 
-    /// Takes in the store's reply.
+    /// Handles the store's reply. If no types are stored, they are requested from the cloud.
     pub(crate) fn store_reply(
         &mut self,
         reply: StoreReply,
@@ -88,7 +88,7 @@
             StoreReply::Entry(entry) => match serde_json::from_value(entry.value) {
                 Ok(types) => self.update(types),
                 Err(error) => {
-                    warn!(%error, "unreadable record of machine types");
+                    warn!(key = TYPES_KEY, %error, "stored machine types are unreadable");
                     None
                 }
             },
@@ -102,7 +102,7 @@
         }
     }
 
-    /// Takes in the cloud's reply.
+    /// Handles the cloud's reply.
     pub(crate) fn cloud_reply(&mut self, reply: CloudReply) -> Option<MachineTypesEvent> {
         self.request_in_flight = false;
         match reply {
