--- a/crates/seamfront-core/src/engine/fleet.rs
+++ b/crates/seamfront-core/src/engine/fleet.rs
@@ -206,7 +206,7 @@
             .leader
             .as_ref()
             .is_some_and(|leader| leader.claim_version().is_none());
-        if rests_on_duties && !self.duties.holds_any_of_fleet() {
+        if rests_on_duties && !self.duties.holds_any_fleet_duty() {
             self.leader = None;
         }
     }
--- a/crates/seamfront-core/src/fleet_duties.rs
+++ b/crates/seamfront-core/src/fleet_duties.rs
@@ -1,9 +1,9 @@
-//! Duties with a single holder: which there are, and what fences each of the leader's effects.
+//! The single-holder duties of the scheduler, and the fences for their writes and cloud requests.
 //!
-//! Where duties are off, and until every controller supports them, the leader's claim covers scaling out, scaling in and
-//! rebalancing. Afterwards each duty has a claim and a fencing token of its own. Their effects on the outside are
-//! recorded first in either case: `rent/<name>` before the cloud is asked to provision, `share: null` in a machine's
-//! record before the machine is terminated.
+//! If duties are disabled, and until every controller supports them, the leader's claim covers scale-out, scale-in and
+//! rebalancing. Afterwards each duty has its own claim and fencing token. In both cases the intent is recorded before
+//! the cloud is called: `rent/<name>` before machines are provisioned, and `share: null` in a machine's record before
+//! the machine is terminated.
 
 use crate::types::{Micros, Settings};
 use seamfront_lease::keys;
@@ -12,16 +12,16 @@
 use seamfront_lease::DutyManager;
 use tracing::error;
 
-/// Name of the duty of removing records that outlived their jobs.
+/// Name in the store of the duty that removes leftover records of ended jobs.
 pub const GARBAGE_COLLECTION: &str = "cleaning";
-/// Key of the leader's claim, which covers the fleet's duties where these have no claims of their own.
+/// Key of the leader's claim, which covers the fleet duties while they have no claims of their own.
 pub const LEADER_CLAIM: &str = "leader";
-/// The longest time that the adapters wait for the state service.
+/// The longest time that the adapters wait for a reply of the key-value store.
 const STORE_REPLY_TIMEOUT: Micros = Micros::from_millis(1_500);
-/// Duties may use this fraction (one in so many) of the writes that the store takes.
+/// The duties' writes may use one part in this many of the store's write rate.
 const WRITE_RATE_DIVISOR: i64 = 20;
 
-/// A duty of the fleet: what the leader does, in parts that may each be held by another controller.
+/// A duty of the leader that concerns the fleet of machines. Each may be held by a different controller.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum FleetDuty {
     /// Provisioning machines, and adopting those that the cloud lists without a record.
@@ -33,7 +33,7 @@
 }
 
 impl FleetDuty {
-    /// All of them.
+    /// All fleet duties.
     pub(crate) const ALL: [FleetDuty; 3] = [
         FleetDuty::ScaleOut,
         FleetDuty::ScaleIn,
@@ -50,7 +50,7 @@
     }
 }
 
-/// A value for each of the fleet's duties.
+/// A value for each fleet duty.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct PerFleetDuty<T> {
     scale_out: T,
@@ -59,7 +59,7 @@
 }
 
 impl<T> PerFleetDuty<T> {
-    /// The values that `value` gives, in the order of [`FleetDuty::ALL`].
+    /// Calls `value` for each duty, in the order of [`FleetDuty::ALL`].
     pub(crate) fn from_fn(mut value: impl FnMut(FleetDuty) -> T) -> Self {
         PerFleetDuty {
             scale_out: value(FleetDuty::ScaleOut),
@@ -78,23 +78,24 @@
     }
 }
 
-/// What fences a duty's writes: they fail once the key has another version.
+/// The fence of a duty's writes: they are conditional on the version of the claim, so they fail once the claim has
+/// changed.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) struct Fence {
     /// The key of the claim.
     pub(crate) key: String,
-    /// Its version under which the duty is held.
+    /// The version of the claim under which the duty is held.
     pub(crate) fencing_token: u64,
 }
 
-/// The right to act on the outside now.
+/// The right to begin an effect outside of the store now, such as a request to the cloud.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct EffectPermit {
-    /// The effect must begin before this time. None under the leader's claim, which bounds no single effects.
+    /// The effect must begin before this time. None under the leader's claim, which sets no bound for single effects.
     pub(crate) until: Option<Micros>,
 }
 
-/// The lease settings that follow from a controller's own.
+/// The lease settings derived from a controller's settings.
 pub fn lease_settings(settings: &Settings) -> LeaseSettings {
     let members: Vec<&str> = settings.members.iter().map(String::as_str).collect();
     let limits = StoreLimits {
@@ -115,7 +116,7 @@
 
 /// The duties of this controller.
 pub(crate) struct Duties {
-    /// None where duties are off.
+    /// None if duties are disabled.
     manager: Option<DutyManager>,
 }
 
@@ -123,50 +124,50 @@
     /// The duties of a controller that has just started.
     pub(crate) fn new(settings: &Settings) -> Duties {
         Duties {
-            manager: manager(settings),
+            manager: new_manager(settings),
         }
     }
 
-    /// Whether duties are on.
+    /// Whether duties are enabled.
     pub(crate) fn enabled(&self) -> bool {
         self.manager.is_some()
     }
 
-    /// Whether duties have claims of their own by now.
+    /// Whether the duties have claims of their own, in place of the leader's claim.
     pub(crate) fn in_force(&self) -> bool {
         self.manager
             .as_ref()
             .is_some_and(DutyManager::duties_in_force)
     }
 
-    /// Takes in commands and returns the effects, in order.
+    /// Applies commands and returns the resulting effects in order.
     pub(crate) fn step(&mut self, now: Micros, commands: Vec<DutyCommand>) -> Vec<DutyEffect> {
         self.manager
             .as_mut()
             .map_or_else(Vec::new, |manager| manager.step(now, commands))
     }
 
-    /// The fencing token of a duty that may be performed here.
+    /// The fencing token of a duty, if this controller may perform it.
     pub(crate) fn fencing_token(&self, duty: &str) -> Option<u64> {
         self.manager.as_ref()?.fencing_token(duty)
     }
 
-    /// Whether any of the fleet's duties may be performed here.
-    pub(crate) fn holds_any_of_fleet(&self) -> bool {
+    /// Whether this controller may perform any fleet duty.
+    pub(crate) fn holds_any_fleet_duty(&self) -> bool {
         FleetDuty::ALL
             .iter()
             .any(|duty| self.fencing_token(duty.name()).is_some())
     }
 
-    /// What fences a duty of the fleet that is held here.
+    /// The fence of a fleet duty that this controller holds.
     pub(crate) fn fence(&self, duty: FleetDuty) -> Option<Fence> {
         let fencing_token = self.fencing_token(duty.name())?;
         let key = keys::claim(duty.name());
         Some(Fence { key, fencing_token })
     }
 
-    /// Whether a duty of the fleet may act on the outside now. Requests a verification of its lease where the last one is
-    /// too old.
+    /// The permit to begin an effect of a fleet duty now, if there is one. Requests a new verification of the duty's
+    /// claim if the last one is too old.
     pub(crate) fn effect_permit(&mut self, duty: FleetDuty) -> Option<EffectPermit> {
         self.fencing_token(duty.name())?;
         let manager = self.manager.as_mut()?;
@@ -177,7 +178,7 @@
         })
     }
 
-    /// The members that hold any of the fleet's duties, as indices in ascending order.
+    /// Indices of the members that hold any fleet duty, in ascending order.
     pub(crate) fn fleet_holders(&self, members: &[String]) -> Vec<usize> {
         let Some(manager) = &self.manager else {
             return Vec::new();
@@ -193,15 +194,15 @@
     }
 }
 
-/// The manager of the duties; None where duties are off.
-fn manager(settings: &Settings) -> Option<DutyManager> {
+/// Creates the duty manager; None if duties are disabled.
+fn new_manager(settings: &Settings) -> Option<DutyManager> {
     if !settings.tuning.duties {
         return None;
     }
     match DutyManager::new(lease_settings(settings)) {
         Ok(manager) => Some(manager),
         Err(error) => {
-            error!(%error, "duties are off: their settings can't be used");
+            error!(%error, "duties are disabled: their lease settings are invalid");
             None
         }
     }
