--- a/crates/seamfront-core/src/engine/mod.rs
+++ b/crates/seamfront-core/src/engine/mod.rs
@@ -165,7 +165,7 @@
         self.with_user_api(|api, context| api.flush(context));
         self.flush_writes();
         for shard in 0..self.shards.len() {
-            self.with_shard(shard, |s, context| s.send_directs(context));
+            self.with_shard(shard, |s, context| s.send_direct_commands(context));
         }
         self.send_periodic_messages();
     }
--- a/crates/seamfront-core/src/engine/session.rs
+++ b/crates/seamfront-core/src/engine/session.rs
@@ -151,10 +151,10 @@
             + self.settings.lease.with_drift()
             + Micros::from_secs(1);
         for id in unreadable {
-            shard.hold_unreadable(&id, over);
+            shard.pause_unreadable_job(&id, over);
         }
         self.add_released_machines(index);
-        self.with_shard(index, |shard, context| shard.loaded(context));
+        self.with_shard(index, |shard, context| shard.finish_loading(context));
         debug!(shard = index, "records read");
     }
 
@@ -165,7 +165,7 @@
         let Some(shard) = self.shards[index].as_ref() else {
             return;
         };
-        for id in shard.placed_elsewhere() {
+        for id in shard.machines_outside_shard() {
             let machine = self.machines.get(&id);
             let Some(machine) = machine.filter(|machine| machine.record.shard.is_none()) else {
                 continue;
--- a/crates/seamfront-core/src/shard/direct_commands.rs
+++ b/crates/seamfront-core/src/shard/direct_commands.rs
@@ -1,4 +1,4 @@
-//! Direct commands: starts that should not wait for the next heartbeat of a worker.
+//! Direct commands: start orders sent straight to an agent instead of in the reply to its next heartbeat.
 
 use super::{
     debug, warn, BTreeMap, CallId, Context, DirectCommand, DirectOutcome, Effect, JobId, Machine,
@@ -6,31 +6,31 @@
 };
 use crate::job::Job;
 
-/// Starts that may be sent to a machine directly.
+/// Start orders that are due on a machine.
 struct DirectStarts {
     orders: Vec<Order>,
-    /// Some tasks are to be started later.
-    more_later: bool,
+    /// Some tasks on the machine must not start before a later time.
+    has_deferred: bool,
 }
 
 impl Shard {
-    /// Sends direct commands where starts are due, at most one at a time to each worker, and only to workers that
-    /// have shown our token and send heartbeats.
-    pub fn send_directs(&mut self, context: &mut Context) {
+    /// Sends direct commands to machines on which start orders are due: at most one outstanding command per agent, and
+    /// only to agents that have shown our token and send heartbeats.
+    pub fn send_direct_commands(&mut self, context: &mut Context) {
         if !context.lease_valid || self.phase != ShardPhase::Ready {
             return;
         }
-        self.count_work(self.unsent.len());
+        self.count_work(self.direct_start_candidates.len());
         let (machines, jobs, version) = (&mut self.machines, &mut self.jobs, self.version);
-        self.unsent.retain(|id| {
+        self.direct_start_candidates.retain(|id| {
             machines
                 .get_mut(id)
-                .is_some_and(|m| send_direct(context, m, jobs, version))
+                .is_some_and(|m| send_direct_command(context, m, jobs, version))
         });
     }
 
-    /// Applies the outcome of a direct command. The outcome of one call settles no other: a call that was made
-    /// before the machine, or its shard, left this holder and came back proves nothing of the present command.
+    /// Applies the outcome of a direct command. An outcome settles only the command of its own call: if the machine or
+    /// its shard left this holder and came back, an earlier call proves nothing about the current command.
     pub fn direct_result(
         &mut self,
         context: &mut Context,
@@ -60,8 +60,8 @@
     }
 }
 
-/// Sends the starts due on a machine. Returns whether tasks may still need a direct start there.
-fn send_direct(
+/// Sends the start orders that are due on a machine. Returns whether tasks there may still need a direct start.
+fn send_direct_command(
     context: &mut Context,
     m: &mut Machine,
     jobs: &mut BTreeMap<JobId, Job>,
@@ -79,9 +79,12 @@
     let Some(addr) = m.agent.address.clone() else {
         return true;
     };
-    let DirectStarts { orders, more_later } = due_starts(context, m, jobs);
+    let DirectStarts {
+        orders,
+        has_deferred,
+    } = due_starts(context, m, jobs);
     if orders.is_empty() {
-        return more_later;
+        return has_deferred;
     }
     let fencing_token = m.fencing_token(claim_version);
     let incarnation = m.agent.incarnation;
@@ -102,14 +105,15 @@
         fencing_token,
         orders,
     });
-    more_later
+    has_deferred
 }
 
-/// Starts of tasks on a machine that were not sent yet and are due, marked as sent to its present incarnation.
+/// Collects the start orders on a machine that are due and were not sent yet, and marks them as sent to the current
+/// incarnation of its agent.
 fn due_starts(context: &Context, m: &Machine, jobs: &mut BTreeMap<JobId, Job>) -> DirectStarts {
     let mut starts = DirectStarts {
         orders: Vec::new(),
-        more_later: false,
+        has_deferred: false,
     };
     for key in &m.tasks {
         let Some(job) = jobs.get_mut(&key.job).filter(|job| job.live()) else {
@@ -122,7 +126,7 @@
             continue;
         }
         if p.not_before > context.now {
-            starts.more_later = true;
+            starts.has_deferred = true;
             continue;
         }
         p.incarnation = m.agent.incarnation;
--- a/crates/seamfront-core/src/shard/drain.rs
+++ b/crates/seamfront-core/src/shard/drain.rs
@@ -1,19 +1,20 @@
-//! Draining gangs, and evicting tasks for other work.
+//! Coordinated drains of gangs, and evictions of tasks.
 
 use super::{
     info, warn, Cause, Context, Job, JobId, JobSpec, Member, Micros, Phase, Placement, Removal,
     Shard, Stop, TaskKey, Verdict,
 };
 
-/// First pause of a gang whose member used up its attempts, in seconds.
-const BACKOFF_S: i64 = 5;
-/// The pause doubles up to this many times.
-const BACKOFF_DOUBLINGS: u32 = 3;
-/// Added to the time that a task takes to save before it is stopped.
+/// First backoff of a gang after one of its members has used up its attempts, in seconds.
+const INITIAL_GANG_BACKOFF_S: i64 = 5;
+/// The backoff doubles at most this many times.
+const MAX_GANG_BACKOFF_DOUBLINGS: u32 = 3;
+/// Added to the grace period of a task that saves checkpoints, besides a fifth of its save time.
 const SAVE_MARGIN: Micros = Micros::from_millis(500);
 
 impl Shard {
-    /// Starts the drain of a gang: all members are stopped. `trigger` is the member whose failure caused it.
+    /// Starts the drain of a gang, which stops all its members. `trigger` is the member whose failure caused it, if
+    /// any.
     pub(super) fn drain_gang(
         &mut self,
         context: &mut Context,
@@ -34,10 +35,10 @@
             return;
         }
         info!(gang = %id, epoch, trigger = ?trigger, ?cause, members = job.tasks.len(), "gang drain started");
-        let mut unsent = Vec::new();
+        let mut never_sent = Vec::new();
         for (i, p) in &mut job.tasks {
             if p.phase == Phase::Recording {
-                unsent.push(TaskKey {
+                never_sent.push(TaskKey {
                     job: id.clone(),
                     index: *i,
                 });
@@ -50,14 +51,14 @@
             }
         }
         job.record.touch();
-        for t in unsent {
-            self.remove_task(context, &t, Removal::Lost);
+        for task in never_sent {
+            self.remove_task(context, &task, Removal::Lost);
         }
-        self.check_gang(context, id);
+        self.complete_gang_drain(context, id);
     }
 
-    /// The first member of a gang whose machine is silent.
-    pub(super) fn silent_member(&self, context: &Context, id: &JobId) -> Option<u32> {
+    /// The lowest-numbered member of a gang whose machine is silent or not known.
+    pub(super) fn first_silent_member(&self, context: &Context, id: &JobId) -> Option<u32> {
         let job = self.jobs.get(id)?;
         let silent = |p: &Placement| {
             let m = self.machines.get(&p.machine);
@@ -68,8 +69,8 @@
         job.tasks.iter().find(|(_, p)| silent(p)).map(|(i, _)| *i)
     }
 
-    /// Completes the drain of a gang once none of its members is on a machine.
-    pub(super) fn check_gang(&mut self, context: &mut Context, id: &JobId) {
+    /// Completes the drain of a gang once none of its members is placed on a machine.
+    pub(super) fn complete_gang_drain(&mut self, context: &mut Context, id: &JobId) {
         let Some(job) = self.jobs.get_mut(id) else {
             return;
         };
@@ -78,7 +79,7 @@
         }
         let Some(g) = &mut job.gang else { return };
         if g.draining {
-            // Members that were never placed again after a takeover are gone all the same.
+            // After a failover, members may have a state but no placement: they are gone as well.
             for m in &mut g.members {
                 if matches!(m, Member::Preempting | Member::Pending | Member::Running) {
                     *m = Member::Preempted;
@@ -97,7 +98,7 @@
         self.dirty = true;
     }
 
-    /// Time that a task is given to save, none if it has no checkpoints.
+    /// Grace period in which a task may save before it is stopped; zero if its job has no checkpoints.
     pub(super) fn grace(spec: &JobSpec) -> Micros {
         if spec.saves() {
             spec.save + spec.save.over(5) + SAVE_MARGIN
@@ -106,7 +107,7 @@
         }
     }
 
-    /// Evicts a task, or its whole gang, with the time that it takes to save.
+    /// Evicts a task, or its whole gang, with the grace period that its job needs to save.
     pub fn evict(&mut self, context: &mut Context, task: &TaskKey, cause: Cause) {
         let grace = self
             .jobs
@@ -115,7 +116,7 @@
         self.evict_with(context, task, cause, grace);
     }
 
-    /// Evicts a task, or its whole gang, with `grace` to save.
+    /// Evicts a task, or its whole gang, with the given grace period.
     pub fn evict_with(
         &mut self,
         context: &mut Context,
@@ -147,10 +148,12 @@
     }
 }
 
-/// A gang whose member used up its attempts pauses and starts anew: the protocol knows no failed job, and every
-/// accepted job must run. It pauses no longer than leaves it several tries within the time in which it should start.
+/// Makes a gang back off after one of its members has used up its attempts, and readmits it: the protocol has no failed
+/// state for jobs, and every accepted job must run. The backoff is short enough for several attempts before the job's
+/// start deadline.
 fn back_off(job: &mut Job, now: Micros) {
-    job.paused_until = now + Micros::from_secs(BACKOFF_S << job.backoffs.min(BACKOFF_DOUBLINGS));
+    job.paused_until = now
+        + Micros::from_secs(INITIAL_GANG_BACKOFF_S << job.backoffs.min(MAX_GANG_BACKOFF_DOUBLINGS));
     job.backoffs += 1;
     if let Some(gang) = &mut job.gang {
         gang.readmit();
--- a/crates/seamfront-core/src/shard/failure_detection.rs
+++ b/crates/seamfront-core/src/shard/failure_detection.rs
@@ -1,61 +1,65 @@
-//! Failure detection: machines to be returned to the cloud with whatever may be on them.
+//! Failure detection: decides which machines are condemned, that is, to be terminated whatever may run on them.
 
 use super::{warn, BTreeMap, Cause, Context, Job, JobId, Micros, Shard};
 use crate::machine::Machine;
 
-/// Boot time of a machine whose type is not known.
+/// Boot time assumed for a machine whose type is not known.
 const DEFAULT_BOOT_TIME: Micros = Micros::from_secs(60);
-/// A machine that never sent a heartbeat has failed after four boot times and this margin.
+/// A machine that never sent a heartbeat counts as failed after four boot times and this margin.
 const BOOT_MARGIN: Micros = Micros::from_secs(30);
-/// Added to four heartbeat intervals before a silent machine has failed.
-const SILENT_MARGIN: Micros = Micros::from_secs(4);
-/// Added to one and a half heartbeat intervals for spot machines: a worker waits 4 s for the reply and 1 s to try
-/// elsewhere.
-const SPOT_SILENT_MARGIN: Micros = Micros::from_secs(5);
-/// Failures of more machines at once than this, and of more than a third, point to our own network.
+/// A silent machine counts as failed after four heartbeat intervals and this margin.
+const SILENCE_MARGIN: Micros = Micros::from_secs(4);
+/// A silent spot machine counts as failed after one and a half heartbeat intervals and this margin: an agent waits 4 s
+/// for a reply and takes 1 s to try another controller.
+const SPOT_SILENCE_MARGIN: Micros = Micros::from_secs(5);
+/// If more machines than this, and more than a third of those that were up, fail at once, a fault of this controller's
+/// own network is more likely.
 const MAX_FAILURES_AT_ONCE: usize = 2;
 
-/// How long machines may be silent, or leave replies unacknowledged.
-struct SilentLimits {
-    ordinary: Micros,
-    /// Spot machines are preempted without a notice far more often than networks fail: of them only one lost
-    /// heartbeat is forgiven.
+/// How long machines may be silent, or leave replies unacknowledged, before they count as failed.
+struct SilenceLimits {
+    /// Limit for machines that are not spot machines.
+    on_demand: Micros,
+    /// Spot machines are preempted without notice far more often than networks fail, so only one lost heartbeat is
+    /// tolerated.
     spot: Micros,
-    /// For how long a worker that has not shown our token may be content with a former holder's replies.
-    former_holder: Micros,
+    /// How long a former holder may still reply to an agent that has not shown our token.
+    former_holder_ttl: Micros,
 }
 
-impl SilentLimits {
+impl SilenceLimits {
     fn new(context: &Context) -> Self {
         let heartbeat_interval = context.settings.heartbeat_interval;
-        let ordinary = heartbeat_interval.times(4) + SILENT_MARGIN;
-        let spot = heartbeat_interval.times(3).over(2) + SPOT_SILENT_MARGIN;
-        SilentLimits {
-            ordinary,
-            spot: ordinary.min(spot),
-            former_holder: context.settings.verification_ttl().with_drift(),
+        let on_demand = heartbeat_interval.times(4) + SILENCE_MARGIN;
+        let spot = heartbeat_interval.times(3).over(2) + SPOT_SILENCE_MARGIN;
+        SilenceLimits {
+            on_demand,
+            spot: on_demand.min(spot),
+            former_holder_ttl: context.settings.verification_ttl().with_drift(),
         }
     }
 
-    fn of(&self, m: &Machine) -> Micros {
+    fn limit_for(&self, m: &Machine) -> Micros {
         match (m.agent.last_acknowledged, m.record.spot) {
-            (None, _) => self.ordinary + self.former_holder,
+            (None, _) => self.on_demand + self.former_holder_ttl,
             (_, true) => self.spot,
-            (_, false) => self.ordinary,
+            (_, false) => self.on_demand,
         }
     }
 }
 
-/// Failures of so many machines at once that they rather are failures of our own network: the leases decide.
+/// Whether so many machines fail at once that a fault of this controller's own network is more likely. They then count
+/// as failed only once their agents' leases must have expired.
 struct MassFailures {
+    /// Many machines send no heartbeats.
     silent: bool,
-    /// Counted by itself: machines whose heartbeats arrive and that do not seem to receive our replies.
+    /// Many machines send heartbeats but do not seem to receive our replies; counted separately.
     unacknowledging: bool,
 }
 
-/// Why a machine is condemned.
+/// The reasons to condemn a machine.
 struct Failure {
-    gone: bool,
+    unreachable: bool,
     preempted: bool,
     cancellation_due: bool,
     quarantined: bool,
@@ -63,15 +67,16 @@
 
 impl Failure {
     fn any(&self) -> bool {
-        self.gone || self.preempted || self.cancellation_due || self.quarantined
+        self.unreachable || self.preempted || self.cancellation_due || self.quarantined
     }
 }
 
 impl Shard {
-    /// Condemns machines that should be returned with whatever may be on them. Only their holder can tell, and only
-    /// while its claim stands: the decommissioning is written under that claim.
+    /// Condemns machines that should be terminated whatever may run on them, and clears the mark where no reason is
+    /// left. Only the shard's holder can decide this, and only while its claim is valid: the decommissioning is written
+    /// under that claim.
     pub fn detect_failures(&mut self, context: &Context) {
-        let limits = SilentLimits::new(context);
+        let limits = SilenceLimits::new(context);
         let mass = self.mass_failures(context, &limits);
         for m in self.machines.values_mut() {
             let failure = failure_of(context, m, &self.jobs, &limits, &mass);
@@ -83,10 +88,10 @@
         }
     }
 
-    fn mass_failures(&self, context: &Context, limits: &SilentLimits) -> MassFailures {
+    fn mass_failures(&self, context: &Context, limits: &SilenceLimits) -> MassFailures {
         let (mut up, mut silent, mut unacknowledging) = (0, 0, 0);
         for m in self.machines.values().filter(|m| was_up(m)) {
-            let limit = limits.of(m);
+            let limit = limits.limit_for(m);
             up += 1;
             silent += usize::from(m.silent_for(context.now) > limit);
             unacknowledging += usize::from(m.agent.unacknowledged_for(context.now) > limit);
@@ -108,17 +113,17 @@
     context: &Context,
     m: &Machine,
     jobs: &BTreeMap<JobId, Job>,
-    limits: &SilentLimits,
+    limits: &SilenceLimits,
     mass: &MassFailures,
 ) -> Failure {
     let silent = m.silent_for(context.now);
     let two_intervals = context.settings.heartbeat_interval.times(2);
     let deadline = m.lifecycle.preemption_deadline;
-    // Where the settings leave the leases no time to end a cancelled task, a machine that sends no heartbeats while
-    // it may hold one is deleted before the cancellation falls due.
+    // If the settings leave too little time for cancelled tasks to end by lease expiry, a silent machine that may hold
+    // one is condemned before the cancellation is due.
     let leases_too_long = !context.settings.verification_ttl_fits();
     Failure {
-        gone: gone(context, m, limits, mass),
+        unreachable: unreachable(context, m, limits, mass),
         preempted: deadline.is_some_and(|t| t + two_intervals < context.now)
             && silent > two_intervals,
         cancellation_due: leases_too_long
@@ -128,22 +133,28 @@
     }
 }
 
-/// Whether a machine has been silent, or has not acknowledged replies, for too long.
-fn gone(context: &Context, m: &Machine, limits: &SilentLimits, mass: &MassFailures) -> bool {
+/// Whether a machine has been silent, or has left replies unacknowledged, for too long.
+fn unreachable(
+    context: &Context,
+    m: &Machine,
+    limits: &SilenceLimits,
+    mass: &MassFailures,
+) -> bool {
     let silent = m.silent_for(context.now);
     if !was_up(m) {
         let machine_type = context.types.iter().find(|t| t.name == m.record.kind);
         let boot = machine_type.map_or(DEFAULT_BOOT_TIME, |t| t.boot);
         return silent > boot.times(4) + BOOT_MARGIN;
     }
-    let limit = limits.of(m);
+    let limit = limits.limit_for(m);
     let unacknowledged = m.agent.unacknowledged_for(context.now);
     (silent > limit && !mass.silent)
         || (unacknowledged > limit && !mass.unacknowledging)
-        || silent > limits.former_holder + context.settings.lease.times(3).over(2)
+        || silent > limits.former_holder_ttl + context.settings.lease.times(3).over(2)
 }
 
-/// Whether a task that may be on the machine was cancelled more than half of the allowed time ago.
+/// Whether a task that may be on the machine was cancelled so long ago that half of the time allowed for a cancellation
+/// has passed.
 fn holds_cancelled_task(context: &Context, m: &Machine, jobs: &BTreeMap<JobId, Job>) -> bool {
     m.tasks
         .iter()
@@ -157,7 +168,7 @@
 fn log_condemned(context: &Context, m: &Machine, failure: &Failure) {
     warn!(
         machine = %m.id,
-        gone = failure.gone,
+        unreachable = failure.unreachable,
         preempted = failure.preempted,
         cancellation_due = failure.cancellation_due,
         quarantined = m.health.quarantined(),
--- a/crates/seamfront-core/src/shard/heartbeats.rs
+++ b/crates/seamfront-core/src/shard/heartbeats.rs
@@ -1,4 +1,4 @@
-//! Heartbeats of workers: evidence of which tasks run on a machine.
+//! Heartbeats of agents: the evidence of which tasks are on a machine.
 
 use super::{
     debug, info, warn, BTreeMap, Cause, Context, Exit, Heartbeat, JobKind, MachineId, Phase,
@@ -7,32 +7,31 @@
 use crate::machine::Machine;
 use crate::types::MachineType;
 
-/// Where a worker's status comes from.
+/// How an agent's status arrived.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum StatusSource {
-    /// A heartbeat that the worker sent by itself.
+    /// In a heartbeat that the agent sent by itself.
     WorkerHeartbeat,
-    /// The worker's reply to a direct command. It renews no lease: a worker that reaches no controller may reply
-    /// to commands until its lease expires, and after that in a new incarnation, and must not be taken for one
-    /// that sends heartbeats. It may also overtake orders in an earlier heartbeat reply, so what it omits proves
-    /// nothing.
+    /// In the agent's reply to a direct command. It renews no lease: an agent that reaches no controller may reply to
+    /// commands until its lease expires, and after that in a new incarnation, and must not be taken for one that sends
+    /// heartbeats. It may also overtake orders in an earlier heartbeat reply, so a task missing from it proves nothing.
     CommandReply,
 }
 
-/// What a status proves of the tasks on its machine.
+/// What a status proves about the tasks on its machine.
 #[derive(Clone, Copy)]
 struct Evidence {
-    /// It shows our present fencing token. Others may be copies that come much later than they were sent, to a
+    /// It shows our current fencing token. A status without it may be a copy that arrives long after it was sent, at a
     /// holder that has seen nothing newer.
     fresh: bool,
-    /// A placed task that it omits is not on the machine.
-    omissions_count: bool,
+    /// A placed task that it does not list is not on the machine.
+    omission_proves_absence: bool,
     /// It is the first one with a preemption notice.
-    first_notice: bool,
+    first_preemption_notice: bool,
 }
 
 impl Shard {
-    /// Applies a worker's status. Returns false for a message older than one already seen.
+    /// Applies an agent's status. Returns false if the status is not newer than the last one applied.
     pub fn apply_heartbeat(
         &mut self,
         context: &mut Context,
@@ -52,16 +51,16 @@
         self.count_work(placed.len() + heartbeat.tasks.len());
         self.reconcile_placed(context, heartbeat, &placed, evidence);
         for status in &heartbeat.tasks {
-            self.unplaced_shown(&id, status, evidence.fresh);
+            self.handle_unplaced_task(&id, status, evidence.fresh);
         }
-        if evidence.first_notice {
+        if evidence.first_preemption_notice {
             info!(machine = %id, "machine will be preempted by the cloud");
-            self.leave_machine(context, &id);
+            self.evict_movable_tasks(context, &id);
         }
         true
     }
 
-    /// Compares the tasks placed on a machine with those that its worker shows.
+    /// Compares the tasks placed on a machine with those that its agent lists.
     fn reconcile_placed(
         &mut self,
         context: &mut Context,
@@ -69,9 +68,9 @@
         placed: &[TaskKey],
         evidence: Evidence,
     ) {
-        let mut shown: BTreeMap<&TaskKey, &TaskStatus> = BTreeMap::new();
+        let mut listed: BTreeMap<&TaskKey, &TaskStatus> = BTreeMap::new();
         for status in &heartbeat.tasks {
-            shown.insert(&status.task, status);
+            listed.insert(&status.task, status);
         }
         for key in placed.iter().filter(|_| evidence.fresh) {
             let placement = self
@@ -84,23 +83,23 @@
             let sent_before = p.phase > Phase::Recording
                 && p.incarnation > 0
                 && p.incarnation < heartbeat.incarnation;
-            if sent_before && !shown.contains_key(key) {
-                // Sent to an earlier incarnation, which ended with all its tasks.
+            if sent_before && !listed.contains_key(key) {
+                // The start order went to an earlier incarnation, which ended with all its tasks.
                 self.remove_task(context, key, Removal::Lost);
                 continue;
             }
-            match shown.get(key) {
+            match listed.get(key) {
                 Some(status) if status.attempt == p.attempt => {
-                    self.task_shown(context, &heartbeat.machine, key, status.state);
+                    self.apply_task_status(context, &heartbeat.machine, key, status.state);
                 }
-                _ if p.phase <= Phase::Recording || !evidence.omissions_count => {}
-                _ => self.task_omitted(context, &heartbeat.machine, key),
+                _ if p.phase <= Phase::Recording || !evidence.omission_proves_absence => {}
+                _ => self.handle_omitted_task(context, &heartbeat.machine, key),
             }
         }
     }
 
-    /// The worker shows a task that is placed on its machine.
-    fn task_shown(
+    /// Applies the listed state of a task that is placed on the machine.
+    fn apply_task_status(
         &mut self,
         context: &mut Context,
         machine: &MachineId,
@@ -137,20 +136,20 @@
         }
     }
 
-    /// A heartbeat that would show the task if it were on the machine does not show it.
-    fn task_omitted(&mut self, context: &mut Context, machine: &MachineId, key: &TaskKey) {
+    /// Handles a placed task that is missing from a heartbeat which would list it if it were on the machine.
+    fn handle_omitted_task(&mut self, context: &mut Context, machine: &MachineId, key: &TaskKey) {
         let Some(job) = self.jobs.get_mut(&key.job) else {
             return;
         };
         let Some(p) = job.tasks.get_mut(&key.index) else {
             return;
         };
-        // A task that a former holder recorded may have ended long before that holder failed: removals are
-        // recorded with the next change only, and the place and the team's quota may have gone to another job by
-        // then. So an adopted task that is not shown is gone, and scheduled anew like all pending tasks.
+        // A task adopted from a former holder's record may have ended long before that holder failed: removals are
+        // recorded only with the next change, and the place and the team's quota may have gone to another job since. An
+        // adopted task that is not listed is therefore removed, and scheduled again like any pending task.
         let (adopted, sent) = (p.generation == 0, p.incarnation > 0);
         if p.phase == Phase::Ordered && p.stop.is_none() && job.live() && !adopted {
-            // The order got lost on its way, or was never sent: it goes with the next reply.
+            // The start order was lost or never sent: the next reply carries it.
             if sent {
                 if let Some(m) = self.machines.get_mut(machine) {
                     m.fencing.token_raise_due = true;
@@ -158,12 +157,13 @@
             }
             return;
         }
-        debug!(task = %key, machine = %machine, "task omitted by a newer heartbeat");
+        debug!(task = %key, machine = %machine, "placed task missing from a newer heartbeat");
         self.remove_task(context, key, Removal::Lost);
     }
 
-    /// The worker shows a task that is not, or no longer, placed on its machine.
-    fn unplaced_shown(&mut self, machine: &MachineId, status: &TaskStatus, fresh: bool) {
+    /// Handles a listed task that is not, or no longer, placed on the machine: counts its result, or marks it as
+    /// unexpected so that it is stopped.
+    fn handle_unplaced_task(&mut self, machine: &MachineId, status: &TaskStatus, fresh: bool) {
         let key = &status.task;
         let job = self.jobs.get(&key.job);
         let placement = job.and_then(|j| j.tasks.get(&key.index));
@@ -171,7 +171,7 @@
             return;
         }
         if let TaskState::Exited(exit) = status.state {
-            let counts = job.is_some_and(|j| {
+            let result_counts = job.is_some_and(|j| {
                 fresh
                     && j.live()
                     && j.spec.kind == JobKind::Array
@@ -179,20 +179,20 @@
                     && !j.done.contains(key.index)
                     && !j.tasks.contains_key(&key.index)
             });
-            if exit == Exit::Done && counts {
-                self.task_done(key);
+            if exit == Exit::Done && result_counts {
+                self.mark_task_done(key);
             }
             return;
         }
-        warn!(task = %key, machine = %machine, attempt = status.attempt, "task was not placed here; stopping it");
+        warn!(task = %key, machine = %machine, attempt = status.attempt, "task was not placed on this machine; stopping it");
         if let Some(m) = self.machines.get_mut(machine) {
             m.unexpected_tasks.insert(key.clone());
         }
     }
 
-    /// Stops all tasks that can be moved from a machine about to be preempted by the cloud. Array tasks without
-    /// checkpoints may as well run on: at the worst they end with the machine.
-    fn leave_machine(&mut self, context: &mut Context, id: &MachineId) {
+    /// Evicts all tasks that can be moved from a machine about to be preempted by the cloud. Array tasks without
+    /// checkpoints keep running, since eviction would lose their work as well.
+    fn evict_movable_tasks(&mut self, context: &mut Context, id: &MachineId) {
         let Some(m) = self.machines.get(id) else {
             return;
         };
@@ -201,15 +201,15 @@
             let Some(job) = self.jobs.get(&task.job) else {
                 continue;
             };
-            let moves = job.spec.saves() || job.spec.kind != JobKind::Array;
-            if moves {
+            let movable = job.spec.saves() || job.spec.kind != JobKind::Array;
+            if movable {
                 self.evict(context, &task, Cause::Moving);
             }
         }
     }
 }
 
-/// Notes what a status shows of the machine and its agent, and tells what it proves of the tasks.
+/// Updates the state of a machine and its agent from a status. Returns what the status proves about the tasks.
 fn update_machine(
     m: &mut Machine,
     context: &Context,
@@ -236,9 +236,9 @@
     settle_direct_command(m, heartbeat);
     Evidence {
         fresh,
-        omissions_count: source == StatusSource::WorkerHeartbeat
+        omission_proves_absence: source == StatusSource::WorkerHeartbeat
             && m.fencing.direct_command.is_none(),
-        first_notice: !had_notice && m.lifecycle.preemption_deadline.is_some(),
+        first_preemption_notice: !had_notice && m.lifecycle.preemption_deadline.is_some(),
     }
 }
 
@@ -246,7 +246,7 @@
     let newer = heartbeat.incarnation > m.agent.incarnation;
     if newer && m.agent.incarnation > 0 {
         info!(machine = %m.id, incarnation = heartbeat.incarnation, "agent started a new incarnation");
-        // We replied all the time, and yet its lease expired.
+        // If its lease expired although we replied recently, our replies may not arrive.
         m.fencing.token_raise_due |= m
             .agent
             .last_reply
@@ -259,8 +259,8 @@
     m.agent.sequence = heartbeat.sequence;
 }
 
-/// An unanswered command can no longer be carried out once its worker has a newer incarnation or has seen a higher
-/// token: both refuse it.
+/// Settles an unanswered command once its agent has a newer incarnation or has seen a higher token: in both cases the
+/// agent refuses the command if it still arrives.
 fn settle_direct_command(m: &mut Machine, heartbeat: &Heartbeat) {
     let Some(command) = &m.fencing.direct_command else {
         return;
@@ -268,7 +268,7 @@
     let refused = heartbeat.incarnation > command.incarnation
         || heartbeat.fencing_token > command.fencing_token;
     if command.unknown && refused {
-        debug!(machine = %m.id, fencing_token = command.fencing_token, "unanswered command can't arrive any more");
+        debug!(machine = %m.id, fencing_token = command.fencing_token, "unanswered command can no longer be carried out");
         m.fencing.direct_command = None;
     }
 }
@@ -282,7 +282,7 @@
     }
 }
 
-/// Size of the image cache of machines of a type.
+/// Size of the image cache of machines of a type; 0 if the type is not known.
 fn image_cache_mb(types: &[MachineType], kind: &str) -> i64 {
     types
         .iter()
--- a/crates/seamfront-core/src/shard/inspection.rs
+++ b/crates/seamfront-core/src/shard/inspection.rs
@@ -1,4 +1,4 @@
-//! What follows from time alone: expired leases, failed machines and idle time.
+//! Periodic inspection of a shard's machines: expired leases, failures, drains and idle time.
 
 use super::{
     warn, BTreeMap, Context, Job, JobId, MachineId, Micros, Removal, Shard, ShardPhase, TaskKey,
@@ -6,14 +6,14 @@
 };
 use crate::machine::Machine;
 
-/// How long a machine may take to be drained for another shard before it is used again.
+/// How long the drain of a machine for another shard may take before it is aborted.
 const DRAIN_TIMEOUT: Micros = Micros::from_secs(30);
 
-/// What one inspection costs for each machine, in units of [`Shard::work_done`].
+/// Cost of inspecting one machine, in units of [`Shard::work_done`].
 const INSPECTION_COST: usize = 4;
 
 impl Shard {
-    /// Inspects the machines, if it is time for it.
+    /// Inspects the machines if an inspection is due.
     pub fn tick(&mut self, context: &mut Context) {
         if self.phase != ShardPhase::Ready || context.now < self.inspection_next {
             return;
@@ -35,7 +35,7 @@
         let expired: Vec<MachineId> = self
             .machines
             .values()
-            // A task may have been placed just before the end: such a machine is inspected again.
+            // A task may have been placed just before the lease expired: such a machine is checked again.
             .filter(|m| !m.agent.lease_expired || !m.tasks.is_empty())
             .filter(|m| m.lease_expiry(self.version, lease, lease_valid) < context.now)
             .map(|m| m.id.clone())
@@ -57,18 +57,18 @@
             warn!(machine = %id, tasks = tasks.len(), "agent lease expired; its tasks are lost");
         }
         for task in tasks {
-            // Also what was never sent: it would never be, and would hold its task number for ever.
+            // This includes tasks that were never sent: they never would be, and would hold their task numbers forever.
             self.remove_task(context, &task, Removal::Lost);
         }
     }
 }
 
-/// Whether nothing is on a machine that belongs to the shard.
+/// Whether a machine belongs to the shard and is empty.
 fn idle(m: &Machine) -> bool {
     m.empty() && m.record.shard.is_some()
 }
 
-/// Releases a drained machine once it is empty, and gives up a drain that takes too long.
+/// Releases a drained machine once it is empty, and aborts a drain that takes too long.
 fn update_draining(m: &mut Machine, now: Micros) {
     let Some(since) = m.lifecycle.draining_since else {
         return;
@@ -82,7 +82,7 @@
 }
 
 fn update_idle_times(m: &mut Machine, jobs: &BTreeMap<JobId, Job>, now: Micros) {
-    // Time to boot is not idle time, or a machine would be returned as soon as it is up.
+    // Boot time does not count as idle time, or a machine would be terminated as soon as it is up.
     let up = m.agent.last_heartbeat.is_some();
     let idle = idle(m);
     let uses_accelerators = |task: &TaskKey| {
--- a/crates/seamfront-core/src/shard/jobs.rs
+++ b/crates/seamfront-core/src/shard/jobs.rs
@@ -1,12 +1,13 @@
-//! Jobs of a shard: submitted, adopted from the records of a former holder, ended.
+//! Jobs of a shard: how they are added, adopted from a former holder's records, and ended.
 
 use super::{
-    info, spec_of_ended_job, stop_rest, task_removal, BTreeSet, Cause, Context, Ending, Job, JobId,
-    JobSpec, MachineId, Micros, Phase, Rc, Removal, Shard, ShardPhase, Stop, StoredRecord, TaskKey,
+    info, spec_of_ended_job, stop_remaining_tasks, task_removal, BTreeSet, Cause, Context, Ending,
+    Job, JobId, JobSpec, MachineId, Micros, Phase, Rc, Removal, Shard, ShardPhase, Stop,
+    StoredRecord, TaskKey,
 };
 
 impl Shard {
-    /// Takes in a live job, unless it is known.
+    /// Adds a live job, unless it is known already.
     pub fn add_job(&mut self, spec: Rc<JobSpec>, version: u64, now: Micros) {
         let id = spec.id.clone();
         self.jobs
@@ -15,8 +16,8 @@
         self.dirty = true;
     }
 
-    /// Whether a job waits for others to be done, and what it asks for as things stand: how important it is and
-    /// until when it must be done also follow from the jobs that need it.
+    /// Updates whether a job is blocked on its dependencies, and its effective spec: its priority and deadline also
+    /// follow from the jobs that depend on it.
     pub fn update_dependencies(
         &mut self,
         id: &JobId,
@@ -34,8 +35,8 @@
         self.dirty = true;
     }
 
-    /// Takes over a record of the former holder's. A job that has ended since (it is missing from
-    /// the view of live jobs, which is newer than the claim) is only cleared away.
+    /// Adopts a record of the former holder. A job that has ended since then (it is missing from the view of live jobs,
+    /// which is newer than the claim) is adopted only so that its tasks are stopped and its record is removed.
     pub fn adopt_record(
         &mut self,
         id: JobId,
@@ -54,7 +55,7 @@
         let mut job = Job::new(spec, job_version, now);
         job.adopt(record, version, parts_end, now);
         if job.failing() {
-            job.paused_until = now + task_removal::pause_after(job.consecutive_errors);
+            job.paused_until = now + task_removal::failure_backoff(job.consecutive_errors);
         }
         if ended {
             job.ending = Some(Ending::Cancelled);
@@ -79,9 +80,10 @@
         self.dirty = true;
     }
 
-    /// A record of the former holder's that cannot be read. What it started may run anywhere: until a whole lease
-    /// after its last answer nothing of the job is started, and what machines show of it is stopped.
-    pub fn hold_unreadable(&mut self, id: &JobId, until: Micros) {
+    /// Pauses a job whose record by the former holder cannot be read. Tasks that the former holder started may run
+    /// anywhere: until a whole lease after its last reply no task of the job is started, and those that agents list are
+    /// stopped.
+    pub fn pause_unreadable_job(&mut self, id: &JobId, until: Micros) {
         if let Some(job) = self.jobs.get_mut(id) {
             job.paused_until = until;
             job.record.version = None;
@@ -89,8 +91,8 @@
         }
     }
 
-    /// Machines that records name and this shard does not have.
-    pub fn placed_elsewhere(&self) -> BTreeSet<MachineId> {
+    /// Machines on which adopted records place tasks and that are not in this shard.
+    pub fn machines_outside_shard(&self) -> BTreeSet<MachineId> {
         let named = self
             .jobs
             .values()
@@ -101,8 +103,8 @@
             .collect()
     }
 
-    /// After all records are read: what stands on machines that no longer exist is gone.
-    pub fn loaded(&mut self, context: &mut Context) {
+    /// Makes the shard ready once all records are adopted. Tasks on machines that no longer exist are lost.
+    pub fn finish_loading(&mut self, context: &mut Context) {
         self.phase = ShardPhase::Ready;
         let lost: Vec<TaskKey> = self
             .jobs
@@ -117,12 +119,12 @@
                     })
             })
             .collect();
-        for t in lost {
-            self.remove_task(context, &t, Removal::Lost);
+        for task in lost {
+            self.remove_task(context, &task, Removal::Lost);
         }
         let ids: Vec<JobId> = self.jobs.keys().cloned().collect();
         for id in ids {
-            self.settle_job(context, &id);
+            self.drop_if_finished(context, &id);
         }
         info!(
             shard = self.index,
@@ -132,16 +134,16 @@
         );
     }
 
-    /// `job/<id>` is gone from the store: the job has ended, by us or by its user.
+    /// Handles the removal of `job/<id>` from the store: we have recorded the job as done, or it was cancelled.
     pub fn job_ended(&mut self, context: &mut Context, id: &JobId) {
         let Some(job) = self.jobs.get_mut(id) else {
             return;
         };
         match job.ending {
-            // Whatever became of our own unanswered write, all tasks are done.
+            // All tasks are done, whatever the outcome of our own unanswered write.
             Some(Ending::Completing) => {
                 job.ending = Some(Ending::Done);
-                stop_rest(job, context.now);
+                stop_remaining_tasks(job, context.now);
             }
             Some(_) => return,
             None => {
@@ -157,21 +159,22 @@
                     }
                     p.stop = Some(Stop::immediate(Cause::Cancelled, context.now));
                 }
-                for t in never_sent {
-                    self.remove_task(context, &t, Removal::Lost);
+                for task in never_sent {
+                    self.remove_task(context, &task, Removal::Lost);
                 }
             }
         }
-        self.settle_job(context, id);
+        self.drop_if_finished(context, id);
         self.dirty = true;
     }
 
-    /// Drops a job that has ended once nothing of it is left, record included.
-    pub(super) fn settle_job(&mut self, context: &mut Context, id: &JobId) {
-        self.check_gang(context, id);
+    /// Completes the drain of a gang if possible, and drops a job that has ended once neither tasks nor a record of it
+    /// are left.
+    pub(super) fn drop_if_finished(&mut self, context: &mut Context, id: &JobId) {
+        self.complete_gang_drain(context, id);
         let Some(job) = self.jobs.get(id) else { return };
-        let over = matches!(job.ending, Some(Ending::Done | Ending::Cancelled));
-        if over && job.tasks.is_empty() && job.record.version == Some(0) && !job.record.in_flight {
+        let ended = matches!(job.ending, Some(Ending::Done | Ending::Cancelled));
+        if ended && job.tasks.is_empty() && job.record.version == Some(0) && !job.record.in_flight {
             self.jobs.remove(id);
         }
     }
--- a/crates/seamfront-core/src/shard/machine_views.rs
+++ b/crates/seamfront-core/src/shard/machine_views.rs
@@ -1,4 +1,4 @@
-//! The leader's view of a shard's machines, and their release for the leader.
+//! The leader's view of a shard's machines, and the release of machines to the leader.
 
 use super::{
     debug, info, Cause, Context, JobId, JobKind, MachineId, Member, Micros, Priority, Resources,
@@ -9,18 +9,18 @@
 use crate::port::MachineView;
 use std::collections::BTreeMap;
 
-/// What is on a machine.
+/// Summary of the tasks placed on a machine.
 struct Occupancy {
-    /// The most important priority.
+    /// Highest priority of the tasks.
     highest_priority: Option<Priority>,
     /// Work that would be lost by evicting all tasks.
     loss: Micros,
-    /// Resources of services.
+    /// Resources of services, which do not end by themselves.
     pinned: Resources,
 }
 
 impl Shard {
-    /// The leader's view of the machines.
+    /// Views of the shard's machines, for the leader.
     pub fn views(&self, context: &Context) -> Vec<MachineView> {
         self.count_work(self.machines.len());
         self.machines
@@ -40,8 +40,8 @@
             pinned: occupancy.pinned,
             id: m.id.clone(),
             version: m.version,
-            // A machine that was moved to this shard and has not shown our token yet is still on its way: it is
-            // not idle, and it will serve pending jobs here.
+            // A machine that was assigned to this shard counts as up only once it has shown our token. Until then it is
+            // not idle, and the leader expects it to take pending jobs here.
             up: m.fencing.highest_seen_token == m.fencing_token(self.version)
                 && m.agent.last_heartbeat.is_some()
                 && m.silent_for(context.now) < silent_limit,
@@ -83,10 +83,10 @@
         occupancy
     }
 
-    /// Releases machines that the leader asks for. Only empty machines with nothing unsettled are released; for
-    /// work of higher priority (`above`) than all that is on it, a machine is drained first.
+    /// Releases machines that the leader asks for. Only empty machines without an unsettled command are released. If
+    /// `above` is given, a machine whose tasks all have a lower priority than that is drained first.
     pub fn release(&mut self, context: &mut Context, ids: &[MachineId], above: Option<Priority>) {
-        // Until the former holder's records are read every machine looks empty.
+        // Until the former holder's records have been read, every machine looks empty.
         if self.phase != ShardPhase::Ready {
             return;
         }
@@ -97,7 +97,7 @@
             };
             if m.empty() {
                 if m.lifecycle.released_since.is_none() {
-                    debug!(machine = %id, "machine released for the leader");
+                    debug!(machine = %id, "machine released to the leader");
                     m.lifecycle.released_since = Some(context.now);
                 }
             } else if let Some(above) = above.filter(|_| m.lifecycle.draining_since.is_none()) {
@@ -125,7 +125,7 @@
         }
     }
 
-    /// Whether the placements agree with the gangs' states and the machines' use (checked by tests).
+    /// Whether the placements agree with the states of the gangs and the used resources of the machines (for tests).
     pub fn consistent(&self) -> bool {
         self.jobs.values().all(|j| {
             j.gang.as_ref().is_none_or(|g| {
--- a/crates/seamfront-core/src/shard/machines.rs
+++ b/crates/seamfront-core/src/shard/machines.rs
@@ -1,11 +1,11 @@
-//! Machines of a shard: assigned, moved to another shard, deleted.
+//! Machines of a shard: how they are added, moved to another shard and deleted.
 
 use super::{
     info, Context, Machine, MachineId, MachineRecord, Micros, Removal, Resources, Shard, TaskKey,
 };
 
 impl Shard {
-    /// Takes in a machine, or what has changed in its record.
+    /// Adds a machine, or applies a change of its record.
     pub fn add_machine(
         &mut self,
         id: MachineId,
@@ -17,12 +17,12 @@
         if let Some(m) = self.machines.get_mut(&id) {
             if version > m.version {
                 m.version = version;
-                // Kept or given back by the leader, or fenced anew by ourselves.
+                // The leader kept the machine here or assigned it to us again, or we raised its token ourselves.
                 m.lifecycle.released_since = None;
                 m.lifecycle.draining_since = None;
             }
-            // The engine's view may be behind what we wrote ourselves: one that we gave up a moment ago
-            // would be used again.
+            // The engine's view may lag behind our own writes: an older record would put a machine that we have just
+            // given up back into use.
             if version >= m.version {
                 m.record = record;
             }
@@ -38,13 +38,13 @@
                     });
                 }
             }
-            self.unsent.insert(id.clone());
+            self.direct_start_candidates.insert(id.clone());
             self.machines.insert(id, m);
         }
         self.dirty = true;
     }
 
-    /// The machine's record says that it is another shard's or is being returned.
+    /// Handles a record that assigns the machine to another shard, or to none because it is being terminated.
     pub fn machine_moved(&mut self, id: &MachineId, record: MachineRecord, version: u64) {
         let Some(m) = self.machines.get_mut(id) else {
             return;
@@ -52,7 +52,7 @@
         if m.tasks.is_empty() && m.fencing.direct_command.is_none() {
             self.machines.remove(id);
         } else {
-            // Being returned with tasks on it: they are gone when the record is, or their lease.
+            // Being terminated with tasks on it: they are gone once the record is deleted or the lease has expired.
             m.record = MachineRecord {
                 shard: None,
                 ..record
@@ -62,14 +62,15 @@
         self.dirty = true;
     }
 
-    /// The cloud has answered that it is deleted, so everything on it is gone.
+    /// Handles the deletion of a machine's record: the cloud has confirmed the termination, so all tasks on it are
+    /// gone.
     pub fn machine_deleted(&mut self, context: &mut Context, id: &MachineId) {
         let Some(m) = self.machines.remove(id) else {
             return;
         };
         info!(machine = %id, tasks = m.tasks.len(), "machine deleted");
-        for t in m.tasks {
-            self.remove_task(context, &t, Removal::Lost);
+        for task in m.tasks {
+            self.remove_task(context, &task, Removal::Lost);
         }
         self.dirty = true;
     }
--- a/crates/seamfront-core/src/shard/mod.rs
+++ b/crates/seamfront-core/src/shard/mod.rs
@@ -1,6 +1,8 @@
 //! A shard as run by its holder: the jobs of its teams on its machines.
 //!
-//! Order of things, always: decide → record → order → evidence → record → forget.
+//! Every task goes through the same sequence: its placement is decided and recorded, then the agent is ordered to start
+//! it. When the agent's status shows that the task has exited, the result is recorded, and only then is the agent
+//! ordered to forget it.
 
 use crate::gang::{Member, Verdict};
 use crate::job::{Cause, Ending, Job, Phase, Placement, Stop};
@@ -33,28 +35,28 @@
 
 pub use heartbeats::StatusSource;
 pub use records::{machine_write, ShardWrite, WriteOutcome};
-use records::{spec_of_ended_job, stop_rest};
+use records::{spec_of_ended_job, stop_remaining_tasks};
 
 /// How far a claimed shard has been loaded.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ShardPhase {
-    /// Claimed, but the view of cancelled jobs is not known to be as new as the claim.
+    /// Claimed, but the view of cancelled jobs is not known to be as recent as the claim.
     Verifying,
     /// Reading the former holder's records.
     Loading,
-    /// Its jobs are placed.
+    /// The records are adopted, and jobs are scheduled.
     Ready,
 }
 
-/// What the engine gives a shard in a step.
+/// What the engine passes to a shard in a step.
 pub struct Context<'a> {
-    /// Settings.
+    /// Settings of the scheduler.
     pub settings: &'a Settings,
     /// Monotonic time.
     pub now: Micros,
     /// Time of day, only for the order and the deadlines of jobs.
     pub wall_time: Micros,
-    /// Machine types on offer.
+    /// Machine types that the cloud offers.
     pub types: &'a [MachineType],
     /// Collects the effects of this step.
     pub effects: &'a mut Vec<Effect>,
@@ -62,20 +64,21 @@
     pub calls: &'a mut CallId,
     /// The claim was verified recently enough to reply to heartbeats and to send commands.
     pub lease_valid: bool,
-    /// The present layout of records.
+    /// The current layout of records.
     pub layout: Layout,
 }
 
 /// Why a task is removed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Removal {
-    /// Its worker showed that it exited.
+    /// Its agent listed it as exited.
     Exited(Exit),
-    /// Its order never reached the worker, or its machine is gone.
+    /// It is on no machine and has no known result: its order never reached the agent, or the incarnation or lease of
+    /// the agent or the machine itself has ended.
     Lost,
 }
 
-/// A former holder's record as it was read.
+/// A former holder's work record, as read from the store.
 pub struct StoredRecord {
     /// The record.
     pub record: WorkRecord,
@@ -87,7 +90,7 @@
 
 /// A shard as run by its holder.
 pub struct Shard {
-    /// Its number.
+    /// Index of the shard.
     pub index: usize,
     /// Version of the claim.
     pub version: u64,
@@ -107,29 +110,30 @@
     pub dirty: bool,
     /// When the last scheduling cycle ran.
     pub last_cycle: Micros,
-    /// Cost of the last scheduling cycle: the next one comes later in proportion.
+    /// Cost of the last scheduling cycle in machines visited; the time until the next cycle grows in proportion.
     pub last_cycle_cost: i64,
-    /// Machines, tasks and list entries visited in all, for the tests that bound it.
+    /// Total number of machines, tasks and list entries visited, for tests that bound the cost.
     pub work_done: Cell<i64>,
     /// Machines with room reserved for gangs in the last scheduling cycle.
     pub(crate) gang_reservations: BTreeSet<MachineId>,
+    /// When the next inspection of the machines is due.
     inspection_next: Micros,
-    /// Machines where tasks may wait for a direct start.
-    unsent: BTreeSet<MachineId>,
-    /// When the machines are searched for due writes again.
+    /// Machines on which tasks may wait for a direct start.
+    direct_start_candidates: BTreeSet<MachineId>,
+    /// When the machines are next searched for due writes.
     machine_writes_next: Micros,
 }
 
-/// How long a machine stays released without the leader taking it.
+/// How long a machine stays released if the leader does not assign it elsewhere.
 const RELEASE_TIMEOUT: Micros = Micros::from_secs(5);
 
-/// Interval of inspections of the machines.
+/// Interval between inspections of the machines.
 const INSPECTION_INTERVAL: Micros = Micros::from_millis(100);
 
-/// Interval of writes of a job's record for results alone.
+/// Minimum interval between writes of a job's record that hold results alone.
 const RESULTS_INTERVAL: Micros = Micros::from_secs(1);
 
-/// Prefix of the work records of a shard.
+/// Key prefix of the work records of a shard.
 pub fn work_prefix(shard: usize) -> String {
     format!("work/{shard}/")
 }
@@ -157,7 +161,7 @@
             work_done: Cell::new(0),
             gang_reservations: BTreeSet::new(),
             inspection_next: Micros::ZERO,
-            unsent: BTreeSet::new(),
+            direct_start_candidates: BTreeSet::new(),
             machine_writes_next: Micros::ZERO,
         }
     }
--- a/crates/seamfront-core/src/shard/orders.rs
+++ b/crates/seamfront-core/src/shard/orders.rs
@@ -1,4 +1,4 @@
-//! Orders to a worker in the reply to its heartbeat.
+//! Orders to an agent in the reply to its heartbeat.
 
 use super::{
     Context, Ending, Exit, Heartbeat, Micros, Order, Phase, Shard, TaskKey, TaskState, TaskStatus,
@@ -6,23 +6,23 @@
 use crate::job::{Job, Stop};
 use crate::machine::Machine;
 
-/// Time beyond its grace period and the gang's peer timeout after which a task is stopped at once.
+/// A task that is still present this long after its grace period and the gang's peer timeout is stopped at once.
 const GRACE_MARGIN: Micros = Micros::from_secs(2);
 
 impl Shard {
-    /// The orders for the reply to a worker's heartbeat, in the order in which it must carry them out.
+    /// The orders for the reply to an agent's heartbeat, in the sequence in which the agent must carry them out.
     pub fn orders(&mut self, context: &mut Context, heartbeat: &Heartbeat) -> Vec<Order> {
         let Some(m) = self.machines.get(&heartbeat.machine) else {
             return Vec::new();
         };
-        // What a late copy shows may be long over: it only stops unexpected tasks.
+        // A delayed copy may list tasks that ended long ago: it only serves to stop unexpected tasks.
         let fresh = heartbeat.fencing_token == m.fencing_token(self.version);
         let mut orders: Vec<Order> = heartbeat
             .tasks
             .iter()
             .filter_map(|status| {
                 let job = self.jobs.get(&status.task.job);
-                order_for_shown(m, job, status, fresh)
+                order_for_listed(m, job, status, fresh)
             })
             .collect();
         let may_start = fresh && m.record.shard.is_some() && !m.lifecycle.decommissioning();
@@ -36,16 +36,17 @@
     }
 }
 
-/// The order for a task that the worker shows and that has exited or has no place there.
-fn order_for_shown(
+/// The order for a task that the agent lists and that has exited or is not placed on the machine.
+fn order_for_listed(
     m: &Machine,
     job: Option<&Job>,
     status: &TaskStatus,
     fresh: bool,
 ) -> Option<Order> {
     if let TaskState::Exited(exit) = status.state {
-        // A result must be recorded first, and an unsettled command could start a forgotten attempt anew.
-        let forget = fresh && result_settled(job, exit) && m.fencing.direct_command.is_none();
+        // A result must be recorded first, and an unsettled command could start a forgotten attempt again.
+        let forget =
+            fresh && result_no_longer_needed(job, exit) && m.fencing.direct_command.is_none();
         return forget.then(|| Order::Forget {
             task: status.task.clone(),
             attempt: status.attempt,
@@ -60,8 +61,8 @@
         })
 }
 
-/// Whether nothing depends any more on the worker keeping this result.
-fn result_settled(job: Option<&Job>, exit: Exit) -> bool {
+/// Whether the agent may drop this result, since nothing depends on it any more.
+fn result_no_longer_needed(job: Option<&Job>, exit: Exit) -> bool {
     job.is_none_or(|job| {
         matches!(job.ending, Some(Ending::Done | Ending::Cancelled))
             || exit != Exit::Done
@@ -69,7 +70,7 @@
     })
 }
 
-/// The order for a task that is placed on the machine: to stop it, or to start it.
+/// The stop or start order for a task that is placed on the machine. A start is marked as sent to `incarnation`.
 fn order_for_placed(
     context: &Context,
     job: &mut Job,
@@ -86,7 +87,7 @@
         return Some(Order::Stop {
             task: key.clone(),
             attempt: p.attempt,
-            grace: remaining_grace(context, stop),
+            grace: effective_grace(context, stop),
         });
     }
     let start = p.phase == Phase::Ordered && live && may_start && p.not_before <= context.now;
@@ -100,8 +101,8 @@
     })
 }
 
-/// The grace period of a stop, none once the task should long have ended.
-fn remaining_grace(context: &Context, stop: Stop) -> Micros {
+/// The grace period of a stop order; zero once the task should have ended long ago.
+fn effective_grace(context: &Context, stop: Stop) -> Micros {
     let waited = context.now - stop.since;
     if waited > stop.grace + context.settings.gang_peer + GRACE_MARGIN {
         Micros::ZERO
--- a/crates/seamfront-core/src/shard/records.rs
+++ b/crates/seamfront-core/src/shard/records.rs
@@ -1,4 +1,4 @@
-//! What a shard has written to the state service, and what follows from the outcome.
+//! A shard's writes to the key-value store, and the effects of their outcomes.
 
 use super::{
     info, machine_key, Cause, Context, Ending, Job, JobId, JobKind, JobSpec, Layout, MachineId,
@@ -8,22 +8,22 @@
 use crate::record::{encode, EncodedRecord};
 use serde_json::Value;
 
-/// A write that the engine should make for this shard, with what it stands for.
+/// A write, or the read before it, that the engine should make for a shard.
 #[derive(Clone, Debug)]
 pub enum ShardWrite {
     /// A job's work record.
     Record {
         /// The job.
         job: JobId,
-        /// The generation that it holds.
+        /// The record generation that it stores.
         generation: u64,
-        /// The version that it is written on.
+        /// The stored version that it replaces.
         version: u64,
-        /// The record as it is to be stored.
+        /// The encoded record.
         record: Box<EncodedRecord>,
-        /// Parts that are to change, by number: their value, or none for those that are removed.
+        /// Parts to change, by number: the new value, or none to remove the part.
         changes: Vec<(u32, Option<Value>)>,
-        /// No part with this number or a higher one is left afterwards.
+        /// No part with this number or a higher one is stored after the write.
         parts_end: u32,
     },
     /// The end of a job whose tasks are all done.
@@ -36,47 +36,47 @@
         record_version: u64,
         /// No part with this number or a higher one is stored.
         parts_end: u32,
-        /// How many tasks it has.
+        /// Number of its tasks.
         tasks: u32,
     },
     /// Removal of the work record of a job that has ended.
     DropRecord {
         /// The job.
         job: JobId,
-        /// The version that is removed.
+        /// The stored version that is removed.
         version: u64,
         /// No part with this number or a higher one is stored.
         parts_end: u32,
     },
-    /// Reading of a work record whose version is not known.
+    /// A read of a work record whose version is not known.
     Read {
         /// The job.
         job: JobId,
     },
-    /// Raises a machine's token, or gives the machine up.
+    /// A machine's record: rewritten to raise its fencing token, or unassigned to decommission the machine.
     Machine {
         /// The machine.
         machine: MachineId,
-        /// The version that its record is written on.
+        /// The stored version that it replaces.
         version: u64,
-        /// The record as it is to be.
+        /// The new record.
         record: MachineRecord,
     },
 }
 
-/// What became of a write.
+/// Outcome of a write.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum WriteOutcome {
-    /// Applied, at this version. For a read: the version found, 0 if there is none.
+    /// Applied, at this version. For a read: the version found, 0 if no record is stored.
     Done(u64),
     /// Not applied, and never will be.
     Refused,
-    /// May be applied late, or the version was not the expected one.
+    /// Unknown: it may still be applied, or the stored version was not the expected one.
     Unclear,
 }
 
 impl Shard {
-    /// How many jobs wait for a write: the demand by which controllers divide what the store takes.
+    /// How many jobs wait for a write: the demand by which controllers divide the store's write rate.
     pub fn pending_write_count(&self) -> usize {
         self.jobs
             .values()
@@ -84,14 +84,15 @@
             .count()
     }
 
-    /// Up to `budget` writes that are due now: what somebody waits for comes first, and of that what
-    /// waits for longest. The engine makes them under this shard's claim and reports back through
+    /// Up to `budget` writes that are due now. Writes of machine records come first; those of jobs follow, with the
+    /// ones on which task starts or the end of a job depend before the others, then by priority and by the time since
+    /// the job's last write. The engine makes them under this shard's claim and passes their outcomes to
     /// [`Shard::written`].
     pub fn due_writes(&mut self, now: Micros, budget: usize, layout: &Layout) -> Vec<ShardWrite> {
-        let mut out = Vec::new();
-        self.machine_writes(now, budget.div_ceil(2), &mut out);
+        let mut writes = Vec::new();
+        self.machine_writes(now, budget.div_ceil(2), &mut writes);
         for id in self.due_records(now) {
-            if out.len() >= budget {
+            if writes.len() >= budget {
                 break;
             }
             let Some(job) = self.jobs.get_mut(&id) else {
@@ -100,21 +101,22 @@
             job.record.in_flight = true;
             job.record.asked_at = now;
             match next_write(job, layout) {
-                Some(write) => out.push(write),
-                // Written by a former holder for a store that took more: nothing is placed for it until enough
-                // of it has gone. The old record names all that is placed meanwhile.
+                Some(write) => writes.push(write),
+                // The record does not fit, since a former holder wrote it for a store that accepted more. No task of
+                // the job is placed until enough of its tasks are gone; the stored record names all that still are.
                 None => job.record.in_flight = false,
             }
         }
-        out
+        writes
     }
 
-    /// Tokens to be raised and machines to be given up: not so many that they keep tasks from being started.
-    fn machine_writes(&mut self, now: Micros, most: usize, out: &mut Vec<ShardWrite>) {
-        let look = now >= self.machine_writes_next;
-        self.count_work(if look { self.machines.len() } else { 0 } + self.jobs.len());
-        for (id, m) in self.machines.iter_mut().filter(|_| look) {
-            if out.len() >= most {
+    /// Adds the due writes of machine records, which raise tokens or decommission machines. `limit` leaves room for the
+    /// writes that tasks wait for before they start.
+    fn machine_writes(&mut self, now: Micros, limit: usize, writes: &mut Vec<ShardWrite>) {
+        let search = now >= self.machine_writes_next;
+        self.count_work(if search { self.machines.len() } else { 0 } + self.jobs.len());
+        for (id, m) in self.machines.iter_mut().filter(|_| search) {
+            if writes.len() >= limit {
                 break;
             }
             if m.lifecycle.write_in_flight || m.record.shard.is_none() {
@@ -127,25 +129,26 @@
                 .as_ref()
                 .is_some_and(|d| d.unknown && d.fencing_token == m.version.max(self.version));
             let unsettled = unsettled || m.fencing.token_raise_due;
-            // Released and not used by the leader: rewriting the record makes a late move of its fail.
-            let kept = m
+            // Released, but not taken by the leader in time: rewriting the record makes a late assignment by the leader
+            // fail.
+            let release_timed_out = m
                 .lifecycle
                 .released_since
                 .is_some_and(|t| now - t > RELEASE_TIMEOUT);
             if m.lifecycle.condemned {
                 record.shard = None;
-            } else if !unsettled && !kept {
+            } else if !unsettled && !release_timed_out {
                 continue;
             }
             m.lifecycle.write_in_flight = true;
             m.lifecycle.decommission_pending |= record.shard.is_none();
-            out.push(ShardWrite::Machine {
+            writes.push(ShardWrite::Machine {
                 machine: id.clone(),
                 version: m.version,
                 record,
             });
         }
-        if look && out.is_empty() {
+        if search && writes.is_empty() {
             self.machine_writes_next = now + INSPECTION_INTERVAL;
         }
     }
@@ -177,7 +180,8 @@
             return;
         };
         m.lifecycle.write_in_flight = false;
-        // Giving it up may be applied late, when it has long come back: rewriting the record makes that fail.
+        // An unclear decommissioning may be applied late, when the machine is long back in use: rewriting the record
+        // makes that fail.
         m.fencing.token_raise_due |= record.shard.is_none() && outcome == WriteOutcome::Unclear;
         m.lifecycle.decommission_pending &=
             outcome != WriteOutcome::Refused || m.fencing.token_raise_due;
@@ -211,17 +215,17 @@
             WriteOutcome::Unclear => write_unclear(job, write),
             WriteOutcome::Done(version) => {
                 let ordered = write_applied(job, write, version, context.now);
-                self.unsent.extend(ordered);
-                self.settle_job(context, id);
+                self.direct_start_candidates.extend(ordered);
+                self.drop_if_finished(context, id);
             }
         }
     }
 }
 
-/// A record that is due. The fields are compared in their order.
+/// A record that is due. The derived order compares the fields in sequence.
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
 struct DueRecord {
-    /// Neither task starts nor the end of the job depend on it.
+    /// Neither task starts nor the end of the job depends on this write.
     blocks_nothing: bool,
     priority: Priority,
     asked_at: Micros,
@@ -233,8 +237,8 @@
     job.record.blocks_starts() || job.ending == Some(Ending::Completing)
 }
 
-/// Whether a job's record is to be written now. Results alone are recorded now and then: until then their workers
-/// keep them.
+/// Whether a job's record is due to be written. Results alone are recorded at intervals; until then the agents keep
+/// them.
 fn record_due(job: &Job, now: Micros) -> bool {
     if job.record.in_flight {
         return false;
@@ -243,13 +247,13 @@
         Some(Ending::Completing) => true,
         Some(_) => job.tasks.is_empty() && job.record.version != Some(0),
         None => {
-            let rested = now - job.record.asked_at >= RESULTS_INTERVAL;
-            job.record.dirty() && (job.record.blocks_starts() || rested)
+            let interval_passed = now - job.record.asked_at >= RESULTS_INTERVAL;
+            job.record.dirty() && (job.record.blocks_starts() || interval_passed)
         }
     }
 }
 
-/// A write that may or may not be applied: the version must be read before the next one.
+/// Handles an unclear outcome: the stored version must be read before the next write.
 fn write_unclear(job: &mut Job, write: &ShardWrite) {
     job.record.version = None;
     job.record.parts = None;
@@ -258,7 +262,7 @@
     }
 }
 
-/// A write was applied at `version`. Returns the machines whose tasks may be ordered to start from now on.
+/// Handles a write that was applied at `version`. Returns the machines on which tasks may now be ordered to start.
 fn write_applied(job: &mut Job, write: &ShardWrite, version: u64, now: Micros) -> Vec<MachineId> {
     match write {
         ShardWrite::Record {
@@ -279,7 +283,7 @@
             job.ending = Some(Ending::Done);
             job.record.version = Some(0);
             job.record.parts_end = 0;
-            stop_rest(job, now);
+            stop_remaining_tasks(job, now);
         }
         ShardWrite::DropRecord { .. } => job.record.version = Some(0),
         ShardWrite::Read { .. } => job.record.version = Some(version),
@@ -288,7 +292,7 @@
     Vec::new()
 }
 
-/// Tasks whose placements are recorded may be ordered. Returns their machines.
+/// Marks the tasks whose placements are recorded as ready to be ordered. Returns their machines.
 fn order_recorded_tasks(job: &mut Job, generation: u64, now: Micros) -> Vec<MachineId> {
     let mut machines = Vec::new();
     for (index, p) in &mut job.tasks {
@@ -305,7 +309,7 @@
     machines
 }
 
-/// What is to be written of a job next, as it stands. None if its record does not fit.
+/// The next write for a job. None if its record does not fit into the store.
 fn next_write(job: &mut Job, layout: &Layout) -> Option<ShardWrite> {
     let (id, parts_end) = (job.spec.id.clone(), job.record.parts_end);
     Some(match (job.record.version, job.ending) {
@@ -326,8 +330,8 @@
     })
 }
 
-/// The write of a job's record as it stands. Only parts that differ from what is stored are written. None if it does
-/// not fit.
+/// The write of a job's current record. Only parts that differ from the stored ones are written. None if the record
+/// does not fit into the store.
 fn record_write(job: &mut Job, version: u64, layout: &Layout) -> Option<ShardWrite> {
     let record = encode(&job.to_record(), layout, &job.record.boundaries)?;
     let stored = job.record.parts.as_deref().unwrap_or_default();
@@ -337,9 +341,9 @@
             changes.push((number as u32, Some(part.clone())));
         }
     }
-    // From the highest down, as far as one transaction goes.
-    let superfluous = (record.parts.len() as u32..job.record.parts_end).rev();
-    let removed: Vec<u32> = superfluous
+    // Surplus parts are removed from the highest number down, as many as one transaction takes.
+    let surplus = (record.parts.len() as u32..job.record.parts_end).rev();
+    let removed: Vec<u32> = surplus
         .take(layout.parts.max(1).saturating_sub(changes.len()))
         .collect();
     let parts_end = removed
@@ -358,16 +362,17 @@
     })
 }
 
-/// Members of a gang complete together, so there is hardly ever anything left to stop.
-pub(super) fn stop_rest(job: &mut Job, now: Micros) {
+/// Stops the tasks that are left of a job that is done. There are hardly ever any, since the members of a gang complete
+/// together.
+pub(super) fn stop_remaining_tasks(job: &mut Job, now: Micros) {
     for p in job.tasks.values_mut() {
         p.stop = Some(Stop::immediate(Cause::Cancelled, now));
     }
 }
 
-/// What is known of an ended job from its work record alone, enough to clear it away.
-pub(super) fn spec_of_ended_job(id: &JobId, r: &WorkRecord) -> JobSpec {
-    let placed = r
+/// The spec of an ended job as far as its work record shows it: enough to stop its tasks and remove the record.
+pub(super) fn spec_of_ended_job(id: &JobId, record: &WorkRecord) -> JobSpec {
+    let placed = record
         .placed
         .values()
         .flatten()
@@ -377,11 +382,11 @@
     JobSpec {
         id: id.clone(),
         class: String::new(),
-        team: r.team.clone(),
+        team: record.team.clone(),
         kind: JobKind::Array,
         priority: Priority::BestEffort,
         tasks: placed,
-        task_resources: r.task_resources,
+        task_resources: record.task_resources,
         types: None,
         zone: None,
         one_zone: false,
@@ -399,7 +404,7 @@
     }
 }
 
-/// The change that writes a machine's record.
+/// The write of a machine's record.
 pub fn machine_write(machine: &MachineId, record: &MachineRecord) -> Write {
     Write::Put {
         key: machine_key(machine),
--- a/crates/seamfront-core/src/shard/task_removal.rs
+++ b/crates/seamfront-core/src/shard/task_removal.rs
@@ -1,4 +1,4 @@
-//! Removal of tasks that are known to be on no machine any more, and its consequences.
+//! Removal of tasks that are known to be on no machine any more, and its effects on their jobs, gangs and machines.
 
 use super::{
     debug, info, warn, Cause, Context, Ending, Exit, JobId, JobKind, MachineId, Micros, Phase,
@@ -6,50 +6,52 @@
 };
 use crate::job::FAILING_AFTER_ERRORS;
 
-/// How long a job avoids a machine where a task of it failed.
+/// How long a job avoids a machine on which one of its tasks failed.
 const AVOID_AFTER_ERROR: Micros = Micros::from_secs(120);
-/// How long a job avoids a machine that knows its task under another attempt, or not at all.
+/// How long a job avoids a machine whose agent knows the task under another attempt, or not at all.
 const AVOID_AFTER_REFUSAL: Micros = Micros::from_secs(5);
-/// How long nothing of such a job is placed after the refusal.
+/// How long no task of such a job is placed after the refusal.
 const PAUSE_AFTER_REFUSAL: Micros = Micros::from_secs(1);
-/// How long a machine that refused a task for lack of room gets none.
-const FULL_FOR: Micros = Micros::from_secs(3);
-/// First pause of a job that fails on all machines, in seconds.
-const PAUSE_S: i64 = 2;
-/// The pause doubles up to this many times.
-const PAUSE_DOUBLINGS: u32 = 4;
-/// Completed tasks before their mean run time tells anything of a machine.
+/// How long no task is placed on a machine that refused one for lack of room.
+const PAUSE_AFTER_NO_ROOM: Micros = Micros::from_secs(3);
+/// First backoff of a job that fails on all machines, in seconds.
+const INITIAL_FAILURE_BACKOFF_S: i64 = 2;
+/// The backoff doubles at most this many times.
+const MAX_FAILURE_BACKOFF_DOUBLINGS: u32 = 4;
+/// How many tasks of a job must have completed before machines are judged by their mean run time.
 const MIN_RUNS_FOR_MEAN: i64 = 3;
 
 /// A placement that was removed.
 struct RemovedPlacement {
     placement: Placement,
-    /// Its machine sent no heartbeat of late, or is not known any more.
+    /// Its machine has sent no recent heartbeat, or is not known any more.
     machine_silent: bool,
 }
 
 impl Shard {
-    /// Removes a task that is on no machine any more: its place, quota, zone and task number become free.
+    /// Removes a task that is on no machine any more, which frees its place, quota, zone and task number.
     pub(super) fn remove_task(&mut self, context: &mut Context, task: &TaskKey, why: Removal) {
-        self.remove_placement(context, task, why);
-        self.settle_job(context, &task.job);
+        self.apply_removal(context, task, why);
+        self.drop_if_finished(context, &task.job);
     }
 
-    fn remove_placement(&mut self, context: &mut Context, task: &TaskKey, why: Removal) {
+    fn apply_removal(&mut self, context: &mut Context, task: &TaskKey, why: Removal) {
         let Some(RemovedPlacement {
             placement,
             machine_silent,
-        }) = self.take_placement(context, task, why)
+        }) = self.remove_placement(context, task, why)
         else {
             return;
         };
         let machine = &placement.machine;
         match why {
             Removal::Exited(Exit::Error) => self.record_task_failure(context, task, machine),
-            Removal::Exited(Exit::Done) => return self.take_completion(context, task, &placement),
+            Removal::Exited(Exit::Done) => {
+                return self.record_completion(context, task, &placement)
+            }
             Removal::Exited(Exit::NoRoom) => {
                 if let Some(m) = self.machines.get_mut(machine) {
-                    m.health.full_until = context.now + FULL_FOR;
+                    m.health.full_until = context.now + PAUSE_AFTER_NO_ROOM;
                 }
             }
             Removal::Exited(Exit::Busy | Exit::Unknown) => {
@@ -61,7 +63,7 @@
     }
 
     /// Removes the placement of a task and frees its quota and its room on the machine.
-    fn take_placement(
+    fn remove_placement(
         &mut self,
         context: &Context,
         task: &TaskKey,
@@ -92,7 +94,7 @@
         })
     }
 
-    /// The machine knows the task under another attempt, or not at all: the job avoids it and pauses.
+    /// Makes a job avoid a machine and pause, since the agent knows the task under another attempt, or not at all.
     fn avoid_after_refusal(&mut self, context: &Context, task: &TaskKey, machine: &MachineId) {
         let Some(job) = self.jobs.get_mut(&task.job) else {
             return;
@@ -102,27 +104,28 @@
         job.paused_until = job.paused_until.max(context.now + PAUSE_AFTER_REFUSAL);
     }
 
-    /// A task failed: its job avoids the machine, and a machine where different jobs fail is quarantined. A job that
-    /// fails on all machines is retried with few tasks after growing pauses, and counts against no machine.
+    /// Records the failure of a task: its job avoids the machine, and a machine on which different jobs fail is
+    /// quarantined. A job that fails on all machines is retried with few tasks and an increasing backoff, and its
+    /// failures count against no machine.
     fn record_task_failure(&mut self, context: &Context, task: &TaskKey, machine: &MachineId) {
         let Some(job) = self.jobs.get_mut(&task.job) else {
             return;
         };
-        // Several failures on one machine count once, and those of tasks started before the job was known to fail do
-        // not count.
-        let elsewhere = job
+        // Several failures on one machine count once. Failures during a pause do not count: their tasks were started
+        // before the job was known to fail.
+        let on_new_machine = job
             .avoided_machines
             .insert(machine.clone(), context.now + AVOID_AFTER_ERROR)
             .is_none();
-        if elsewhere && job.paused_until <= context.now {
+        if on_new_machine && job.paused_until <= context.now {
             job.consecutive_errors += 1;
         }
         warn!(job = %task.job, machine = %machine, errors = job.consecutive_errors, "task failed");
         if job.failing() {
             job.paused_until = job
                 .paused_until
-                .max(context.now + pause_after(job.consecutive_errors));
-            return self.clear_failure_records(&task.job);
+                .max(context.now + failure_backoff(job.consecutive_errors));
+            return self.clear_failures_on_machines(&task.job);
         }
         let Some(m) = self.machines.get_mut(machine) else {
             return;
@@ -133,8 +136,8 @@
         }
     }
 
-    /// The job itself is at fault, as far as can be told: its failures no longer count against machines.
-    fn clear_failure_records(&mut self, id: &JobId) {
+    /// Clears a job's failures from the machines on which it failed, since the job itself is most likely at fault.
+    fn clear_failures_on_machines(&mut self, id: &JobId) {
         let Some(job) = self.jobs.get_mut(id) else {
             return;
         };
@@ -145,13 +148,13 @@
         }
     }
 
-    /// A task completed: counts its run time for its machine, and its result for its job.
-    fn take_completion(&mut self, context: &Context, task: &TaskKey, p: &Placement) {
+    /// Records the completion of a task: its run time for the machine, and its result for the job.
+    fn record_completion(&mut self, context: &Context, task: &TaskKey, p: &Placement) {
         let Some(job) = self.jobs.get_mut(&task.job) else {
             return;
         };
         if job.failing() {
-            info!(job = %task.job, errors = job.consecutive_errors, "task completed: failing job runs in full again");
+            info!(job = %task.job, errors = job.consecutive_errors, "task completed; its job no longer counts as failing");
             job.paused_until = context.now;
         }
         job.consecutive_errors = 0;
@@ -160,7 +163,7 @@
             .map(|t| context.now - t)
             .filter(|_| job.spec.kind == JobKind::Array);
         if let Some(m) = self.machines.get_mut(&p.machine) {
-            // A machine on which some tasks complete may still be faulty.
+            // A quarantined machine keeps its failures: one on which some tasks complete may still be faulty.
             if !m.health.failing() {
                 m.health.failed_jobs.clear();
             }
@@ -168,7 +171,7 @@
                 let before = m.health.slow;
                 m.health.record_run(ran, job.completed_runs.mean());
                 if m.health.slow && !before {
-                    warn!(machine = %p.machine, "machine quarantined: much slower than its type");
+                    warn!(machine = %p.machine, "machine quarantined: much slower than other machines of its type");
                 }
             }
         }
@@ -176,11 +179,11 @@
             job.completed_runs.add(ran);
         }
         if job.spec.kind != JobKind::Service {
-            self.task_done(task);
+            self.mark_task_done(task);
         }
     }
 
-    /// A gang that lost a member is drained as a whole.
+    /// Drains a gang as a whole after it lost a member.
     fn drain_after_loss(
         &mut self,
         context: &mut Context,
@@ -194,10 +197,10 @@
         }
         let trigger = match (why, p.stop) {
             (_, Some(_)) => None,
-            // Ended by a sibling: the member that failed is the one whose machine is silent.
-            (Removal::Exited(Exit::Peers), _) => self.silent_member(context, &task.job),
+            // Ended because another member is gone: the one that failed is the one whose machine is silent.
+            (Removal::Exited(Exit::Peers), _) => self.first_silent_member(context, &task.job),
             (Removal::Exited(Exit::Error | Exit::Alone), _) => Some(task.index),
-            // A reserved member that was never ordered did not fail.
+            // A reserved member that was never ordered to start did not fail.
             (Removal::Lost, _) if p.phase > Phase::Recording && silent => Some(task.index),
             _ => None,
         };
@@ -207,7 +210,8 @@
         }
     }
 
-    pub(super) fn task_done(&mut self, task: &TaskKey) {
+    /// Marks a task as done, or all of a gang's at once. A job whose tasks are all done starts completing.
+    pub(super) fn mark_task_done(&mut self, task: &TaskKey) {
         let Some(job) = self.jobs.get_mut(&task.job) else {
             return;
         };
@@ -215,7 +219,7 @@
             return;
         }
         if let Some(g) = &mut job.gang {
-            // They complete together: when one is done, all are.
+            // The members of a gang complete together: when one is done, all are.
             g.all_done();
             job.done = crate::ranges::Ranges::full(job.spec.tasks);
         } else if task.index < job.spec.tasks {
@@ -229,12 +233,12 @@
     }
 }
 
-/// How long a job pauses after so many errors in a row.
-pub(super) fn pause_after(errors: u32) -> Micros {
+/// The backoff of a failing job after this many errors in a row.
+pub(super) fn failure_backoff(errors: u32) -> Micros {
     Micros::from_secs(
-        PAUSE_S
+        INITIAL_FAILURE_BACKOFF_S
             << errors
                 .saturating_sub(FAILING_AFTER_ERRORS)
-                .min(PAUSE_DOUBLINGS),
+                .min(MAX_FAILURE_BACKOFF_DOUBLINGS),
     )
 }
--- a/crates/seamfront-testing/src/shard_harness.rs
+++ b/crates/seamfront-testing/src/shard_harness.rs
@@ -142,7 +142,7 @@
             effects: Vec::new(),
             calls: 1,
         };
-        held.with(s(100), seamfront_core::shard::Shard::loaded);
+        held.with(s(100), seamfront_core::shard::Shard::finish_loading);
         held
     }
 
