--- a/crates/seamfront-core/src/job.rs
+++ b/crates/seamfront-core/src/job.rs
@@ -1,4 +1,4 @@
-//! A job as its shard's controller runs it, and the one record that a successor reads.
+//! A job as the holder of its shard runs it, and its conversion to and from the one record that a successor reads.
 
 use crate::gang::{Gang, Member};
 use crate::ranges::Ranges;
@@ -10,34 +10,34 @@
 use std::collections::BTreeMap;
 use std::rc::Rc;
 
-/// From this many errors in a row on, a job is taken to fail on all machines.
+/// Number of consecutive errors from which on a job is assumed to fail on every machine.
 pub(crate) const FAILING_AFTER_ERRORS: u32 = 3;
-/// This many of such a job's tasks are tried at once.
+/// Maximum number of tasks of such a job that are placed at the same time.
 const MAX_CONCURRENT_ATTEMPTS: u32 = 2;
 
-/// Bytes of a record's fixed fields, besides the name of the team.
+/// Bytes of a record's fixed fields, without the name of the team.
 const RECORD_FIXED_BYTES: usize = 200;
 /// Bytes of the punctuation of a run of tasks in a record.
 const RUN_PUNCTUATION_BYTES: usize = 5;
 /// Bytes of the punctuation of a machine's entry in a record.
-const MACHINE_ENTRY_BYTES: usize = 6;
-/// Bytes that the name of a machine is expected to take at least.
-const MACHINE_NAME_BYTES: usize = 12;
+const MACHINE_PUNCTUATION_BYTES: usize = 6;
+/// Bytes that are assumed for the longest name of a machine, unless a longer one is in use.
+const MIN_MACHINE_NAME_BYTES: usize = 12;
 
-/// How far a placed task has come.
+/// State of a placed task.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Phase {
-    /// Waits for the record that allows it. Nothing was sent.
+    /// Waiting until the record of its placement is written. Nothing has been sent.
     Recording,
-    /// Recorded; an order to start may be on its way.
+    /// Recorded; an order to start it may have been sent.
     Ordered,
-    /// Its worker fetches the image.
+    /// Its agent is fetching the image.
     Fetching,
-    /// It waits for the other members of its gang.
+    /// Waiting for the other members of its gang.
     Waiting,
-    /// It runs.
+    /// Running.
     Running,
-    /// It saves before it ends.
+    /// Saving its progress before it ends.
     Saving,
 }
 
@@ -46,24 +46,24 @@
 pub enum Cause {
     /// Its job was cancelled.
     Cancelled,
-    /// Preempted by more important work.
+    /// Preempted by work that takes precedence.
     Preempted,
     /// Its machine is about to be preempted by the cloud.
     Moving,
     /// Its gang is being drained.
     Peers,
-    /// It was not placed on the machine where it is.
+    /// It is on a machine where it was not placed.
     Unexpected,
 }
 
-/// An order to stop a task, repeated until the task has gone.
+/// An order to stop a task, repeated until the task is gone.
 #[derive(Clone, Copy, Debug)]
 pub struct Stop {
-    /// Why.
+    /// Why the task is stopped.
     pub cause: Cause,
-    /// Time to save.
+    /// Time that the task has to save its progress.
     pub grace: Micros,
-    /// Since when.
+    /// When the task was first to be stopped.
     pub since: Micros,
 }
 
@@ -78,7 +78,7 @@
     }
 }
 
-/// Run times of completed tasks.
+/// Number and total run time of completed tasks.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct CompletedRuns {
     /// Number of tasks.
@@ -88,7 +88,7 @@
 }
 
 impl CompletedRuns {
-    /// Counts the run time of a task.
+    /// Adds the run time of a task.
     pub fn add(&mut self, ran: Micros) {
         self.count += 1;
         self.total += ran;
@@ -100,34 +100,35 @@
     }
 }
 
-/// A task that is, or may be, on a machine. It holds its place, quota, zone and number until
-/// evidence says that it is gone.
+/// A task that is, or may be, on a machine. Its room on the machine, its quota, its zone and its task number stay in
+/// use until there is evidence that it is gone.
 #[derive(Clone, Debug)]
 pub struct Placement {
-    /// Where.
+    /// The machine.
     pub machine: MachineId,
     /// Its attempt number.
     pub attempt: u64,
-    /// How far it has come.
+    /// Its state.
     pub phase: Phase,
-    /// The record generation that allows it.
+    /// Generation of the record that must be written before it starts; 0 if a former holder recorded it.
     pub generation: u64,
-    /// Since when it has been in its place.
+    /// When it was placed, adopted or recorded, whichever was last.
     pub since: Micros,
-    /// The worker's session that the order was meant for.
+    /// Incarnation of the agent that the start order was meant for, or that showed the task; 0 if there is none yet.
     pub incarnation: u64,
-    /// Gang members with a cached image start later, so as not to wait out `gang_wait_s`.
+    /// Earliest start. Gang members with a cached image start later: otherwise their wait for members that fetch the
+    /// image could exceed `gang_wait_s`.
     pub not_before: Micros,
-    /// When it was first seen to run.
+    /// When it was first seen running.
     pub running_since: Option<Micros>,
-    /// Set while it is being stopped.
+    /// The order to stop it, if there is one.
     pub stop: Option<Stop>,
-    /// Its job was starving when it was placed, see [`queue_rank`].
+    /// Whether its job was starving when it was placed, see [`queue_rank`].
     pub promoted: bool,
 }
 
 impl Placement {
-    /// A placement that a former holder recorded: the task may be on its machine.
+    /// A placement recorded by a former holder: the task may be on its machine.
     fn adopted(machine: MachineId, attempt: u64, now: Micros) -> Placement {
         Placement {
             machine,
@@ -144,98 +145,99 @@
     }
 }
 
-/// Where a job's record stands. Only the holder writes it, always on the version that it knows.
+/// State of a job's stored record. Only the holder of the shard writes the record, always on the version that it knows.
 #[derive(Clone, Debug, Default)]
 pub struct RecordState {
-    /// None: unknown since a write went unanswered; it must be read before the next.
+    /// Version of the stored record, 0 if there is none. None if it is unknown, for example after an unanswered write:
+    /// it must be read before the next write.
     pub version: Option<u64>,
-    /// Raised with each change that must be recorded.
+    /// Incremented with each change that must be recorded.
     pub generation: u64,
     /// The generation that is stored.
     pub written: u64,
-    /// Whether a write is under way.
+    /// Whether a write or read of the record is in flight.
     pub in_flight: bool,
-    /// The generation that allows the latest placements: these wait for it.
+    /// The generation that contains the latest placements: their tasks start only once it is stored.
     pub placing: u64,
-    /// When it was last written or read.
+    /// When the last write or read was sent.
     pub asked_at: Micros,
-    /// The parts as they are stored, None where that is not known.
+    /// The parts as they are stored, None if that is unknown.
     pub parts: Option<Vec<Value>>,
     /// No part with this number or a higher one is stored.
     pub parts_end: u32,
-    /// Where the parts were divided the last time.
+    /// Where the record was last divided into parts.
     pub boundaries: Vec<Position>,
 }
 
 impl RecordState {
-    /// Notes that something has changed; returns the generation that will hold it.
+    /// Registers a change that must be recorded. Returns the generation that will contain it.
     pub fn touch(&mut self) -> u64 {
         self.generation += 1;
         self.generation
     }
 
-    /// Tasks wait for this record before they can be started.
+    /// Whether tasks can't be started until the record is written.
     pub fn blocks_starts(&self) -> bool {
         self.placing > self.written
     }
 
-    /// Whether anything is not stored yet.
+    /// Whether there are changes that are not stored yet.
     pub fn dirty(&self) -> bool {
         self.generation > self.written
     }
 }
 
-/// How far the end of a job has come.
+/// How far the end of a job has progressed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Ending {
     /// All tasks are done, but this is not recorded yet.
     Completing,
-    /// `end/` says done.
+    /// `end/<id>` says that the job is done.
     Done,
-    /// `end/` says cancelled; what is left is being stopped.
+    /// `end/<id>` says that the job is cancelled; its remaining tasks are being stopped.
     Cancelled,
 }
 
 /// A job in its shard.
 #[derive(Clone, Debug)]
 pub struct Job {
-    /// The job as things stand.
+    /// The effective spec: priority and deadline may have been raised for jobs that depend on this one.
     pub spec: Rc<JobSpec>,
     /// Version of `job/<id>`.
     pub version: u64,
-    /// None while it is live.
+    /// How far its end has progressed, None while it is live.
     pub ending: Option<Ending>,
-    /// It depends on jobs that are not done: none of its tasks may be placed, and it uses no part of its team's quota
-    /// or guarantee.
+    /// Whether it depends on jobs that are not done: none of its tasks may be placed, and it takes up nothing of its
+    /// team's quota or guarantee.
     pub blocked: bool,
-    /// Where its record stands.
+    /// State of its stored record.
     pub record: RecordState,
-    /// Attempt numbers are never used twice within a job; for gangs the epoch serves.
+    /// The next attempt number. No attempt number is used twice within a job; gangs use their epoch instead.
     pub next_attempt: u64,
     /// Tasks that are done.
     pub done: Ranges,
-    /// The record generation that holds the latest `done`.
+    /// Generation of the record that contains the latest change of `done`.
     pub done_generation: u64,
-    /// Tasks that are, or may be, on a machine.
+    /// Tasks that are, or may be, on a machine, by task number.
     pub tasks: BTreeMap<u32, Placement>,
-    /// The drain state of a gang.
+    /// Drain state, if the job is a gang.
     pub gang: Option<Gang>,
     /// How often its gang has backed off.
     pub backoffs: u32,
-    /// Nothing of it is placed before.
+    /// No task of the job is placed before this time.
     pub paused_until: Micros,
-    /// Machines that this job should not use for a while, by when.
+    /// Machines that the job avoids, each until a time.
     pub avoided_machines: BTreeMap<MachineId, Micros>,
-    /// Errors in a row, each on another machine, without a completed task between them.
+    /// Consecutive errors, each on another machine, without a completed task between them.
     pub consecutive_errors: u32,
     /// Run times of its completed tasks.
     pub completed_runs: CompletedRuns,
-    /// Since when it has waited for a place.
+    /// Since when it has been waiting for its tasks to be placed.
     pub waiting_since: Micros,
 }
 
 impl Job {
-    /// A job of which nothing is placed.
+    /// A job with no tasks placed.
     pub fn new(spec: Rc<JobSpec>, version: u64, now: Micros) -> Job {
         let gang = (spec.kind == JobKind::Gang).then(|| Gang::new(spec.tasks));
         Job {
@@ -261,30 +263,32 @@
         }
     }
 
-    /// Whether it is still to be run.
+    /// Whether the job has not ended.
     pub fn live(&self) -> bool {
         self.ending.is_none()
     }
 
-    /// None of its tasks has started, though one should soon have: see [`queue_rank`]. Half of the time that is left
-    /// then is for fetching its image; a longer fetch makes it starve earlier by as much.
+    /// Whether none of its tasks is placed or done although two thirds of [`START_DEADLINE`] have passed: see
+    /// [`queue_rank`]. Half of the last third is meant for fetching the image. A job with a longer fetch counts as
+    /// starving earlier by the difference, but at most by another third.
     pub fn starving(&self, wall_time: Micros, types: &[MachineType]) -> bool {
         let last_third = START_DEADLINE.over(3);
-        let longer =
+        let extra_fetch =
             (self.spec.fetch_at_best(types) - last_third.over(2)).clamp(Micros::ZERO, last_third);
         let waited = wall_time - self.spec.submitted;
         self.tasks.is_empty()
             && self.done.count() == 0
-            && waited > START_DEADLINE - last_third - longer
+            && waited > START_DEADLINE - last_third - extra_fetch
     }
 
-    /// The priority of a task to work that might preempt it. A task placed while its job was starving keeps the raised
-    /// priority: if work after it in the queue could preempt it, the next cycle would place it again, and so on.
+    /// Priority of a task in comparison with work that might preempt it. A task placed while its job was starving keeps
+    /// the raised priority: if work behind it in the queue could preempt it, the next cycle would place it again, and
+    /// so on.
     pub fn effective_priority(&self, p: &Placement) -> Priority {
         queue_rank(self.spec.priority, p.promoted).0
     }
 
-    /// Tasks neither done nor placed.
+    /// Number of tasks to be placed: neither done nor placed. Zero if the job is blocked or has ended.
     pub fn unplaced(&self) -> u32 {
         if !self.live() || self.blocked {
             return 0;
@@ -292,12 +296,13 @@
         self.spec.tasks - self.done.count() - self.tasks.len() as u32
     }
 
-    /// Whether it is taken to fail on all machines: submitted with a mistake, most likely.
+    /// Whether the job is assumed to fail on every machine, most likely because of a mistake in its submission.
     pub fn failing(&self) -> bool {
         self.consecutive_errors >= FAILING_AFTER_ERRORS
     }
 
-    /// How many more of its tasks may be placed. Of a failing job few are tried; a gang is one try as a whole.
+    /// How many more of its tasks may be placed. Only a few tasks of a failing job are tried at a time; a gang is a
+    /// single attempt as a whole and has no such limit.
     pub fn concurrent_attempts(&self) -> u32 {
         match self.spec.kind {
             JobKind::Gang => u32::MAX,
@@ -306,34 +311,35 @@
         }
     }
 
-    /// The next `n` task numbers to start, lowest first, so that the done set stays compact. Of a failing job others
-    /// are tried each time: only its first ones may be bad.
+    /// The next `n` task numbers to start, lowest first, so that the set of done tasks stays compact. Of a failing job
+    /// other tasks are tried each time, since it may be that only the first ones fail.
     pub fn next_tasks(&self, n: u32) -> Vec<u32> {
-        let open = || {
+        let candidates = || {
             (self.done.prefix()..self.spec.tasks)
                 .filter(|i| !self.tasks.contains_key(i) && !self.done.contains(*i))
         };
-        let tried_before = if self.failing() && self.gang.is_none() {
+        let skipped = if self.failing() && self.gang.is_none() {
             self.consecutive_errors % self.unplaced().max(1)
         } else {
             0
         };
-        open()
-            .skip(tried_before as usize)
-            .chain(open().take(tried_before as usize))
+        candidates()
+            .skip(skipped as usize)
+            .chain(candidates().take(skipped as usize))
             .take(n as usize)
             .collect()
     }
 
-    /// An attempt number that was never used before.
+    /// Returns an attempt number that was never used before.
     pub fn take_attempt(&mut self) -> u64 {
-        let a = self.next_attempt;
+        let attempt = self.next_attempt;
         self.next_attempt += 1;
-        a
+        attempt
     }
 
     /// How many more tasks may be placed before the record could outgrow what the store accepts. Placed tasks are
-    /// counted as they are written, a run on a machine at a time; tasks to come as if each had a machine of its own.
+    /// counted as they are written, in runs on a machine. Tasks still to be placed are counted as if each had a machine
+    /// of its own.
     pub fn record_headroom(&self, layout: &Layout) -> u32 {
         let run_bytes = self.run_bytes();
         let fixed_bytes = RECORD_FIXED_BYTES + self.spec.team.len();
@@ -341,19 +347,19 @@
         if let Some(gang) = &self.gang {
             used += gang.attempts.iter().filter(|a| **a > 0).count() * run_bytes;
         }
-        let mut longest_name = MACHINE_NAME_BYTES;
+        let mut longest_name = MIN_MACHINE_NAME_BYTES;
         let mut run_end: Option<(&MachineId, u32, u64)> = None;
         for (index, p) in &self.tasks {
             let name = p.machine.as_str().len();
             if run_end != Some((&p.machine, *index, p.attempt)) {
-                used += run_bytes + name + MACHINE_ENTRY_BYTES;
+                used += run_bytes + name + MACHINE_PUNCTUATION_BYTES;
             }
             longest_name = longest_name.max(name);
             run_end = Some((&p.machine, *index + 1, p.attempt));
         }
-        // Each member that is placed comes to have used an attempt.
+        // Each placed gang member also adds an entry to the used attempts.
         let attempt_bytes = if self.gang.is_some() { run_bytes } else { 0 };
-        let task_bytes = run_bytes + longest_name + MACHINE_ENTRY_BYTES + attempt_bytes;
+        let task_bytes = run_bytes + longest_name + MACHINE_PUNCTUATION_BYTES + attempt_bytes;
         let capacity = layout
             .value_bytes
             .saturating_sub(fixed_bytes)
@@ -361,7 +367,7 @@
         (capacity.saturating_sub(used) / task_bytes) as u32
     }
 
-    /// Most bytes that a run of tasks takes in the record.
+    /// Maximum number of bytes that a run of tasks takes in the record.
     fn run_bytes(&self) -> usize {
         let digits = |n: u64| n.checked_ilog10().unwrap_or(0) as usize + 1;
         RUN_PUNCTUATION_BYTES
@@ -369,7 +375,7 @@
             + digits(self.next_attempt + 1)
     }
 
-    /// Tasks that run and are not being stopped.
+    /// Number of tasks that are running and not being stopped.
     pub fn running(&self) -> u32 {
         self.tasks
             .values()
@@ -377,7 +383,7 @@
             .count() as u32
     }
 
-    /// Zones that its tasks take up, with how many.
+    /// Number of its tasks in each zone.
     pub fn zones<'a>(
         &self,
         zone_of: impl Fn(&MachineId) -> Option<&'a str>,
@@ -391,7 +397,7 @@
         zones.into_iter().map(|(z, n)| (z.to_owned(), n)).collect()
     }
 
-    /// What is to be stored of it.
+    /// The record to be stored.
     pub fn to_record(&self) -> WorkRecord {
         let mut placed: BTreeMap<MachineId, Runs> = BTreeMap::new();
         for (i, p) in &self.tasks {
@@ -422,7 +428,7 @@
         }
     }
 
-    /// Takes over what the former holder recorded. Everything placed may be on its machine.
+    /// Takes over what a former holder recorded. Every task with a recorded placement may be on its machine.
     pub fn adopt(&mut self, record: WorkRecord, version: u64, parts_end: u32, now: Micros) {
         self.record = RecordState {
             version: Some(version),
