--- a/crates/seamfront-core/src/jobs/cascade.rs
+++ b/crates/seamfront-core/src/jobs/cascade.rs
@@ -1,4 +1,4 @@
-//! Cancellation of jobs with a cancelled dependency.
+//! Cancellation of live jobs with a cancelled dependency.
 
 use super::dependency_graph::RetryState;
 use super::resolution::RETRY_INTERVAL;
@@ -8,28 +8,30 @@
 use crate::types::{JobId, Micros};
 use tracing::info;
 
-/// The holder of the shard cancels at once; other controllers do so after this time, in case nobody has.
-const OTHERS_CANCEL_AFTER: Micros = Micros::from_secs(3);
-/// Most jobs cancelled in one transaction.
+/// The holder of a job's shard cancels it at once. Other controllers do so after this delay, in case the holder has
+/// not.
+const NON_HOLDER_DELAY: Micros = Micros::from_secs(3);
+/// Maximum number of jobs cancelled in one transaction.
 const MAX_CANCELLATIONS_PER_BATCH: usize = 16;
 
-/// A job that is to be cancelled because a dependency is.
+/// A cancellation to be made of a job with a cancelled dependency.
 #[derive(Debug)]
 pub(super) struct CascadeCancellation {
     /// The cancelled dependency.
     dependency: JobId,
     request: RetryState,
-    /// It made a transaction with others fail, and is tried by itself.
-    alone: bool,
+    /// Whether the job gets a transaction of its own: one that it shared with other jobs has failed with a conflict.
+    unbatched: bool,
 }
 
 impl JobRegistry {
+    /// Schedules the cancellation of a live job, unless it is scheduled already.
     pub(super) fn schedule_cascade(&mut self, context: JobContext, id: &JobId, dependency: &JobId) {
         let Some(job) = self.live.get(id) else { return };
         let delay = if context.shards.held_here(job.shard) {
             Micros::ZERO
         } else {
-            OTHERS_CANCEL_AFTER
+            NON_HOLDER_DELAY
         };
         let cascade = CascadeCancellation {
             dependency: dependency.clone(),
@@ -37,19 +39,20 @@
                 in_flight: false,
                 retry_at: context.now + delay,
             },
-            alone: false,
+            unbatched: false,
         };
         self.graph.cascades.entry(id.clone()).or_insert(cascade);
     }
 
-    /// Cancels the jobs whose turn it is, several in a transaction.
+    /// Sends the cancellations that are due, several in a transaction.
     pub(super) fn cancel_dependents(
         &mut self,
         context: JobContext,
         outbox: &mut Outbox<DependencyRequest>,
     ) {
+        // The end of a job takes two writes.
         let batch_size = (context.settings.txn_ops / 2).clamp(1, MAX_CANCELLATIONS_PER_BATCH);
-        let mut together = Vec::new();
+        let mut batched = Vec::new();
         let mut batches: Vec<Vec<JobId>> = Vec::new();
         let due = self
             .graph
@@ -58,13 +61,13 @@
             .filter(|(_, cascade)| cascade.request.due(context.now));
         for (id, cascade) in due.take(batch_size * 2) {
             cascade.request.in_flight = true;
-            if cascade.alone {
+            if cascade.unbatched {
                 batches.push(vec![id.clone()]);
             } else {
-                together.push(id.clone());
+                batched.push(id.clone());
             }
         }
-        batches.extend(together.chunks(batch_size).map(<[JobId]>::to_vec));
+        batches.extend(batched.chunks(batch_size).map(<[JobId]>::to_vec));
         for ids in batches {
             self.send_cancellations(ids, outbox);
         }
@@ -107,8 +110,9 @@
                 };
                 self.end_confirmed(context, id, end);
             } else if let Some(cascade) = self.graph.cascades.get_mut(id) {
-                // One that has ended meanwhile must not keep the others from it; the view will show it.
-                cascade.alone |= matches!(reply, StoreReply::Conflict { .. });
+                // A job that has ended in the meantime makes the whole transaction fail, so each job is retried in a
+                // transaction of its own. The view will show the end of that job.
+                cascade.unbatched |= matches!(reply, StoreReply::Conflict { .. });
                 cascade.request.retry(context.now + RETRY_INTERVAL);
             }
         }
--- a/crates/seamfront-core/src/jobs/dependency_graph.rs
+++ b/crates/seamfront-core/src/jobs/dependency_graph.rs
@@ -6,7 +6,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 use tracing::{debug, info};
 
-/// When a request to the store is made again.
+/// State of a request to the store that is repeated until it succeeds.
 #[derive(Debug, Default)]
 pub(super) struct RetryState {
     pub(super) in_flight: bool,
@@ -24,21 +24,21 @@
     }
 }
 
-/// Edges between live jobs and their dependencies, and what is still to be done about them.
+/// Edges from dependencies to the live jobs that are blocked on them, and what is still to be read or cancelled.
 #[derive(Debug, Default)]
 pub(super) struct DependencyGraph {
-    /// By dependency: the live jobs that are blocked on it.
+    /// For each dependency, the live jobs that are blocked on it.
     pub(super) dependents: BTreeMap<JobId, BTreeSet<JobId>>,
-    /// Dependencies that are not live in the view: their ends are read from the store.
+    /// Dependencies that are not live in the view; how they ended is read from the store.
     pub(super) unresolved: BTreeMap<JobId, RetryState>,
-    /// Live jobs with a cancelled dependency.
+    /// Live jobs to be cancelled because a dependency is cancelled.
     pub(super) cascades: BTreeMap<JobId, CascadeCancellation>,
-    /// Live jobs whose dependency lists are to be read on.
-    pub(super) unread: BTreeMap<JobId, RetryState>,
+    /// Live jobs whose dependency lists have not been read completely.
+    pub(super) incomplete_lists: BTreeMap<JobId, RetryState>,
 }
 
 impl JobRegistry {
-    /// Enters a job that has just become live into the graph. Whether it has dependencies.
+    /// Adds a job that has just become live to the graph. Returns whether it has dependencies.
     pub(super) fn register_dependencies(&mut self, context: JobContext, id: &JobId) -> bool {
         let Some(job) = self.live.get_mut(id) else {
             return false;
@@ -49,8 +49,10 @@
             return false;
         }
         if in_parts {
-            job.dependencies.unread = true;
-            self.graph.unread.insert(id.clone(), RetryState::default());
+            job.dependencies.list_incomplete = true;
+            self.graph
+                .incomplete_lists
+                .insert(id.clone(), RetryState::default());
         }
         debug!(job = %id, ?dependencies, "blocked on dependencies");
         self.add_dependencies(context, id, dependencies);
@@ -63,6 +65,8 @@
         true
     }
 
+    /// Adds dependencies of a live job to the graph, except those known to be done. For one known to be cancelled,
+    /// schedules the cancellation of the job.
     pub(super) fn add_dependencies(
         &mut self,
         context: JobContext,
@@ -92,7 +96,8 @@
         }
     }
 
-    /// The job is live no more: its dependencies matter no longer for its sake, and its dependents need its end.
+    /// Removes a job that is no longer live. If other jobs depend on it, its end is applied to them, or read from the
+    /// store if it is not known.
     pub(super) fn remove_from_graph(&mut self, context: JobContext, id: &JobId, job: &LiveJob) {
         for dependency in &job.dependencies.pending {
             if let Some(dependents) = self.graph.dependents.get_mut(dependency) {
@@ -104,7 +109,7 @@
             }
         }
         self.graph.cascades.remove(id);
-        self.graph.unread.remove(id);
+        self.graph.incomplete_lists.remove(id);
         if self.graph.dependents.contains_key(id) {
             match self.ended.get(id) {
                 Some(end) => self.dependency_ended(context, id, end),
@@ -115,7 +120,7 @@
         }
     }
 
-    /// The store holds this end of a job that others depend on.
+    /// Applies a stored end to the jobs that depend on the ended one: unblocks them, or schedules their cancellation.
     pub(super) fn dependency_ended(
         &mut self,
         context: JobContext,
@@ -134,7 +139,7 @@
         }
     }
 
-    /// If no dependency is pending any more, the job may start.
+    /// Lets a job start if none of its dependencies is pending any more.
     pub(super) fn unblock_if_ready(&mut self, context: JobContext, id: &JobId) {
         let unblocked = |job: &&mut LiveJob| !job.dependencies.blocked();
         let Some(job) = self.live.get_mut(id).filter(unblocked) else {
@@ -147,12 +152,17 @@
         self.push_update(id);
     }
 
-    /// Whether all dependencies, direct and indirect, are live in the view or known to be done.
+    /// Whether it is certain that no dependency is cancelled: all of them, direct and indirect, are live in the view or
+    /// known to be done.
     pub(crate) fn no_dependency_cancelled(&self, id: &JobId) -> bool {
         let mut seen = BTreeSet::new();
         let mut to_visit = vec![id.clone()];
         while let Some(id) = to_visit.pop() {
-            let Some(job) = self.live.get(&id).filter(|job| !job.dependencies.unread) else {
+            let Some(job) = self
+                .live
+                .get(&id)
+                .filter(|job| !job.dependencies.list_incomplete)
+            else {
                 return false;
             };
             if self.graph.cascades.contains_key(&id) {
--- a/crates/seamfront-core/src/jobs/ended.rs
+++ b/crates/seamfront-core/src/jobs/ended.rs
@@ -1,33 +1,34 @@
-//! How jobs ended, as far as that is remembered.
+//! Cache of how jobs ended.
 
 use super::EndRecord;
 use crate::types::JobId;
 use std::collections::{BTreeMap, VecDeque};
 
-const MAX_REMEMBERED_ENDS: usize = 50_000;
+/// Number of ends beyond which the oldest are evicted.
+const MAX_CACHED_ENDS: usize = 50_000;
 
-/// Remembers ended jobs; the oldest are forgotten here and then read from the store again.
+/// Cached ends of jobs. An end that was evicted is read from the store again when it is needed.
 #[derive(Default)]
 pub(super) struct EndedJobs {
     ends: BTreeMap<JobId, EndRecord>,
-    /// In the order in which they were first remembered.
-    oldest_first: VecDeque<JobId>,
+    /// Ids of the cached jobs in the order in which they were added.
+    insertion_order: VecDeque<JobId>,
 }
 
 impl EndedJobs {
-    /// How a job ended, if that is remembered.
+    /// How a job ended, if its end is cached.
     pub(super) fn get(&self, id: &JobId) -> Option<EndRecord> {
         self.ends.get(id).copied()
     }
 
-    /// Remembers an end, for good as far as there is room.
+    /// Caches an end, and evicts the oldest one if there are too many.
     pub(super) fn insert(&mut self, id: &JobId, end: EndRecord) {
         if self.ends.insert(id.clone(), end).is_some() {
             return;
         }
-        self.oldest_first.push_back(id.clone());
-        if self.oldest_first.len() > MAX_REMEMBERED_ENDS {
-            if let Some(oldest) = self.oldest_first.pop_front() {
+        self.insertion_order.push_back(id.clone());
+        if self.insertion_order.len() > MAX_CACHED_ENDS {
+            if let Some(oldest) = self.insertion_order.pop_front() {
                 self.ends.remove(&oldest);
             }
         }
--- a/crates/seamfront-core/src/jobs/live.rs
+++ b/crates/seamfront-core/src/jobs/live.rs
@@ -1,4 +1,4 @@
-//! A live job and its place among its dependencies and dependents.
+//! A live job, the state of its dependencies, and what its dependents require of it.
 
 use crate::types::{JobId, JobSpec, Micros, Priority};
 use std::collections::BTreeSet;
@@ -9,40 +9,40 @@
 pub(crate) struct LiveJob {
     /// The job as it was accepted.
     pub(crate) spec: Rc<JobSpec>,
-    /// Version of `job/<id>`, which is written once only.
+    /// Version of its record `job/<id>`, which is written only once.
     pub(crate) version: u64,
     /// The shard of its team.
     pub(crate) shard: usize,
-    /// Its place in the dependency graph.
+    /// Its state in the dependency graph.
     pub(crate) dependencies: JobDependencies,
 }
 
-/// A live job's place in the dependency graph.
+/// State of a live job in the dependency graph.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct JobDependencies {
     /// Dependencies that are not known to be done.
     pub(super) pending: BTreeSet<JobId>,
-    /// The rest of the list is still to be read.
-    pub(super) unread: bool,
-    /// Time of day when the last dependency was known to be done.
+    /// Whether a part of its dependency list is still to be read.
+    pub(super) list_incomplete: bool,
+    /// Wall-clock time at which the last dependency became known to be done.
     pub(super) unblocked_at: Option<Micros>,
-    /// What its dependents need of it.
+    /// Priority and due time required by its dependents, if it has any.
     pub(super) urgency: Option<Urgency>,
 }
 
-/// How urgent a job is for the sake of its dependents.
+/// Priority and due time that a job inherits from its dependents.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) struct Urgency {
-    /// The most important priority among them, and its own.
+    /// The highest of their priorities and its own.
     pub(super) priority: Priority,
-    /// Time of day by which it should be done.
+    /// Wall-clock time by which it should be done, if any of them has a deadline.
     pub(super) due: Option<Micros>,
 }
 
 impl JobDependencies {
     /// Whether any dependency is not known to be done.
     pub(crate) fn blocked(&self) -> bool {
-        self.unread || !self.pending.is_empty()
+        self.list_incomplete || !self.pending.is_empty()
     }
 }
 
@@ -56,14 +56,15 @@
         }
     }
 
-    /// By what time of day it should be done, for its own sake and that of its dependents.
+    /// Wall-clock time by which it should be done: the earlier of its own deadline and the due time that its dependents
+    /// require.
     pub(super) fn due(&self) -> Option<Micros> {
         let own = self.spec.deadline.map(|d| self.spec.submitted + d);
         let of_dependents = self.dependencies.urgency.and_then(|urgency| urgency.due);
         own.into_iter().chain(of_dependents).min()
     }
 
-    /// The more important of its own priority and those of its dependents.
+    /// The highest of its own priority and those of its dependents.
     pub(super) fn priority(&self) -> Priority {
         let own = self.spec.priority;
         self.dependencies
@@ -71,8 +72,8 @@
             .map_or(own, |urgency| urgency.priority.min(own))
     }
 
-    /// What it is scheduled by as things stand. Its deadline counts from its submission, its other times from when
-    /// the last dependency was done.
+    /// The spec by which it is scheduled now, with the priority and deadline that its dependents require. The deadline
+    /// still counts from the submission; all other times count from when the last dependency was done.
     pub(crate) fn effective_spec(&self) -> Rc<JobSpec> {
         let own = &self.spec;
         let submitted = self.dependencies.unblocked_at.unwrap_or(own.submitted);
--- a/crates/seamfront-core/src/jobs/mod.rs
+++ b/crates/seamfront-core/src/jobs/mod.rs
@@ -1,12 +1,13 @@
-//! The jobs that this controller knows: the live ones as the view of `job/` shows them, how others ended, and which
-//! live jobs are blocked on dependencies.
+//! Registry of the jobs that this controller knows: the live ones as shown by the view of `job/`, how others ended, and
+//! which live jobs are blocked on dependencies.
 //!
-//! What a job depends on stands in its record, and how its dependencies ended in theirs: whatever becomes of a
-//! controller, any other finds all of it there. The dependency graph follows from the view, in which a dependency is
-//! seen before its dependents.
+//! A job's record lists its dependencies, and the records of their ends say how they ended. So if a controller fails,
+//! any other finds everything in the store. The dependency graph is derived from the view, in which a dependency always
+//! appears before its dependents.
 //!
-//! A job starts only once the store has confirmed of each of its dependencies that it is done. A job with a cancelled
-//! dependency is cancelled in turn, link by link: the end of the first is durable, and the rest follows from it.
+//! A job starts only after the store has confirmed that each of its dependencies is done. A job with a cancelled
+//! dependency is cancelled too, one level of the graph after the other: the end of the first job is durable, and all
+//! other cancellations follow from it.
 
 mod cascade;
 mod dependency_graph;
@@ -18,7 +19,7 @@
 
 pub(crate) use live::LiveJob;
 pub(crate) use records::{
-    dependency_part_key, end_conditions, end_writes, names_dependencies, JobRecordKind,
+    dependency_part_key, end_conditions, end_writes, has_dependencies, JobRecordKind,
 };
 pub use records::{end_key, job_key, EndRecord};
 
@@ -30,17 +31,17 @@
 use std::collections::BTreeMap;
 use std::rc::Rc;
 
-/// What the registry and the users' API need to know of shards.
+/// What the registry and the user API need to know about shards.
 pub(crate) trait ShardDirectory {
     /// Whether this controller holds the shard.
     fn held_here(&self, shard: usize) -> bool;
-    /// Progress of a job as the shard, held here, knows it.
+    /// Progress of a job, if its shard is held here and knows the job.
     fn progress(&self, shard: usize, job: &JobId) -> Option<Progress>;
-    /// The other member that holds the shard, as far as is known.
+    /// The other member that holds the shard, if it is known.
     fn peer_holder(&self, shard: usize) -> Option<usize>;
 }
 
-/// What the registry sees of the rest of the controller in a call.
+/// What the registry can access of the rest of the controller during a call.
 #[derive(Clone, Copy)]
 pub(crate) struct JobContext<'a> {
     pub(crate) settings: &'a Settings,
@@ -49,9 +50,9 @@
     pub(crate) shards: &'a dyn ShardDirectory,
 }
 
-/// What a job's shard must know, where this controller holds it.
+/// A change to a job that its shard must be told of, if this controller holds the shard.
 pub(crate) enum JobEvent {
-    /// The job is live.
+    /// The job has become live.
     Appeared {
         shard: usize,
         spec: Rc<JobSpec>,
@@ -68,22 +69,22 @@
     Ended { shard: usize, id: JobId },
 }
 
-/// The reading of a long dependency list, page by page.
+/// A read in progress, page by page, of a dependency list that is stored in parts.
 pub(crate) struct DependencyListRead {
     id: JobId,
-    /// Version of the job's record when the reading began.
+    /// Version of the job's record when the read began.
     version: u64,
     /// The parts read so far.
     entries: Vec<Entry>,
 }
 
-/// An outstanding request on behalf of dependencies between live jobs.
+/// An outstanding request to the store that concerns the dependencies of live jobs.
 pub(crate) enum DependencyRequest {
-    /// The rest of a job's dependency list.
-    PartsRead(DependencyListRead),
-    /// How a dependency ended.
-    End { id: JobId },
-    /// Cancellation of jobs with a cancelled dependency.
+    /// Reads the remaining parts of a job's dependency list.
+    ReadParts(DependencyListRead),
+    /// Reads how a dependency ended.
+    ReadEnd { id: JobId },
+    /// Cancels jobs with a cancelled dependency.
     CascadeCancel { ids: Vec<JobId> },
 }
 
@@ -92,14 +93,14 @@
 pub(crate) struct JobRegistry {
     live: BTreeMap<JobId, LiveJob>,
     ended: EndedJobs,
-    /// Progress of live jobs as the holders of their shards have reported it.
+    /// Progress of live jobs, as reported by the holders of their shards.
     reported_progress: BTreeMap<JobId, Progress>,
     graph: DependencyGraph,
     events: Vec<JobEvent>,
 }
 
 impl JobRegistry {
-    /// A live job.
+    /// The job, if it is live.
     pub(crate) fn get(&self, id: &JobId) -> Option<&LiveJob> {
         self.live.get(id)
     }
@@ -119,17 +120,17 @@
         self.live.iter()
     }
 
-    /// How a job ended, if that is remembered.
+    /// How a job ended, if its end is cached.
     pub(crate) fn end_of(&self, id: &JobId) -> Option<EndRecord> {
         self.ended.get(id)
     }
 
-    /// Progress of a live job as the holder of its shard has reported it; zero where it has not.
+    /// Progress of a live job, as reported by the holder of its shard; zero if none was reported.
     pub(crate) fn reported_progress(&self, id: &JobId) -> Progress {
         self.reported_progress.get(id).copied().unwrap_or_default()
     }
 
-    /// Takes in what the holder of a shard has reported of a job.
+    /// Stores the progress that the holder of a shard has reported for a job.
     pub(crate) fn progress_reported(&mut self, reported: JobProgress) {
         if self.live.contains_key(&reported.id) {
             self.reported_progress
@@ -137,18 +138,18 @@
         }
     }
 
-    /// What the shards held here must know since the last call, in order.
+    /// Returns the events since the last call, in order.
     pub(crate) fn take_events(&mut self) -> Vec<JobEvent> {
         std::mem::take(&mut self.events)
     }
 
-    /// The store has shown the job live at this version.
+    /// Adds a job that the store has shown to be live at this version.
     pub(crate) fn appeared(&mut self, context: JobContext, spec: Rc<JobSpec>, version: u64) {
         let Some(shard) = context.settings.shard_of(&spec.team) else {
             return;
         };
         let id = spec.id.clone();
-        // An end is for ever: a view that is behind may still show the job.
+        // An end is final, but a view that lags behind may still show the job.
         if self.ended.get(&id).is_some() || self.live.get(&id).is_some_and(|j| j.version >= version)
         {
             return;
@@ -167,7 +168,7 @@
         self.propagate_urgency(&id);
     }
 
-    /// The job's record is gone from the store, or its end is known.
+    /// Removes a job whose record is gone from the store, or whose end is known.
     pub(crate) fn vanished(&mut self, context: JobContext, id: &JobId) {
         if let Some(job) = self.remove_live(context, id) {
             let (shard, id) = (job.shard, id.clone());
@@ -175,16 +176,16 @@
         }
     }
 
-    /// The store holds this end. Whatever the view still shows, nothing of the job is started from now on: users who
-    /// get the end as their answer may rely on it.
+    /// Records an end that the store has confirmed. From now on no task of the job is started, whatever the view still
+    /// shows: users who are told of the end may rely on it.
     pub(crate) fn end_confirmed(&mut self, context: JobContext, id: &JobId, end: EndRecord) {
         self.ended.insert(id, end);
         self.vanished(context, id);
     }
 
-    /// The job's shard, held here, has recorded that all of its tasks are done; the shard itself needs no event.
+    /// Records that all tasks of a job are done. The job's shard, held here, has stored this itself and needs no event.
     pub(crate) fn completed(&mut self, context: JobContext, id: &JobId, tasks: u32) {
-        self.remember_end(
+        self.cache_end(
             id,
             EndRecord {
                 cancelled: false,
@@ -194,8 +195,8 @@
         self.remove_live(context, id);
     }
 
-    /// Remembers the end of a job that was never live here.
-    pub(crate) fn remember_end(&mut self, id: &JobId, end: EndRecord) {
+    /// Caches an end without removing a live job, for jobs that were never live here.
+    pub(crate) fn cache_end(&mut self, id: &JobId, end: EndRecord) {
         self.ended.insert(id, end);
     }
 
@@ -223,7 +224,7 @@
         self.cancel_dependents(context, outbox);
     }
 
-    /// Takes in a reply of the store.
+    /// Handles a reply of the store.
     pub(crate) fn reply(
         &mut self,
         context: JobContext,
@@ -232,8 +233,8 @@
         outbox: &mut Outbox<DependencyRequest>,
     ) {
         match request {
-            DependencyRequest::PartsRead(read) => self.parts_reply(context, read, reply, outbox),
-            DependencyRequest::End { id } => self.unresolved_end_reply(context, &id, reply),
+            DependencyRequest::ReadParts(read) => self.parts_reply(context, read, reply, outbox),
+            DependencyRequest::ReadEnd { id } => self.unresolved_end_reply(context, &id, reply),
             DependencyRequest::CascadeCancel { ids } => self.cascade_reply(context, &ids, &reply),
         }
     }
--- a/crates/seamfront-core/src/jobs/resolution.rs
+++ b/crates/seamfront-core/src/jobs/resolution.rs
@@ -1,4 +1,5 @@
-//! Reading from the store what the graph lacks: ends of dependencies that are not live, and long dependency lists.
+//! Reads from the store what the dependency graph lacks: how dependencies that are not live ended, and the remaining
+//! parts of long dependency lists.
 
 use super::dependency_graph::RetryState;
 use super::records::dependency_parts_prefix;
@@ -8,11 +9,11 @@
 use crate::types::{JobId, Micros};
 use tracing::warn;
 
-/// Reads of ends in flight at once, so that many dependencies leave the store room for everything else.
+/// Maximum number of reads of ends in flight, so that many dependencies leave store capacity for other requests.
 const MAX_END_READS_IN_FLIGHT: usize = 8;
-/// Dependency lists whose reading is begun in one step.
+/// Maximum number of dependency lists whose read is started in one step.
 const MAX_LIST_READS_PER_STEP: usize = 2;
-/// Time from a reply to the next attempt.
+/// Delay between a reply and the next attempt.
 pub(super) const RETRY_INTERVAL: Micros = Micros::from_millis(400);
 
 impl JobRegistry {
@@ -33,7 +34,7 @@
             };
             outbox.store(
                 StoreRequest::Get { key: end_key(id) },
-                DependencyRequest::End { id: id.clone() },
+                DependencyRequest::ReadEnd { id: id.clone() },
             );
         }
     }
@@ -54,9 +55,11 @@
                     self.ended.insert(id, end);
                     self.dependency_ended(context, id, end);
                 }
-                Err(e) => warn!(job = %id, %e, "unreadable end record"),
+                Err(e) => {
+                    warn!(job = %id, %e, "can't parse the end record of a dependency; it is read again");
+                }
             },
-            // Accepted a moment ago by another controller: the view will show it.
+            // Another controller accepted the dependency a moment ago, and it is live now: the view will show its end.
             StoreReply::Missing if self.live.contains_key(id) => {
                 self.graph.unresolved.remove(id);
             }
@@ -71,7 +74,7 @@
     ) {
         let due = self
             .graph
-            .unread
+            .incomplete_lists
             .iter_mut()
             .filter(|(_, read)| read.due(context.now));
         for (id, read) in due.take(MAX_LIST_READS_PER_STEP) {
@@ -86,12 +89,12 @@
                 prefix: dependency_parts_prefix(id),
                 after: None,
             };
-            let pending = DependencyListRead {
+            let list = DependencyListRead {
                 id: id.clone(),
                 version: job.version,
                 entries: Vec::new(),
             };
-            outbox.store(request, DependencyRequest::PartsRead(pending));
+            outbox.store(request, DependencyRequest::ReadParts(list));
         }
     }
 
@@ -102,7 +105,7 @@
         reply: StoreReply,
         outbox: &mut Outbox<DependencyRequest>,
     ) {
-        let Some(read) = self.graph.unread.get_mut(&list.id) else {
+        let Some(read) = self.graph.incomplete_lists.get_mut(&list.id) else {
             return;
         };
         let live = self.live.get(&list.id);
@@ -120,13 +123,13 @@
                 prefix: dependency_parts_prefix(&list.id),
                 after: list.entries.last().map(|entry| entry.key.clone()),
             };
-            return outbox.store(request, DependencyRequest::PartsRead(list));
+            return outbox.store(request, DependencyRequest::ReadParts(list));
         }
-        self.dependency_list_read(context, &list.id, list.entries);
+        self.apply_dependency_list(context, &list.id, list.entries);
     }
 
-    /// All parts that the store has are read.
-    fn dependency_list_read(&mut self, context: JobContext, id: &JobId, entries: Vec<Entry>) {
+    /// Adds the dependencies from the parts that the store has. If not all parts are there, the list is read again.
+    fn apply_dependency_list(&mut self, context: JobContext, id: &JobId, entries: Vec<Entry>) {
         let Some(job) = self.live.get_mut(id) else {
             return;
         };
@@ -134,11 +137,13 @@
             .into_iter()
             .filter_map(|entry| serde_json::from_value(entry.value).ok())
             .collect();
-        if lists.len() < job.spec.dependency_parts as usize {
-            return warn!(job = %id, "a part of the dependency list can't be read");
+        let expected = job.spec.dependency_parts as usize;
+        if lists.len() < expected {
+            let found = lists.len();
+            return warn!(job = %id, found, expected, "parts of the dependency list are missing or unreadable; it is read again");
         }
-        self.graph.unread.remove(id);
-        job.dependencies.unread = false;
+        self.graph.incomplete_lists.remove(id);
+        job.dependencies.list_incomplete = false;
         self.add_dependencies(context, id, lists.into_iter().flatten().collect());
         self.unblock_if_ready(context, id);
         self.propagate_urgency(id);
--- a/crates/seamfront-core/src/jobs/urgency.rs
+++ b/crates/seamfront-core/src/jobs/urgency.rs
@@ -1,15 +1,16 @@
-//! Priorities and deadlines that jobs pass on to their dependencies.
+//! Priorities and due times that jobs pass on to their dependencies.
 
 use super::live::{LiveJob, Urgency};
 use super::JobRegistry;
 use crate::types::{JobId, Micros};
 
-/// Time that a step which follows another takes besides its own run: to be placed, to fetch, to be reported.
-const STEP_OVERHEAD: Micros = Micros::from_secs(10);
+/// Time that a job takes in addition to its run time once its dependencies are done: for placement, the image fetch,
+/// and the report of its end.
+const JOB_OVERHEAD: Micros = Micros::from_secs(10);
 
 impl JobRegistry {
-    /// Passes on what a blocked job needs of its dependencies, direct and indirect: its priority, and that they are
-    /// done in time for all that follows them.
+    /// Raises the urgency of the dependencies of a blocked job, direct and indirect: to its priority, and to due times
+    /// that leave enough time for all jobs that follow.
     pub(super) fn propagate_urgency(&mut self, id: &JobId) {
         let mut to_visit = vec![id.clone()];
         while let Some(id) = to_visit.pop() {
@@ -17,12 +18,12 @@
             let Some(job) = self.live.get(&id).filter(blocked) else {
                 continue;
             };
-            let needed = Urgency {
+            let required = Urgency {
                 priority: job.priority(),
-                due: job.due().map(|due| due - job.spec.estimate - STEP_OVERHEAD),
+                due: job.due().map(|due| due - job.spec.estimate - JOB_OVERHEAD),
             };
             for dependency in job.dependencies.pending.clone() {
-                if self.raise_urgency(&dependency, needed) {
+                if self.raise_urgency(&dependency, required) {
                     self.push_update(&dependency);
                     to_visit.push(dependency);
                 }
@@ -30,8 +31,8 @@
         }
     }
 
-    /// Whether that changed anything.
-    fn raise_urgency(&mut self, id: &JobId, needed: Urgency) -> bool {
+    /// Returns whether the urgency of the job changed.
+    fn raise_urgency(&mut self, id: &JobId, required: Urgency) -> bool {
         let Some(job) = self.live.get_mut(id) else {
             return false;
         };
@@ -41,8 +42,8 @@
             due: None,
         });
         let after = Some(Urgency {
-            priority: current.priority.min(needed.priority),
-            due: current.due.into_iter().chain(needed.due).min(),
+            priority: current.priority.min(required.priority),
+            due: current.due.into_iter().chain(required.due).min(),
         });
         job.dependencies.urgency = after;
         after != before
--- a/crates/seamfront-core/src/user_api/cancellation.rs
+++ b/crates/seamfront-core/src/user_api/cancellation.rs
@@ -1,4 +1,4 @@
-//! Cancellations by users.
+//! Cancellation of jobs by users.
 
 use super::{EndRecord, LookupPurpose, UserApi, UserContext, UserRequest};
 use crate::jobs::{end_conditions, end_writes};
@@ -7,7 +7,7 @@
 use tracing::info;
 
 impl UserApi {
-    /// A user cancels a job.
+    /// Handles a user's request to cancel a job.
     pub(crate) fn cancel(
         &mut self,
         context: &mut UserContext,
@@ -23,13 +23,14 @@
         match context.jobs.get(&id) {
             Some(job) => {
                 let (version, tasks) = (job.version, job.spec.tasks);
-                self.cancel_known(context, request, id, version, tasks);
+                self.cancel_at_version(context, request, id, version, tasks);
             }
             None => self.look_up(context, request, id, LookupPurpose::Cancel),
         }
     }
 
-    pub(super) fn cancel_known(
+    /// Cancels a job whose record has this version.
+    pub(super) fn cancel_at_version(
         &mut self,
         context: &mut UserContext,
         request: ClientRequestId,
@@ -73,7 +74,7 @@
     }
 }
 
-/// Sends the end to the holder of the job's shard, where that is another controller.
+/// Notifies the holder of the job's shard of the cancellation, if that is another controller.
 fn notify_holder(context: &mut UserContext, id: &JobId, end: EndRecord) {
     let Some(job) = context.jobs.get(id) else {
         return;
--- a/crates/seamfront-core/src/user_api/dependency_check.rs
+++ b/crates/seamfront-core/src/user_api/dependency_check.rs
@@ -1,4 +1,4 @@
-//! Submissions with dependencies: each must have been accepted, and long lists are stored in parts.
+//! Submissions with dependencies: checks that each dependency was accepted, and stores long dependency lists in parts.
 
 use super::{
     end_key, job_key, EndRecord, LookupPurpose, Submission, UserApi, UserContext, UserRequest,
@@ -9,33 +9,34 @@
 use std::rc::Rc;
 use tracing::info;
 
-/// Most parts of a dependency list written in one transaction.
+/// Maximum number of parts of a dependency list that are written in one transaction.
 const MAX_PARTS_PER_TRANSACTION: usize = 20;
-/// Bytes that a record takes besides its fields, by a safe estimate.
+/// Bytes that a job's record takes besides its fields, estimated on the safe side.
 const RECORD_OVERHEAD_BYTES: usize = 40;
 /// The same for a part of a dependency list.
 const PART_OVERHEAD_BYTES: usize = 20;
 /// Bytes that an id takes in a list besides its text: quotes and a comma.
 const ID_OVERHEAD_BYTES: usize = 3;
 
-/// A submission some of whose dependencies are still to be looked up.
+/// A submission whose dependencies are being looked up.
 pub(crate) struct DependencyCheck {
     submission: Submission,
-    /// Dependencies that are not known yet; the last is looked up first.
+    /// Dependencies that have not been found yet; the last one is looked up next.
     unchecked: Vec<JobId>,
 }
 
-/// A submission whose dependency list is written in parts.
+/// A submission whose dependency list is being written in parts.
 pub(crate) struct PartsWrite {
     submission: Submission,
     parts: Vec<Vec<JobId>>,
-    /// The first part that is not written yet.
+    /// Index of the first part that is not written yet.
     next: usize,
 }
 
 impl UserApi {
-    /// A submission may name only jobs that were accepted. Those that neither the view nor the remembered ends show
-    /// are read from the store, one after the other; what was found is remembered for the user's next try.
+    /// Checks that all dependencies of a submission were accepted. Those that are neither live in the view nor among
+    /// the cached ends are read from the store one after the other. Ends that are found are cached for the user's next
+    /// try.
     pub(super) fn check_dependencies(&mut self, context: &mut UserContext, submission: Submission) {
         let unchecked = submission.spec.dependencies.clone();
         let check = DependencyCheck {
@@ -56,7 +57,7 @@
             let pending = UserRequest::CheckDependency { check, record };
             return self.send(context, StoreRequest::Get { key }, pending);
         }
-        self.dependencies_known(context, check.submission);
+        self.dependencies_checked(context, check.submission);
     }
 
     pub(super) fn check_dependency_reply(
@@ -96,13 +97,14 @@
             }
             (StoreReply::Missing, JobRecordKind::End) => {
                 let error = SubmissionError::UnknownDependency(id);
-                self.verify_unknown(context, check.submission, error);
+                self.reject_unless_known(context, check.submission, error);
             }
             _ => context.reject_with_retry_after(request),
         }
     }
 
-    fn dependencies_known(&mut self, context: &mut UserContext, submission: Submission) {
+    /// Continues a submission whose dependencies were all accepted. With a cancelled one, the job is cancelled at once.
+    fn dependencies_checked(&mut self, context: &mut UserContext, submission: Submission) {
         let spec = &submission.spec;
         let cancelled = |id: &&JobId| context.jobs.end_of(id).is_some_and(|end| end.cancelled);
         if let Some(dependency) = spec.dependencies.iter().find(cancelled) {
@@ -118,10 +120,10 @@
             };
             return self.write_parts(context, write);
         }
-        self.submit_checked(submission);
+        self.enqueue_submission(submission);
     }
 
-    /// Records the end of a job that never becomes live.
+    /// Records a job with a cancelled dependency as cancelled; it never becomes live.
     fn submit_cancelled(&mut self, context: &mut UserContext, submission: Submission) {
         let spec = &submission.spec;
         let conditions = vec![(job_key(&spec.id), 0), (end_key(&spec.id), 0)];
@@ -145,9 +147,7 @@
         let (request, id) = (submission.request, submission.spec.id.clone());
         match reply {
             StoreReply::Committed { .. } => {
-                context
-                    .jobs
-                    .remember_end(&id, cancelled_end(&submission.spec));
+                context.jobs.cache_end(&id, cancelled_end(&submission.spec));
                 let answer = Answer::Status {
                     created: true,
                     id,
@@ -164,10 +164,11 @@
         }
     }
 
-    /// The parts are there before the job is: a part without its job has no meaning.
+    /// Writes the next parts of the dependency list, and submits the job once all are written. Parts are written before
+    /// the job, since parts without their job have no effect.
     fn write_parts(&mut self, context: &mut UserContext, mut write: PartsWrite) {
         if write.next >= write.parts.len() {
-            return self.submit_checked(write.into_submission());
+            return self.enqueue_submission(write.into_submission());
         }
         let batch = context.base.settings.txn_ops.min(MAX_PARTS_PER_TRANSACTION);
         let until = write.parts.len().min(write.next + batch);
@@ -186,7 +187,7 @@
         self.send(context, transaction, UserRequest::WriteParts { write });
     }
 
-    pub(super) fn parts_written(
+    pub(super) fn write_parts_reply(
         &mut self,
         context: &mut UserContext,
         write: PartsWrite,
@@ -201,7 +202,7 @@
 }
 
 impl PartsWrite {
-    /// The submission with the first part only, and the number of the others.
+    /// The submission with the first part of its list, and with the number of the other parts.
     fn into_submission(self) -> Submission {
         let spec = JobSpec {
             dependencies: self.parts[0].clone(),
@@ -222,23 +223,23 @@
     }
 }
 
-/// The list in parts that fit into values; the first goes into the job's record.
+/// Splits the dependency list into parts that each fit into a value. The first part goes into the job's record.
 fn split_dependencies(settings: &Settings, spec: &JobSpec) -> Vec<Vec<JobId>> {
     let without_list = JobSpec {
         dependencies: Vec::new(),
         ..spec.clone()
     };
     let record = serde_json::to_string(&without_list).map_or(0, |text| text.len());
-    let mut room = settings
+    let mut capacity = settings
         .value_bytes
         .saturating_sub(record + RECORD_OVERHEAD_BYTES);
     let mut used = 0;
     let mut parts = vec![Vec::new()];
     for id in &spec.dependencies {
         let size = id.as_str().len() + ID_OVERHEAD_BYTES;
-        if used + size > room {
+        if used + size > capacity {
             parts.push(Vec::new());
-            room = settings.value_bytes.saturating_sub(PART_OVERHEAD_BYTES);
+            capacity = settings.value_bytes.saturating_sub(PART_OVERHEAD_BYTES);
             used = 0;
         }
         used += size;
--- a/crates/seamfront-core/src/user_api/lookup.rs
+++ b/crates/seamfront-core/src/user_api/lookup.rs
@@ -1,14 +1,14 @@
-//! Reading of jobs from the store that the view does not show, or no longer.
+//! Reads jobs from the store that are not, or no longer, in the view.
 
 use super::{
     end_key, job_key, EndRecord, LookupPurpose, StatusQuery, UserApi, UserContext, UserRequest,
 };
-use crate::jobs::names_dependencies;
+use crate::jobs::has_dependencies;
 use crate::port::{Answer, ClientRequestId, Entry, StoreReply, StoreRequest};
 use crate::types::{JobId, JobSpec};
 
 impl UserApi {
-    /// Reads the job's record; if there is none, that of its end follows.
+    /// Reads the job's record, and the record of its end if there is none.
     pub(super) fn look_up(
         &mut self,
         context: &mut UserContext,
@@ -40,7 +40,7 @@
                 LookupPurpose::Cancel => {
                     let spec = serde_json::from_value::<JobSpec>(entry.value);
                     let tasks = spec.map_or(0, |spec| spec.tasks);
-                    self.cancel_known(context, request, id, entry.version, tasks);
+                    self.cancel_at_version(context, request, id, entry.version, tasks);
                 }
             },
             StoreReply::Missing => {
@@ -63,12 +63,12 @@
             id,
             created: false,
         };
-        if !names_dependencies(&job.value) {
+        if !has_dependencies(&job.value) {
             context.answer_live(&query);
         } else if context.jobs.contains_key(&query.id) {
             self.answer_blocked(context, vec![query], job.version);
         } else {
-            // How its dependencies ended is known once the view shows the job.
+            // The state of its dependencies is not known before the view shows the job.
             context.reject_with_retry_after(request);
         }
     }
@@ -89,7 +89,7 @@
     }
 }
 
-/// Answers by the record of a job's end.
+/// Answers with the end of a job as stored.
 pub(super) fn answer_stored_end(
     context: &mut UserContext,
     request: ClientRequestId,
--- a/crates/seamfront-core/src/user_api/mod.rs
+++ b/crates/seamfront-core/src/user_api/mod.rs
@@ -1,8 +1,8 @@
-//! Users' requests, at any controller: submissions, status queries and cancellations.
+//! Handles users' requests at any controller: submissions, status queries and cancellations.
 //!
-//! No answer is older than one that any controller has given: final states never change and are kept; everything else
-//! is confirmed by the store at the time of the answer. What can't be taken now is rejected at once, with a time after
-//! which to retry.
+//! No answer is older than one that any controller has already given: final states never change and are kept, and
+//! all other states are confirmed by the store at the time of the answer. Requests that can't be handled now are
+//! rejected at once, with a time after which to retry.
 
 mod cancellation;
 mod dependency_check;
@@ -22,101 +22,102 @@
 use std::collections::VecDeque;
 use std::rc::Rc;
 
-/// More users' requests waiting than this are rejected.
+/// Number of waiting requests beyond which further requests of users are rejected.
 const MAX_WAITING_REQUESTS: usize = 2_000;
-/// Status queries leave so many of these places to submissions and cancellations: users repeat queries in any case.
+/// How many of these are reserved for submissions and cancellations: users repeat status queries in any case.
 const RESERVED_FOR_UPDATES: usize = 500;
+/// Time after which users whose requests were rejected should retry.
 const RETRY_AFTER: Micros = Micros::from_secs(1);
 
-/// A job to be created for a user.
+/// A job to be created at a user's request.
 pub(crate) struct Submission {
     request: ClientRequestId,
     spec: Rc<JobSpec>,
 }
 
-/// A user's question about the state of a job.
+/// A user's query for the state of a job.
 #[derive(Clone, Debug)]
 pub(crate) struct StatusQuery {
     request: ClientRequestId,
     id: JobId,
-    /// The job was created for this very request.
+    /// Whether the job was created for this very request.
     created: bool,
 }
 
-/// A status query about a blocked job while it is not known yet how one of its dependencies ended.
+/// A status query about a blocked job while it is unknown whether one of the job's dependencies is cancelled.
 struct UndeterminedQuery {
     query: StatusQuery,
-    /// Until when waiting for that is better than a rejection.
+    /// Time at which the user is told to retry if that is still unknown.
     answer_by: Micros,
 }
 
-/// What a user wants of a job that is looked up.
+/// Why a job is looked up for a user.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum LookupPurpose {
-    /// Its state.
+    /// To answer with its state.
     Status,
-    /// Its cancellation.
+    /// To cancel it.
     Cancel,
 }
 
-/// An outstanding request on behalf of users.
+/// An outstanding request to the store on behalf of users.
 pub(crate) enum UserRequest {
-    /// Creation of jobs.
+    /// Creates jobs.
     Submit { batch: Vec<Submission> },
-    /// Whether a job that can never run is known already, by one of its records.
-    VerifyUnknown {
+    /// Reads one of the records of a job that can never run, to reject it unless it was accepted before.
+    RejectUnlessKnown {
         submission: Submission,
         error: SubmissionError,
         record: JobRecordKind,
     },
-    /// Confirmation that jobs are live.
+    /// Confirms that jobs are live.
     Confirm { queries: Vec<StatusQuery> },
-    /// Reading of a job's record.
+    /// Reads a job's record.
     LookUp {
         request: ClientRequestId,
         id: JobId,
         purpose: LookupPurpose,
     },
-    /// Reading of the record of a job's end.
+    /// Reads the record of a job's end.
     LookUpEnd { request: ClientRequestId, id: JobId },
-    /// Cancellation of a job.
+    /// Cancels a job.
     Cancel {
         request: ClientRequestId,
         id: JobId,
         end: EndRecord,
     },
-    /// Whether a dependency of a submission is known, by one of its records.
+    /// Reads one of the records of a submission's dependency, to check that it was accepted.
     CheckDependency {
         check: DependencyCheck,
         record: JobRecordKind,
     },
-    /// Parts of a submission's long dependency list.
+    /// Writes parts of a submission's long dependency list.
     WriteParts { write: PartsWrite },
-    /// The end of a job that is accepted and cancelled at once.
+    /// Records the end of a job that is accepted and cancelled at once.
     SubmitCancelled { submission: Submission },
-    /// Changes of the view of jobs up to a confirmation's revision.
+    /// Brings the view of jobs up to the revision of a confirmation.
     RefreshView {
         queries: Vec<StatusQuery>,
         revision: u64,
     },
 }
 
-/// How new the view of live jobs is.
+/// How up to date the view of live jobs is.
 #[derive(Clone, Copy)]
 pub(crate) struct JobsView {
     pub(crate) loaded: bool,
-    /// Revision up to which it shows all changes.
+    /// Revision up to which the view shows all changes.
     pub(crate) seen: u64,
 }
 
-/// What the users' API sees of the rest of the controller in a call.
+/// What the user API can access of the rest of the controller during a call.
 pub(crate) struct UserContext<'a> {
     /// Settings, times and shards.
     pub(crate) base: JobContext<'a>,
     pub(crate) jobs: &'a mut JobRegistry,
     pub(crate) jobs_view: JobsView,
     pub(crate) machine_types: &'a [MachineType],
-    /// Whether the store has replied lately.
+    /// Whether the store has replied recently.
     pub(crate) store_available: bool,
     pub(crate) outbox: Outbox<UserRequest>,
 }
@@ -153,13 +154,13 @@
     submissions: VecDeque<Submission>,
     queries: VecDeque<StatusQuery>,
     undetermined: Vec<UndeterminedQuery>,
-    /// Users' requests whose request to the store is in flight.
+    /// Number of users' requests for which a request to the store is in flight.
     in_flight: usize,
-    confirm_next: Micros,
+    next_confirmation: Micros,
 }
 
 impl UserApi {
-    /// Requests that wait for the store.
+    /// Number of users' requests that wait for the store.
     fn waiting_requests(&self) -> usize {
         self.submissions.len() + self.queries.len() + self.in_flight
     }
@@ -174,13 +175,14 @@
         context.outbox.store(request, pending);
     }
 
-    /// Sends what has gathered: submissions, and one comparison that confirms many status queries.
+    /// Sends what has been collected: submissions in batches, and comparisons of versions that each confirm many status
+    /// queries.
     pub(crate) fn flush(&mut self, context: &mut UserContext) {
         self.send_submissions(context);
         self.confirm_queries(context);
     }
 
-    /// Takes in a reply of the store; those about [`UserRequest::RefreshView`] come by [`UserApi::view_refreshed`].
+    /// Handles a reply of the store. Replies to [`UserRequest::RefreshView`] go to [`UserApi::view_refreshed`] instead.
     pub(crate) fn reply(
         &mut self,
         context: &mut UserContext,
@@ -189,11 +191,11 @@
     ) {
         match request {
             UserRequest::Submit { batch } => self.submit_reply(context, batch, reply),
-            UserRequest::VerifyUnknown {
+            UserRequest::RejectUnlessKnown {
                 submission,
                 error,
                 record,
-            } => self.verify_unknown_reply(context, submission, error, record, reply),
+            } => self.reject_unless_known_reply(context, submission, error, record, reply),
             UserRequest::Confirm { queries } => self.confirm_reply(context, queries, reply),
             UserRequest::LookUp {
                 request,
@@ -209,7 +211,7 @@
             UserRequest::CheckDependency { check, record } => {
                 self.check_dependency_reply(context, check, record, reply);
             }
-            UserRequest::WriteParts { write } => self.parts_written(context, write, &reply),
+            UserRequest::WriteParts { write } => self.write_parts_reply(context, write, &reply),
             UserRequest::SubmitCancelled { submission } => {
                 self.submit_cancelled_reply(context, &submission, &reply);
             }
--- a/crates/seamfront-core/src/user_api/status.rs
+++ b/crates/seamfront-core/src/user_api/status.rs
@@ -1,4 +1,4 @@
-//! Status queries: confirmed by the store, many at a time, before they are answered.
+//! Status queries, which the store confirms many at a time before they are answered.
 
 use super::{
     job_key, LookupPurpose, StatusQuery, UndeterminedQuery, UserApi, UserContext, UserRequest,
@@ -8,11 +8,12 @@
 use crate::types::{JobId, Micros};
 use tracing::debug;
 
-/// The store replies within this time as a rule; users wait for 2 s.
+/// How long the answer to a query may wait until the state of the job's dependencies is known. The store usually
+/// replies within this time, and users wait for 2 s.
 const UNDETERMINED_TIMEOUT: Micros = Micros::from_millis(1_000);
 
 impl UserContext<'_> {
-    /// Answers about a job that is live as far as is known.
+    /// Answers with the state of a job that is live as far as is known.
     pub(super) fn answer_live(&mut self, query: &StatusQuery) {
         // It may have ended while the request to the store was in flight.
         if let Some(end) = self.jobs.end_of(&query.id) {
@@ -39,7 +40,7 @@
 }
 
 impl UserApi {
-    /// A user asks for the state of a job.
+    /// Handles a user's query for the state of a job.
     pub(crate) fn poll(&mut self, context: &mut UserContext, request: ClientRequestId, id: JobId) {
         if let Some(end) = context.jobs.end_of(&id) {
             return context.answer_end(request, &id, end);
@@ -55,19 +56,20 @@
         });
     }
 
-    /// Queries that come within a moment are confirmed together.
+    /// Confirms the collected queries, at most once per interval, so that queries in quick succession are confirmed
+    /// together.
     pub(super) fn confirm_queries(&mut self, context: &mut UserContext) {
         let now = context.base.now;
-        if now < self.confirm_next || self.queries.is_empty() {
+        if now < self.next_confirmation || self.queries.is_empty() {
             return;
         }
-        self.confirm_next = now + context.base.settings.ask_every();
+        self.next_confirmation = now + context.base.settings.ask_every();
         while !self.queries.is_empty() {
             self.send_confirmation(context);
         }
     }
 
-    /// Sends one comparison for as many queries as it may hold.
+    /// Sends one comparison of versions for as many queries as fit into a transaction.
     fn send_confirmation(&mut self, context: &mut UserContext) {
         let mut conditions: Vec<(String, u64)> = Vec::new();
         let mut queries = Vec::new();
@@ -113,7 +115,7 @@
                         debug!(job = %query.id, "job ended meanwhile; looking up its end");
                         self.look_up(context, query.request, query.id, LookupPurpose::Status);
                     } else {
-                        // Only a comparison that succeeds confirms its queries.
+                        // A comparison that failed confirms none of its queries, so the others are sent again.
                         self.queries.push_back(query);
                     }
                 }
@@ -126,9 +128,9 @@
         }
     }
 
-    /// Answers about jobs that the store has confirmed to be live at this revision. What has left the view since has
-    /// ended, perhaps cancelled with a dependency, whose user got the cancellation as an answer long ago: it must not
-    /// be called queued, and its end is looked up.
+    /// Answers queries for jobs that the store has confirmed to be live at this revision. A job that has left the view
+    /// since then has ended. It may have been cancelled with a dependency whose user was told of the cancellation long
+    /// ago, so it must not be reported as queued: its end is looked up.
     pub(super) fn answer_confirmed(
         &mut self,
         context: &mut UserContext,
@@ -148,8 +150,9 @@
         self.answer_blocked(context, blocked, revision);
     }
 
-    /// No user may be answered that a job is queued once a dependency of it has been cancelled. So the view is made as
-    /// new as the confirmation first; what is still open then is not determined yet.
+    /// Answers queries for blocked jobs. A user must not be told that a job is queued once one of its dependencies has
+    /// been cancelled. So the view is first brought up to the revision of the confirmation; queries that can't be
+    /// answered with certainty even then stay undetermined for the time being.
     pub(super) fn answer_blocked(
         &mut self,
         context: &mut UserContext,
@@ -176,8 +179,8 @@
         }
     }
 
-    /// The reply to a [`UserRequest::RefreshView`] has been applied to the view, which has reached this revision if
-    /// `refreshed`.
+    /// Continues after the reply to a [`UserRequest::RefreshView`] has been applied to the view. `refreshed` says
+    /// whether the view has reached this revision.
     pub(crate) fn view_refreshed(
         &mut self,
         context: &mut UserContext,
@@ -194,22 +197,24 @@
         }
     }
 
-    /// Answers what has been determined since.
+    /// Answers the undetermined queries that can be answered with certainty by now. Users who have waited too long are
+    /// told to retry.
     pub(crate) fn answer_undetermined(&mut self, context: &mut UserContext) {
         for undetermined in std::mem::take(&mut self.undetermined) {
             self.answer_if_determined(context, undetermined);
         }
     }
 
-    /// Answers if it is clear by now; the view is newer than the confirmations and only gets newer.
-    fn answer_if_determined(&mut self, context: &mut UserContext, waiting: UndeterminedQuery) {
-        let id = &waiting.query.id;
+    /// Answers the query if the job's state is certain by now: the view is newer than the confirmation and only gets
+    /// newer.
+    fn answer_if_determined(&mut self, context: &mut UserContext, undetermined: UndeterminedQuery) {
+        let id = &undetermined.query.id;
         if context.jobs.end_of(id).is_some() || context.jobs.no_dependency_cancelled(id) {
-            context.answer_live(&waiting.query);
-        } else if waiting.answer_by <= context.base.now {
-            context.reject_with_retry_after(waiting.query.request);
+            context.answer_live(&undetermined.query);
+        } else if undetermined.answer_by <= context.base.now {
+            context.reject_with_retry_after(undetermined.query.request);
         } else {
-            self.undetermined.push(waiting);
+            self.undetermined.push(undetermined);
         }
     }
 }
--- a/crates/seamfront-core/src/user_api/submission.rs
+++ b/crates/seamfront-core/src/user_api/submission.rs
@@ -1,4 +1,4 @@
-//! Submissions: whether a job can ever run, and its creation in batches.
+//! Submissions: checks whether a job can ever run, and creates jobs in batches.
 
 use super::lookup::answer_stored_end;
 use super::{
@@ -12,14 +12,14 @@
 use tracing::info;
 
 const MAX_SUBMISSIONS_PER_BATCH: usize = 16;
-/// Most bytes of records, by estimate, after which a batch takes no more.
+/// Estimated bytes of a batch's records beyond which no further job is added to it.
 const MAX_BATCH_BYTES: usize = 40_000;
-/// Bytes of a job's record without its lists and its image.
+/// Estimated bytes of a job's record without its lists and the name of its image.
 const RECORD_BASE_BYTES: usize = 600;
 
 impl UserContext<'_> {
-    /// Whether a job can ever run here.
-    fn check_possible(&self, spec: &JobSpec) -> Result<(), SubmissionError> {
+    /// Checks whether a job can ever run: some machine type fits a task, and the team's limit allows it.
+    fn check_feasible(&self, spec: &JobSpec) -> Result<(), SubmissionError> {
         let team = self.base.settings.team(&spec.team);
         let team = team.ok_or(SubmissionError::UnknownTeam)?;
         let fits = |t: &MachineType| {
@@ -37,7 +37,7 @@
 }
 
 impl UserApi {
-    /// A user submits a job.
+    /// Handles a user's submission of a job.
     pub(crate) fn submit(
         &mut self,
         context: &mut UserContext,
@@ -50,7 +50,7 @@
         if !context.store_available || self.overloaded() {
             return context.reject_with_retry_after(request);
         }
-        // Known jobs are known whatever the repeated body says.
+        // A job that is known already is answered with its state, whatever the body of the repeated request says.
         if context.jobs.contains_key(&spec.id) {
             return self.poll(context, request, spec.id);
         }
@@ -58,19 +58,19 @@
             return context.reject_with_retry_after(request);
         }
         spec.submitted = context.base.wall_time;
-        let possible = context.check_possible(&spec);
+        let feasible = context.check_feasible(&spec);
         let submission = Submission {
             request,
             spec: Rc::new(spec),
         };
-        match possible {
+        match feasible {
             Ok(()) => self.check_dependencies(context, submission),
-            Err(error) => self.verify_unknown(context, submission, error),
+            Err(error) => self.reject_unless_known(context, submission, error),
         }
     }
 
-    /// All dependencies are known: the job can be created.
-    pub(super) fn submit_checked(&mut self, submission: Submission) {
+    /// Queues a submission that has passed all checks; the job is created with the next batch.
+    pub(super) fn enqueue_submission(&mut self, submission: Submission) {
         self.submissions.push_back(submission);
     }
 
@@ -87,7 +87,7 @@
         let mut bytes = 0;
         while let Some(submission) = self.submissions.pop_front() {
             if batch.iter().any(|b| b.spec.id == submission.spec.id) {
-                // The same id twice at once: the second is taken once the first is known.
+                // Two submissions with one id at the same time: the user of the second retries once the first is known.
                 context.reject_with_retry_after(submission.request);
                 continue;
             }
@@ -154,7 +154,7 @@
         for Submission { request, spec } in batch {
             info!(job = %spec.id, class = %spec.class, tasks = spec.tasks, "accepted");
             let id = spec.id.clone();
-            // A view that is past this revision knows better, perhaps of the job's end.
+            // A view that has reached this revision is more recent and may already have shown the job's end.
             if context.jobs_view.seen < revision {
                 context.jobs.appeared(context.base, spec, revision);
             }
@@ -167,16 +167,16 @@
         self.answer_confirmed(context, created, revision);
     }
 
-    /// A job that can never run is rejected unless it is known already: settings may have changed since it was
-    /// accepted, and its repetition must not get 422.
-    pub(super) fn verify_unknown(
+    /// Rejects a job that can never run, unless it was accepted before: settings may have changed since then, and a
+    /// repeated submission must not be answered with 422.
+    pub(super) fn reject_unless_known(
         &mut self,
         context: &mut UserContext,
         submission: Submission,
         error: SubmissionError,
     ) {
         let key = job_key(&submission.spec.id);
-        let pending = UserRequest::VerifyUnknown {
+        let pending = UserRequest::RejectUnlessKnown {
             submission,
             error,
             record: JobRecordKind::Job,
@@ -184,7 +184,7 @@
         self.send(context, StoreRequest::Get { key }, pending);
     }
 
-    pub(super) fn verify_unknown_reply(
+    pub(super) fn reject_unless_known_reply(
         &mut self,
         context: &mut UserContext,
         submission: Submission,
@@ -203,7 +203,7 @@
             }
             (StoreReply::Missing, JobRecordKind::Job) => {
                 let read = StoreRequest::Get { key: end_key(&id) };
-                let pending = UserRequest::VerifyUnknown {
+                let pending = UserRequest::RejectUnlessKnown {
                     submission,
                     error,
                     record: JobRecordKind::End,
