--- a/crates/seamfront-core/src/format_versions.rs
+++ b/crates/seamfront-core/src/format_versions.rs
@@ -1,8 +1,9 @@
-//! Which controllers are known to read work records in parts.
+//! Tracks which controllers can read work records in parts.
 //!
-//! While an upgrade runs, some controllers may still run a version that reads whole records only. Each controller
-//! that knows parts says so once, under `format/<member>`, for good: parts are written only when all members
-//! have said so. Silence proves nothing, since an old process may be away for a while and come back old.
+//! During a rolling upgrade some controllers may still run a version that reads whole records only. Each controller
+//! that supports parts permanently records this under `format/<member>`, and parts are written only once all members
+//! have done so. A member's absence does not count as support: it may be down for a while and restart with the old
+//! version.
 
 use crate::outbox::Outbox;
 use crate::port::{Entry, StoreReply, StoreRequest, Write};
@@ -11,18 +12,18 @@
 use std::collections::BTreeSet;
 use tracing::info;
 
-/// Value of `format/<member>`.
+/// Value of the key `format/<member>`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct FormatRecord {
-    /// Whether the member reads work records in parts.
+    /// Whether the member can read work records in parts.
     pub parts: bool,
 }
 
 const PREFIX: &str = "format/";
-/// Time between two readings of all members' records, until all members have one.
+/// Interval between reads of all members' records, until every member has one.
 const READ_INTERVAL: Micros = Micros::from_secs(3);
-/// Time from our own record's write to the next reading.
-const READ_AFTER_WRITE: Micros = Micros::from_millis(300);
+/// Delay from the reply to the write of this controller's own record to the next read.
+const READ_DELAY_AFTER_WRITE: Micros = Micros::from_millis(300);
 
 fn format_key(member: &str) -> String {
     format!("{PREFIX}{member}")
@@ -31,35 +32,38 @@
 /// An outstanding request about the members' stored-format versions.
 #[derive(Clone, Copy, Debug)]
 pub(crate) enum FormatRequest {
-    /// Reading of all members' records.
-    Read,
-    /// The write of our own record.
-    Written,
+    /// Read of all members' records.
+    ReadAll,
+    /// Write of this controller's own record.
+    WriteOwn,
 }
 
-/// The members' stored-format versions as this controller knows them.
+/// The members' stored-format versions as far as this controller has read them.
 #[derive(Debug, Default)]
 pub(crate) struct FormatVersions {
-    /// Members whose record says that they read parts.
-    members: BTreeSet<String>,
+    /// Members whose record says that they can read parts.
+    parts_readers: BTreeSet<String>,
     request_in_flight: bool,
-    read_next: Micros,
+    next_read: Micros,
 }
 
 impl FormatVersions {
-    /// Whether every member is known to read records in parts.
+    /// Whether every member is known to be able to read records in parts.
     pub(crate) fn all_read_parts(&self, settings: &Settings) -> bool {
-        settings.members.iter().all(|m| self.members.contains(m))
+        settings
+            .members
+            .iter()
+            .all(|m| self.parts_readers.contains(m))
     }
 
-    /// Reads the members' records when that is due.
+    /// Starts a read of the members' records if one is due.
     pub(crate) fn tick(
         &mut self,
         settings: &Settings,
         now: Micros,
         outbox: &mut Outbox<FormatRequest>,
     ) {
-        if self.request_in_flight || now < self.read_next || self.all_read_parts(settings) {
+        if self.request_in_flight || now < self.next_read || self.all_read_parts(settings) {
             return;
         }
         self.request_in_flight = true;
@@ -67,10 +71,10 @@
             prefix: PREFIX.to_owned(),
             after: None,
         };
-        outbox.store(request, FormatRequest::Read);
+        outbox.store(request, FormatRequest::ReadAll);
     }
 
-    /// Takes in a reply of the store.
+    /// Handles a reply of the store.
     pub(crate) fn reply(
         &mut self,
         settings: &Settings,
@@ -81,18 +85,18 @@
     ) {
         self.request_in_flight = false;
         match request {
-            FormatRequest::Read => {
-                self.read_next = now + READ_INTERVAL;
+            FormatRequest::ReadAll => {
+                self.next_read = now + READ_INTERVAL;
                 if let StoreReply::Page { entries, .. } = reply {
-                    self.records_read(settings, entries, outbox);
+                    self.apply_records(settings, entries, outbox);
                 }
             }
-            // Whatever the outcome, the next reading shows it.
-            FormatRequest::Written => self.read_next = now + READ_AFTER_WRITE,
+            // The next read shows the outcome, also if the reply does not.
+            FormatRequest::WriteOwn => self.next_read = now + READ_DELAY_AFTER_WRITE,
         }
     }
 
-    fn records_read(
+    fn apply_records(
         &mut self,
         settings: &Settings,
         entries: Vec<Entry>,
@@ -102,14 +106,14 @@
             let reads_parts = serde_json::from_value::<FormatRecord>(entry.value)
                 .is_ok_and(|record| record.parts);
             if let Some(member) = entry.key.strip_prefix(PREFIX).filter(|_| reads_parts) {
-                self.members.insert(member.to_owned());
+                self.parts_readers.insert(member.to_owned());
             }
         }
         if self.all_read_parts(settings) {
             info!("all controllers read records in parts");
         }
         let own = &settings.members[settings.me];
-        if !self.members.contains(own) {
+        if !self.parts_readers.contains(own) {
             self.write_own_record(own, outbox);
         }
     }
@@ -127,6 +131,6 @@
             conditions: vec![(key, 0)],
             writes: vec![write],
         };
-        outbox.store(request, FormatRequest::Written);
+        outbox.store(request, FormatRequest::WriteOwn);
     }
 }
--- a/crates/seamfront-core/src/lib.rs
+++ b/crates/seamfront-core/src/lib.rs
@@ -1,25 +1,25 @@
-//! The scheduling core of seamfront: a deterministic engine without input or output, clock or threads.
+//! The scheduling core of seamfront: a deterministic engine that does no I/O, reads no clock and starts no threads.
 //!
-//! Commands go in, effects come out, and time is an argument; the same commands at the same times give the same effects.
-//! `docs/architecture.md` names the owners of the engine's state, `docs/design.md` says why it is safe.
+//! It takes commands and the current time as arguments and returns effects; the same commands at the same times give
+//! the same effects. `docs/architecture.md` describes the components of the engine, `docs/design.md` why it is safe.
 //!
 //! ```
 //! use seamfront_core::port::{Command, Effect};
 //! use seamfront_core::types::{Micros, Settings};
 //! use seamfront_core::Engine;
 //!
-//! /// Drives an engine for half a second of steady time that begins at a time of day.
+//! /// Drives an engine for half a second of monotonic time, starting at the given time of day.
 //! fn drive(
 //!     settings: Settings,
 //!     time_of_day: Micros,
 //!     mut next_commands: impl FnMut() -> Vec<Command>,
-//!     mut carry_out: impl FnMut(Effect),
+//!     mut execute: impl FnMut(Effect),
 //! ) {
 //!     let mut engine = Engine::new(settings);
 //!     for step in 1..=10 {
 //!         let now = Micros::from_millis(50).times(step);
 //!         let effects = engine.step(now, time_of_day + now, next_commands());
-//!         effects.into_iter().for_each(&mut carry_out);
+//!         effects.into_iter().for_each(&mut execute);
 //!     }
 //! }
 //! ```
--- a/crates/seamfront-core/src/record.rs
+++ b/crates/seamfront-core/src/record.rs
@@ -1,4 +1,4 @@
-//! Work records: what the state service keeps of a job while it runs, and how that is laid out in keys.
+//! Work records: the stored state of a running job, and how it is laid out in keys of the key-value store.
 //!
 //! A record that fits into one value is stored whole under `work/<shard>/<job>`. A larger one is stored as a head
 //! under the same key and as parts under `part/<shard>/<job>/<number>`. Head and parts are always written in one
@@ -14,16 +14,16 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(from = "(u32, u32, u64)", into = "(u32, u32, u64)")]
 pub struct TaskRun {
-    /// The first task number.
+    /// First task number.
     pub start: u32,
-    /// The task number after the last.
+    /// Task number after the last one.
     pub end: u32,
-    /// The attempt.
+    /// Attempt number that the tasks share.
     pub attempt: u64,
 }
 
 impl TaskRun {
-    /// Tasks `start..end` with one attempt.
+    /// Tasks `start..end` with the same attempt.
     pub const fn new(start: u32, end: u32, attempt: u64) -> TaskRun {
         TaskRun {
             start,
@@ -45,24 +45,25 @@
     }
 }
 
-/// Runs of tasks on one machine.
+/// Runs of consecutive tasks on one machine.
 pub type Runs = Vec<TaskRun>;
 
-/// What is recorded of a job, whatever its kind; arrays and services as a class.
+/// The stored state of a job of any kind. The tasks of job arrays and services are alike and recorded together, as a
+/// class; what only gangs have is 0, false or empty for them.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct WorkRecord {
-    /// The team whose limit the tasks count against.
+    /// Team whose limit the tasks count against.
     pub team: String,
-    /// What one task takes.
+    /// Resources of one task.
     #[serde(rename = "need")]
     pub task_resources: Resources,
-    /// The gang's epoch, 0 for other kinds.
+    /// Epoch of a gang; 0 for other kinds of jobs.
     #[serde(rename = "e")]
     pub epoch: u64,
     /// Whether the gang is being drained.
     #[serde(rename = "dr")]
     pub draining: bool,
-    /// Attempts that gang members have used up, by task number.
+    /// Attempts that gang members have used, by task number.
     #[serde(rename = "a")]
     pub attempts: Vec<(u32, u32)>,
     /// The next attempt number.
@@ -74,12 +75,13 @@
     /// Placements by machine.
     #[serde(rename = "p")]
     pub placed: BTreeMap<MachineId, Runs>,
-    /// Failures by which the pauses of the job grow: how often a gang has backed off; of other jobs, errors in a row.
+    /// Failure count that determines the backoff: for a gang how often it has backed off, for other jobs consecutive
+    /// errors.
     #[serde(rename = "pk")]
     pub failures: u32,
 }
 
-/// The head of a record in parts. It lacks fields of [`WorkRecord`], so it cannot be read as a whole record.
+/// Head of a record in parts. It lacks fields of [`WorkRecord`], so it cannot be mistaken for a whole record.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 struct Head {
     team: String,
@@ -96,7 +98,7 @@
     parts: u32,
 }
 
-/// One part: a slice of the lists that a whole record holds.
+/// One part: a slice of the lists of a whole record.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 struct Part {
     #[serde(rename = "a", default, skip_serializing_if = "Vec::is_empty")]
@@ -107,29 +109,29 @@
     placed: BTreeMap<MachineId, Runs>,
 }
 
-/// What the state service takes of one record.
+/// Limits within which a record must be laid out.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Layout {
-    /// Bytes in a value.
+    /// Maximum bytes of one value.
     pub value_bytes: usize,
-    /// Parts besides the head, 0 while some controller may run a version that does not know them.
+    /// Maximum number of parts besides the head; 0 while some controller may run a version that cannot read parts.
     pub parts: usize,
 }
 
-/// Changes that a transaction needs besides a record's parts: the head, the job and its end, and one to spare.
-const OTHER_CHANGES: usize = 4;
-/// Bytes of all parts together, well below what a transaction takes.
-const PARTS_BYTES: usize = 44_000;
-/// Bytes of a part's own punctuation and of the head's fixed fields.
-const PART_OVERHEAD: usize = 40;
-/// Of each `FILL_DENOMINATOR` bytes of a value this many are counted on when tasks are placed: parts are not filled to
-/// the last byte.
+/// Operations of a transaction that are not available for parts: the head, the job and its end, and one in reserve.
+const NON_PART_OPERATIONS: usize = 4;
+/// Maximum bytes of all parts together, well below the size limit of a transaction.
+const MAX_PARTS_BYTES: usize = 44_000;
+/// Bytes of each part that are reserved for its JSON syntax and for the head's fixed fields.
+const PART_OVERHEAD_BYTES: usize = 40;
+/// When tasks are placed, only `FILL_NUMERATOR / FILL_DENOMINATOR` of each part's bytes are assumed to be usable, since
+/// parts are not filled completely.
 const FILL_NUMERATOR: usize = 2;
 /// See [`FILL_NUMERATOR`].
 const FILL_DENOMINATOR: usize = 3;
 
 impl Layout {
-    /// Records of one value only.
+    /// Only whole records, without parts.
     pub fn single(value_bytes: usize) -> Layout {
         Layout {
             value_bytes,
@@ -137,32 +139,33 @@
         }
     }
 
-    /// Records in as many parts as one transaction can write and remove.
+    /// Records with as many parts as one transaction can write and delete.
     pub fn in_parts(value_bytes: usize, txn_ops: usize) -> Layout {
         let parts = txn_ops
-            .saturating_sub(OTHER_CHANGES)
-            .min(PARTS_BYTES / value_bytes.max(1));
+            .saturating_sub(NON_PART_OPERATIONS)
+            .min(MAX_PARTS_BYTES / value_bytes.max(1));
         Layout { value_bytes, parts }
     }
 
-    /// Bytes of lists that certainly find room in parts.
+    /// Bytes of list entries that are guaranteed to fit into the parts.
     pub fn parts_capacity(&self) -> usize {
         let filled = self.value_bytes * FILL_NUMERATOR / FILL_DENOMINATOR;
-        self.parts * filled.saturating_sub(PART_OVERHEAD)
+        self.parts * filled.saturating_sub(PART_OVERHEAD_BYTES)
     }
 }
 
-/// Where an entry of a record's lists stands in the order in which they are divided into parts.
+/// Sort key of an entry of a record's lists. Entries are divided into parts in this order.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Position {
-    /// Attempts of the member with this number.
+    /// Attempts of the gang member with this task number.
     Attempts(u32),
-    /// The range of done tasks that begins here.
+    /// Range of done tasks that starts with this task number.
     Done(u32),
     /// Placements on this machine.
     Placed(MachineId),
 }
 
+/// An entry of a record's lists.
 enum Item {
     Attempts((u32, u32)),
     Done((u32, u32)),
@@ -178,7 +181,7 @@
         }
     }
 
-    /// Bytes that it takes in a part.
+    /// Encoded size in a part, in bytes.
     fn size(&self) -> usize {
         let text = match self {
             Item::Attempts(a) => serde_json::to_string(a),
@@ -201,53 +204,53 @@
     }
 }
 
-/// A record as it is stored.
+/// A record in its stored form.
 #[derive(Clone, Debug, PartialEq)]
 pub struct EncodedRecord {
-    /// The value of the record's own key.
+    /// Value of the record's own key.
     pub head: Value,
-    /// The parts, none where the head is the whole record.
+    /// The parts; empty if the head is the whole record.
     pub parts: Vec<Value>,
-    /// Where each part but the first begins: kept from one write to the next, so that most parts do not change.
+    /// First position of each part but the first. The next write reuses them, so that most parts stay unchanged.
     pub boundaries: Vec<Position>,
-    /// Bytes of head and parts together.
+    /// Total bytes of head and parts.
     pub bytes: usize,
 }
 
 /// Why a stored record cannot be read.
 #[derive(Debug, thiserror::Error)]
 pub enum RecordError {
-    /// A value is not what is expected.
+    /// A value does not have the expected format.
     #[error("unreadable: {0}")]
     Unreadable(#[from] serde_json::Error),
-    /// Not all parts of the record are there.
-    #[error("{found} parts of {expected}")]
+    /// The store does not hold all parts of the record.
+    #[error("found {found} of {expected} parts")]
     PartsMissing {
-        /// Parts that are there.
+        /// Number of parts that were read.
         found: usize,
-        /// Parts that the head names.
+        /// Number of parts according to the head.
         expected: u32,
     },
 }
 
-/// Prefix of all parts of a shard's records.
+/// Key prefix of all parts of a shard's records.
 pub fn parts_prefix(shard: usize) -> String {
     format!("part/{shard}/")
 }
 
-/// Key of one part.
+/// Key of a part.
 pub fn part_key(shard: usize, job: &JobId, number: u32) -> String {
     format!("part/{shard}/{job}/{number:05}")
 }
 
-/// The job and number that a part's key names.
+/// Job and part number of a part's key; None for any other key.
 pub fn parse_part_key(shard: usize, key: &str) -> Option<(JobId, u32)> {
     let (job, number) = key.strip_prefix(&parts_prefix(shard))?.rsplit_once('/')?;
     Some((JobId::from(job), number.parse().ok()?))
 }
 
-/// Lays a record out: whole if that fits, else in parts, along the boundaries of the last time where they still
-/// serve. None if it fits in neither way.
+/// Encodes a record: whole if it fits into one value, else in parts. `boundaries` are those of the previous encoding;
+/// they are reused if the parts still fit. None if the record exceeds the layout even in parts.
 pub fn encode(
     record: &WorkRecord,
     layout: &Layout,
@@ -268,7 +271,7 @@
     let boundaries = choose_boundaries(&items, &sizes, layout, boundaries)?;
     let mut parts = vec![Part::default(); boundaries.len() + 1];
     for item in items {
-        let part = part_of(&boundaries, &item.position());
+        let part = part_index(&boundaries, &item.position());
         parts[part].add(item);
     }
     let head = Head {
@@ -300,7 +303,7 @@
     })
 }
 
-/// Puts a stored record together again.
+/// Decodes a record from its head and its parts.
 pub fn decode(head: Value, parts: &BTreeMap<u32, Value>) -> Result<WorkRecord, RecordError> {
     if head.get("parts").is_none() {
         return Ok(serde_json::from_value(head)?);
@@ -332,7 +335,7 @@
     })
 }
 
-/// All entries of a record's lists, in the order of their positions.
+/// All entries of a record's lists, ordered by position.
 fn items_of(record: &WorkRecord) -> Vec<Item> {
     let attempts = record.attempts.iter().map(|a| Item::Attempts(*a));
     let done = record.done.pieces_iter().map(Item::Done);
@@ -343,42 +346,43 @@
     attempts.chain(done).chain(placed).collect()
 }
 
-fn part_of(boundaries: &[Position], position: &Position) -> usize {
+/// Index of the part that contains a position.
+fn part_index(boundaries: &[Position], position: &Position) -> usize {
     boundaries.partition_point(|b| b <= position)
 }
 
-/// Boundaries such that each part fits into a value: the former ones if they serve, else new ones that leave
-/// room in each part, else new ones that do not.
+/// Chooses boundaries such that each part fits into a value: the previous ones if possible, else new ones that leave a
+/// quarter of each part free for growth, else new ones that fill each part. None if that takes too many parts.
 fn choose_boundaries(
     items: &[Item],
     sizes: &[usize],
     layout: &Layout,
-    former: &[Position],
+    previous: &[Position],
 ) -> Option<Vec<Position>> {
-    let room = layout.value_bytes.saturating_sub(PART_OVERHEAD);
+    let part_capacity = layout.value_bytes.saturating_sub(PART_OVERHEAD_BYTES);
     let total: usize = sizes.iter().sum();
-    // Much has gone since: fewer parts will do.
-    let sparse = total * 4 < room * former.len();
-    if !former.is_empty() && former.len() < layout.parts && !sparse {
-        let mut filled = vec![0; former.len() + 1];
+    // The record has shrunk so much that fewer parts suffice.
+    let sparse = total * 4 < part_capacity * previous.len();
+    if !previous.is_empty() && previous.len() < layout.parts && !sparse {
+        let mut part_sizes = vec![0; previous.len() + 1];
         for (item, size) in items.iter().zip(sizes) {
-            filled[part_of(former, &item.position())] += size;
+            part_sizes[part_index(previous, &item.position())] += size;
         }
-        if filled.iter().all(|n| *n <= room) {
-            return Some(former.to_vec());
+        if part_sizes.iter().all(|n| *n <= part_capacity) {
+            return Some(previous.to_vec());
         }
     }
-    [room * 3 / 4, room]
+    [part_capacity * 3 / 4, part_capacity]
         .into_iter()
-        .map(|fill| divide(items, sizes, fill))
+        .map(|max_bytes| split_into_parts(items, sizes, max_bytes))
         .find(|b| b.len() < layout.parts)
 }
 
-/// Fills one part after the other.
-fn divide(items: &[Item], sizes: &[usize], fill: usize) -> Vec<Position> {
+/// Boundaries of parts of at most `max_bytes` each, filled one after the other.
+fn split_into_parts(items: &[Item], sizes: &[usize], max_bytes: usize) -> Vec<Position> {
     let (mut boundaries, mut used) = (Vec::new(), 0);
     for (item, size) in items.iter().zip(sizes) {
-        if used + size > fill && used > 0 {
+        if used + size > max_bytes && used > 0 {
             boundaries.push(item.position());
             used = 0;
         }
--- a/crates/seamfront-core/src/write_pacing.rs
+++ b/crates/seamfront-core/src/write_pacing.rs
@@ -1,39 +1,39 @@
-//! The pace of the scheduler's own writes.
+//! Rate limiting and flush times of the scheduler's own writes to the store.
 
 use crate::types::Micros;
 
-/// The budget is counted in thousandths of a write.
-const WRITE: i64 = 1_000;
-/// The budget never exceeds what accrues in one part in so many of a second.
+/// The budget is counted in thousandths of a write (milliwrites).
+const MILLIWRITES_PER_WRITE: i64 = 1_000;
+/// The budget is capped at the amount that accrues in a second divided by this.
 const BURST_DIVISOR: i64 = 2;
-/// Longest time that one refill counts for.
-const MAX_REFILL: i64 = 1_000_000;
+/// Longest time since the last refill that one refill accounts for.
+const MAX_REFILL_MICROS: i64 = 1_000_000;
 const MICROS_PER_SECOND: i64 = 1_000_000;
-/// Pause after the store has refused writes.
+/// Time without flushes after the store has refused writes.
 const REFUSED_PAUSE: Micros = Micros::from_millis(200);
 
-/// A token bucket for the scheduler's own writes, and when they are flushed.
+/// A token bucket for the scheduler's own writes, and the times at which they are flushed.
 #[derive(Debug, Default)]
 pub(crate) struct WritePacer {
-    /// What may be written now, in thousandths of a write; negative after a large write.
+    /// Available budget in milliwrites; negative after a large write.
     budget: i64,
     refilled_at: Micros,
     paused_until: Micros,
     next_flush: Micros,
-    /// Flushes so far: where several shards are held, another is first each time.
+    /// Number of flushes so far; a controller that holds several shards starts each flush with a different one.
     flushes: usize,
 }
 
 impl WritePacer {
-    /// Adds what has accrued at a rate in thousandths of a write a second.
-    pub(crate) fn refill(&mut self, now: Micros, rate: i64) {
-        let passed = (now - self.refilled_at).0.clamp(0, MAX_REFILL);
+    /// Adds the budget that has accrued since the last refill.
+    pub(crate) fn refill(&mut self, now: Micros, milliwrites_per_second: i64) {
+        let elapsed = (now - self.refilled_at).0.clamp(0, MAX_REFILL_MICROS);
         self.refilled_at = now;
-        let accrued = rate * passed / MICROS_PER_SECOND;
-        self.budget = (self.budget + accrued).min(rate / BURST_DIVISOR);
+        let accrued = milliwrites_per_second * elapsed / MICROS_PER_SECOND;
+        self.budget = (self.budget + accrued).min(milliwrites_per_second / BURST_DIVISOR);
     }
 
-    /// Starts a flush if one is due, the next one an interval later. Returns the number of the flush.
+    /// Starts a flush if one is due and schedules the next one after `interval`. Returns the number of the flush.
     pub(crate) fn start_flush(&mut self, now: Micros, interval: Micros) -> Option<usize> {
         if now < self.paused_until.max(self.next_flush) {
             return None;
@@ -43,22 +43,22 @@
         Some(self.flushes)
     }
 
-    /// Whether anything may be written.
+    /// Whether any budget is left.
     pub(crate) fn has_budget(&self) -> bool {
         self.budget > 0
     }
 
-    /// How many whole writes may be made now.
+    /// Number of whole writes that the budget allows now.
     pub(crate) fn available_writes(&self) -> usize {
-        (self.budget / WRITE).max(0) as usize
+        (self.budget / MILLIWRITES_PER_WRITE).max(0) as usize
     }
 
-    /// Takes writes that are made from the budget.
+    /// Deducts writes from the budget.
     pub(crate) fn spend(&mut self, writes: usize) {
-        self.budget -= writes as i64 * WRITE;
+        self.budget -= writes as i64 * MILLIWRITES_PER_WRITE;
     }
 
-    /// The store has refused writes.
+    /// Pauses flushes because the store has refused writes.
     pub(crate) fn store_refused(&mut self, now: Micros) {
         self.paused_until = now + REFUSED_PAUSE;
     }
