--- a/crates/seamfront-core/src/engine/fleet.rs
+++ b/crates/seamfront-core/src/engine/fleet.rs
@@ -1,4 +1,4 @@
-//! Dispatch to the fleet's duties, the leader and the garbage collector.
+//! Dispatch of ticks, replies and changes of duties to the leader and the garbage collector.
 
 use super::{Engine, Pending};
 use crate::fleet_duties::{
@@ -40,7 +40,7 @@
 
     fn leader_event(&mut self, event: Option<LeaderEvent>) {
         match event {
-            Some(LeaderEvent::MachineTypesListed(types)) => self.types_known(types),
+            Some(LeaderEvent::MachineTypesListed(types)) => self.update_machine_types(types),
             Some(LeaderEvent::FenceRefused {
                 duty,
                 fencing_token,
@@ -49,7 +49,7 @@
         }
     }
 
-    /// Calls the leader, if it is here, and sends out what it puts into its outbox.
+    /// Calls the leader, if this controller runs it, and sends the contents of its outbox.
     fn with_leader<T>(
         &mut self,
         permits: PerFleetDuty<Option<EffectPermit>>,
@@ -71,11 +71,11 @@
         };
         let mut outbox = LeaderOutbox::new();
         let result = call(leader, &mut context, &mut outbox);
-        self.flush(outbox);
+        self.send_outbox(outbox);
         Some(result)
     }
 
-    /// A shard's owner has reported to the leader.
+    /// Passes the state of a shard, as its holder sent it, to the leader.
     pub(super) fn shard_updated(
         &mut self,
         shard: usize,
@@ -88,36 +88,37 @@
         }
     }
 
-    /// How many machine records wait for the leader to write them.
+    /// Number of machine records that the leader has yet to write.
     pub(super) fn leader_pending_writes(&self) -> usize {
         self.leader.as_ref().map_or(0, Leader::pending_writes)
     }
 
-    /// Steps the duties, if they are on.
+    /// Steps the duties, if they are enabled.
     pub(super) fn duties_tick(&mut self) {
         if !self.duties.enabled() {
             return;
         }
-        let former = self.leader.as_ref().and_then(Leader::claim_version);
-        let former = former.filter(|_| self.lease_valid(ClaimId::Leader));
-        self.duty_step(vec![DutyCommand::FormerClaim(former)]);
-        self.former_claim_ends();
+        let leader_claim = self.leader.as_ref().and_then(Leader::claim_version);
+        let leader_claim = leader_claim.filter(|_| self.lease_valid(ClaimId::Leader));
+        self.duty_step(vec![DutyCommand::FormerClaim(leader_claim)]);
+        self.retire_leader_claim();
         self.garbage_collection_tick();
     }
 
-    /// Once duties are in force the leader's claim means nothing, whether its end has been seen here or not.
-    fn former_claim_ends(&mut self) {
-        let former = self
+    /// Drops the leader's claim once duties are in force. It is void from then on, even if this controller has not seen
+    /// it end.
+    fn retire_leader_claim(&mut self) {
+        let holds_leader_claim = self
             .leader
             .as_ref()
             .is_some_and(|leader| leader.claim_version().is_some());
-        if !former || !self.duties.in_force() {
+        if !holds_leader_claim || !self.duties.in_force() {
             return;
         }
         self.drop_claim(ClaimId::Leader, "duties have claims of their own");
         for duty in FleetDuty::ALL {
             if self.duties.fencing_token(duty.name()).is_some() {
-                self.duty_begins(duty.name());
+                self.duty_acquired(duty.name());
             }
         }
     }
@@ -137,8 +138,8 @@
             DutyEffect::Store { call, request } => {
                 self.send_to_store(request, Pending::Duty { call });
             }
-            DutyEffect::Active { duty, .. } => self.duty_begins(&duty),
-            DutyEffect::Lost { duty, .. } => self.duty_ends(&duty),
+            DutyEffect::Active { duty, .. } => self.duty_acquired(&duty),
+            DutyEffect::Lost { duty, .. } => self.duty_lost(&duty),
             DutyEffect::Committed { request, outcome } => self.removal_done(request, &outcome),
             DutyEffect::Rejected { request, .. } => {
                 self.removal_done(request, &CommitOutcome::Refused);
@@ -153,10 +154,10 @@
         }
         let mut outbox = Outbox::new();
         self.garbage_collector.tick(self.now, &mut outbox);
-        self.flush(outbox);
+        self.send_outbox(outbox);
     }
 
-    /// Routes a reply of the store to the garbage collector.
+    /// Passes a reply of the store to the garbage collector.
     pub(super) fn collection_reply(&mut self, request: CollectionRequest, reply: StoreReply) {
         match request {
             CollectionRequest::OrphanedRecords => {
@@ -180,7 +181,7 @@
             .removal_done(&self.settings, self.now, request, outcome);
     }
 
-    fn duty_begins(&mut self, duty: &str) {
+    fn duty_acquired(&mut self, duty: &str) {
         let now = self.now;
         if duty == GARBAGE_COLLECTION {
             return self.garbage_collector.stop(now);
@@ -189,29 +190,29 @@
         let leader = self
             .leader
             .get_or_insert_with(|| Leader::new(None, now, members));
-        let fleet = FleetDuty::ALL
+        let fleet_duty = FleetDuty::ALL
             .into_iter()
-            .find(|fleet| fleet.name() == duty);
-        if let Some(fleet) = fleet {
-            leader.duty_begins(fleet);
+            .find(|fleet_duty| fleet_duty.name() == duty);
+        if let Some(fleet_duty) = fleet_duty {
+            leader.duty_begins(fleet_duty);
         }
     }
 
-    fn duty_ends(&mut self, duty: &str) {
+    fn duty_lost(&mut self, duty: &str) {
         if duty == GARBAGE_COLLECTION {
             let now = self.now;
             return self.garbage_collector.stop(now);
         }
-        let rests_on_duties = self
+        let fenced_by_duties = self
             .leader
             .as_ref()
             .is_some_and(|leader| leader.claim_version().is_none());
-        if rests_on_duties && !self.duties.holds_any_of_fleet() {
+        if fenced_by_duties && !self.duties.holds_any_of_fleet() {
             self.leader = None;
         }
     }
 
-    /// What fences a duty that is held here, be it by the leader's claim.
+    /// The fence of a duty held here: the leader's claim, or the duty's own claim once duties are in force.
     fn fence(&self, duty: FleetDuty) -> Option<Fence> {
         match self.leader.as_ref()?.claim_version() {
             Some(fencing_token) => Some(Fence {
@@ -222,7 +223,7 @@
         }
     }
 
-    /// Whether a duty may act on the outside now.
+    /// The permit for effects of a duty outside the scheduler; None if none are allowed now.
     fn effect_permit(&mut self, duty: FleetDuty) -> Option<EffectPermit> {
         if self.leader.as_ref()?.claim_version().is_none() {
             return self.duties.effect_permit(duty);
@@ -231,7 +232,7 @@
         lease_valid.then_some(EffectPermit { until: None })
     }
 
-    /// A transaction has failed on this fence: the duty is not held here any more.
+    /// Handles a transaction that failed on its fence, which shows that the duty is no longer held here.
     fn fence_refused(&mut self, duty: FleetDuty, fencing_token: u64) {
         if self
             .leader
@@ -246,7 +247,7 @@
         }]);
     }
 
-    /// Members that hold any of the leader's duties.
+    /// Members that hold the leader's claim or, once duties are in force, any of the fleet's duties.
     pub(super) fn fleet_holders(&self) -> Vec<usize> {
         if !self.duties.in_force() {
             let claim = self.store.claim(ClaimId::Leader);
--- a/crates/seamfront-core/src/engine/jobs.rs
+++ b/crates/seamfront-core/src/engine/jobs.rs
@@ -1,5 +1,5 @@
-//! The engine's side of the job registry and the users' API: what these owners see of the rest of the controller, and
-//! what they change elsewhere.
+//! Connects the job registry and the user API with the engine: gives them read access to the state of shards and
+//! claims, and applies their events to shards.
 
 use super::Engine;
 use crate::jobs::{
@@ -8,15 +8,15 @@
 use crate::outbox::Outbox;
 use crate::port::{Progress, StoreReply};
 use crate::shard::{Shard, ShardPhase};
-use crate::store_session::{ClaimId, StoreSession, Topic};
+use crate::store_session::{ClaimId, StoreSession, ViewId};
 use crate::types::{JobId, JobSpec, Micros};
 use crate::user_api::{JobsView, UserApi, UserContext, UserRequest};
 use std::rc::Rc;
 
-/// Without a reply of the store for this long, users' requests are rejected at once.
+/// Users' requests are rejected immediately after this long without a reply of the store.
 const STORE_REPLY_TIMEOUT: Micros = Micros::from_millis(2_500);
 
-/// Shards and their holders as this controller knows them.
+/// Shards held here and the known holders of the others.
 struct KnownShards<'a> {
     shards: &'a [Option<Shard>],
     session: &'a StoreSession,
@@ -43,7 +43,7 @@
 }
 
 impl Engine {
-    /// Calls the job registry, and passes on what shards must know.
+    /// Calls the job registry and applies the resulting events to shards.
     fn with_jobs<R>(&mut self, call: impl FnOnce(&mut JobRegistry, JobContext) -> R) -> R {
         let shards = KnownShards {
             shards: &self.shards,
@@ -61,13 +61,13 @@
         result
     }
 
-    /// Calls the users' API, sends what it has put into its outbox, and passes on what shards must know.
+    /// Calls the user API, sends the contents of its outbox, and applies the resulting events of jobs to shards.
     pub(super) fn with_user_api(&mut self, call: impl FnOnce(&mut UserApi, &mut UserContext)) {
         let store_available =
             self.store.loaded() && self.now - self.store.last_reply() <= STORE_REPLY_TIMEOUT;
         let jobs_view = JobsView {
-            loaded: self.store.view_loaded(Topic::Jobs),
-            seen: self.store.revision(Topic::Jobs),
+            loaded: self.store.view_loaded(ViewId::Jobs),
+            seen: self.store.revision(ViewId::Jobs),
         };
         let shards = KnownShards {
             shards: &self.shards,
@@ -89,11 +89,12 @@
         };
         call(&mut self.user_api, &mut context);
         let outbox = context.outbox;
-        self.flush(outbox);
+        self.send_outbox(outbox);
         self.apply_job_events();
     }
 
-    /// Shards send nothing on these events, so it makes no difference that the owners' own effects go first.
+    /// Applies events of the job registry to shards. Shards send nothing in response, so it makes no difference that
+    /// effects of the registry and of the user API are sent first.
     fn apply_job_events(&mut self) {
         let now = self.now;
         for event in self.jobs.take_events() {
@@ -125,45 +126,45 @@
         }
     }
 
-    /// The store has shown a job live at this version.
-    pub(super) fn job_appeared(&mut self, spec: Rc<JobSpec>, version: u64) {
+    /// Handles a live job that was added or changed in the view.
+    pub(super) fn job_changed(&mut self, spec: Rc<JobSpec>, version: u64) {
         self.with_jobs(|jobs, context| jobs.appeared(context, spec, version));
     }
 
-    /// The view shows a job no longer.
-    pub(super) fn job_vanished(&mut self, id: &JobId) {
+    /// Handles the removal of a job from the view.
+    pub(super) fn job_removed(&mut self, id: &JobId) {
         self.with_jobs(|jobs, context| jobs.vanished(context, id));
     }
 
-    /// The store holds this end of a job.
+    /// Handles an end record of a job that is known to be in the store.
     pub(super) fn end_confirmed(&mut self, id: &JobId, end: EndRecord) {
         self.with_jobs(|jobs, context| jobs.end_confirmed(context, id, end));
     }
 
-    /// A shard held here has recorded that all tasks of a job are done.
+    /// Handles the completion of a job: a shard held here has recorded that all its tasks are done.
     pub(super) fn job_completed(&mut self, id: &JobId, tasks: u32) {
         self.with_jobs(|jobs, context| jobs.completed(context, id, tasks));
     }
 
-    /// Answers users whose jobs' states have been determined since, and does what is due about dependencies.
+    /// Answers queries whose jobs' states have been determined meanwhile, and advances the dependencies of jobs.
     pub(super) fn dependencies_tick(&mut self) {
         self.with_user_api(|api, context| api.answer_undetermined(context));
         let mut outbox = Outbox::new();
         self.with_jobs(|jobs, context| jobs.tick(context, &mut outbox));
-        self.flush(outbox);
+        self.send_outbox(outbox);
     }
 
     pub(super) fn dependency_reply(&mut self, request: DependencyRequest, reply: StoreReply) {
         let mut outbox = Outbox::new();
         self.with_jobs(|jobs, context| jobs.reply(context, request, reply, &mut outbox));
-        self.flush(outbox);
+        self.send_outbox(outbox);
     }
 
     pub(super) fn user_reply(&mut self, request: UserRequest, reply: StoreReply) {
         match request {
             UserRequest::RefreshView { queries, revision } => {
-                let refreshed = self.apply_changes(Topic::Jobs, reply)
-                    && self.store.view_reaches(Topic::Jobs, revision);
+                let refreshed = self.apply_changes(ViewId::Jobs, reply)
+                    && self.store.view_reaches(ViewId::Jobs, revision);
                 self.with_user_api(|api, context| {
                     api.view_refreshed(context, queries, revision, refreshed);
                 });
--- a/crates/seamfront-core/src/engine/machines.rs
+++ b/crates/seamfront-core/src/engine/machines.rs
@@ -1,4 +1,4 @@
-//! Changes of machines, and the heartbeats of their workers.
+//! Handling of changed machine records and machine types, and of the heartbeats of agents.
 
 use super::Engine;
 use crate::known_machine::KnownMachine;
@@ -9,25 +9,25 @@
 use crate::store_session::ClaimId;
 use crate::types::{MachineId, MachineType, Resources};
 
-/// The reply to a worker's heartbeat.
+/// The answer to an agent's heartbeat.
 enum HeartbeatAnswer {
-    /// Its machine belongs to a shard held here.
+    /// The machine belongs to a shard held here.
     Orders {
         fencing_token: u64,
         orders: Vec<Order>,
     },
-    /// Another controller is to be asked; its index where it is known.
+    /// The agent must contact another controller; `member` is its index if known.
     Redirect { member: Option<usize> },
 }
 
 impl Engine {
-    /// The size of machines of a type.
-    pub(super) fn type_size(&self, kind: &str) -> Resources {
+    /// Resources of a machine of this type.
+    pub(super) fn machine_type_size(&self, kind: &str) -> Resources {
         self.machine_types.size_of(kind)
     }
 
-    /// Takes in the machine types that the cloud offers.
-    pub(super) fn types_known(&mut self, types: Vec<MachineType>) {
+    /// Updates the machine types that the cloud API offers.
+    pub(super) fn update_machine_types(&mut self, types: Vec<MachineType>) {
         let event = self.machine_types.update(types);
         self.machine_types_event(event);
     }
@@ -47,7 +47,7 @@
     }
 
     pub(super) fn machine_changed(&mut self, id: MachineId, record: MachineRecord, version: u64) {
-        let size = self.type_size(&record.kind);
+        let size = self.machine_type_size(&record.kind);
         let before = self.machines.get(&id);
         let assigned_at = before
             .filter(|before| before.record.shard == record.shard)
@@ -71,15 +71,15 @@
         }
     }
 
-    pub(super) fn machine_vanished(&mut self, id: &MachineId) {
+    pub(super) fn machine_removed(&mut self, id: &MachineId) {
         self.machines.remove(id);
         for shard in 0..self.shards.len() {
             self.with_shard(shard, |s, context| s.machine_deleted(context, id));
         }
     }
 
-    /// Answers a worker's heartbeat: with orders if its machine is ours and the claim stands, else by
-    /// naming the owner.
+    /// Answers an agent's heartbeat: with orders if this controller holds the machine's shard under a valid claim, else
+    /// with a redirect to the holder.
     pub(super) fn heartbeat(&mut self, to: ClientRequestId, heartbeat: &Heartbeat) {
         self.inbound_partition.heartbeat_received(self.now);
         let effect = match self.answer_heartbeat(heartbeat) {
@@ -113,8 +113,8 @@
             .unwrap_or(HeartbeatAnswer::Redirect { member: None })
     }
 
-    /// Whether the worker was commanded under a newer token than ours. It would wait for its lease to end if we renewed
-    /// that here.
+    /// Whether the agent has received commands under a newer fencing token than this controller's. If its lease were
+    /// renewed here, it would wait until that lease expires.
     fn newer_token_seen(&self, shard: usize, heartbeat: &Heartbeat) -> bool {
         self.shards[shard].as_ref().is_some_and(|s| {
             let machine = s.machines.get(&heartbeat.machine);
@@ -122,7 +122,8 @@
         })
     }
 
-    /// A claim that was not verified for as long as it could last alone is lost as a whole once a newer token is seen.
+    /// Drops the whole claim after an agent has shown a newer fencing token, if the claim has not been verified for
+    /// longer than it can exist without renewal.
     fn drop_unverified_claim(&mut self, shard: usize) {
         let claim = ClaimId::Shard(shard);
         let Some(claimed_at) = self.shards[shard].as_ref().map(|s| s.claimed_at) else {
@@ -134,7 +135,7 @@
         }
     }
 
-    /// Orders for a machine of a shard held here; none if it must not be commanded now.
+    /// Orders for a machine of a shard held here; None if it must not receive commands now.
     fn heartbeat_orders(&mut self, shard: usize, heartbeat: &Heartbeat) -> Option<HeartbeatAnswer> {
         let now = self.now;
         self.with_shard(shard, |s, context| {
--- a/crates/seamfront-core/src/engine/messages.rs
+++ b/crates/seamfront-core/src/engine/messages.rs
@@ -1,4 +1,4 @@
-//! Messages between controllers: those sent periodically, and the dispatch of those received.
+//! Messages between controllers: sends the periodic ones and dispatches those received.
 
 use super::peers::Announcement;
 use super::Engine;
@@ -10,16 +10,17 @@
 use std::collections::BTreeMap;
 use tracing::warn;
 
-/// How often this controller announces itself to the others.
+/// Interval of the announcements to all other controllers.
 const ANNOUNCEMENT_INTERVAL: Micros = Micros::from_millis(500);
-/// How often the leader gets the state of a shard.
+/// Interval at which the state of a shard is sent to the leader.
 const LEADER_UPDATE_INTERVAL: Micros = Micros::from_millis(400);
-/// How often the others get the progress of jobs.
+/// Interval at which the progress of jobs is sent to all other controllers.
 const PROGRESS_INTERVAL: Micros = Micros::from_secs(1);
-/// Most requests for resources in one update of the leader: a message between controllers has its bound.
+/// Maximum number of resource requests in one update to the leader, since the size of messages between controllers is
+/// bounded.
 const MAX_RESOURCE_REQUESTS: usize = 1_000;
 
-/// When the periodic messages are due, and which progress the others know.
+/// The times at which periodic messages are due, and the progress that the other controllers have been sent.
 #[derive(Debug, Default)]
 pub(super) struct PeriodicMessages {
     next_announcement: Micros,
@@ -41,16 +42,16 @@
         due(&mut self.next_progress, now, PROGRESS_INTERVAL)
     }
 
-    /// Lets the next update of the leader be sent at once.
+    /// Makes the next update to the leader due immediately.
     fn update_leader_now(&mut self, now: Micros) {
         self.next_leader_update = now;
     }
 
-    /// The progress of jobs of these shards that has changed since it was last sent.
+    /// The jobs of these shards whose progress has changed since it was last sent.
     fn changed_progress<'a>(
         &mut self,
         shards: impl Iterator<Item = &'a Shard>,
-        live: &JobRegistry,
+        registry: &JobRegistry,
     ) -> Vec<JobProgress> {
         let mut changed = Vec::new();
         for shard in shards {
@@ -65,7 +66,7 @@
                 }
             }
         }
-        self.sent_progress.retain(|id, _| live.contains_key(id));
+        self.sent_progress.retain(|id, _| registry.contains_key(id));
         for job in &changed {
             self.sent_progress.insert(job.id.clone(), job.progress);
         }
@@ -73,7 +74,7 @@
     }
 }
 
-/// Whether the time has come. If so, the next one is an interval from now.
+/// Whether the time `next` has been reached. If so, sets it to an interval from now.
 fn due(next: &mut Micros, now: Micros, interval: Micros) -> bool {
     let due = now >= *next;
     if due {
@@ -106,7 +107,7 @@
         }
     }
 
-    /// That this controller is alive, which claims it holds and how many writes wait here.
+    /// Announces to the others that this controller is alive, which claims it holds and how many writes are pending.
     fn announce(&mut self) {
         let claims = self
             .store
@@ -126,7 +127,7 @@
         });
     }
 
-    /// Sends the leader, or whoever holds its duties, the state of a shard.
+    /// Sends the state of a shard to the leader, or to all members that hold one of its duties.
     fn update_leader(&mut self, shard: usize) {
         let Some(message) = self.shard_update(shard) else {
             return;
@@ -148,7 +149,7 @@
         }
     }
 
-    /// What a shard requests, and its machines.
+    /// The update to the leader about a shard: its resource requests and its machines.
     fn shard_update(&mut self, shard: usize) -> Option<PeerMessage> {
         let update = self.with_shard(shard, |s, context| {
             (s.phase == ShardPhase::Ready)
@@ -156,7 +157,7 @@
         });
         let (version, mut requests, machines) = update.flatten()?;
         if requests.len() > MAX_RESOURCE_REQUESTS {
-            // The most important are first, and what is served makes room for the rest.
+            // Requests are in descending order of importance, and the rest follow once these have been served.
             warn!(
                 shard,
                 waiting = requests.len(),
@@ -181,7 +182,7 @@
         }
     }
 
-    /// Gives a message to the holder of a shard, be it this controller.
+    /// Sends a message to the holder of a shard, or handles it here if that is this controller.
     pub(super) fn notify_holder(&mut self, shard: usize, message: PeerMessage) {
         let me = self.settings.me;
         if self.shards[shard].is_some() {
@@ -191,13 +192,13 @@
         }
     }
 
-    /// The other controller that is seen to hold a shard.
+    /// The holder of a shard as last seen, unless it is this controller.
     pub(super) fn other_holder(&self, shard: usize) -> Option<usize> {
         let claim = self.store.claim(ClaimId::Shard(shard))?;
         Some(claim.member).filter(|member| *member != self.settings.me)
     }
 
-    /// Takes in a message of another controller, or of this one to itself.
+    /// Handles a message from another controller, or from this one to itself.
     pub(super) fn peer_message(&mut self, from: usize, message: PeerMessage) {
         match message {
             PeerMessage::Alive {
@@ -246,8 +247,8 @@
         }
     }
 
-    /// Whether this is the version of the claim on a shard. Delayed by the network, a former holder's update may come
-    /// after its shard has passed on: it must not count, least of all its judgement of machines.
+    /// Whether the claim on a shard is seen at this version. A predecessor's update that was delayed by the network may
+    /// arrive after the shard has a new holder; it must be ignored, above all what it says about machines.
     fn claimed_at_version(&self, shard: usize, version: u64) -> bool {
         let claim = self.store.claim(ClaimId::Shard(shard));
         claim.is_some_and(|claim| claim.version == version)
--- a/crates/seamfront-core/src/engine/mod.rs
+++ b/crates/seamfront-core/src/engine/mod.rs
@@ -1,8 +1,7 @@
-//! The scheduler of one controller as a deterministic state machine: commands come in batches, effects go out, and time
-//! is an argument. The same commands at the same times give the same effects.
+//! The scheduler of one controller as a deterministic state machine: each step takes a batch of commands and the
+//! current time and returns effects. The same commands at the same times give the same effects.
 //!
-//! The engine dispatches: it routes commands and replies to the owners of the parts of its state, hands out what they
-//! send in order, and lets the others know of what has changed.
+//! The engine routes commands and replies to its components, sends their requests in order, and passes on their events.
 
 use crate::fleet_duties::Duties;
 use crate::format_versions::{FormatRequest, FormatVersions};
@@ -41,13 +40,13 @@
 use peers::Peers;
 pub(crate) use pending::Pending;
 
-/// The scheduler of one controller: commands in, effects out.
+/// The scheduler of one controller, which turns commands into effects.
 pub struct Engine {
     settings: Rc<Settings>,
     now: Micros,
     wall_time: Micros,
     effects: Vec<Effect>,
-    calls: BTreeMap<CallId, Pending>,
+    pending_calls: BTreeMap<CallId, Pending>,
     next_call: CallId,
     store: StoreSession,
     jobs: JobRegistry,
@@ -67,14 +66,14 @@
 }
 
 impl Engine {
-    /// A controller that has just started: it has no memory of an earlier run.
+    /// Creates the engine of a controller that has just started, without any state of an earlier process.
     pub fn new(settings: Settings) -> Engine {
         let members = settings.members.len();
         Engine {
             now: Micros::ZERO,
             wall_time: Micros::ZERO,
             effects: Vec::new(),
-            calls: BTreeMap::new(),
+            pending_calls: BTreeMap::new(),
             next_call: 1,
             store: StoreSession::new(members),
             jobs: JobRegistry::default(),
@@ -95,8 +94,8 @@
         }
     }
 
-    /// Takes in commands and returns the effects that follow. `now` is read from a steady clock, `wall_time` is the time
-    /// of day; no other clock is read.
+    /// Handles a batch of commands and returns the resulting effects. `now` is read from a monotonic clock, `wall_time`
+    /// is the time of day; the engine itself reads no clock.
     pub fn step(&mut self, now: Micros, wall_time: Micros, commands: Vec<Command>) -> Vec<Effect> {
         self.now = now;
         self.wall_time = wall_time;
@@ -170,8 +169,8 @@
         self.send_periodic_messages();
     }
 
-    /// Items examined since the start by the shards held now and by the leader. The cost of a step follows from it, and
-    /// unlike time it is the same on every machine.
+    /// Number of items examined since the start by the leader and by the shards that are held now. It determines the
+    /// cost of steps and, unlike time, is the same on every computer.
     pub fn work_done(&self) -> i64 {
         self.leader_work_done
             + self
@@ -182,7 +181,7 @@
                 .sum::<i64>()
     }
 
-    /// Calls a shard with its context; None if it is not held here.
+    /// Calls a shard with its context. None if the shard is not held here.
     fn with_shard<R>(
         &mut self,
         shard: usize,
@@ -205,7 +204,7 @@
         Some(call(shard, &mut context))
     }
 
-    /// How work records may be laid out now.
+    /// The layout that new work records may use now.
     fn layout(&self) -> Layout {
         if self.format_versions.all_read_parts(&self.settings) {
             return Layout::in_parts(self.settings.value_bytes, self.settings.txn_ops);
@@ -213,8 +212,8 @@
         Layout::single(self.settings.value_bytes)
     }
 
-    /// Hands out what an owner has put into its outbox, in that order.
-    fn flush<R: Into<Pending>>(&mut self, outbox: Outbox<R>) {
+    /// Sends the contents of a component's outbox, in order.
+    fn send_outbox<R: Into<Pending>>(&mut self, outbox: Outbox<R>) {
         for outgoing in outbox {
             match outgoing {
                 Outgoing::Store { request, pending } => self.send_to_store(request, pending),
@@ -223,7 +222,7 @@
                     until,
                     pending,
                 } => self.send_to_cloud(request, until, pending),
-                Outgoing::ShardOwner { shard, message } => self.notify_holder(shard, message),
+                Outgoing::ShardHolder { shard, message } => self.notify_holder(shard, message),
                 Outgoing::Effect(effect) => self.effects.push(effect),
             }
         }
@@ -232,17 +231,17 @@
     fn machine_types_tick(&mut self) {
         let mut outbox = Outbox::new();
         self.machine_types.tick(self.now, &mut outbox);
-        self.flush(outbox);
+        self.send_outbox(outbox);
     }
 
-    /// Takes in the store's reply; the cloud's come by [`Engine::cloud_reply`].
+    /// Handles a reply of the store; replies of the cloud API go to [`Engine::cloud_reply`].
     fn machine_types_reply(&mut self, request: MachineTypesRequest, reply: StoreReply) {
         let MachineTypesRequest::FromStore = request else {
             return;
         };
         let mut outbox = Outbox::new();
         let event = self.machine_types.store_reply(reply, &mut outbox);
-        self.flush(outbox);
+        self.send_outbox(outbox);
         self.machine_types_event(event);
     }
 
@@ -253,21 +252,21 @@
         let mut outbox = Outbox::new();
         self.format_versions
             .tick(&self.settings, self.now, &mut outbox);
-        self.flush(outbox);
+        self.send_outbox(outbox);
     }
 
     fn format_versions_reply(&mut self, request: FormatRequest, reply: StoreReply) {
         let mut outbox = Outbox::new();
         self.format_versions
             .reply(&self.settings, self.now, request, reply, &mut outbox);
-        self.flush(outbox);
+        self.send_outbox(outbox);
     }
 
-    /// The id of a new call whose reply is for `pending`.
+    /// Registers a new call and returns its id.
     fn register_call(&mut self, pending: Pending) -> CallId {
         let id = self.next_call;
         self.next_call += 1;
-        self.calls.insert(id, pending);
+        self.pending_calls.insert(id, pending);
         id
     }
 
@@ -277,7 +276,7 @@
         self.effects.push(Effect::Store { call, request });
     }
 
-    /// Sends a request to the cloud, with a time only before it.
+    /// Sends a request to the cloud API that must not be sent at or after `until`.
     fn send_to_cloud(
         &mut self,
         request: CloudRequest,
@@ -292,9 +291,9 @@
         });
     }
 
-    /// Hands a reply of the store to the owner of the request.
+    /// Passes a reply of the store to the component that sent the request.
     fn store_reply(&mut self, call: CallId, reply: StoreReply) {
-        let Some(pending) = self.calls.remove(&call) else {
+        let Some(pending) = self.pending_calls.remove(&call) else {
             return;
         };
         trace!(call, ?reply, "store replied");
@@ -318,9 +317,9 @@
         }
     }
 
-    /// Hands a reply of the cloud to the owner of the request.
+    /// Passes a reply of the cloud API to the component that sent the request.
     fn cloud_reply(&mut self, call: CallId, reply: CloudReply) {
-        match self.calls.remove(&call) {
+        match self.pending_calls.remove(&call) {
             Some(Pending::Leader(request)) => self.leader_cloud_reply(request, reply),
             Some(Pending::MachineTypes(MachineTypesRequest::FromCloud)) => {
                 let event = self.machine_types.cloud_reply(reply);
--- a/crates/seamfront-core/src/engine/peers.rs
+++ b/crates/seamfront-core/src/engine/peers.rs
@@ -1,57 +1,57 @@
-//! What is known of the other controllers from their announcements.
+//! The state of the other controllers as known from their announcements.
 
 use crate::types::Micros;
 
-/// A controller that was not heard of for this long counts as silent.
-const SILENCE: Micros = Micros::from_secs(2);
-/// How long a controller must have been ready before it gets its shard back.
+/// A controller whose last announcement is this old counts as silent.
+const PEER_SILENCE_TIMEOUT: Micros = Micros::from_secs(2);
+/// How long a controller must have been ready before its shard is transferred to it.
 const READY_BEFORE_TRANSFER: Micros = Micros::from_secs(3);
 
-/// What another controller last announced.
+/// The last announcement of another controller.
 #[derive(Clone, Debug, Default)]
 struct Peer {
     last_heard: Micros,
-    /// Since when it has announced itself as ready.
+    /// Since when it has continuously announced itself as ready.
     ready_since: Option<Micros>,
-    /// Writes that were waiting there.
+    /// Number of writes that were pending there.
     pending_writes: usize,
 }
 
-/// What a controller announces of itself.
+/// What a controller announces about itself.
 pub(super) struct Announcement {
-    /// Whether it has all that it needs to take requests.
+    /// Whether it can serve requests and agents can reach it.
     pub(super) ready: bool,
-    /// Writes that wait there.
+    /// Number of writes that are pending there.
     pub(super) pending_writes: usize,
 }
 
 impl Peer {
     fn silent(&self, now: Micros) -> bool {
-        now - self.last_heard >= SILENCE
+        now - self.last_heard >= PEER_SILENCE_TIMEOUT
     }
 }
 
-/// How many writes wait where, by the last announcements.
+/// Pending writes of the controllers according to their last announcements.
 pub(super) struct WriteDemand {
-    /// Here; at least one.
+    /// Writes pending at this controller; at least 1.
     pub(super) own: i64,
-    /// At all controllers that were heard lately.
+    /// Writes pending at this controller and at those that are not silent; at least 1 each.
     pub(super) total: i64,
-    /// Members that are silent.
+    /// Silent members.
     pub(super) silent: Vec<usize>,
 }
 
-/// All controllers, by member; this one's own entry is not used.
+/// All controllers, indexed by member; the entry of this controller is not used.
 #[derive(Debug)]
 pub(crate) struct Peers {
     me: usize,
     peers: Vec<Peer>,
-    /// What this controller last announced.
+    /// Number of pending writes that this controller last announced.
     announced_writes: usize,
 }
 
 impl Peers {
-    /// Nothing is known of anybody.
+    /// Creates the initial state, in which no announcement has been received.
     pub(super) fn new(me: usize, members: usize) -> Self {
         Peers {
             me,
@@ -60,7 +60,7 @@
         }
     }
 
-    /// Members other than this controller.
+    /// All members except this controller.
     pub(super) fn others(&self) -> impl Iterator<Item = usize> + 'static {
         let me = self.me;
         (0..self.peers.len()).filter(move |member| *member != me)
@@ -70,7 +70,7 @@
         self.others().map(|member| &self.peers[member])
     }
 
-    /// Takes in an announcement. False if there is no such member.
+    /// Records an announcement. False if there is no such member.
     pub(super) fn announced(
         &mut self,
         member: usize,
@@ -80,23 +80,23 @@
         let Some(peer) = self.peers.get_mut(member) else {
             return false;
         };
-        let gap = now - peer.last_heard > SILENCE;
+        let was_silent = now - peer.last_heard > PEER_SILENCE_TIMEOUT;
         peer.last_heard = now;
         peer.pending_writes = announcement.pending_writes;
         peer.ready_since = match peer.ready_since {
             _ if !announcement.ready => None,
-            Some(since) if !gap => Some(since),
+            Some(since) if !was_silent => Some(since),
             _ => Some(now),
         };
         true
     }
 
-    /// This controller has announced how many writes wait here.
+    /// Records the number of pending writes that this controller has announced.
     pub(super) fn writes_announced(&mut self, pending_writes: usize) {
         self.announced_writes = pending_writes;
     }
 
-    /// Whether any other controller is ready. Workers reach it, or it would not be.
+    /// Whether any other controller is ready, which includes that agents can reach it.
     pub(super) fn any_ready(&self, now: Micros) -> bool {
         self.other_peers()
             .any(|peer| peer.ready_since.is_some() && !peer.silent(now))
@@ -107,19 +107,19 @@
         self.peers.len() > 1 && self.other_peers().all(|peer| peer.silent(now))
     }
 
-    /// By member: it has been ready for long enough to get its shard back.
+    /// By member: whether it has been ready for long enough to have its shard transferred to it.
     pub(super) fn ready_for_transfer(&self, now: Micros) -> Vec<bool> {
-        let settled = |peer: &Peer| {
+        let ready_long_enough = |peer: &Peer| {
             peer.ready_since
                 .is_some_and(|since| now - since > READY_BEFORE_TRANSFER)
         };
         self.peers
             .iter()
-            .map(|peer| settled(peer) && !peer.silent(now))
+            .map(|peer| ready_long_enough(peer) && !peer.silent(now))
             .collect()
     }
 
-    /// How many writes wait where.
+    /// Pending writes of all controllers.
     pub(super) fn write_demand(&self, now: Micros) -> WriteDemand {
         let own = self.announced_writes as i64 + 1;
         let mut demand = WriteDemand {
--- a/crates/seamfront-core/src/engine/pending.rs
+++ b/crates/seamfront-core/src/engine/pending.rs
@@ -1,4 +1,4 @@
-//! What the reply to an outstanding call is for.
+//! Outstanding calls to the store and the cloud API, by the component that waits for the reply.
 
 use crate::format_versions::FormatRequest;
 use crate::garbage_collector::CollectionRequest;
@@ -10,7 +10,7 @@
 use crate::store_session::SessionRequest;
 use crate::user_api::UserRequest;
 
-/// What a call's reply is for: the owner that made the call, with its own value.
+/// An outstanding call: the component that waits for the reply, and what it needs to handle it.
 pub(crate) enum Pending {
     Session(SessionRequest),
     User(UserRequest),
@@ -18,7 +18,7 @@
     Collection(CollectionRequest),
     Format(FormatRequest),
     MachineTypes(MachineTypesRequest),
-    /// Writes on behalf of a shard, under the claim with this version.
+    /// Writes or a read on behalf of a shard, under the claim with this version.
     Shard {
         shard: usize,
         version: u64,
--- a/crates/seamfront-core/src/engine/session.rs
+++ b/crates/seamfront-core/src/engine/session.rs
@@ -1,4 +1,4 @@
-//! The store session's part of the engine: its steps, and what its events mean to others.
+//! Connects the store session with the engine: steps it and applies its events to the other components.
 
 use super::Engine;
 use crate::jobs::JobRegistry;
@@ -8,7 +8,7 @@
 use crate::shard::{work_prefix, Shard, ShardPhase, StoredRecord};
 use crate::store_session::{
     ClaimId, ReadRecords, SessionContext, SessionEvent, SessionRequest, StoreSession, TickInputs,
-    Topic,
+    ViewId,
 };
 use crate::types::{JobId, Micros};
 use std::collections::BTreeMap;
@@ -25,16 +25,16 @@
             .is_some_and(|sent| self.now - sent < self.settings.verification_ttl())
     }
 
-    /// Ends acting under a claim at once.
+    /// Stops acting under a claim immediately.
     pub(super) fn drop_claim(&mut self, claim: ClaimId, why: &str) {
         if self.store.release(claim, why) {
             self.claim_lost(claim);
         }
     }
 
-    /// Takes in the changes of a view that were asked for. True if the reply was usable.
-    pub(super) fn apply_changes(&mut self, topic: Topic, reply: StoreReply) -> bool {
-        self.with_session(|session, context| session.apply_changes(context, topic, reply))
+    /// Applies the reply to a request for the changes of a view. True if the reply was usable.
+    pub(super) fn apply_changes(&mut self, view_id: ViewId, reply: StoreReply) -> bool {
+        self.with_session(|session, context| session.apply_changes(context, view_id, reply))
     }
 
     pub(super) fn store_session_tick(&mut self) {
@@ -59,8 +59,8 @@
         let mut context = SessionContext::new(&settings, self.now);
         let result = call(&mut self.store, &mut context);
         let SessionContext { outbox, events, .. } = context;
-        // No call makes both requests and events that lead to effects, so their order does not matter.
-        self.flush(outbox);
+        // No call produces both requests and events that lead to effects, so their order does not matter.
+        self.send_outbox(outbox);
         for event in events {
             self.session_event(event);
         }
@@ -73,16 +73,16 @@
                 let known = self.jobs.keys();
                 let absent: Vec<_> = known.filter(|id| !present.contains(id)).cloned().collect();
                 for id in absent {
-                    self.job_vanished(&id);
+                    self.job_removed(&id);
                 }
             }
-            SessionEvent::JobChanged { spec, version } => self.job_appeared(spec, version),
-            SessionEvent::JobRemoved(id) => self.job_vanished(&id),
+            SessionEvent::JobChanged { spec, version } => self.job_changed(spec, version),
+            SessionEvent::JobRemoved(id) => self.job_removed(&id),
             SessionEvent::MachinesRead { present } => {
                 let known = self.machines.keys();
                 let absent: Vec<_> = known.filter(|id| !present.contains(id)).cloned().collect();
                 for id in absent {
-                    self.machine_vanished(&id);
+                    self.machine_removed(&id);
                 }
             }
             SessionEvent::MachineChanged {
@@ -90,7 +90,7 @@
                 record,
                 version,
             } => self.machine_changed(id, record, version),
-            SessionEvent::MachineRemoved(id) => self.machine_vanished(&id),
+            SessionEvent::MachineRemoved(id) => self.machine_removed(&id),
             SessionEvent::ClaimAcquired { claim, token } => self.claim_acquired(claim, token),
             SessionEvent::ClaimLost(claim) => self.claim_lost(claim),
             SessionEvent::RecordReadStarted { shard } => {
@@ -98,7 +98,7 @@
                     shard.phase = ShardPhase::Loading;
                 }
             }
-            SessionEvent::RecordsRead(records) => self.take_over(records),
+            SessionEvent::RecordsRead(records) => self.complete_failover(records),
         }
     }
 
@@ -113,7 +113,7 @@
                 for (id, machine) in &self.machines {
                     let record = &machine.record;
                     if record.shard == Some(index) {
-                        let size = self.type_size(&record.kind);
+                        let size = self.machine_type_size(&record.kind);
                         let version = machine.version;
                         shard.add_machine(id.clone(), record.clone(), version, size, self.now);
                     }
@@ -125,7 +125,7 @@
 
     fn claim_lost(&mut self, claim: ClaimId) {
         match claim {
-            // Without a version it rests on duties, not on this claim.
+            // A leader without a claim version is fenced by duties and does not depend on this claim.
             ClaimId::Leader => {
                 self.leader = self.leader.take().filter(|l| l.claim_version().is_none());
             }
@@ -133,8 +133,8 @@
         }
     }
 
-    /// A shard goes on from the records of its former owner.
-    fn take_over(&mut self, read: ReadRecords) {
+    /// Completes the failover of a shard with the records of its predecessor.
+    fn complete_failover(&mut self, read: ReadRecords) {
         let index = read.shard;
         let now = self.now;
         let Some(shard) = self.shards[index].as_mut() else {
@@ -146,20 +146,22 @@
             shard.add_job(job.spec.clone(), job.version, now);
             shard.update_dependencies(id, job.effective_spec(), job.dependencies.blocked(), now);
         }
-        let over = now
+        // By then the predecessor may no longer act, and the leases of the agents that it last replied to have expired.
+        let held_until = now
             + self.settings.verification_ttl().with_drift()
             + self.settings.lease.with_drift()
             + Micros::from_secs(1);
         for id in unreadable {
-            shard.hold_unreadable(&id, over);
+            shard.hold_unreadable(&id, held_until);
         }
         self.add_released_machines(index);
         self.with_shard(index, |shard, context| shard.loaded(context));
         debug!(shard = index, "records read");
     }
 
-    /// A machine that is being terminated exists until its record is deleted, and so does what the former owner placed
-    /// on it. One that belongs to another shard by now was empty when it was released.
+    /// Adds machines without a shard on which the shard's records place tasks. A machine that is being terminated
+    /// exists until its record is deleted, and so do the tasks that the predecessor placed on it. A machine that by now
+    /// belongs to another shard is not added, since it was empty when it was released.
     fn add_released_machines(&mut self, index: usize) {
         let now = self.now;
         let Some(shard) = self.shards[index].as_ref() else {
@@ -171,7 +173,7 @@
                 continue;
             };
             let (record, version) = (machine.record.clone(), machine.version);
-            let size = self.type_size(&record.kind);
+            let size = self.machine_type_size(&record.kind);
             if let Some(shard) = self.shards[index].as_mut() {
                 shard.add_machine(id, record, version, size, now);
             }
@@ -189,7 +191,7 @@
     parts
 }
 
-/// Gives a shard the records of its former owner. Returns the jobs whose records can't be read.
+/// Gives a shard the records of its predecessor. Returns the jobs whose records cannot be read.
 fn adopt_records(
     shard: &mut Shard,
     jobs: &JobRegistry,
--- a/crates/seamfront-core/src/engine/transactions.rs
+++ b/crates/seamfront-core/src/engine/transactions.rs
@@ -1,4 +1,4 @@
-//! Transactions on behalf of a shard: which writes go together, and what each consists of.
+//! Transactions on behalf of a shard: how writes are batched, and the operations of each write.
 
 use crate::jobs::{end_conditions, end_writes, EndRecord};
 use crate::machine::machine_key;
@@ -8,14 +8,15 @@
 use crate::store_session::ClaimId;
 use crate::types::JobId;
 
-/// Bytes of records in one transaction, well below what the state service takes.
-const TRANSACTION_BYTES: usize = 40_000;
-/// About what a write takes that is no record of a job.
-const SMALL_WRITE: usize = 200;
-/// Operations of a transaction that removes parts besides these: the claim's condition, the record's, its deletion.
-const OTHER_OPERATIONS: usize = 3;
+/// Maximum bytes of records in one transaction, well below the size limit of the key-value store.
+const MAX_TRANSACTION_BYTES: usize = 40_000;
+/// Approximate bytes of a write that is not the record of a job.
+const SMALL_WRITE_BYTES: usize = 200;
+/// Operations of a transaction that deletes a record, without those on parts: the conditions on the claim and on the
+/// record, and the deletion of the record.
+const NON_PART_OPERATIONS: usize = 3;
 
-/// Small writes that go into one transaction.
+/// Writes collected for one transaction.
 #[derive(Default)]
 pub(super) struct WriteBatch {
     writes: Vec<ShardWrite>,
@@ -23,14 +24,14 @@
 }
 
 impl WriteBatch {
-    /// Adds a write. Returns those before it if it does not fit in with them.
+    /// Adds a write. If it does not fit, returns the previous writes and starts a new batch with it.
     pub(super) fn add(&mut self, write: ShardWrite) -> Option<Vec<ShardWrite>> {
         let size = match &write {
             ShardWrite::Record { record, .. } => record.bytes,
-            _ => SMALL_WRITE,
+            _ => SMALL_WRITE_BYTES,
         };
         let mut full = None;
-        if self.bytes + size > TRANSACTION_BYTES && !self.writes.is_empty() {
+        if self.bytes + size > MAX_TRANSACTION_BYTES && !self.writes.is_empty() {
             full = Some(std::mem::take(&mut self.writes));
             self.bytes = 0;
         }
@@ -39,13 +40,13 @@
         full
     }
 
-    /// What is left.
-    pub(super) fn into_rest(self) -> Option<Vec<ShardWrite>> {
+    /// The writes of the last batch; None if it is empty.
+    pub(super) fn into_remaining(self) -> Option<Vec<ShardWrite>> {
         Some(self.writes).filter(|writes| !writes.is_empty())
     }
 }
 
-/// The key that a write is about.
+/// Key that a write changes or reads.
 pub(super) fn write_key(shard: usize, write: &ShardWrite) -> String {
     match write {
         ShardWrite::Machine { machine, .. } => machine_key(machine),
@@ -56,14 +57,14 @@
     }
 }
 
-/// What became of a write, by the reply to its transaction.
+/// Outcome of a write according to the reply to its transaction.
 pub(super) fn write_outcome(write: &ShardWrite, key: &str, reply: &StoreReply) -> WriteOutcome {
     match (write, reply) {
         (ShardWrite::Read { .. }, StoreReply::Entry(entry)) => WriteOutcome::Done(entry.version),
         (ShardWrite::Read { .. }, StoreReply::Missing) => WriteOutcome::Done(0),
         (_, StoreReply::Committed { revision }) => WriteOutcome::Done(*revision),
         (_, StoreReply::Refused) => WriteOutcome::Refused,
-        // One failed condition fails all; those that held are simply made again.
+        // One failed condition fails the whole transaction; writes whose own conditions held are repeated.
         (ShardWrite::End { .. }, StoreReply::Conflict { .. }) => WriteOutcome::Unclear,
         (_, StoreReply::Conflict { failed }) if !failed.iter().any(|k| k == key) => {
             WriteOutcome::Refused
@@ -72,28 +73,29 @@
     }
 }
 
-/// A transaction on behalf of a shard. It carries the version of the shard's claim, so that one that is applied late,
-/// after the shard has passed on, fails.
+/// A transaction on behalf of a shard. It is conditional on the version of the shard's claim, so that it fails if it is
+/// applied late, after the shard has a new holder.
 pub(super) struct ShardTransaction {
     shard: usize,
-    /// Most parts of one record that are deleted with it.
+    /// Maximum number of parts that are deleted together with their record.
     max_part_deletions: usize,
     conditions: Vec<(String, u64)>,
     writes: Vec<Write>,
 }
 
 impl ShardTransaction {
-    /// A transaction without writes, under a claim's version. `max_operations` is what the store takes at once.
+    /// Creates a transaction without writes, conditional on the claim's version. `max_operations` is the store's limit
+    /// for one transaction.
     pub(super) fn new(shard: usize, version: u64, max_operations: usize) -> Self {
         ShardTransaction {
             shard,
-            max_part_deletions: max_operations.saturating_sub(OTHER_OPERATIONS),
+            max_part_deletions: max_operations.saturating_sub(NON_PART_OPERATIONS),
             conditions: vec![(ClaimId::Shard(shard).to_string(), version)],
             writes: Vec::new(),
         }
     }
 
-    /// The request that carries it out.
+    /// The request to the store.
     pub(super) fn into_request(self) -> StoreRequest {
         StoreRequest::CompareAndSwap {
             conditions: self.conditions,
@@ -101,7 +103,7 @@
         }
     }
 
-    /// Adds what a write consists of.
+    /// Adds the conditions and operations of a write.
     pub(super) fn add(&mut self, write: &ShardWrite) {
         let key = write_key(self.shard, write);
         match write {
@@ -167,7 +169,8 @@
         });
     }
 
-    /// A part without its head means nothing: should there be more than a transaction takes, the rest stays.
+    /// Deletes a record and as many of its parts as the transaction has room for. Any others may stay, since parts
+    /// without a head are ignored.
     fn delete_record(&mut self, key: String, version: u64, job: &JobId, parts_end: u32) {
         self.conditions.push((key.clone(), version));
         self.writes.push(Write::Delete { key });
--- a/crates/seamfront-core/src/engine/writes.rs
+++ b/crates/seamfront-core/src/engine/writes.rs
@@ -1,4 +1,4 @@
-//! The scheduler's own writes: when they are sent, and what follows from their replies.
+//! The scheduler's own writes to the store: sends them within the write budget and handles their replies.
 
 use super::transactions::{write_key, write_outcome, ShardTransaction, WriteBatch};
 use super::{Engine, Pending};
@@ -6,19 +6,19 @@
 use crate::shard::{Shard, ShardPhase, ShardWrite, WriteOutcome};
 use crate::store_session::ClaimId;
 
-/// The schedulers' part of what the store takes, in thousandths; the rest is left to users.
-const SCHEDULERS_PART: i64 = 850;
-/// However busy the others are, a controller keeps one part in so many of its even share.
-const LEAST_PART: i64 = 4;
-/// Operations in a transaction for each of its writes, about.
+/// Fraction of the store's write rate for the schedulers of all controllers, in thousandths; the rest is left to users.
+const SCHEDULER_RATE_PERMILLE: i64 = 850;
+/// Each controller gets at least its equal fraction of the write rate divided by this, however busy the others are.
+const MIN_RATE_DIVISOR: i64 = 4;
+/// Approximate number of operations that a write takes in a transaction.
 const OPERATIONS_PER_WRITE: usize = 3;
-/// Most writes of a shard in one flush.
+/// Maximum number of writes of a shard in one flush.
 const MAX_WRITES_PER_FLUSH: usize = 12;
-/// Writes that the end of a job counts for.
-const END_WRITES: usize = 3;
+/// Number of writes that the end of a job is charged as.
+const WRITES_PER_JOB_END: usize = 3;
 
 impl Engine {
-    /// How many writes wait here: for tasks to start, for jobs to end, for machines to be adopted.
+    /// Number of writes pending here: for tasks to start, for jobs to end, for machines to be adopted.
     pub(super) fn pending_write_count(&self) -> usize {
         self.shards
             .iter()
@@ -28,20 +28,21 @@
             + self.leader_pending_writes()
     }
 
-    /// This controller's part of what the store takes, in thousandths of a write a second. It is divided by what waits
-    /// where, as the controllers announce it, since one shard may need most of it while others need nothing; a silent
-    /// controller keeps the part of the shards that it holds.
+    /// This controller's fraction of the store's write rate, in milliwrites per second. The rate is divided in
+    /// proportion to the pending writes that the controllers announce, since one shard may need most of it while others
+    /// need nothing. For a silent controller, the fraction of the shards that it holds is set aside.
     pub(super) fn write_rate(&self) -> i64 {
         let members = self.settings.members.len() as i64;
-        let total = self.settings.write_rps * SCHEDULERS_PART;
+        let total = self.settings.write_rps * SCHEDULER_RATE_PERMILLE;
         let demand = self.peers.write_demand(self.now);
-        let kept: i64 = demand
+        let shards_of_silent: i64 = demand
             .silent
             .iter()
             .map(|member| self.store.shards_of(*member) as i64)
             .sum();
-        let part = total * (members - kept) / members * demand.own / demand.total.max(1);
-        part.max(total / (LEAST_PART * members))
+        let rate =
+            total * (members - shards_of_silent) / members * demand.own / demand.total.max(1);
+        rate.max(total / (MIN_RATE_DIVISOR * members))
     }
 
     pub(super) fn refill_write_budget(&mut self) {
@@ -49,9 +50,9 @@
         self.write_pacer.refill(self.now, rate);
     }
 
-    /// Sends the writes of all shards that are due, as far as the budget goes.
+    /// Sends the due writes of all shards held here, as far as the write budget allows.
     pub(super) fn flush_writes(&mut self) {
-        // What gathers within a moment is written together.
+        // Writes that become due within this interval are batched.
         let interval = self.settings.ask_every().over(2);
         let Some(flush) = self.write_pacer.start_flush(self.now, interval) else {
             return;
@@ -69,13 +70,14 @@
         let mut batch = WriteBatch::default();
         for write in writes {
             match &write {
-                // An end may fail for its user's sake; it must not take others with it.
+                // Sent alone: it may fail because the user cancels the job at the same time, and must not make other
+                // writes fail with it.
                 ShardWrite::End { .. } => {
-                    self.write_pacer.spend(END_WRITES);
+                    self.write_pacer.spend(WRITES_PER_JOB_END);
                     self.send_shard_writes(shard, version, vec![write]);
                 }
                 ShardWrite::Read { .. } => self.send_shard_read(shard, version, write),
-                // One in parts fills a transaction by itself.
+                // A record in parts fills a transaction by itself.
                 ShardWrite::Record { changes, .. } if !changes.is_empty() => {
                     self.write_pacer.spend(1 + changes.len());
                     self.send_shard_writes(shard, version, vec![write]);
@@ -88,22 +90,23 @@
                 }
             }
         }
-        if let Some(rest) = batch.into_rest() {
+        if let Some(rest) = batch.into_remaining() {
             self.send_shard_writes(shard, version, rest);
         }
     }
 
-    /// The writes of a shard that may be sent now, with the version of its claim.
+    /// The writes of a shard that may be sent now, and the version of the shard's claim.
     fn due_shard_writes(&mut self, shard: usize) -> Option<(u64, Vec<ShardWrite>)> {
         let available = self.write_pacer.available_writes();
         if available == 0 || !self.lease_valid(ClaimId::Shard(shard)) {
             return None;
         }
-        let most = (self.settings.txn_ops / OPERATIONS_PER_WRITE).clamp(1, MAX_WRITES_PER_FLUSH);
+        let max_writes =
+            (self.settings.txn_ops / OPERATIONS_PER_WRITE).clamp(1, MAX_WRITES_PER_FLUSH);
         let (now, layout) = (self.now, self.layout());
         self.with_shard(shard, |s, _| {
             let writes = match s.phase {
-                ShardPhase::Ready => s.due_writes(now, available.min(most), &layout),
+                ShardPhase::Ready => s.due_writes(now, available.min(max_writes), &layout),
                 _ => Vec::new(),
             };
             (s.version, writes)
--- a/crates/seamfront-core/src/leader/planning.rs
+++ b/crates/seamfront-core/src/leader/planning.rs
@@ -197,7 +197,7 @@
                 machines,
                 above: None,
             };
-            outbox.shard_owner(shard, message);
+            outbox.shard_holder(shard, message);
         }
     }
 
@@ -224,7 +224,7 @@
                 machines: vec![drain.machine],
                 above: Some(drain.above),
             };
-            outbox.shard_owner(shard, message);
+            outbox.shard_holder(shard, message);
         }
     }
 }
--- a/crates/seamfront-core/src/outbox.rs
+++ b/crates/seamfront-core/src/outbox.rs
@@ -1,59 +1,60 @@
-//! What the owner of a part of the state sends out in a step.
+//! Requests and effects that a component of the engine sends in one step.
 //!
-//! Owners do not know the engine: they put requests into an [`Outbox`], each with a value of their own that says what
-//! the reply is for. The engine drains it right after the call and gives the requests their call ids in that order.
+//! Components have no access to the engine: they put requests into an [`Outbox`], each with a value of their own type
+//! that identifies the request when its reply arrives. The engine drains the outbox right after the call and assigns
+//! call ids in that order.
 
 use crate::port::{CloudRequest, Effect, PeerMessage, StoreRequest};
 use crate::types::Micros;
 
-/// One thing to be sent.
+/// One request, message or effect to be sent.
 pub(crate) enum Outgoing<R> {
     /// A request to the key-value store.
     Store {
         /// The request.
         request: StoreRequest,
-        /// What its reply is for.
+        /// Identifies the request when its reply arrives.
         pending: R,
     },
-    /// A request to the cloud.
+    /// A request to the cloud API.
     Cloud {
         /// The request.
         request: CloudRequest,
-        /// It may be sent only before this time.
+        /// The request must not be sent at or after this time.
         until: Option<Micros>,
-        /// What its reply is for.
+        /// Identifies the request when its reply arrives.
         pending: R,
     },
-    /// A message to the controller that owns a shard, be it this one.
-    ShardOwner {
+    /// A message to the controller that holds a shard, which may be this one.
+    ShardHolder {
         /// The shard.
         shard: usize,
         /// The message.
         message: PeerMessage,
     },
-    /// An effect without a reply.
+    /// An effect that has no reply.
     Effect(Effect),
 }
 
-/// Outgoing requests and effects of one owner, in order. `R` is the owner's enum of outstanding requests.
+/// Outgoing requests and effects of one component, in order. `R` is the component's enum of outstanding requests.
 pub(crate) struct Outbox<R> {
     outgoing: Vec<Outgoing<R>>,
 }
 
 impl<R> Outbox<R> {
-    /// An empty outbox.
+    /// Creates an empty outbox.
     pub(crate) fn new() -> Self {
         Outbox {
             outgoing: Vec::new(),
         }
     }
 
-    /// Sends a request to the store.
+    /// Adds a request to the store.
     pub(crate) fn store(&mut self, request: StoreRequest, pending: R) {
         self.outgoing.push(Outgoing::Store { request, pending });
     }
 
-    /// Sends a request to the cloud, but only before `until`.
+    /// Adds a request to the cloud API that may only be sent before `until`.
     pub(crate) fn cloud(&mut self, request: CloudRequest, until: Option<Micros>, pending: R) {
         self.outgoing.push(Outgoing::Cloud {
             request,
@@ -62,12 +63,12 @@
         });
     }
 
-    /// Sends a message to the controller that owns a shard.
-    pub(crate) fn shard_owner(&mut self, shard: usize, message: PeerMessage) {
-        self.outgoing.push(Outgoing::ShardOwner { shard, message });
+    /// Adds a message to the controller that holds a shard.
+    pub(crate) fn shard_holder(&mut self, shard: usize, message: PeerMessage) {
+        self.outgoing.push(Outgoing::ShardHolder { shard, message });
     }
 
-    /// Sends an effect that has no reply.
+    /// Adds an effect that has no reply.
     pub(crate) fn effect(&mut self, effect: Effect) {
         self.outgoing.push(Outgoing::Effect(effect));
     }
--- a/crates/seamfront-core/src/store_session/claim.rs
+++ b/crates/seamfront-core/src/store_session/claim.rs
@@ -1,15 +1,15 @@
-//! Claims: what they are on, how they are stored, and what one controller knows of each.
+//! Claims on shards and on leadership: their keys, their stored values, and the state that a controller keeps of each.
 
 use crate::types::Micros;
 use serde::{Deserialize, Serialize};
 use std::fmt;
 
-/// What a claim is on. Its `Display` form is the key under which the claim is stored.
+/// Identifies a claim. The `Display` form is the key under which the claim is stored.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) enum ClaimId {
-    /// The shard with this index.
+    /// The claim on the shard with this index.
     Shard(usize),
-    /// Leadership.
+    /// The claim to leadership.
     Leader,
 }
 
@@ -22,68 +22,69 @@
     }
 }
 
-/// Value of a claim's key. The lease distinguishes one incarnation of a member from the next.
+/// Value of a claim's key. The lease distinguishes a member's process from its earlier ones.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ClaimValue {
-    /// Name of the member that holds it.
+    /// Name of the member that holds the claim.
     pub member: String,
-    /// The lease that the key is attached to.
+    /// Lease that the key is attached to.
     pub lease: u64,
 }
 
-/// A claim as the view shows it.
+/// A claim as last seen.
 #[derive(Clone, Debug)]
 pub(crate) struct Claim {
-    /// Version of its key.
+    /// Version of the claim's key.
     pub(crate) version: u64,
-    /// Index of the member that holds it.
+    /// Index of the member that holds the claim.
     pub(crate) member: usize,
-    /// The lease that the key is attached to.
+    /// Lease that the key is attached to; 0 if the claim is known only from the announcement of a peer.
     pub(crate) lease: u64,
 }
 
 /// A claim under which this controller acts.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct HeldClaim {
-    /// Version of the claim's key: the fencing token of all that is done under it.
+    /// Version of the claim's key: the fencing token of all actions under the claim.
     pub(super) token: u64,
-    /// When it was acquired.
+    /// When the claim was acquired.
     pub(super) acquired_at: Micros,
-    /// Sending time of the last request by which it was verified together with a view of jobs that is as new.
+    /// Time at which the last successful verification was sent. A verification succeeds only once the view of jobs is
+    /// at least as new as the store's confirmation.
     pub(super) last_verified: Option<Micros>,
-    /// Of a shard: the records of its former owner have been read.
+    /// For a claim on a shard: whether the predecessor's records have been read.
     pub(super) records_read: bool,
 }
 
-/// What this controller knows of one claim.
+/// State of one claim at this controller.
 #[derive(Clone, Debug, Default)]
 pub(super) struct ClaimState {
-    /// The claim as last seen in the view.
+    /// The claim as last seen in the view, in the reply to a request, or in a peer's announcement; None if it is free.
     pub(super) seen: Option<Claim>,
-    /// Since when it has been seen to be free.
+    /// Since when the claim has been seen to be free.
     pub(super) free_since: Option<Micros>,
-    /// A request to acquire it or to delete it is in flight.
+    /// A request that acquires or deletes the claim is in flight.
     pub(super) request_in_flight: bool,
-    /// Version of the last claim that was released here. It is never acted on again.
+    /// Version of the claim when this controller last released it. It never acts under that version again.
     pub(super) last_released_token: u64,
-    /// The claim, while this controller acts under it.
+    /// Set while this controller acts under the claim.
     pub(super) held: Option<HeldClaim>,
 }
 
 impl ClaimState {
-    /// The fencing token, while this controller acts under the claim.
+    /// Fencing token; None unless this controller acts under the claim.
     pub(super) fn token(&self) -> Option<u64> {
         self.held.map(|held| held.token)
     }
 
-    /// The view shows the claim at this version.
+    /// Whether the claim was last seen at this version.
     pub(super) fn seen_at(&self, version: u64) -> bool {
         self.seen
             .as_ref()
             .is_some_and(|claim| claim.version == version)
     }
 
-    /// The view shows a claim that is newer than this version.
+    /// Whether the claim was last seen at a newer version.
     pub(super) fn seen_newer_than(&self, version: u64) -> bool {
         self.seen
             .as_ref()
--- a/crates/seamfront-core/src/store_session/claims.rs
+++ b/crates/seamfront-core/src/store_session/claims.rs
@@ -1,4 +1,4 @@
-//! Acquiring and losing claims.
+//! Acquisition and loss of claims.
 
 use super::claim::{Claim, ClaimId, ClaimValue, HeldClaim};
 use super::{
@@ -8,24 +8,24 @@
 use crate::types::Micros;
 use tracing::{info, warn};
 
-/// How long each further member waits before it claims what is free. The home member is the first.
+/// Additional delay per rank before a member acquires a free claim. The claim's home member has rank 0.
 const DELAY_PER_RANK: Micros = Micros::from_millis(400);
-/// How much longer a controller waits that no worker reaches: it comes last, but it comes, as perhaps there is no
-/// other.
+/// Additional delay of a controller that no agent can reach. It lets the other members go first, but still acquires the
+/// claim in the end, since there may be no other member left.
 const INBOUND_PARTITION_DELAY: Micros = Micros::from_secs(5);
 
-/// What is to be done about a claim that is not held here.
+/// Next step for a claim that is not held here.
 enum NextStep {
-    /// It is another's, or free but not our turn yet.
+    /// Another member holds it, a request is in flight, or the delay before acquisition has not passed yet.
     Wait,
-    /// It is ours already, though the reply to the request was lost.
+    /// This controller has acquired it, but the reply to the request was lost.
     Adopt { version: u64 },
-    /// It is to be written, if its key still has this version.
+    /// Write the claim if its key still has this version.
     Acquire { expected_version: u64 },
 }
 
 impl StoreSession {
-    /// The view shows a claim, or that it is free.
+    /// Handles a change of a claim in the view; `seen` is None if the claim is free.
     pub(super) fn claim_changed(
         &mut self,
         context: &mut SessionContext,
@@ -54,7 +54,7 @@
         state.seen = seen;
     }
 
-    /// Ends acting under a claim at once. True if it was held.
+    /// Stops acting under a claim immediately. True if it was held.
     pub(crate) fn release(&mut self, claim: ClaimId, why: &str) -> bool {
         let state = self.state_mut(claim);
         let Some(held) = state.held.take() else {
@@ -71,8 +71,8 @@
         }
     }
 
-    /// A peer says that it holds these claims, by key and version. Where they are newer, ours are lost, whatever the
-    /// store lets us know.
+    /// Handles the claims that a peer announces to hold. If one is newer than this controller's own, the own claim is
+    /// lost, even if the view does not show that yet.
     pub(crate) fn peer_claims(
         &mut self,
         context: &mut SessionContext,
@@ -125,7 +125,7 @@
         if state.request_in_flight || state.held.is_some() {
             return NextStep::Wait;
         }
-        // Once duties are in force, the claim to leadership has ended for good.
+        // Once duties are in force, the claim to leadership is never acquired again.
         if claim == ClaimId::Leader && inputs.duties_in_force {
             return NextStep::Wait;
         }
@@ -139,9 +139,10 @@
                     version: seen.version,
                 }
             }
-            // Of a former incarnation, which can't come back, so there is nothing to wait for; or one that was released
-            // here, though it could not be deleted. Replies, heartbeats and requests for machines of that time may
-            // still come, and would be taken for those of the new one if both had the same version.
+            // The claim was acquired by an earlier process of this member, which cannot return, so it is replaced
+            // without delay; or this process released it and failed to delete it. It is written anew, not reused:
+            // delayed replies, heartbeats and machine requests from before would be attributed to the new claim if it
+            // had the same version.
             Some(seen) if seen.member == me => NextStep::Acquire {
                 expected_version: seen.version,
             },
@@ -210,7 +211,7 @@
             }
             StoreReply::NoSuchLease => self.lease_reply(context, StoreReply::NoSuchLease),
             _ => {
-                // Lost the race, or unknown: the view will show which.
+                // Another member was faster, or the outcome is unknown; the view will show which.
                 state.free_since = Some(context.now);
                 self.next_claim = context.now + RETRY_INTERVAL;
             }
@@ -233,7 +234,8 @@
     }
 }
 
-/// How long a claim must have been free before this member takes it: the home member first, then the next in turn.
+/// How long a claim must have been free before this member acquires it. The home member is the one with the index of
+/// the shard, or the first member for leadership; the others follow in order of their indices.
 fn claim_delay(context: &SessionContext, inputs: &TickInputs, claim: ClaimId) -> Micros {
     let members = context.settings.members.len();
     let home = match claim {
--- a/crates/seamfront-core/src/store_session/failover.rs
+++ b/crates/seamfront-core/src/store_session/failover.rs
@@ -1,23 +1,24 @@
-//! Reading the former owner's records before a shard goes on where that one stopped.
+//! Failover of a shard: reads the records of the predecessor so that the shard can continue from them.
 
 use super::claim::ClaimId;
 use super::{
-    ReadRecords, SessionContext, SessionEvent, SessionRequest, StoreSession, Topic, RETRY_INTERVAL,
+    ReadRecords, SessionContext, SessionEvent, SessionRequest, StoreSession, ViewId, RETRY_INTERVAL,
 };
 use crate::port::{Entry, StoreReply, StoreRequest};
 use crate::record::parts_prefix;
 use crate::shard::work_prefix;
 use crate::types::Micros;
 
-/// The reading of one shard's records. All that the former owner recorded is older than our claim, machines before the
-/// tasks on them. So the view of machines must reach the claim: a placement on a machine that is not in it would be
-/// taken for lost and placed again, while it runs on a machine that was provisioned a moment ago.
+/// The read of one shard's records. Everything that the predecessor recorded is older than the new claim, and it
+/// recorded machines before the tasks on them. The view of machines must therefore reach the version of the claim
+/// before the records are read: otherwise a task on a recently provisioned machine that is missing from the view would
+/// be considered lost and placed again while it still runs.
 #[derive(Debug)]
 pub(super) struct RecordRead {
-    /// Version of the claim under which it is made.
+    /// Version of the claim under which the records are read.
     token: u64,
     records: Vec<Entry>,
-    /// The records' parts, once all records have been read.
+    /// Parts of the records; None until all heads and whole records have been read.
     parts: Option<Vec<Entry>>,
     request_in_flight: bool,
     retry_at: Micros,
@@ -38,7 +39,7 @@
         !self.request_in_flight && self.retry_at <= now
     }
 
-    /// The request for the next page.
+    /// Request for the next page.
     fn next_page(&self, shard: usize) -> StoreRequest {
         let (prefix, read) = match &self.parts {
             Some(parts) => (parts_prefix(shard), parts),
@@ -48,8 +49,8 @@
         StoreRequest::List { prefix, after }
     }
 
-    /// Takes in a page. True if all has been read.
-    fn take_page(&mut self, entries: Vec<Entry>, more: bool) -> bool {
+    /// Adds a page. True if the read is complete.
+    fn add_page(&mut self, entries: Vec<Entry>, more: bool) -> bool {
         if let Some(parts) = &mut self.parts {
             parts.extend(entries);
             !more
@@ -100,18 +101,18 @@
         }
         read.request_in_flight = true;
         let next_page = read.next_page(shard);
-        if self.watch(Topic::Machines).reaches(token) {
+        if self.watch(ViewId::Machines).reaches(token) {
             let pending = SessionRequest::Records { shard, token };
             context.outbox.store(next_page, pending);
         } else {
-            let request = self.changes_request(Topic::Machines);
+            let request = self.changes_request(ViewId::Machines);
             let pending = SessionRequest::MachineChanges { shard, token };
             context.outbox.store(request, pending);
         }
     }
 
-    /// The reading that a reply is for, if that still counts.
-    fn record_read(&mut self, shard: usize, token: u64) -> Option<&mut RecordRead> {
+    /// The read that a reply belongs to; None if it has been superseded.
+    fn current_record_read(&mut self, shard: usize, token: u64) -> Option<&mut RecordRead> {
         self.record_reads
             .get_mut(&shard)
             .filter(|read| read.token == token)
@@ -124,9 +125,9 @@
         token: u64,
         reply: StoreReply,
     ) {
-        let usable = self.watch(Topic::Machines).loaded()
-            && self.apply_changes(context, Topic::Machines, reply);
-        let Some(read) = self.record_read(shard, token) else {
+        let usable = self.watch(ViewId::Machines).loaded()
+            && self.apply_changes(context, ViewId::Machines, reply);
+        let Some(read) = self.current_record_read(shard, token) else {
             return;
         };
         read.request_in_flight = false;
@@ -142,17 +143,17 @@
         token: u64,
         reply: StoreReply,
     ) {
-        let Some(read) = self.record_read(shard, token) else {
+        let Some(read) = self.current_record_read(shard, token) else {
             return;
         };
         read.request_in_flight = false;
         match reply {
             StoreReply::Page { entries, more, .. } => {
-                if read.take_page(entries, more) {
+                if read.add_page(entries, more) {
                     self.record_read_completed(context, shard, token);
                 }
             }
-            // Not at once: a store that refuses would be asked in a tight loop.
+            // Retried after a pause: a store that refuses requests would otherwise get them in a tight loop.
             _ => read.retry_at = context.now + RETRY_INTERVAL,
         }
     }
--- a/crates/seamfront-core/src/store_session/lease.rs
+++ b/crates/seamfront-core/src/store_session/lease.rs
@@ -1,17 +1,17 @@
-//! The controller's lease in the store and its renewal.
+//! The controller's lease in the key-value store: its grant, renewal and expiry.
 
 use super::{SessionContext, SessionRequest, StoreSession, RETRY_INTERVAL};
 use crate::port::{StoreReply, StoreRequest};
 use crate::types::Micros;
 use tracing::{info, warn};
 
-/// Renewals in the time to live of a lease.
+/// Number of renewals within the time to live of the lease.
 const RENEWALS_PER_TTL: i64 = 4;
 
-/// The lease and the request that grants or renews it.
+/// The lease and the state of the request that grants or renews it.
 #[derive(Debug, Default)]
 pub(super) struct Lease {
-    /// Its id, while there is one.
+    /// Lease id; None before the lease is granted and after it has expired.
     pub(super) id: Option<u64>,
     request_in_flight: bool,
     next_request: Micros,
--- a/crates/seamfront-core/src/store_session/mod.rs
+++ b/crates/seamfront-core/src/store_session/mod.rs
@@ -1,8 +1,8 @@
-//! A controller's session with the key-value store: its lease, its views of what is stored, the claims on shards and on
-//! leadership, and the verification that these still stand.
+//! A controller's session with the key-value store: its lease, its views, the claims on shards and on leadership, and
+//! the periodic verification of these claims.
 //!
-//! The session owns its state. In each step it puts its requests into an outbox and reports by
-//! [`SessionEvent`]s, in order, what concerns others.
+//! In each step the session puts its requests into an outbox and reports changes that concern other components as
+//! [`SessionEvent`]s, in order.
 
 use crate::machine::MachineRecord;
 use crate::outbox::Outbox;
@@ -21,7 +21,7 @@
 
 pub use claim::ClaimValue;
 pub(crate) use claim::{Claim, ClaimId};
-pub(crate) use watches::Topic;
+pub(crate) use watches::ViewId;
 
 use claim::ClaimState;
 use failover::RecordRead;
@@ -29,49 +29,51 @@
 use verification::{Verification, VerifiedClaim};
 use watches::Watch;
 
-/// Pause after a request that failed.
+/// Delay before a failed request is retried.
 const RETRY_INTERVAL: Micros = Micros::from_millis(250);
 
 /// An outstanding request of the session.
 pub(crate) enum SessionRequest {
-    /// A lease is to be granted.
+    /// Grants a lease.
     GrantLease,
-    /// The lease is to be renewed.
+    /// Renews the lease.
     RenewLease,
-    /// The request that keeps up a view.
-    Watch(Topic),
-    /// A claim is to be written.
+    /// Reads a view or waits for its changes.
+    Watch(ViewId),
+    /// Writes a claim.
     AcquireClaim { claim: ClaimId, lease: u64 },
-    /// The claim on a shard is to be deleted, for its home member.
+    /// Deletes the claim on a shard so that another member can acquire it.
     TransferShard { shard: usize, version: u64 },
-    /// The claims held here are to be confirmed.
+    /// Verifies the claims held here.
     Verify {
         sent: Micros,
         claims: Vec<VerifiedClaim>,
     },
-    /// The view of jobs is to be made as new as a confirmation of claims.
+    /// Updates the view of jobs to the revision at which the store has confirmed the claims.
     VerifyView {
         sent: Micros,
         claims: Vec<VerifiedClaim>,
         revision: u64,
     },
-    /// The view of machines is to be made as new as the claim on a shard.
+    /// Updates the view of machines to the version of the claim on a shard.
     MachineChanges { shard: usize, token: u64 },
-    /// A page of the records of a shard's former owner.
+    /// Reads a page of the records of a shard's predecessor.
     Records { shard: usize, token: u64 },
 }
 
-/// What others must know of a step of the session.
+/// A change in the session that concerns other components.
 pub(crate) enum SessionEvent {
-    /// The view of jobs was read as a whole; all others are gone. Those read follow.
+    /// The view of jobs was read completely. Jobs not in `present` no longer exist; those present follow as
+    /// [`SessionEvent::JobChanged`].
     JobsRead { present: BTreeSet<JobId> },
-    /// A job is in the view.
+    /// A job was added or changed in the view.
     JobChanged { spec: Rc<JobSpec>, version: u64 },
     /// A job was deleted.
     JobRemoved(JobId),
-    /// The view of machines was read as a whole; all others are gone. Those read follow.
+    /// The view of machines was read completely. Machines not in `present` no longer exist; those present follow as
+    /// [`SessionEvent::MachineChanged`].
     MachinesRead { present: BTreeSet<MachineId> },
-    /// A machine's record is in the view.
+    /// A machine's record was added or changed in the view.
     MachineChanged {
         id: MachineId,
         record: MachineRecord,
@@ -81,15 +83,15 @@
     MachineRemoved(MachineId),
     /// This controller acts under a claim from now on.
     ClaimAcquired { claim: ClaimId, token: u64 },
-    /// This controller must not act under a claim any more.
+    /// This controller must no longer act under a claim.
     ClaimLost(ClaimId),
-    /// A shard's claim was verified for the first time; the reading of its records starts.
+    /// A shard's claim was verified for the first time, and the read of its records has started.
     RecordReadStarted { shard: usize },
-    /// A shard can go on where its former owner stopped.
+    /// The predecessor's records of a shard have been read completely.
     RecordsRead(ReadRecords),
 }
 
-/// All that the former owner of a shard has recorded.
+/// The records that the predecessor of a shard's holder has left.
 pub(crate) struct ReadRecords {
     /// The shard.
     pub(crate) shard: usize,
@@ -99,20 +101,20 @@
     pub(crate) parts: Vec<Entry>,
 }
 
-/// What the session needs in a step, and what comes out of it.
+/// Inputs and outputs of one step of the session.
 pub(crate) struct SessionContext<'a> {
     /// Settings.
     pub(crate) settings: &'a Settings,
-    /// Now, by the steady clock.
+    /// Current monotonic time.
     pub(crate) now: Micros,
-    /// Requests, in order.
+    /// Requests to send, in order.
     pub(crate) outbox: Outbox<SessionRequest>,
-    /// Events, in order.
+    /// Events for other components, in order.
     pub(crate) events: Vec<SessionEvent>,
 }
 
 impl<'a> SessionContext<'a> {
-    /// The context of a step, without requests or events so far.
+    /// Creates a context without requests and events.
     pub(crate) fn new(settings: &'a Settings, now: Micros) -> Self {
         SessionContext {
             settings,
@@ -123,15 +125,15 @@
     }
 }
 
-/// What a tick depends on beyond the session.
+/// State of other components that a tick depends on.
 pub(crate) struct TickInputs {
-    /// Duties have claims of their own, so that the claim to leadership has ended.
+    /// Duties have claims of their own, which replace the claim to leadership.
     pub(crate) duties_in_force: bool,
-    /// No worker reaches this controller.
+    /// No agent can reach this controller.
     pub(crate) inbound_partitioned: bool,
     /// Another controller is ready.
     pub(crate) any_peer_ready: bool,
-    /// By shard: its home member has been ready for a while.
+    /// By shard: whether its home member has been ready for long enough to receive the shard.
     pub(crate) home_ready: Vec<bool>,
 }
 
@@ -139,19 +141,19 @@
 #[derive(Debug)]
 pub(crate) struct StoreSession {
     lease: Lease,
-    /// By [`Topic`].
+    /// Indexed by [`ViewId`].
     watches: [Watch; 4],
     shard_claims: Vec<ClaimState>,
     leader_claim: ClaimState,
     next_claim: Micros,
     verification: Verification,
-    /// Readings of the records of shards' former owners, by shard.
+    /// Reads of predecessors' records in progress, by shard.
     record_reads: BTreeMap<usize, RecordRead>,
     last_reply: Micros,
 }
 
 impl StoreSession {
-    /// A session without lease, views or claims.
+    /// Creates a session without a lease, views or claims.
     pub(crate) fn new(shards: usize) -> StoreSession {
         StoreSession {
             lease: Lease::default(),
@@ -165,18 +167,18 @@
         }
     }
 
-    /// Sends what is due.
+    /// Sends all requests that are due.
     pub(crate) fn tick(&mut self, context: &mut SessionContext, inputs: &TickInputs) {
         self.lease_tick(context);
-        for topic in Topic::ALL {
-            self.watch_tick(context, topic);
+        for view_id in ViewId::ALL {
+            self.watch_tick(context, view_id);
         }
         self.claims_tick(context, inputs);
         self.verification_tick(context);
         self.record_reads_tick(context);
     }
 
-    /// Takes in a reply of the store to a request of the session.
+    /// Handles the reply of the store to a request of the session.
     pub(crate) fn reply(
         &mut self,
         context: &mut SessionContext,
@@ -187,7 +189,7 @@
             SessionRequest::GrantLease | SessionRequest::RenewLease => {
                 self.lease_reply(context, reply);
             }
-            SessionRequest::Watch(topic) => self.watch_reply(context, topic, reply),
+            SessionRequest::Watch(view_id) => self.watch_reply(context, view_id, reply),
             SessionRequest::AcquireClaim { claim, lease } => {
                 self.acquire_reply(context, claim, lease, reply);
             }
@@ -211,7 +213,7 @@
         }
     }
 
-    /// The store has replied to some request.
+    /// Records that the store has replied to a request of any component.
     pub(crate) fn store_replied(&mut self, now: Micros) {
         self.last_reply = now;
     }
@@ -231,55 +233,56 @@
         self.lease.id.is_some()
     }
 
-    /// The revision up to which all changes are in a view.
-    pub(crate) fn revision(&self, topic: Topic) -> u64 {
-        self.watch(topic).revision()
+    /// Revision up to which a view contains all changes.
+    pub(crate) fn revision(&self, view_id: ViewId) -> u64 {
+        self.watch(view_id).revision()
     }
 
-    /// Whether a view has been read once.
-    pub(crate) fn view_loaded(&self, topic: Topic) -> bool {
-        self.watch(topic).loaded()
+    /// Whether a view has been read completely.
+    pub(crate) fn view_loaded(&self, view_id: ViewId) -> bool {
+        self.watch(view_id).loaded()
     }
 
-    /// Whether a view has been read once and is as new as this revision.
-    pub(crate) fn view_reaches(&self, topic: Topic, revision: u64) -> bool {
-        self.watch(topic).reaches(revision)
+    /// Whether a view has been read completely and is at least as new as this revision.
+    pub(crate) fn view_reaches(&self, view_id: ViewId, revision: u64) -> bool {
+        self.watch(view_id).reaches(revision)
     }
 
-    /// The claim as last seen, whoever holds it.
+    /// The claim as last seen, whichever member holds it; None if it is free.
     pub(crate) fn claim(&self, claim: ClaimId) -> Option<&Claim> {
         self.state(claim)?.seen.as_ref()
     }
 
-    /// How many shards this member is seen to hold.
+    /// Number of shards that a member is seen to hold.
     pub(crate) fn shards_of(&self, member: usize) -> usize {
         let seen = self.shard_claims.iter().flat_map(|state| &state.seen);
         seen.filter(|claim| claim.member == member).count()
     }
 
-    /// The claims under which this controller acts, with their fencing tokens: shards, then leadership.
+    /// The claims under which this controller acts, with their fencing tokens: first shards, then leadership.
     pub(crate) fn held_claims(&self) -> impl Iterator<Item = (ClaimId, u64)> + '_ {
         self.claim_ids()
             .filter_map(|claim| self.held_token(claim).map(|token| (claim, token)))
     }
 
-    /// The fencing token of a claim under which this controller acts.
+    /// Fencing token of a claim; None unless this controller acts under it.
     pub(crate) fn held_token(&self, claim: ClaimId) -> Option<u64> {
         self.state(claim)?.token()
     }
 
-    /// Sending time of the last request by which a claim that is held here was verified.
+    /// Time at which the last successful verification of a claim was sent; None if there was none, or if this
+    /// controller does not act under the claim.
     pub(crate) fn last_verified(&self, claim: ClaimId) -> Option<Micros> {
         self.state(claim)?.held?.last_verified
     }
 
-    /// All claims: those on shards, then the one to leadership.
+    /// All claims: first those on shards, then the one to leadership.
     fn claim_ids(&self) -> impl Iterator<Item = ClaimId> + 'static {
         let shards = (0..self.shard_claims.len()).map(ClaimId::Shard);
         shards.chain([ClaimId::Leader])
     }
 
-    /// None if there is no such shard.
+    /// State of a claim; None if the shard does not exist.
     fn state(&self, claim: ClaimId) -> Option<&ClaimState> {
         match claim {
             ClaimId::Shard(shard) => self.shard_claims.get(shard),
--- a/crates/seamfront-core/src/store_session/transfer.rs
+++ b/crates/seamfront-core/src/store_session/transfer.rs
@@ -1,4 +1,4 @@
-//! Handing shards back to their home members.
+//! Transfer of shards to their home members, and away from a controller that no agent can reach.
 
 use super::claim::ClaimId;
 use super::{SessionContext, SessionRequest, StoreSession, TickInputs};
@@ -6,16 +6,17 @@
 use crate::types::Micros;
 use tracing::info;
 
-/// How long a shard is held before it is handed back.
+/// Minimum time for which a shard is held before it is transferred.
 const MIN_HOLD_TIME: Micros = Micros::from_secs(4);
 
 impl StoreSession {
-    /// A shard goes back to its home member once that is healthy again, and any shard is given away by a controller
-    /// that no worker reaches while a peer is ready. Tasks are not affected: the new holder finds all of it recorded.
+    /// Transfers shards to their home members once those are ready again. A controller that no agent can reach gives up
+    /// all its shards while a peer is ready. Tasks are not affected, since the successor finds them in the shard's
+    /// records.
     pub(super) fn transfer_shards(&mut self, context: &mut SessionContext, inputs: &TickInputs) {
-        let leave = inputs.inbound_partitioned && inputs.any_peer_ready;
+        let evacuate = inputs.inbound_partitioned && inputs.any_peer_ready;
         for shard in 0..self.shard_claims.len() {
-            if shard == context.settings.me && !leave {
+            if shard == context.settings.me && !evacuate {
                 continue;
             }
             let state = &self.shard_claims[shard];
@@ -23,16 +24,22 @@
             let Some(held) = held.filter(|_| !state.request_in_flight) else {
                 continue;
             };
-            let settled = context.now - held.acquired_at > MIN_HOLD_TIME;
-            if settled && (leave || inputs.home_ready[shard]) {
-                self.transfer(context, shard, held.token, leave);
+            let held_long_enough = context.now - held.acquired_at > MIN_HOLD_TIME;
+            if held_long_enough && (evacuate || inputs.home_ready[shard]) {
+                self.transfer(context, shard, held.token, evacuate);
             }
         }
     }
 
-    fn transfer(&mut self, context: &mut SessionContext, shard: usize, version: u64, leave: bool) {
+    fn transfer(
+        &mut self,
+        context: &mut SessionContext,
+        shard: usize,
+        version: u64,
+        evacuate: bool,
+    ) {
         let to = &context.settings.members[shard];
-        info!(shard, %to, leave, "transferring shard to its home member");
+        info!(shard, %to, leave = evacuate, "transferring shard to its home member");
         let claim = ClaimId::Shard(shard);
         self.lose_claim(context, claim, "transferred to its home member");
         self.state_mut(claim).request_in_flight = true;
@@ -55,7 +62,8 @@
         let state = self.state_mut(ClaimId::Shard(shard));
         state.request_in_flight = false;
         if state.seen_at(version) && matches!(reply, StoreReply::Committed { .. }) {
-            // Before the view shows it, or it would be taken for a claim whose reply was lost.
+            // Recorded before the view shows the deletion: until then the claim would look like one that was acquired
+            // and whose reply was lost.
             state.seen = None;
             state.free_since = Some(context.now);
         }
--- a/crates/seamfront-core/src/store_session/verification.rs
+++ b/crates/seamfront-core/src/store_session/verification.rs
@@ -1,14 +1,15 @@
-//! Verification of the claims held here: the store confirms that all of them still stand, and the view of jobs is then
-//! made at least as new as that confirmation, so that no job is acted on whose cancellation was confirmed before.
+//! Verification of the claims held here: the store confirms that all of them are still current, and the view of jobs is
+//! then brought to the revision of that confirmation. Every cancellation that was confirmed to a user before is thus
+//! known here.
 
 use super::claim::ClaimId;
-use super::{SessionContext, SessionRequest, StoreSession, Topic, RETRY_INTERVAL};
+use super::{SessionContext, SessionRequest, StoreSession, ViewId, RETRY_INTERVAL};
 use crate::port::{StoreReply, StoreRequest};
 use crate::types::Micros;
 
 const VERIFICATION_INTERVAL: Micros = Micros::from_secs(1);
 
-/// When claims are verified next.
+/// State of the periodic verification.
 #[derive(Debug, Default)]
 pub(super) struct Verification {
     request_in_flight: bool,
@@ -16,7 +17,7 @@
 }
 
 impl Verification {
-    /// Lets the next verification start at once.
+    /// Makes the next verification due immediately.
     pub(super) fn request_now(&mut self, now: Micros) {
         self.next_request = now;
     }
@@ -27,7 +28,7 @@
     }
 }
 
-/// A claim under verification.
+/// A claim that is being verified, with the fencing token it was held under when the request was sent.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct VerifiedClaim {
     claim: ClaimId,
@@ -70,7 +71,7 @@
     ) {
         match reply {
             StoreReply::Committed { revision } => {
-                if self.watch(Topic::Jobs).reaches(revision) {
+                if self.watch(ViewId::Jobs).reaches(revision) {
                     return self.verified(context, sent, &claims);
                 }
                 let pending = SessionRequest::VerifyView {
@@ -80,13 +81,13 @@
                 };
                 context
                     .outbox
-                    .store(self.changes_request(Topic::Jobs), pending);
+                    .store(self.changes_request(ViewId::Jobs), pending);
             }
             StoreReply::Conflict { failed } => {
                 self.verification.request_in_flight = false;
                 for VerifiedClaim { claim, token } in claims {
-                    let refuted = failed.contains(&claim.to_string());
-                    if refuted && self.held_token(claim) == Some(token) {
+                    let conflicting = failed.contains(&claim.to_string());
+                    if conflicting && self.held_token(claim) == Some(token) {
                         self.lose_claim(context, claim, "verification failed");
                     }
                 }
@@ -103,8 +104,8 @@
         revision: u64,
         reply: StoreReply,
     ) {
-        let usable = self.apply_changes(context, Topic::Jobs, reply);
-        if usable && self.watch(Topic::Jobs).reaches(revision) {
+        let usable = self.apply_changes(context, ViewId::Jobs, reply);
+        if usable && self.watch(ViewId::Jobs).reaches(revision) {
             self.verified(context, sent, claims);
         } else {
             self.verification.failed(context.now);
--- a/crates/seamfront-core/src/store_session/watches.rs
+++ b/crates/seamfront-core/src/store_session/watches.rs
@@ -1,4 +1,4 @@
-//! Views of what is stored: each is read once and then kept up by long-lived watch requests.
+//! Views of key ranges of the store: each is read once and then kept up to date by watch requests.
 
 use super::claim::{Claim, ClaimId, ClaimValue};
 use super::{SessionContext, SessionEvent, SessionRequest, StoreSession, RETRY_INTERVAL};
@@ -10,12 +10,12 @@
 use std::rc::Rc;
 use tracing::warn;
 
-/// How long the store may hold a watch request while nothing changes.
-const WATCH_HOLD: Micros = Micros::from_secs(20);
+/// How long the store may wait for a change before it replies to a watch request.
+const WATCH_MAX_WAIT: Micros = Micros::from_secs(20);
 
-/// What a view is of.
+/// Identifies a view.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Topic {
+pub(crate) enum ViewId {
     /// Live jobs.
     Jobs,
     /// Machines.
@@ -26,25 +26,31 @@
     Leader,
 }
 
-impl Topic {
-    /// All views, in the order of their watches.
-    pub(super) const ALL: [Topic; 4] = [Topic::Jobs, Topic::Machines, Topic::Shards, Topic::Leader];
+impl ViewId {
+    /// All views, in the order of [`StoreSession::watches`].
+    pub(super) const ALL: [ViewId; 4] = [
+        ViewId::Jobs,
+        ViewId::Machines,
+        ViewId::Shards,
+        ViewId::Leader,
+    ];
 
     fn prefix(self) -> &'static str {
         match self {
-            Topic::Jobs => "job/",
-            Topic::Machines => "machine/",
-            Topic::Shards => "share/",
-            Topic::Leader => "leader",
+            ViewId::Jobs => "job/",
+            ViewId::Machines => "machine/",
+            ViewId::Shards => "share/",
+            ViewId::Leader => "leader",
         }
     }
 
-    fn name_in(self, key: &str) -> &str {
+    /// The key without the prefix of the view.
+    fn strip_prefix(self, key: &str) -> &str {
         key.strip_prefix(self.prefix()).unwrap_or(key)
     }
 }
 
-/// A view of all keys with one prefix, and the request that keeps it up.
+/// A view of all keys with one prefix, and the state of the request that keeps it up to date.
 #[derive(Debug, Default)]
 pub(super) struct Watch {
     view: View,
@@ -53,129 +59,131 @@
 }
 
 impl Watch {
-    /// Whether all keys have been read once.
+    /// Whether the view has been read completely.
     pub(super) fn loaded(&self) -> bool {
         self.view.loaded()
     }
 
-    /// The revision up to which all changes are in.
+    /// Revision up to which the view contains all changes.
     pub(super) fn revision(&self) -> u64 {
         self.view.seen()
     }
 
-    /// Whether the view is loaded and as new as this revision.
+    /// Whether the view is loaded and at least as new as this revision.
     pub(super) fn reaches(&self, revision: u64) -> bool {
         self.loaded() && self.revision() >= revision
     }
 }
 
 impl StoreSession {
-    pub(super) fn watch(&self, topic: Topic) -> &Watch {
-        &self.watches[topic as usize]
+    pub(super) fn watch(&self, view_id: ViewId) -> &Watch {
+        &self.watches[view_id as usize]
     }
 
-    fn watch_mut(&mut self, topic: Topic) -> &mut Watch {
-        &mut self.watches[topic as usize]
+    fn watch_mut(&mut self, view_id: ViewId) -> &mut Watch {
+        &mut self.watches[view_id as usize]
     }
 
-    /// A request for the changes after the view's revision that is answered at once.
-    pub(crate) fn changes_request(&self, topic: Topic) -> StoreRequest {
+    /// A request for the changes after the view's revision, to which the store replies without waiting.
+    pub(crate) fn changes_request(&self, view_id: ViewId) -> StoreRequest {
         StoreRequest::Watch {
-            prefix: topic.prefix().to_owned(),
-            after: self.watch(topic).revision(),
+            prefix: view_id.prefix().to_owned(),
+            after: self.watch(view_id).revision(),
             wait: Micros::ZERO,
         }
     }
 
-    pub(super) fn watch_tick(&mut self, context: &mut SessionContext, topic: Topic) {
-        let watch = self.watch_mut(topic);
+    pub(super) fn watch_tick(&mut self, context: &mut SessionContext, view_id: ViewId) {
+        let watch = self.watch_mut(view_id);
         if watch.request_in_flight || context.now < watch.retry_at {
             return;
         }
         watch.request_in_flight = true;
-        let request = watch.view.request(topic.prefix(), WATCH_HOLD);
-        context.outbox.store(request, SessionRequest::Watch(topic));
+        let request = watch.view.request(view_id.prefix(), WATCH_MAX_WAIT);
+        context
+            .outbox
+            .store(request, SessionRequest::Watch(view_id));
     }
 
     pub(super) fn watch_reply(
         &mut self,
         context: &mut SessionContext,
-        topic: Topic,
+        view_id: ViewId,
         reply: StoreReply,
     ) {
         let now = context.now;
         let pause = context.settings.ask_every();
-        let watch = self.watch_mut(topic);
+        let watch = self.watch_mut(view_id);
         watch.request_in_flight = false;
         let update = watch.view.take(reply);
         watch.retry_at = match &update {
             ViewUpdate::Failed => now + RETRY_INTERVAL,
-            // Not reopened at once: every change would cost each controller a request.
+            // The next watch starts after a pause: otherwise every single change would cost each controller a request.
             ViewUpdate::Changed { .. } | ViewUpdate::TooOld => now + pause,
             ViewUpdate::Partial | ViewUpdate::Read { .. } => now,
         };
-        self.view_updated(context, topic, update);
+        self.view_updated(context, view_id, update);
     }
 
-    /// Takes in the reply to [`StoreSession::changes_request`]. True if it was usable.
+    /// Applies the reply to [`StoreSession::changes_request`]. True if the reply was usable.
     pub(crate) fn apply_changes(
         &mut self,
         context: &mut SessionContext,
-        topic: Topic,
+        view_id: ViewId,
         reply: StoreReply,
     ) -> bool {
-        let update = self.watch_mut(topic).view.take(reply);
+        let update = self.watch_mut(view_id).view.take(reply);
         let usable = matches!(update, ViewUpdate::Changed { .. } | ViewUpdate::TooOld);
-        self.view_updated(context, topic, update);
+        self.view_updated(context, view_id, update);
         usable
     }
 
-    fn view_updated(&mut self, context: &mut SessionContext, topic: Topic, update: ViewUpdate) {
+    fn view_updated(&mut self, context: &mut SessionContext, view_id: ViewId, update: ViewUpdate) {
         match update {
             ViewUpdate::Changed { changes, revision } => {
                 for change in changes {
-                    self.entry_changed(context, topic, change);
+                    self.entry_changed(context, view_id, change);
                 }
-                self.watch_mut(topic).view.reached(revision);
+                self.watch_mut(view_id).view.reached(revision);
             }
             ViewUpdate::Read { entries, revision } => {
-                self.remove_absent(context, topic, &entries, revision);
+                self.remove_absent(context, view_id, &entries, revision);
                 for entry in entries {
-                    self.entry_changed(context, topic, entry);
+                    self.entry_changed(context, view_id, entry);
                 }
             }
             ViewUpdate::TooOld => warn!(
-                prefix = topic.prefix(),
+                prefix = view_id.prefix(),
                 "revision compacted; reading the view anew"
             ),
             ViewUpdate::Failed | ViewUpdate::Partial => {}
         }
     }
 
-    /// What was known and is not in a whole reading is gone.
+    /// Reports the removal of everything that a complete read of the view does not contain.
     fn remove_absent(
         &mut self,
         context: &mut SessionContext,
-        topic: Topic,
+        view_id: ViewId,
         entries: &[Change],
         revision: u64,
     ) {
-        let names = entries.iter().map(|entry| topic.name_in(&entry.key));
-        match topic {
-            Topic::Jobs => {
+        let names = entries.iter().map(|entry| view_id.strip_prefix(&entry.key));
+        match view_id {
+            ViewId::Jobs => {
                 let present = names.map(JobId::from).collect();
                 context.events.push(SessionEvent::JobsRead { present });
             }
-            Topic::Machines => {
+            ViewId::Machines => {
                 let present = names.map(MachineId::from).collect();
                 context.events.push(SessionEvent::MachinesRead { present });
             }
-            Topic::Shards | Topic::Leader => {
+            ViewId::Shards | ViewId::Leader => {
                 let present: BTreeSet<&str> =
                     entries.iter().map(|entry| entry.key.as_str()).collect();
                 for claim in self.claim_ids() {
-                    let viewed = (claim == ClaimId::Leader) == (topic == Topic::Leader);
-                    if viewed && !present.contains(claim.to_string().as_str()) {
+                    let in_view = (claim == ClaimId::Leader) == (view_id == ViewId::Leader);
+                    if in_view && !present.contains(claim.to_string().as_str()) {
                         self.claim_changed(context, claim, None, revision);
                     }
                 }
@@ -183,11 +191,11 @@
         }
     }
 
-    fn entry_changed(&mut self, context: &mut SessionContext, topic: Topic, change: Change) {
-        let name = topic.name_in(&change.key);
+    fn entry_changed(&mut self, context: &mut SessionContext, view_id: ViewId, change: Change) {
+        let name = view_id.strip_prefix(&change.key);
         let version = change.version;
-        match topic {
-            Topic::Jobs => match change.value.map(serde_json::from_value::<JobSpec>) {
+        match view_id {
+            ViewId::Jobs => match change.value.map(serde_json::from_value::<JobSpec>) {
                 Some(Ok(spec)) => context.events.push(SessionEvent::JobChanged {
                     spec: Rc::new(spec),
                     version,
@@ -197,7 +205,7 @@
                     .events
                     .push(SessionEvent::JobRemoved(JobId::from(name))),
             },
-            Topic::Machines => {
+            ViewId::Machines => {
                 let id = MachineId::from(name);
                 match change.value.map(serde_json::from_value::<MachineRecord>) {
                     Some(Ok(record)) => context.events.push(SessionEvent::MachineChanged {
@@ -209,19 +217,20 @@
                     None => context.events.push(SessionEvent::MachineRemoved(id)),
                 }
             }
-            Topic::Shards => {
-                if let Some(claim) = self.claim_with_number(name) {
+            ViewId::Shards => {
+                if let Some(claim) = self.claim_by_number(name) {
                     self.claim_entry_changed(context, claim, change.value, version);
                 }
             }
-            Topic::Leader => {
+            ViewId::Leader => {
                 self.claim_entry_changed(context, ClaimId::Leader, change.value, version);
             }
         }
     }
 
-    /// The claim that `share/<number>` stands for. One past the last shard has always been taken for leadership.
-    fn claim_with_number(&self, number: &str) -> Option<ClaimId> {
+    /// The claim of the key `share/<number>`. The number after the last shard denotes leadership, as in all earlier
+    /// versions.
+    fn claim_by_number(&self, number: &str) -> Option<ClaimId> {
         let number: usize = number.parse().ok()?;
         match number.cmp(&self.shard_claims.len()) {
             std::cmp::Ordering::Less => Some(ClaimId::Shard(number)),
