--- a/crates/seamfront-core/src/leader/planning.rs
+++ b/crates/seamfront-core/src/leader/planning.rs
@@ -198,7 +198,7 @@
                 machines,
                 above: None,
             };
-            outbox.shard_owner(shard, message);
+            outbox.shard_holder(shard, message);
         }
     }
 
@@ -225,7 +225,7 @@
                 machines: vec![drain.machine],
                 above: Some(drain.above),
             };
-            outbox.shard_owner(shard, message);
+            outbox.shard_holder(shard, message);
         }
     }
 }
