--- a/crates/seamfront-core/tests/failing_jobs.rs
+++ b/crates/seamfront-core/tests/failing_jobs.rs
@@ -4,7 +4,7 @@
 use seamfront_core::job::{Job, Phase};
 use seamfront_core::port::*;
 use seamfront_core::types::*;
-use seamfront_testing::shard_harness::{job, s, Held, CLAIM};
+use seamfront_testing::shard_harness::{job, s, ShardHarness, CLAIM};
 use std::collections::BTreeMap;
 use std::rc::Rc;
 
@@ -12,7 +12,7 @@
 
 /// One shard whose workers run what they are told to and end tasks as a test decides.
 struct Play {
-    held: Held,
+    held: ShardHarness,
     now: Micros,
     sequence: u64,
     /// Most tasks of one job placed at a time after it had begun to fail.
@@ -23,7 +23,7 @@
 
 impl Play {
     fn new(jobs: Vec<JobSpec>) -> Play {
-        let mut held = Held::new(MACHINES, 0);
+        let mut held = ShardHarness::new(MACHINES, 0);
         for spec in jobs {
             held.shard.add_job(Rc::new(spec), 5, s(101));
         }
--- a/crates/seamfront-core/tests/forms.rs
+++ b/crates/seamfront-core/tests/forms.rs
@@ -360,7 +360,7 @@
         let mut settings = seamfront_testing::shard_harness::settings();
         settings.members = members.iter().map(|m| (*m).to_owned()).collect();
         settings.value_bytes = VALUE;
-        let mut store = Store::with_page(100);
+        let mut store = Store::with_page_size(100);
         for (key, value) in entries {
             let value = serde_json::from_str(value).unwrap();
             let writes = vec![Write::Put {
--- a/crates/seamfront-core/tests/reconciliation.rs
+++ b/crates/seamfront-core/tests/reconciliation.rs
@@ -10,7 +10,7 @@
 use seamfront_core::shard::{ShardPhase, ShardWrite, StatusSource, StoredRecord};
 use seamfront_core::types::*;
 use seamfront_core::Engine;
-use seamfront_testing::shard_harness::{heartbeat, job, s, settings, Held, CLAIM};
+use seamfront_testing::shard_harness::{heartbeat, job, s, settings, ShardHarness, CLAIM};
 use seamfront_testing::store::Store;
 
 /// The attempt was ordered, exited and forgotten before, and runs anew by now: a copy of the old
@@ -23,7 +23,7 @@
         vec![],
     ] {
         for incarnation in [1, 9] {
-            let mut h = Held::new(1, 1);
+            let mut h = ShardHarness::new(1, 1);
             let orders = h.heartbeat(s(101), &heartbeat("i-0", incarnation, 88, 12, &shown));
             assert!(h.placed("j-0"), "{shown:?} counted as evidence");
             assert!(
@@ -34,7 +34,7 @@
         }
     }
     // The same from a worker that has heard us counts.
-    let mut h = Held::new(1, 1);
+    let mut h = ShardHarness::new(1, 1);
     h.heartbeat(s(101), &heartbeat("i-0", 1, 88, 12, &[]));
     h.heartbeat(
         s(102),
@@ -51,8 +51,9 @@
 
 #[test]
 fn a_machine_is_used_only_once_it_has_shown_our_token() {
-    let mut h = Held::new(1, 0);
-    let usable = |h: &Held, now| h.shard.machines[&MachineId::from("i-0")].usable(now, s(2), CLAIM);
+    let mut h = ShardHarness::new(1, 0);
+    let usable =
+        |h: &ShardHarness, now| h.shard.machines[&MachineId::from("i-0")].usable(now, s(2), CLAIM);
     h.heartbeat(s(101), &heartbeat("i-0", 1, 88, 12, &[]));
     assert!(!usable(&h, s(101)));
     h.heartbeat(s(102), &heartbeat("i-0", 1, 89, CLAIM, &[]));
@@ -63,7 +64,7 @@
 /// tasks, so that its lease is known to end, and given up.
 #[test]
 fn a_worker_that_is_heard_but_hears_nothing_is_given_up() {
-    let mut h = Held::new(8, 8);
+    let mut h = ShardHarness::new(8, 8);
     for (n, t) in (101..150).step_by(2).enumerate() {
         for k in 1..8 {
             let own = format!("j-{k}");
@@ -97,7 +98,7 @@
 /// The same of many at once is more likely our own network: nothing healthy may be returned for it.
 #[test]
 fn many_that_hear_nothing_at_once_are_kept() {
-    let mut h = Held::new(8, 0);
+    let mut h = ShardHarness::new(8, 0);
     for (n, t) in (101..160).step_by(2).enumerate() {
         for k in 0..8 {
             let fencing_token = if k < 4 { 12 } else { CLAIM };
@@ -116,7 +117,7 @@
 #[test]
 fn what_is_silent_is_given_up_at_once_or_with_its_lease() {
     for (silent, at, given_up) in [(3, 112, 0), (3, 118, 3), (4, 118, 0), (4, 136, 4)] {
-        let mut h = Held::new(10, 0);
+        let mut h = ShardHarness::new(10, 0);
         for t in (101..=at).step_by(2) {
             for k in 0..10 {
                 if t == 101 || k >= silent {
@@ -148,7 +149,7 @@
         (vec![Unclear], false),
         (vec![Unclear, Done(60)], true),
     ] {
-        let mut h = Held::new(8, 0);
+        let mut h = ShardHarness::new(8, 0);
         for t in (101..140).step_by(2) {
             for k in 0..8 {
                 if t == 101 || k > 0 {
@@ -187,7 +188,7 @@
 /// the reply must not start what would be returned with the machine (found by the seeded world, seed 41407).
 #[test]
 fn nothing_is_started_on_a_machine_that_is_being_given_up() {
-    let mut h = Held::new(8, 1);
+    let mut h = ShardHarness::new(8, 1);
     let task = TaskKey {
         job: "j-0".into(),
         index: 0,
@@ -238,7 +239,7 @@
 /// although it was answered makes us raise the token, and the machine waits until it shows that.
 #[test]
 fn a_lease_that_ends_in_spite_of_answers_raises_the_token() {
-    let mut h = Held::new(1, 0);
+    let mut h = ShardHarness::new(1, 0);
     h.heartbeat(s(101), &heartbeat("i-0", 1, 88, CLAIM, &[]));
     h.heartbeat(s(103), &heartbeat("i-0", 1, 89, CLAIM, &[]));
     assert_eq!(h.machine_writes(s(103), 60), []);
@@ -253,12 +254,12 @@
 /// A copy never takes back what a newer report has shown.
 #[test]
 fn an_older_report_changes_nothing() {
-    let mut h = Held::new(1, 1);
+    let mut h = ShardHarness::new(1, 1);
     h.heartbeat(
         s(101),
         &heartbeat("i-0", 2, 88, CLAIM, &[("j-0", 3, TaskState::Running)]),
     );
-    let newest = |h: &Held| {
+    let newest = |h: &ShardHarness| {
         let m = &h.shard.machines[&MachineId::from("i-0")];
         (
             m.agent.incarnation,
@@ -328,7 +329,7 @@
     }
 
     fn with(more: Vec<Write>) -> Alone {
-        let mut store = Store::with_page(100);
+        let mut store = Store::with_page_size(100);
         let kind = MachineType {
             name: "m".into(),
             size: Resources::offered(8.0, 0.0, 32.0),
@@ -587,7 +588,7 @@
 /// random troubles).
 #[test]
 fn nothing_is_released_before_the_records_are_read() {
-    let mut h = Held::new(1, 1);
+    let mut h = ShardHarness::new(1, 1);
     let id = MachineId::from("i-0");
     h.shard.phase = ShardPhase::Loading;
     h.shard.machines.get_mut(&id).unwrap().tasks.clear();
@@ -615,7 +616,7 @@
 /// record (found by the seeded world with late transactions: quota).
 #[test]
 fn what_was_adopted_and_is_not_there_is_decided_anew() {
-    let mut h = Held::new(1, 1);
+    let mut h = ShardHarness::new(1, 1);
     h.heartbeat(s(101), &heartbeat("i-0", 1, 88, 12, &[]));
     assert!(h.placed("j-0"), "what may be a late copy proves nothing");
     let orders = h.heartbeat(s(102), &heartbeat("i-0", 1, 89, CLAIM, &[]));
@@ -626,10 +627,10 @@
 /// there by commands ends with it, and would be placed elsewhere while it still ran in the next session.
 #[test]
 fn answers_to_commands_do_not_make_a_machine_usable() {
-    let mut h = Held::new(1, 0);
+    let mut h = ShardHarness::new(1, 0);
     let id = MachineId::from("i-0");
     h.heartbeat(s(101), &heartbeat("i-0", 1, 88, CLAIM, &[]));
-    let direct = |h: &mut Held, now, incarnation, sequence| {
+    let direct = |h: &mut ShardHarness, now, incarnation, sequence| {
         let m = h.shard.machines.get_mut(&id).unwrap();
         m.fencing.direct_command = Some(DirectCommand {
             call: 7,
@@ -660,7 +661,7 @@
 /// An outcome that comes after the shard, or the machine, has gone and come back settles nothing of now.
 #[test]
 fn an_outcome_settles_only_its_own_command() {
-    let mut h = Held::new(1, 0);
+    let mut h = ShardHarness::new(1, 0);
     let id = MachineId::from("i-0");
     h.shard
         .machines
@@ -793,7 +794,7 @@
 /// nothing is placed for it, and it is written once enough of it has gone.
 #[test]
 fn a_record_that_outgrew_its_value_waits_until_it_fits() {
-    let mut h = Held::new(1, 0);
+    let mut h = ShardHarness::new(1, 0);
     let spec = job("j-5", 400);
     let mut former = Job::new(spec.clone(), 5, s(90));
     former.next_attempt = 900;
--- a/crates/seamfront-core/tests/starvation.rs
+++ b/crates/seamfront-core/tests/starvation.rs
@@ -3,7 +3,7 @@
 // Reports are sent elsewhere.
 
 use seamfront_core::types::*;
-use seamfront_testing::shard_harness::{heartbeat, job, s, Held, CLAIM};
+use seamfront_testing::shard_harness::{heartbeat, job, s, ShardHarness, CLAIM};
 use std::rc::Rc;
 
 /// An array of tasks that take one of a machine's eight processors each.
@@ -16,8 +16,8 @@
 }
 
 /// Machines that have shown our token, and jobs that wait; then one round.
-fn after_a_round(machines: usize, now: Micros, jobs: Vec<JobSpec>) -> Held {
-    let mut h = Held::new(machines, 0);
+fn after_a_round(machines: usize, now: Micros, jobs: Vec<JobSpec>) -> ShardHarness {
+    let mut h = ShardHarness::new(machines, 0);
     for spec in jobs {
         h.shard.add_job(Rc::new(spec), 5, now);
     }
@@ -25,7 +25,7 @@
     h
 }
 
-fn rounds(h: &mut Held, now: Micros, n: i64) {
+fn rounds(h: &mut ShardHarness, now: Micros, n: i64) {
     for k in 0..n {
         let now = now + Micros::from_millis(600).times(k);
         for m in 0..h.shard.machines.len() {
@@ -38,7 +38,7 @@
     }
 }
 
-fn placed(h: &Held, id: &str) -> usize {
+fn placed(h: &ShardHarness, id: &str) -> usize {
     h.shard.jobs[&JobId::from(id)].tasks.len()
 }
 
@@ -62,7 +62,7 @@
             kind,
             ..array("j-0", 8, Priority::Normal, s(100))
         };
-        let mut h = Held::new(1, 0);
+        let mut h = ShardHarness::new(1, 0);
         h.settings.teams[0].limit = Resources::offered(limit, 0.0, 0.0);
         for spec in [large, small] {
             h.shard.add_job(Rc::new(spec), 5, s(120));
@@ -112,7 +112,7 @@
         task_resources: Resources::needed(8.0, 0.0, 1.0),
         ..array(id, 1, Priority::Urgent, submitted)
     };
-    let mut h = Held::new(1, 0);
+    let mut h = ShardHarness::new(1, 0);
     let guarantee = Resources::offered(16.0, 0.0, 0.0);
     h.settings.teams.push(Team {
         name: "u".into(),
@@ -142,7 +142,7 @@
 #[test]
 fn room_for_live_services_is_kept_where_their_images_are() {
     let now = s(120);
-    let mut h = Held::new(3, 0);
+    let mut h = ShardHarness::new(3, 0);
     let live = JobSpec {
         kind: JobKind::Service,
         priority: Priority::Critical,
@@ -213,7 +213,7 @@
         task_resources: Resources::needed(8.0, 0.0, 1.0),
         ..array(id, 1, priority, now)
     };
-    let mut h = Held::new(4, 0);
+    let mut h = ShardHarness::new(4, 0);
     h.settings.teams[0].limit = Resources::offered(8.0, 0.0, 0.0);
     h.settings.teams.push(Team {
         name: "u".into(),
@@ -251,8 +251,8 @@
     machines: usize,
     busy: &[&str],
     now: Micros,
-) -> (Held, impl Fn(&str, u32, Micros) -> JobSpec) {
-    let mut h = Held::new(machines, 0);
+) -> (ShardHarness, impl Fn(&str, u32, Micros) -> JobSpec) {
+    let mut h = ShardHarness::new(machines, 0);
     h.settings.teams[0].limit = Resources::offered(16.0, 0.0, 0.0);
     h.settings.teams.push(Team {
         name: "u".into(),
@@ -279,7 +279,7 @@
 }
 
 /// Tasks that are being stopped.
-fn stopped(h: &Held) -> usize {
+fn stopped(h: &ShardHarness) -> usize {
     h.shard
         .jobs
         .values()
@@ -289,7 +289,7 @@
 }
 
 /// The records of all placements are written.
-fn order_all(h: &mut Held) {
+fn order_all(h: &mut ShardHarness) {
     for j in h.shard.jobs.values_mut() {
         j.tasks
             .values_mut()
--- a/crates/seamfront-lease/tests/forms.rs
+++ b/crates/seamfront-lease/tests/forms.rs
@@ -167,7 +167,7 @@
         let (waiting, next, written, told) = (vec![], vec![], vec![], vec![]);
         Rig {
             now: Micros::from_secs(1),
-            store: Store::with_page(100),
+            store: Store::with_page_size(100),
             manager,
             waiting,
             next,
--- a/crates/seamfront-lease/tests/hard_cases.rs
+++ b/crates/seamfront-lease/tests/hard_cases.rs
@@ -48,7 +48,7 @@
 impl Rig {
     fn new(settings: LeaseSettings) -> Rig {
         let manager = DutyManager::new(settings).expect("settings");
-        let store = Store::with(100, LIMITS.value_bytes, LIMITS.transaction_changes);
+        let store = Store::with_limits(100, LIMITS.value_bytes, LIMITS.transaction_changes);
         let now = ms(1_000_000);
         Rig {
             now,
--- a/crates/seamfront-lease/tests/histories.rs
+++ b/crates/seamfront-lease/tests/histories.rs
@@ -3,7 +3,7 @@
 use seamfront_lease::port::Command;
 use seamfront_lease::settings::{LeaseSettings, StoreLimits};
 use seamfront_lease::time::Micros;
-use seamfront_testing::member_simulation::{ms, Coverage, Simulation, Trouble};
+use seamfront_testing::member_simulation::{ms, Coverage, Faults, Simulation};
 
 const HISTORIES: u64 = 40;
 const TROUBLED: i64 = 240;
@@ -11,29 +11,31 @@
 
 /// One thing goes wrong.
 fn trouble(world: &mut Simulation) {
-    let node = world.draw(0, world.nodes.len() as i64 - 1) as usize;
+    let node = world.draw(0, world.members.len() as i64 - 1) as usize;
     let short = ms(world.draw(50, 3_000));
     let long = ms(world.draw(1_000, 60_000));
     let until = world.now + long;
     match world.draw(0, 17) {
-        17 => world.trouble.freeze_at_effects = (until, 8),
+        17 => world.faults.freeze_at_effects = (until, 8),
         0 | 1 => world.freeze(node, long),
         2 => world.freeze(node, short),
         3 => {
             // Most of all in the midst of a return.
-            if let Some(holder) = world.holder(seamfront_testing::fleet_keeper::RETURNING) {
+            if let Some(holder) =
+                world.holder(seamfront_testing::fleet_reconciler::TERMINATION_DUTY)
+            {
                 world.freeze(holder, ms(60_000));
             }
         }
         4 => world.crash(node, ms(200)),
         5 => world.crash(node, long),
-        6 => world.trouble.store_out = world.now + Micros(long.0 / 3),
-        7 => world.nodes[node].refused = until,
-        8 => world.trouble.store_slow = until,
-        9 => world.trouble.lose_answers = (until, 6),
-        10 | 11 => world.trouble.hold_back = (until, 6),
-        12 => world.trouble.cloud_out = until,
-        13 => world.trouble.no_capacity = until,
+        6 => world.faults.store_unavailable_until = world.now + Micros(long.0 / 3),
+        7 => world.members[node].store_refused_until = until,
+        8 => world.faults.store_slow_until = until,
+        9 => world.faults.lose_replies = (until, 6),
+        10 | 11 => world.faults.delay_requests = (until, 6),
+        12 => world.faults.cloud_unavailable_until = until,
+        13 => world.faults.no_capacity_until = until,
         14 => {
             let by = [ms(-5_000), ms(30_000), ms(-300), ms(3_000)][world.draw(0, 3) as usize];
             world.jump_clock(node, by);
@@ -41,7 +43,7 @@
         15 => world.command(
             node,
             Command::HandOver {
-                duty: seamfront_testing::fleet_keeper::RETURNING.to_owned(),
+                duty: seamfront_testing::fleet_reconciler::TERMINATION_DUTY.to_owned(),
                 to: None,
             },
         ),
@@ -50,7 +52,7 @@
             world.command(
                 node,
                 Command::HandOver {
-                    duty: seamfront_testing::fleet_keeper::RENTING.to_owned(),
+                    duty: seamfront_testing::fleet_reconciler::PROVISIONING_DUTY.to_owned(),
                     to: Some(to),
                 },
             );
@@ -79,14 +81,14 @@
         world.run_for(pause);
         trouble(&mut world);
     }
-    world.trouble = Trouble::default();
-    for node in &mut world.nodes {
-        node.refused = Micros::ZERO;
+    world.faults = Faults::default();
+    for node in &mut world.members {
+        node.store_refused_until = Micros::ZERO;
     }
     world.run_for(ms(QUIET * 1_000));
     world.churn = false;
     world.run_for(ms(60_000));
-    world.check_end();
+    world.check_final_state();
     world.coverage
 }
 
@@ -148,9 +150,9 @@
             settings.former_claim =
                 Some(seamfront_testing::member_simulation::FORMER_CLAIM.to_owned());
         };
-        let mut world = Simulation::with(2_000 + seed, 3, former);
+        let mut world = Simulation::with_settings(2_000 + seed, 3, former);
         for node in 0..3 {
-            world.boot_old(node);
+            world.start_old_version(node);
         }
         world.run_for(ms(10_000));
         let mut upgraded = [false; 3];
@@ -159,11 +161,11 @@
             let time = ms(world.draw(100, 30_000));
             match world.draw(0, 5) {
                 0 => world.freeze(node, time),
-                1 if !upgraded[node] => world.boot_old(node),
+                1 if !upgraded[node] => world.start_old_version(node),
                 2 => world.crash(node, ms(200)),
-                3 => world.trouble.lose_answers = (world.now + time, 4),
+                3 => world.faults.lose_replies = (world.now + time, 4),
                 _ => {
-                    world.boot(node);
+                    world.start(node);
                     upgraded[node] = true;
                 }
             }
@@ -172,20 +174,20 @@
         }
         // One that was old when it was frozen comes back old, long after the switch.
         world.run_for(ms(20_000));
-        world.boot_old(0);
+        world.start_old_version(0);
         world.run_for(ms(20_000));
         assert!(
-            world.nodes[0]
-                .old
+            world.members[0]
+                .old_version
                 .as_ref()
                 .is_none_or(|old| old.fencing_token.is_none()),
             "the former claim was taken"
         );
-        world.boot(0);
+        world.start(0);
         world.run_for(ms(90_000));
         world.churn = false;
         world.run_for(ms(60_000));
-        world.check_end();
+        world.check_final_state();
     }
 }
 
@@ -199,7 +201,7 @@
             transaction_changes: 3,
             changes_per_second: 5,
         };
-        world.shrink(small);
+        world.shrink_limits(small);
         for _ in 0..20 {
             let pause = ms(world.draw(500, 4_000));
             world.run_for(pause);
@@ -209,6 +211,6 @@
         world.run_for(ms(60_000));
         world.churn = false;
         world.run_for(ms(60_000));
-        world.check_end();
+        world.check_final_state();
     }
 }
--- a/crates/seamfront-testing/src/lib.rs
+++ b/crates/seamfront-testing/src/lib.rs
@@ -9,7 +9,7 @@
 //! | [`controller_process`] | the real program as a child process |
 //! | [`simulation`] | several engines with store, cloud, workers, users and a network; one seed, one history |
 //! | [`member_simulation`] | several members that hold duties, with a store and a cloud; one seed, one history |
-//! | [`fleet_keeper`] | what the members of that simulation and of the examples do under their duties |
+//! | [`fleet_reconciler`] | what the members of that simulation and of the examples do under their duties |
 //! | [`shard_harness`] | one shard, driven step by step |
 //!
 //! It is a development dependency only, and is never published.
@@ -17,7 +17,7 @@
 
 pub mod cloud;
 pub mod controller_process;
-pub mod fleet_keeper;
+pub mod fleet_reconciler;
 pub mod http;
 pub mod member_simulation;
 pub mod shard_harness;
--- a/crates/seamfront-testing/src/shard_harness.rs
+++ b/crates/seamfront-testing/src/shard_harness.rs
@@ -1,4 +1,4 @@
-//! One share in the hand, no world round it: what it does with reports and rounds, step by step.
+//! A harness that drives a single shard step by step, with heartbeats and scheduling cycles, without an engine around it.
 
 use seamfront_core::job::Job;
 use seamfront_core::machine::MachineRecord;
@@ -10,12 +10,15 @@
 };
 use std::rc::Rc;
 
+/// Fencing token of the shard's claim.
 pub const CLAIM: u64 = 50;
 
-pub fn s(n: i64) -> Micros {
-    Micros::from_secs(n)
+/// Short for a time in seconds.
+pub fn s(seconds: i64) -> Micros {
+    Micros::from_secs(seconds)
 }
 
+/// Settings of one of three members, with a single team that has neither a guarantee nor a limit.
 pub fn settings() -> Settings {
     let team = Team {
         name: "t".into(),
@@ -46,6 +49,7 @@
     }
 }
 
+/// A job array of tasks that need one CPU and 1 GB of memory each.
 pub fn job(id: &str, tasks: u32) -> Rc<JobSpec> {
     Rc::new(JobSpec {
         id: id.into(),
@@ -72,6 +76,7 @@
     })
 }
 
+/// A heartbeat of a machine's agent. The tasks are given as job, attempt and state; each is the first task of its job.
 pub fn heartbeat(
     machine: &str,
     incarnation: u64,
@@ -79,7 +84,7 @@
     fencing_token: u64,
     tasks: &[(&str, u64, TaskState)],
 ) -> Heartbeat {
-    let shown = |(job, attempt, state): &(&str, u64, TaskState)| TaskStatus {
+    let status = |(job, attempt, state): &(&str, u64, TaskState)| TaskStatus {
         task: TaskKey {
             job: (*job).into(),
             index: 0,
@@ -94,21 +99,24 @@
         sequence,
         fencing_token,
         preemption_notice: None,
-        tasks: tasks.iter().map(shown).collect(),
+        tasks: tasks.iter().map(status).collect(),
     }
 }
 
-/// A shard that has just been taken over: `machines` machines, one task of attempt 3 recorded on
-/// each of the first `placed`.
-pub struct Held {
+/// A shard, with the settings and the effects of the engine that would drive it.
+pub struct ShardHarness {
     pub settings: Settings,
     pub shard: Shard,
+    /// Everything that the shard has asked for so far.
     pub effects: Vec<Effect>,
+    /// Counter that the ids of store requests are taken from.
     pub calls: CallId,
 }
 
-impl Held {
-    pub fn new(machines: usize, placed: usize) -> Held {
+impl ShardHarness {
+    /// A shard that was taken over at second 100, with this many machines. On each of the first `placed` machines a task
+    /// of its own job is recorded, in attempt 3.
+    pub fn new(machines: usize, placed: usize) -> ShardHarness {
         let mut shard = Shard::new(0, CLAIM, s(100));
         let size = Resources::offered(8.0, 0.0, 32.0);
         for k in 0..machines {
@@ -122,9 +130,9 @@
         }
         for k in 0..placed {
             let spec = job(&format!("j-{k}"), 1);
-            let mut former = Job::new(spec.clone(), 5, s(90));
-            former.next_attempt = 4;
-            let mut record: WorkRecord = former.to_record();
+            let mut recorded = Job::new(spec.clone(), 5, s(90));
+            recorded.next_attempt = 4;
+            let mut record: WorkRecord = recorded.to_record();
             record.placed.insert(
                 format!("i-{k}").as_str().into(),
                 vec![TaskRun::new(0, 1, 3)],
@@ -136,16 +144,17 @@
             };
             shard.adopt_record(spec.id.clone(), Some((spec, 5)), stored, s(100));
         }
-        let mut held = Held {
+        let mut harness = ShardHarness {
             settings: settings(),
             shard,
             effects: Vec::new(),
             calls: 1,
         };
-        held.with(s(100), seamfront_core::shard::Shard::loaded);
-        held
+        harness.with(s(100), seamfront_core::shard::Shard::loaded);
+        harness
     }
 
+    /// Runs a function on the shard with a context of this time.
     pub fn with<R>(&mut self, now: Micros, f: impl FnOnce(&mut Shard, &mut Context) -> R) -> R {
         let (effects, calls) = (&mut self.effects, &mut self.calls);
         let layout = Layout::single(self.settings.value_bytes);
@@ -162,11 +171,11 @@
         f(&mut self.shard, &mut context)
     }
 
-    /// A report that is answered with 200, as the engine does it.
-    pub fn heartbeat(&mut self, now: Micros, r: &Heartbeat) -> Vec<Order> {
-        let orders = self.with(now, |s, context| {
-            if s.apply_heartbeat(context, r, StatusSource::WorkerHeartbeat) {
-                s.orders(context, r)
+    /// Applies a heartbeat and returns the orders of the reply, which counts as delivered, as after an HTTP status 200.
+    pub fn heartbeat(&mut self, now: Micros, heartbeat: &Heartbeat) -> Vec<Order> {
+        let orders = self.with(now, |shard, context| {
+            if shard.apply_heartbeat(context, heartbeat, StatusSource::WorkerHeartbeat) {
+                shard.orders(context, heartbeat)
             } else {
                 vec![]
             }
@@ -174,33 +183,35 @@
         let version = self.shard.version;
         self.shard
             .machines
-            .get_mut(&r.machine)
+            .get_mut(&heartbeat.machine)
             .unwrap()
             .reply_sent(now, version);
         orders
     }
 
+    /// Whether the job is known and has tasks on machines.
     pub fn placed(&self, job: &str) -> bool {
         self.shard
             .jobs
             .get(&JobId::from(job))
-            .is_some_and(|j| !j.tasks.is_empty())
+            .is_some_and(|job| !job.tasks.is_empty())
     }
 
-    /// Carries out what the shard wants written of its machines; returns (name, still ours).
+    /// Completes the shard's due writes of machine records with this version. Returns the name of each machine, and
+    /// whether its record still belongs to a shard.
     pub fn machine_writes(&mut self, now: Micros, version: u64) -> Vec<(String, bool)> {
-        let mut seen = Vec::new();
-        for w in self.shard.due_writes(now, 100, &Layout::single(32 * 1024)) {
+        let mut written = Vec::new();
+        for write in self.shard.due_writes(now, 100, &Layout::single(32 * 1024)) {
             if let ShardWrite::Machine {
                 machine, record, ..
-            } = &w
+            } = &write
             {
-                seen.push((machine.to_string(), record.shard.is_some()));
-                self.with(now, |s, context| {
-                    s.written(context, &w, WriteOutcome::Done(version));
+                written.push((machine.to_string(), record.shard.is_some()));
+                self.with(now, |shard, context| {
+                    shard.written(context, &write, WriteOutcome::Done(version));
                 });
             }
         }
-        seen
+        written
     }
 }
--- a/crates/seamfront-testing/src/simulation/mod.rs
+++ b/crates/seamfront-testing/src/simulation/mod.rs
@@ -422,7 +422,7 @@
             events: BTreeMap::new(),
             next: 0,
             nodes: (0..scale.nodes).map(|_| node()).collect(),
-            store: Store::with(scale.page, scale.value_bytes, scale.txn_ops),
+            store: Store::with_limits(scale.page, scale.value_bytes, scale.txn_ops),
             outage: Micros::ZERO,
             cloud_outage: Micros::ZERO,
             slow_rentals: Micros::ZERO,
--- a/crates/seamfront-testing/src/store.rs
+++ b/crates/seamfront-testing/src/store.rs
@@ -1,14 +1,14 @@
-//! Stand-in for the state service.
+//! In-memory stand-in for the key-value store.
 
 use seamfront_lease::store::{Entry, StoreReply, StoreRequest, Write};
 use seamfront_lease::time::Micros;
 use serde_json::Value;
 use std::collections::BTreeMap;
 
-/// What the protocol allows in a transaction.
-const TRANSACTION_BYTES: usize = 64 * 1024;
+/// Limit of the store's protocol.
+const MAX_TRANSACTION_BYTES: usize = 64 * 1024;
 
-/// About what a change takes in a transaction's body.
+/// Approximate size in bytes of a change in the body of a transaction.
 pub fn size_of(write: &Write) -> usize {
     match write {
         Write::Put { key, value, .. } => key.len() + value.to_string().len() + 40,
@@ -18,41 +18,49 @@
 
 #[derive(Default)]
 pub struct Store {
+    /// By key: the value, its version (the revision of the last write), and the lease that the key is attached to.
     pub keys: BTreeMap<String, (Value, u64, Option<u64>)>,
     pub revision: u64,
+    /// By id: lease expiry and TTL.
     leases: BTreeMap<u64, (Micros, Micros)>,
-    next_lease: u64,
-    /// All changes in order: revision, key, value (none for a removal).
+    /// Id of the last lease that was granted.
+    last_lease: u64,
+    /// All changes in order: revision, key, value (`None` for a deletion).
     pub log: Vec<(u64, String, Option<Value>)>,
-    /// Entries in one answer.
-    page: usize,
+    /// Most entries in one reply to a list request.
+    page_size: usize,
     value_bytes: usize,
-    txn_ops: usize,
+    transaction_changes: usize,
 }
 
 impl Store {
-    pub fn with_page(page: usize) -> Store {
-        Store::with(page, 32 * 1024, 48)
+    /// A store with the usual limits on values and transactions.
+    pub fn with_page_size(page_size: usize) -> Store {
+        Store::with_limits(page_size, 32 * 1024, 48)
     }
 
-    pub fn with(page: usize, value_bytes: usize, txn_ops: usize) -> Store {
+    pub fn with_limits(page_size: usize, value_bytes: usize, transaction_changes: usize) -> Store {
         Store {
-            page,
+            page_size,
             value_bytes,
-            txn_ops,
+            transaction_changes,
             ..Store::default()
         }
     }
 
-    /// Takes less from now on.
-    pub fn limit(&mut self, value_bytes: usize, txn_ops: usize) {
+    /// Changes the limits for later requests. What is stored stays, even if it is larger.
+    pub fn set_limits(&mut self, value_bytes: usize, transaction_changes: usize) {
         self.value_bytes = value_bytes;
-        self.txn_ops = txn_ops;
+        self.transaction_changes = transaction_changes;
     }
 
-    /// None: a watch with nothing to tell yet.
-    pub fn execute(&mut self, now: Micros, call: &StoreRequest) -> Option<StoreReply> {
-        Some(match call {
+    /// Executes a request. Returns `None` for a watch that has to wait, since nothing has changed yet.
+    ///
+    /// # Panics
+    ///
+    /// If a transaction exceeds a limit: the code under test has to keep to them.
+    pub fn execute(&mut self, now: Micros, request: &StoreRequest) -> Option<StoreReply> {
+        Some(match request {
             StoreRequest::Get { key } => match self.keys.get(key) {
                 Some((v, version, _)) => StoreReply::Entry(Entry {
                     key: key.clone(),
@@ -74,8 +82,8 @@
                         version: v.1,
                     })
                     .collect();
-                let more = all.len() > self.page;
-                let entries = all.into_iter().take(self.page).collect();
+                let more = all.len() > self.page_size;
+                let entries = all.into_iter().take(self.page_size).collect();
                 StoreReply::Page {
                     entries,
                     more,
@@ -83,10 +91,10 @@
                 }
             }
             StoreRequest::CompareAndSwap { conditions, writes } => {
-                let bad: Vec<String> = conditions
+                let failed: Vec<String> = conditions
                     .iter()
                     .filter(|(k, v)| self.keys.get(k).map_or(0, |e| e.1) != *v)
-                    .map(|w| w.0.clone())
+                    .map(|condition| condition.0.clone())
                     .collect();
                 let leases = writes.iter().filter_map(|w| match w {
                     Write::Put { lease, .. } => *lease,
@@ -95,15 +103,21 @@
                 if leases.into_iter().any(|l| !self.leases.contains_key(&l)) {
                     return Some(StoreReply::NoSuchLease);
                 }
-                if !bad.is_empty() {
-                    return Some(StoreReply::Conflict { failed: bad });
+                if !failed.is_empty() {
+                    return Some(StoreReply::Conflict { failed });
                 }
                 let conditions = conditions.len();
                 let bytes: usize = writes.iter().map(size_of).sum();
-                assert!(bytes <= TRANSACTION_BYTES, "a transaction of {bytes} bytes");
                 assert!(
-                    writes.len() <= self.txn_ops && conditions <= 4 * self.txn_ops,
-                    "a transaction is too large"
+                    bytes <= MAX_TRANSACTION_BYTES,
+                    "transaction has {bytes} bytes, the limit is {MAX_TRANSACTION_BYTES}"
+                );
+                assert!(
+                    writes.len() <= self.transaction_changes && conditions <= 4 * self.transaction_changes,
+                    "transaction has {} changes and {conditions} conditions, the limits are {} and {}",
+                    writes.len(),
+                    self.transaction_changes,
+                    4 * self.transaction_changes
                 );
                 if !writes.is_empty() {
                     self.revision += 1;
@@ -113,7 +127,8 @@
                         Write::Put { key, value, lease } => {
                             assert!(
                                 value.to_string().len() <= self.value_bytes,
-                                "value of {key} is too large"
+                                "value of key {key} exceeds {} bytes",
+                                self.value_bytes
                             );
                             self.keys
                                 .insert(key.clone(), (value.clone(), self.revision, *lease));
@@ -128,10 +143,10 @@
                 }
             }
             StoreRequest::GrantLease { ttl } => {
-                self.next_lease += 1;
-                self.leases.insert(self.next_lease, (now + *ttl, *ttl));
+                self.last_lease += 1;
+                self.leases.insert(self.last_lease, (now + *ttl, *ttl));
                 StoreReply::Lease {
-                    id: self.next_lease,
+                    id: self.last_lease,
                 }
             }
             StoreRequest::RenewLease { lease } => match self.leases.get_mut(lease) {
@@ -169,14 +184,15 @@
         }
     }
 
+    /// Deletes the keys of every lease that has expired.
     pub fn expire(&mut self, now: Micros) {
-        let over: Vec<u64> = self
+        let expired: Vec<u64> = self
             .leases
             .iter()
             .filter(|l| l.1 .0 < now)
             .map(|l| *l.0)
             .collect();
-        for lease in over {
+        for lease in expired {
             self.leases.remove(&lease);
             let keys: Vec<String> = self
                 .keys
@@ -193,7 +209,7 @@
         }
     }
 
-    /// Once an outage is over, every lease has its full time again.
+    /// Extends every lease to its full TTL, as the store does after an outage of its own.
     pub fn refresh(&mut self, now: Micros) {
         for l in self.leases.values_mut() {
             l.0 = now + l.1;
--- a/crates/seamfront-testing/src/store_service.rs
+++ b/crates/seamfront-testing/src/store_service.rs
@@ -1,7 +1,7 @@
-//! Stand-ins of outside systems, served on loopback.
+//! Serves the in-memory store on loopback, with the HTTP interface of the real key-value store.
 
 use crate::{http, store};
-use seamfront_core::port::{Entry, StoreReply, StoreRequest, Write as Put};
+use seamfront_core::port::{Entry, StoreReply, StoreRequest, Write};
 use seamfront_core::types::Micros;
 use serde_json::{json, Value};
 use std::collections::BTreeMap;
@@ -9,62 +9,69 @@
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
 
-/// A watch is answered after so long, whatever it asks for.
-const LONGEST_WATCH: Duration = Duration::from_secs(2);
+/// The longest that a watch is held open, however long the client asks for.
+const MAX_WATCH: Duration = Duration::from_secs(2);
+const WATCH_POLL_INTERVAL: Duration = Duration::from_millis(5);
 
-fn query(path: &str) -> BTreeMap<&str, &str> {
-    let q = path.split_once('?').map_or("", |p| p.1);
-    q.split('&').filter_map(|kv| kv.split_once('=')).collect()
+fn query_parameters(path: &str) -> BTreeMap<&str, &str> {
+    let query = path.split_once('?').map_or("", |parts| parts.1);
+    query
+        .split('&')
+        .filter_map(|parameter| parameter.split_once('='))
+        .collect()
 }
 
-fn pair(e: Entry) -> Value {
-    json!({"key": e.key, "data": e.value, "rasura": e.version})
+/// An entry as the interface shows it.
+fn entry_json(entry: Entry) -> Value {
+    json!({"key": entry.key, "data": entry.value, "rasura": entry.version})
 }
 
-/// The state service.
+/// A store behind the HTTP interface; clones share it.
 #[derive(Clone)]
-pub struct StateService {
+pub struct StoreService {
     pub store: Arc<Mutex<store::Store>>,
-    begin: Instant,
+    started_at: Instant,
 }
 
-impl Default for StateService {
+impl Default for StoreService {
     fn default() -> Self {
         Self::new()
     }
 }
 
-impl StateService {
-    pub fn new() -> StateService {
-        StateService {
-            store: Arc::new(Mutex::new(store::Store::with_page(100))),
-            begin: Instant::now(),
+impl StoreService {
+    pub fn new() -> StoreService {
+        StoreService {
+            store: Arc::new(Mutex::new(store::Store::with_page_size(100))),
+            started_at: Instant::now(),
         }
     }
 
+    /// Time since the service was created.
     pub fn now(&self) -> Micros {
-        Micros(self.begin.elapsed().as_micros() as i64)
+        Micros(self.started_at.elapsed().as_micros() as i64)
     }
 
-    /// Answers one request.
+    /// Responds to one request with a status and a JSON body. Blocks while a watch waits for changes.
     pub fn handle(&self, method: &str, path: &str, body: &Value) -> (u16, Value) {
-        let request = parse(method, path, body);
-        let end = Instant::now() + LONGEST_WATCH.min(hold_of(&request));
+        let request = parse_request(method, path, body);
+        let end = Instant::now() + MAX_WATCH.min(watch_duration(&request));
         loop {
             if let Some(reply) = self.execute(&request, Instant::now() >= end) {
-                return answer(&request, reply);
+                return response(&request, reply);
             }
-            std::thread::sleep(Duration::from_millis(5));
+            std::thread::sleep(WATCH_POLL_INTERVAL);
         }
     }
 
-    fn execute(&self, request: &StoreRequest, over: bool) -> Option<StoreReply> {
+    /// Returns `None` for a watch that has to wait. With `timed_out` a watch replies at once.
+    fn execute(&self, request: &StoreRequest, timed_out: bool) -> Option<StoreReply> {
         let now = self.now();
         let mut store = self.store.lock().unwrap();
         store.expire(now);
         let mut request = request.clone();
         if let StoreRequest::Watch { wait, .. } = &mut request {
-            if over {
+            if timed_out {
                 *wait = Micros::ZERO;
             }
         }
@@ -72,31 +79,37 @@
     }
 }
 
-pub fn state_service() -> SocketAddr {
-    let service = StateService::new();
+/// Serves a new, empty store and returns its address.
+pub fn start_store_service() -> SocketAddr {
+    let service = StoreService::new();
     http::serve(move |method, path, body| service.handle(method, path, &body))
 }
 
-fn hold_of(request: &StoreRequest) -> Duration {
+fn watch_duration(request: &StoreRequest) -> Duration {
     match request {
         StoreRequest::Watch { wait, .. } => Duration::from_micros(wait.0 as u64),
         _ => Duration::ZERO,
     }
 }
 
-fn parse(method: &str, path: &str, body: &Value) -> StoreRequest {
-    let q = query(path);
-    let text = |k: &str| q.get(k).map(std::string::ToString::to_string);
-    let number = |k: &str| q.get(k).and_then(|s| s.parse::<u64>().ok()).unwrap_or(0);
-    let bare = path.split('?').next().unwrap_or("");
-    let parts: Vec<&str> = bare.trim_start_matches('/').splitn(3, '/').collect();
-    match (method, parts.as_slice()) {
+fn parse_request(method: &str, path: &str, body: &Value) -> StoreRequest {
+    let query = query_parameters(path);
+    let text = |name: &str| query.get(name).map(std::string::ToString::to_string);
+    let number = |name: &str| {
+        query
+            .get(name)
+            .and_then(|text| text.parse::<u64>().ok())
+            .unwrap_or(0)
+    };
+    let resource = path.split('?').next().unwrap_or("");
+    let segments: Vec<&str> = resource.trim_start_matches('/').splitn(3, '/').collect();
+    match (method, segments.as_slice()) {
         ("GET", ["kv"]) => StoreRequest::List {
             prefix: text("prefix").unwrap_or_default(),
             after: text("after"),
         },
         ("GET", ["kv", ..]) => StoreRequest::Get {
-            key: bare["/kv/".len()..].to_owned(),
+            key: resource["/kv/".len()..].to_owned(),
         },
         ("GET", ["changes"]) => StoreRequest::Watch {
             prefix: text("prefix").unwrap_or_default(),
@@ -113,21 +126,27 @@
     }
 }
 
+/// A transaction; also stands for any request that the interface doesn't know.
 fn parse_commit(body: &Value) -> StoreRequest {
-    let list = |k: &str| body[k].as_array().cloned().unwrap_or_default();
-    let name = |v: &Value| v.as_str().unwrap_or("").to_owned();
+    let list = |field: &str| body[field].as_array().cloned().unwrap_or_default();
+    let string = |value: &Value| value.as_str().unwrap_or("").to_owned();
     let conditions = list("when")
         .iter()
-        .map(|w| (name(&w["key"]), w["rasura"].as_u64().unwrap_or(0)))
+        .map(|condition| {
+            (
+                string(&condition["key"]),
+                condition["rasura"].as_u64().unwrap_or(0),
+            )
+        })
         .collect();
-    let change = |a: &Value| match a.get("write") {
-        Some(k) => Put::Put {
-            key: name(k),
-            value: a["data"].clone(),
-            lease: a["vale"].as_u64(),
+    let change = |change: &Value| match change.get("write") {
+        Some(key) => Write::Put {
+            key: string(key),
+            value: change["data"].clone(),
+            lease: change["vale"].as_u64(),
         },
-        None => Put::Delete {
-            key: name(&a["remove"]),
+        None => Write::Delete {
+            key: string(&change["remove"]),
         },
     };
     StoreRequest::CompareAndSwap {
@@ -136,16 +155,16 @@
     }
 }
 
-fn answer(request: &StoreRequest, reply: StoreReply) -> (u16, Value) {
+fn response(request: &StoreRequest, reply: StoreReply) -> (u16, Value) {
     match reply {
-        StoreReply::Entry(e) => (200, pair(e)),
+        StoreReply::Entry(entry) => (200, entry_json(entry)),
         StoreReply::Missing => (404, json!({"caderno": 0})),
         StoreReply::Page {
             entries,
             more,
             revision,
         } => {
-            let pairs: Vec<Value> = entries.into_iter().map(pair).collect();
+            let pairs: Vec<Value> = entries.into_iter().map(entry_json).collect();
             (
                 200,
                 json!({"pairs": pairs, "more": more, "caderno": revision}),
@@ -159,9 +178,9 @@
             (400, json!({"error": "no such lease"}))
         }
         StoreReply::Changes { revision, events } => {
-            let event = |(k, v, r): (String, Option<Value>, u64)| match v {
-                Some(v) => json!({"write": k, "data": v, "rasura": r}),
-                None => json!({"remove": k, "rasura": r}),
+            let event = |(key, value, revision): (String, Option<Value>, u64)| match value {
+                Some(value) => json!({"write": key, "data": value, "rasura": revision}),
+                None => json!({"remove": key, "rasura": revision}),
             };
             let events: Vec<Value> = events.into_iter().map(event).collect();
             (200, json!({"caderno": revision, "events": events}))
--- a/crates/seamfront/examples/duty_holder/main.rs
+++ b/crates/seamfront/examples/duty_holder/main.rs
@@ -18,7 +18,7 @@
 use seamfront_lease::record::{self, LogRecord, Operation, OperationName};
 use seamfront_lease::settings::{LeaseSettings, StoreLimits};
 use seamfront_lease::{keys, DutyManager};
-use seamfront_testing::fleet_keeper::{self, Keeper, Work};
+use seamfront_testing::fleet_reconciler::{self, FleetOperation, FleetReconciler};
 use std::cell::RefCell;
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -79,7 +79,7 @@
 
 impl HttpCloud {
     async fn provision(&self, duty: &str, operation: &Operation, count: usize) -> Outcome {
-        let name = fleet_keeper::order_name(duty, operation.name);
+        let name = fleet_reconciler::provisioning_request_name(duty, operation.name);
         let (kind, zone) = ("small".to_owned(), "a".to_owned());
         let request = CloudRequest::Provision {
             name,
@@ -97,7 +97,7 @@
                 self.rented
                     .borrow_mut()
                     .insert(operation.name, machines.clone());
-                fleet_keeper::provisioned(&machines)
+                fleet_reconciler::provisioned(&machines)
             }
             CloudReply::NoCapacity => Outcome::NotDone,
             _ => Outcome::Unknown,
@@ -116,7 +116,7 @@
         )
         .await
         {
-            CloudReply::Terminated => fleet_keeper::returned(machines),
+            CloudReply::Terminated => fleet_reconciler::terminated(machines),
             _ => Outcome::Unknown,
         }
     }
@@ -124,9 +124,11 @@
 
 impl Performer for HttpCloud {
     async fn perform(&self, duty: &str, operation: &Operation) -> Outcome {
-        match Work::of(operation) {
-            Some(Work::Provision { count }) => self.provision(duty, operation, count).await,
-            Some(Work::Return { machines }) => self.terminate(&machines).await,
+        match FleetOperation::of(operation) {
+            Some(FleetOperation::Provision { count }) => {
+                self.provision(duty, operation, count).await
+            }
+            Some(FleetOperation::Terminate { machines }) => self.terminate(&machines).await,
             None => Outcome::NotDone,
         }
     }
@@ -134,7 +136,7 @@
 
 /// Decides what to do, beside the driver.
 struct Program {
-    keeper: Keeper,
+    keeper: FleetReconciler,
     client: Client,
     state: SocketAddr,
     cloud: Rc<HttpCloud>,
@@ -170,17 +172,17 @@
 
     async fn read_lists(&mut self) {
         let now = SteadyClock.now();
-        if !self.keeper.wants_list() || now < self.list_next {
+        if !self.keeper.needs_list() || now < self.list_next {
             return;
         }
         self.list_next = now + LIST_INTERVAL;
-        let number = self.keeper.list_begins();
+        let number = self.keeper.begin_list();
         let (Some(machines), Some(open)) = (self.recorded().await, self.open_orders().await) else {
             return;
         };
         // What came meanwhile may void the list.
         self.take_events();
-        self.keeper.list_read(now, number, machines, &open);
+        self.keeper.apply_list(now, number, machines, &open);
     }
 
     async fn recorded(&self) -> Option<BTreeSet<String>> {
@@ -188,7 +190,7 @@
         let mut after = None;
         loop {
             let request = StoreRequest::List {
-                prefix: fleet_keeper::MACHINE_PREFIX.to_owned(),
+                prefix: fleet_reconciler::MACHINE_PREFIX.to_owned(),
                 after,
             };
             let StoreReply::Page { entries, more, .. } =
@@ -199,7 +201,7 @@
             after = entries.last().map(|entry| entry.key.clone());
             let names = entries
                 .iter()
-                .filter_map(|entry| entry.key.strip_prefix(fleet_keeper::MACHINE_PREFIX));
+                .filter_map(|entry| entry.key.strip_prefix(fleet_reconciler::MACHINE_PREFIX));
             machines.extend(names.map(str::to_owned));
             if !more {
                 return Some(machines);
@@ -208,7 +210,7 @@
     }
 
     async fn open_orders(&self) -> Option<BTreeSet<OperationName>> {
-        let key = keys::log(fleet_keeper::RENTING);
+        let key = keys::log(fleet_reconciler::PROVISIONING_DUTY);
         match store_client::call(
             &self.client,
             self.state,
@@ -234,11 +236,11 @@
         self.ticks += 1;
         let mut commands: Vec<Command> = self.keeper.provision().into_iter().collect();
         if self.ticks.is_multiple_of(TICKS_PER_RETURN) {
-            commands.extend(self.keeper.give_back(self.ticks as usize));
+            commands.extend(self.keeper.terminate(self.ticks as usize));
         }
         if self.ticks.is_multiple_of(TICKS_PER_CLOUD_LIST) {
             if let Some(listed) = self.listed_by_cloud().await {
-                commands.extend(self.keeper.take_in(SteadyClock.now(), &listed));
+                commands.extend(self.keeper.adopt(SteadyClock.now(), &listed));
             }
         }
         commands
@@ -279,9 +281,9 @@
         changes_per_second: 100,
     };
     let duties = [
-        fleet_keeper::RENTING,
-        fleet_keeper::RETURNING,
-        fleet_keeper::CLEANING,
+        fleet_reconciler::PROVISIONING_DUTY,
+        fleet_reconciler::TERMINATION_DUTY,
+        fleet_reconciler::ADOPTION_DUTY,
     ];
     let mut settings = LeaseSettings::new(&args.member, &members, &duties, limits);
     settings.lease = Micros::from_millis(args.lease_ms);
@@ -312,7 +314,7 @@
         perform_time: PERFORM_TIMEOUT,
     };
     let program = Program {
-        keeper: Keeper::new(args.target),
+        keeper: FleetReconciler::new(args.target),
         client,
         state: args.state,
         cloud,
--- a/crates/seamfront/examples/measure_duties/main.rs
+++ b/crates/seamfront/examples/measure_duties/main.rs
@@ -8,7 +8,7 @@
 use seamfront_core::types::Micros;
 use seamfront_lease::port::Command;
 use seamfront_report::{Recorder, ReportError};
-use seamfront_testing::fleet_keeper::RENTING;
+use seamfront_testing::fleet_reconciler::PROVISIONING_DUTY;
 use seamfront_testing::member_simulation::{ms, Simulation};
 use seamfront_testing::simulation::{self, Fault, Scale, SMALL};
 use std::path::PathBuf;
@@ -61,17 +61,17 @@
 fn duty_gap(seed: u64, members: usize, fault: HolderFault) -> Option<Micros> {
     let mut world = Simulation::new(seed, members);
     world.run_for(fault_time(seed));
-    let holder = world.holder(RENTING)?;
+    let holder = world.holder(PROVISIONING_DUTY)?;
     let duration = ms(FAULT_MS);
     match fault {
         HolderFault::Crash => world.crash(holder, duration),
         HolderFault::Freeze => world.freeze(holder, duration),
-        HolderFault::Cut => world.nodes[holder].refused = world.now + duration,
+        HolderFault::Cut => world.members[holder].store_refused_until = world.now + duration,
         HolderFault::Handover => {
             world.command(
                 holder,
                 Command::HandOver {
-                    duty: RENTING.to_owned(),
+                    duty: PROVISIONING_DUTY.to_owned(),
                     to: None,
                 },
             );
@@ -81,7 +81,7 @@
     let last = world.now + ms(GAP_MAX_MS);
     while world.now < last {
         world.run_for(ms(POLL_INTERVAL_MS));
-        match world.holder(RENTING) {
+        match world.holder(PROVISIONING_DUTY) {
             // A handover begins when the holder stops; until then it is active. One that is frozen or cut off is not, though
             // its claim is still there.
             Some(now) if now == holder && matches!(fault, HolderFault::Handover) => {
@@ -155,11 +155,11 @@
         let mut world = Simulation::new(1, members);
         world.churn = churn;
         world.run_for(ms(LOAD_WARM_UP_MS));
-        (world.requests, world.changes) = Default::default();
+        (world.store_requests, world.store_changes) = Default::default();
         let rented = world.cloud.ledger.len();
         world.run_for(ms(LOAD_SECONDS * 1_000));
         let minutes = LOAD_SECONDS as f64 / 60.0;
-        let requests: u64 = world.requests.values().sum();
+        let requests: u64 = world.store_requests.values().sum();
         let size = members as u64;
         recorder.count(
             REQUESTS,
@@ -171,12 +171,12 @@
             CHANGES,
             &format!("each duty, {name}"),
             size,
-            world.changes as f64 / minutes / DUTIES,
+            world.store_changes as f64 / minutes / DUTIES,
         );
         let machines = (world.cloud.ledger.len() - rented) as f64 / minutes;
         println!(
             "{members} members, {name}: {machines:.0} machines a minute, {:?}",
-            world.requests
+            world.store_requests
         );
     }
 }
--- a/crates/seamfront/tests/duties.rs
+++ b/crates/seamfront/tests/duties.rs
@@ -1,32 +1,32 @@
 //! Two controllers with duties on: they clean up, show who holds what, and a duty is moved by hand.
 
-use seamfront_testing::controller_process::{eventually, free_port, Program};
-use seamfront_testing::{http, store_service::StateService};
+use seamfront_testing::controller_process::{eventually, unused_address, ControllerBinary};
+use seamfront_testing::{http, store_service::StoreService};
 use serde_json::json;
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
 
 /// The program under test.
-const SEAMFRONT: Program = Program::at(env!("CARGO_BIN_EXE_seamfront"));
+const SEAMFRONT: ControllerBinary = ControllerBinary::at(env!("CARGO_BIN_EXE_seamfront"));
 
 struct Pair {
     dir: PathBuf,
     state: SocketAddr,
-    service: StateService,
+    service: StoreService,
     mesh: [SocketAddr; 2],
 }
 
 impl Pair {
     fn new(name: &str) -> Pair {
         let dir = std::env::temp_dir().join(format!("seamfront-{name}-{}", std::process::id()));
-        let service = StateService::new();
+        let service = StoreService::new();
         let shared = service.clone();
         let state = http::serve(move |method, path, body| shared.handle(method, path, &body));
         Pair {
             dir,
             state,
             service,
-            mesh: [free_port(), free_port()],
+            mesh: [unused_address(), unused_address()],
         }
     }
 
@@ -45,10 +45,10 @@
                 &format!("member = \"{}\"", names[member]),
                 1,
             )
-            .replace("127.0.0.1:8080", &free_port().to_string())
+            .replace("127.0.0.1:8080", &unused_address().to_string())
             .replace("127.0.0.1:8081", &self.mesh[member].to_string())
             .replace("127.0.0.1:8091", &self.mesh[1 - member].to_string())
-            .replace("127.0.0.1:8443", &free_port().to_string())
+            .replace("127.0.0.1:8443", &unused_address().to_string())
             .replace("127.0.0.1:2379", &self.state.to_string());
         (dir, text)
     }
--- a/crates/seamfront/tests/duty_freezes.rs
+++ b/crates/seamfront/tests/duty_freezes.rs
@@ -8,7 +8,7 @@
 use seamfront_core::types::Micros;
 use seamfront_testing::cloud::Cloud;
 use seamfront_testing::http;
-use seamfront_testing::store_service::StateService;
+use seamfront_testing::store_service::StoreService;
 use serde_json::{json, Value};
 use std::collections::{BTreeMap, BTreeSet};
 use std::path::PathBuf;
@@ -170,7 +170,7 @@
             |id: String| json!({"id": id, "modelo": "small", "praca": "a", "ponto": "running"});
         let listed: Vec<Value> = self
             .cloud
-            .listed(now - LIST_LAG)
+            .list_at(now - LIST_LAG)
             .into_iter()
             .map(machine)
             .collect();
@@ -182,7 +182,7 @@
         let names: Vec<String> = names
             .filter_map(|name| name.as_str().map(str::to_owned))
             .collect();
-        self.cloud.delete(now, &names);
+        self.cloud.terminate(now, &names);
         (200, json!({}))
     }
 }
@@ -217,7 +217,7 @@
     path
 }
 
-fn start(world: &Simulation, service: &StateService, name: &str, names: &str) {
+fn start(world: &Simulation, service: &StoreService, name: &str, names: &str) {
     let (shared, member, states) = (world.clone(), name.to_owned(), service.clone());
     let state = http::serve(move |method, path, body| {
         let commit = path.starts_with("/commit");
@@ -285,7 +285,7 @@
     }
 }
 
-fn known(service: &StateService) -> BTreeSet<String> {
+fn known(service: &StoreService) -> BTreeSet<String> {
     let store = service.store.lock().unwrap();
     store
         .keys
@@ -328,7 +328,7 @@
         broken: Vec::new(),
         holders: BTreeMap::new(),
     }));
-    let service = StateService::new();
+    let service = StoreService::new();
     let names: Vec<String> = (0..MEMBERS).map(|member| format!("n{member}")).collect();
     let _processes = Processes(world.clone());
     for name in &names {
@@ -349,7 +349,7 @@
     let (counts, ledger) = (&shared.counts, &shared.cloud.ledger);
     let returned = ledger
         .values()
-        .filter(|machine| machine.returned.is_some())
+        .filter(|machine| machine.terminated_at.is_some())
         .count();
     println!(
         "{} freezes, {} with a request held back, {} of the holder of returns; {} machines, {returned} returned; \
@@ -358,8 +358,8 @@
         counts.held_back,
         counts.holders_of_returns,
         ledger.len(),
-        shared.cloud.repeated_orders,
-        shared.cloud.repeated_returns,
+        shared.cloud.repeated_provisions,
+        shared.cloud.repeated_terminations,
     );
     assert!(counts.freezes >= wanted);
     assert!(
@@ -371,7 +371,7 @@
         "too few holders were frozen"
     );
     assert!(returned * 2 >= wanted, "too little was done");
-    assert_eq!(shared.cloud.rented_after_refusal, 0);
+    assert_eq!(shared.cloud.provisioned_after_refusal, 0);
     // Each return that was recorded names another machine, and none that is paid for was recorded as returned.
     let paid: Vec<&String> = shared
         .cloud
--- a/crates/seamfront/tests/end_to_end.rs
+++ b/crates/seamfront/tests/end_to_end.rs
@@ -1,9 +1,9 @@
 //! The real binary on loopback against HTTP stand-ins: it accepts, runs, finishes and cancels, is
 //! killed and started again, and shows bad requests the door.
 
-use seamfront_testing::controller_process::{eventually, free_port, Program};
+use seamfront_testing::controller_process::{eventually, unused_address, ControllerBinary};
 use seamfront_testing::http::{call, call_with_retry_after, serve};
-use seamfront_testing::store_service::state_service;
+use seamfront_testing::store_service::start_store_service;
 use serde_json::{json, Value};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -11,7 +11,7 @@
 use std::time::{Duration, Instant};
 
 /// The program under test.
-const SEAMFRONT: Program = Program::at(env!("CARGO_BIN_EXE_seamfront"));
+const SEAMFRONT: ControllerBinary = ControllerBinary::at(env!("CARGO_BIN_EXE_seamfront"));
 
 // ---- stand-ins ---------------------------------------------------------------------------
 
@@ -196,7 +196,12 @@
 fn what_cannot_be_decided_now_is_answered_at_once() {
     let dir = std::env::temp_dir().join(format!("seamfront-e2e-away-{}", std::process::id()));
     std::fs::create_dir_all(&dir).unwrap();
-    let (bind, mesh, peer, nobody) = (free_port(), free_port(), free_port(), free_port());
+    let (bind, mesh, peer, nobody) = (
+        unused_address(),
+        unused_address(),
+        unused_address(),
+        unused_address(),
+    );
     let text = include_str!("../../../docs/settings.example.toml")
         .replace("127.0.0.1:8080", &bind.to_string())
         .replace("127.0.0.1:8081", &mesh.to_string())
@@ -236,8 +241,8 @@
 fn the_binary_serves_users_and_workers() {
     let dir = std::env::temp_dir().join(format!("seamfront-e2e-{}", std::process::id()));
     std::fs::create_dir_all(&dir).unwrap();
-    let (bind, mesh, peer) = (free_port(), free_port(), free_port());
-    let state = state_service();
+    let (bind, mesh, peer) = (unused_address(), unused_address(), unused_address());
+    let state = start_store_service();
     let (cloud, machines) = cloud(vec![bind]);
     let text = include_str!("../../../docs/settings.example.toml")
         .replace("127.0.0.1:8080", &bind.to_string())
--- a/crates/seamfront/tests/forms.rs
+++ b/crates/seamfront/tests/forms.rs
@@ -9,7 +9,7 @@
 };
 use seamfront_core::port::*;
 use seamfront_core::types::*;
-use seamfront_testing::controller_process::Program;
+use seamfront_testing::controller_process::ControllerBinary;
 use serde_json::Value;
 use std::future::Future;
 use std::io::{BufReader, Write as _};
@@ -19,7 +19,7 @@
 use std::task::{Context, Poll};
 
 /// The program under test.
-const SEAMFRONT: Program = Program::at(env!("CARGO_BIN_EXE_seamfront"));
+const SEAMFRONT: ControllerBinary = ControllerBinary::at(env!("CARGO_BIN_EXE_seamfront"));
 
 // ---- users -----------------------------------------------------------------------------------
 
@@ -1022,7 +1022,7 @@
 fn a_message_as_it_is_taken_from_another_controller() {
     let ex: &'static Executor = Box::leak(Box::default());
     async_io::block_on(ex.run(async {
-        let bind = seamfront_testing::controller_process::free_port();
+        let bind = seamfront_testing::controller_process::unused_address();
         let (queue, commands) = async_channel::unbounded();
         ex.spawn(peer_transport::serve(
             ex,
@@ -1112,7 +1112,7 @@
     let types =
         r#"{"modelos":[{"name":"g4","cores":48,"accelerators":4,"ram_gb":384,"pracas":["b"]}]}"#;
     let (cloud, _requests) = server(200, types);
-    let at = seamfront_testing::controller_process::free_port();
+    let at = seamfront_testing::controller_process::unused_address();
     let dir = std::env::temp_dir().join(format!("seamfront-forms-{}", std::process::id()));
     std::fs::create_dir_all(&dir).unwrap();
     let members = PLATFORM.find("[[members]]").unwrap()..PLATFORM.find("[outside]").unwrap();
@@ -1121,12 +1121,12 @@
         .replace("127.0.0.1:7001", &at.to_string())
         .replace(
             "127.0.0.1:7002",
-            &seamfront_testing::controller_process::free_port().to_string(),
+            &seamfront_testing::controller_process::unused_address().to_string(),
         )
         .replace("127.0.0.1:7005", &cloud.to_string())
         .replace(
             "127.0.0.1:7006",
-            &seamfront_testing::store_service::state_service().to_string(),
+            &seamfront_testing::store_service::start_store_service().to_string(),
         );
     let _controller = SEAMFRONT.start(&dir, &text, &[]);
     let submission = SUBMISSION
@@ -1226,7 +1226,7 @@
 
 #[test]
 fn commands_on_duties() {
-    let service = seamfront_testing::store_service::StateService::new();
+    let service = seamfront_testing::store_service::StoreService::new();
     let put = |key: &str, value: &str| {
         let body = format!(r#"{{"when":[],"apply":[{{"write":"{key}","data":{value}}}]}}"#);
         assert_eq!(
