--- a/crates/seamfront-core/src/store_session/watches.rs
+++ b/crates/seamfront-core/src/store_session/watches.rs
@@ -60,7 +60,7 @@
 
     /// The revision up to which all changes are in.
     pub(super) fn revision(&self) -> u64 {
-        self.view.seen()
+        self.view.revision()
     }
 
     /// Whether the view is loaded and as new as this revision.
@@ -107,7 +107,7 @@
         let pause = context.settings.ask_every();
         let watch = self.watch_mut(topic);
         watch.request_in_flight = false;
-        let update = watch.view.take(reply);
+        let update = watch.view.handle_reply(reply);
         watch.retry_at = match &update {
             ViewUpdate::Failed => now + RETRY_INTERVAL,
             // Not reopened at once: every change would cost each controller a request.
@@ -124,7 +124,7 @@
         topic: Topic,
         reply: StoreReply,
     ) -> bool {
-        let update = self.watch_mut(topic).view.take(reply);
+        let update = self.watch_mut(topic).view.handle_reply(reply);
         let usable = matches!(update, ViewUpdate::Changed { .. } | ViewUpdate::TooOld);
         self.view_updated(context, topic, update);
         usable
@@ -136,7 +136,7 @@
                 for change in changes {
                     self.entry_changed(context, topic, change);
                 }
-                self.watch_mut(topic).view.reached(revision);
+                self.watch_mut(topic).view.mark_applied(revision);
             }
             ViewUpdate::Read { entries, revision } => {
                 self.remove_absent(context, topic, &entries, revision);
--- a/crates/seamfront-lease/src/balancing.rs
+++ b/crates/seamfront-lease/src/balancing.rs
@@ -1,31 +1,33 @@
-//! Balancing: which member should hold which duty. Pure functions of what all members see.
+//! Decides which member should hold which duty. The functions are pure and depend only on state that all members see.
 
 use std::cmp::Reverse;
 use std::collections::BTreeMap;
 
-/// What counts for one member.
+/// The load of a member, by which members are compared.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct MemberLoad {
-    /// Its name.
+    /// The member's name.
     pub member: String,
-    /// Duties that it holds.
+    /// Number of duties that it holds.
     pub duties: u64,
-    /// How busy it is besides, in percent.
+    /// Its load from other work, in percent.
     pub load: u64,
 }
 
-/// What holding one duty counts, in percent of load.
+/// Score of one held duty, in percent of load.
 const DUTY_SCORE: u64 = 100;
-/// Load beyond this does not count.
-const LOAD_MAX: u64 = 100;
+/// Load above this is ignored.
+const LOAD_MAX_PERCENT: u64 = 100;
 
 impl MemberLoad {
     fn score(&self) -> u64 {
-        self.duties * DUTY_SCORE + self.load.min(LOAD_MAX)
+        self.duties * DUTY_SCORE + self.load.min(LOAD_MAX_PERCENT)
     }
 }
 
-/// A member's rank for a free duty: the least loaded first, different duties in different order.
+/// A member's rank among the candidates for a free duty, 0 being the first to claim it. The least loaded come first;
+/// equally loaded members are ordered by a hash, which differs from duty to duty so that free duties spread over the
+/// members. A member that is not in the list ranks last.
 pub fn rank(duty: &str, member: &str, members: &[MemberLoad]) -> usize {
     let Some(own) = members.iter().find(|m| m.member == member) else {
         return members.len();
@@ -37,8 +39,8 @@
         .count()
 }
 
-/// Who should hold the duties of an affinity group: whoever holds most of them, the first by name among equals. None:
-/// nobody holds any.
+/// The member that should hold all duties of an affinity group, given the holder of each: the one that holds most of
+/// them, and the first by name of several. None if the group has no holder.
 pub fn group_holder<'a>(holders: impl Iterator<Item = &'a str>) -> Option<&'a str> {
     let counts = count_by_holder(holders);
     let (holder, _) = counts
@@ -47,9 +49,10 @@
     Some(holder)
 }
 
-/// The member that a duty should go to, if its holder has clearly more load. Moving one and moving it back can't both
-/// be right: the receiver must remain below what the holder has left.
-pub fn receiver<'a>(holder: &str, members: &'a [MemberLoad]) -> Option<&'a str> {
+/// The member that one of the holder's duties should be transferred to, if the holder's load is clearly higher. After
+/// the transfer the target's score must not exceed the holder's, so that transferring the duty back is never due as
+/// well.
+pub fn rebalance_target<'a>(holder: &str, members: &'a [MemberLoad]) -> Option<&'a str> {
     let own = members.iter().find(|m| m.member == holder)?;
     if own.duties == 0 {
         return None;
@@ -59,7 +62,7 @@
     (least.score() + 2 * DUTY_SCORE <= own.score()).then_some(least.member.as_str())
 }
 
-/// How many duties each member holds.
+/// Number of duties that each member holds.
 pub fn count_by_holder<'a>(holders: impl Iterator<Item = &'a str>) -> BTreeMap<&'a str, u64> {
     let mut counts = BTreeMap::new();
     for holder in holders {
@@ -68,7 +71,7 @@
     counts
 }
 
-/// The same at every member and in every version, so that all agree on the order.
+/// FNV-1a hash. It must stay the same in all versions, so that all members agree on the order.
 fn hash(duty: &str, member: &str) -> u64 {
     const OFFSET: u64 = 0xcbf2_9ce4_8422_2325;
     const PRIME: u64 = 0x0000_0100_0000_01b3;
--- a/crates/seamfront-lease/src/driver.rs
+++ b/crates/seamfront-lease/src/driver.rs
@@ -1,5 +1,5 @@
-//! A thin loop that runs [`DutyManager`]: timers, requests with time limits, and the last look at the clock before an effect.
-//! It installs nothing in the process and ends only when its queue of commands is closed.
+//! Event loop that runs [`DutyManager`]: timers, requests with timeouts, and the check of each permit immediately
+//! before its effect. It installs nothing global in the process and ends only when its command queue is closed.
 
 use crate::manager::DutyManager;
 use crate::permit::Permit;
@@ -18,63 +18,63 @@
 use std::time::Duration;
 use tracing::warn;
 
-/// How often the manager is woken when nothing happens.
+/// Interval between steps when there are no commands and no replies.
 const TICK_INTERVAL: Duration = Duration::from_millis(50);
-/// Commands that are taken in one step at the most.
+/// Maximum number of commands handled in one step.
 const BATCH_MAX: usize = 256;
-/// Replies that can wait for the manager.
+/// Capacity of the queue of replies to the manager.
 const REPLY_QUEUE_MAX: usize = 1_024;
 
-/// A client of the store.
+/// A client of the key-value store.
 pub trait StoreClient: 'static {
-    /// Carries out a request. A request without a reply is [`StoreReply::Unknown`].
+    /// Sends a request and returns its reply, or [`StoreReply::Unknown`] if none arrives.
     fn call(&self, request: StoreRequest) -> impl Future<Output = StoreReply>;
 }
 
-/// Whoever performs operations on the outside.
+/// Performs operations on an external system.
 pub trait Performer: 'static {
-    /// Performs an operation once. Its name must reach the outside as the name of the request, so that a repetition does
-    /// nothing twice.
+    /// Makes one attempt to perform an operation. The operation's name must be the idempotency key of the external
+    /// request, so that a repeated attempt has no further effect.
     fn perform(&self, duty: &str, operation: &Operation) -> impl Future<Output = Outcome>;
 }
 
-/// A steady clock that goes on while the machine sleeps.
+/// A monotonic clock that includes the time during which the machine is suspended.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct SteadyClock;
 
 impl SteadyClock {
-    /// The time since the machine was started.
+    /// Time since the machine booted.
     pub fn now(self) -> Micros {
         let time = clock_gettime(ClockId::Boottime);
         Micros(time.tv_sec * 1_000_000 + time.tv_nsec / 1_000)
     }
 }
 
-/// What the driver needs.
+/// The event loop with its connections.
 pub struct Driver<S, P> {
-    /// The store.
+    /// Client of the key-value store.
     pub store: Rc<S>,
-    /// Performs operations.
+    /// Performs the operations of the duties.
     pub performer: Rc<P>,
-    /// Commands of the embedding program.
+    /// Commands from the embedding program.
     pub commands: Receiver<Command>,
-    /// Events for the embedding program. Those that it does not read in time are dropped and counted.
+    /// Events for the embedding program. Those that it does not read in time are dropped, counted and logged.
     pub events: Sender<Effect>,
-    /// The longest that one attempt of an operation may take.
-    pub perform_time: Duration,
+    /// Timeout of one attempt to perform an operation. The outcome is unknown once it has passed.
+    pub perform_timeout: Duration,
 }
 
-/// Carries out what the manager asks of the store and of the performer; each request is a task of its own.
+/// Sends the manager's requests to the store and to the performer, each in a task of its own.
 struct RequestRunner<S, P> {
     store: Rc<S>,
     performer: Rc<P>,
     replies: Sender<Command>,
     store_timeout: Duration,
-    perform_time: Duration,
+    perform_timeout: Duration,
 }
 
 impl<S: StoreClient, P: Performer> Driver<S, P> {
-    /// Runs until the queue of commands is closed.
+    /// Runs until the command queue is closed.
     pub async fn run(self, mut manager: DutyManager) {
         let executor = LocalExecutor::new();
         let (replies, reply_queue) = async_channel::bounded(REPLY_QUEUE_MAX);
@@ -84,7 +84,7 @@
             performer: self.performer,
             replies,
             store_timeout,
-            perform_time: self.perform_time,
+            perform_timeout: self.perform_timeout,
         });
         let (commands, events) = (self.commands, self.events);
         let dropped = Cell::new(0u64);
@@ -99,7 +99,7 @@
     }
 }
 
-/// Waits for a command, a reply, or the next tick. None: the queue of commands is closed.
+/// Waits for a command, a reply or the next tick, and adds what else is queued. None if the command queue is closed.
 async fn next_batch(
     commands: &Receiver<Command>,
     replies: &Receiver<Command>,
@@ -162,18 +162,21 @@
             StoreRequest::Watch { wait, .. } => Duration::from_micros(wait.0.max(0) as u64),
             _ => Duration::ZERO,
         };
-        let reply = within(self.store_timeout + wait, self.store.call(request)).await;
+        let reply = with_timeout(self.store_timeout + wait, self.store.call(request)).await;
         let reply = reply.unwrap_or(StoreReply::Unknown);
         let _ = self.replies.send(Command::Store { call, reply }).await;
     }
 
     async fn perform(&self, duty: String, operation: Operation, attempt: u64, permit: Permit) {
         let name = operation.name;
-        // The process may have been suspended since the manager's step, for however long.
+        // The process may have been suspended for any length of time since the manager's step.
         let outcome = if permit.valid(SteadyClock.now()) {
-            within(self.perform_time, self.performer.perform(&duty, &operation))
-                .await
-                .unwrap_or(Outcome::Unknown)
+            with_timeout(
+                self.perform_timeout,
+                self.performer.perform(&duty, &operation),
+            )
+            .await
+            .unwrap_or(Outcome::Unknown)
         } else {
             Outcome::NotPermitted
         };
@@ -189,8 +192,8 @@
     }
 }
 
-/// Runs a future for at most so long.
-async fn within<T>(limit: Duration, future: impl Future<Output = T>) -> Option<T> {
+/// Runs a future with a timeout. None if the timeout expires first.
+async fn with_timeout<T>(limit: Duration, future: impl Future<Output = T>) -> Option<T> {
     let limited = async {
         Timer::after(limit).await;
         None
--- a/crates/seamfront-lease/src/keys.rs
+++ b/crates/seamfront-lease/src/keys.rs
@@ -1,18 +1,19 @@
-//! Keys in the store.
+//! Keys in the key-value store.
 
-/// Everything that is watched: claims, members, requests of operators, the switch.
+/// Prefix of all keys that members watch: claims, members, versions, move requests and the switch record.
 pub const CONTROL_PREFIX: &str = "duty/";
-/// Claims on duties.
+/// Prefix of claims on duties.
 pub const CLAIM_PREFIX: &str = "duty/claim/";
-/// Members that are up.
+/// Prefix of the records of members that are up.
 pub const MEMBER_PREFIX: &str = "duty/member/";
-/// Members that have once run a version which knows duties.
+/// Prefix of the keys that name each member that has ever run a version with support for duties.
 pub const VERSION_PREFIX: &str = "duty/version/";
-/// Operators' requests to move a duty.
+/// Prefix of operators' requests to move a duty.
 pub const MOVE_PREFIX: &str = "duty/move/";
-/// Recorded once, when duties take over from the claim that carried them all before.
+/// Key of the switch record, which is written once, when a claim for each duty replaces the former claim on all of
+/// them.
 pub const SWITCH: &str = "duty/switch";
-/// Operation logs. They are read by their holders only, so they are not under the watched prefix.
+/// Prefix of operation logs. They are not under the watched prefix, since only holders read them.
 pub const LOG_PREFIX: &str = "duty-log/";
 
 /// Key of the claim on a duty.
--- a/crates/seamfront-lease/src/lib.rs
+++ b/crates/seamfront-lease/src/lib.rs
@@ -1,12 +1,12 @@
-//! Duties with a single holder, over a small key-value store with leases and transactions.
+//! Duties with a single holder, on top of a small key-value store with leases and transactions.
 //!
-//! A *duty* is work of which there must be one performer at a time, such as renting machines. Each duty has a claim
-//! in the store, attached to its holder's lease; the claim's version is the fencing token. What a holder does outside
-//! of the store is an *operation*: recorded under the token, performed, its outcome recorded. A successor settles the
-//! open operations of its predecessor before it begins its own.
+//! A *duty* is work that only one member may perform at a time, such as provisioning machines. Each duty has a claim in
+//! the store that is attached to its holder's lease; the claim's version is the fencing token. An effect outside of the
+//! store is an *operation*: the holder records it under the token, performs it, and records its outcome. A successor
+//! settles the open operations of its predecessor before it begins any of its own.
 //!
-//! [`DutyManager`] is the deterministic core: commands go in, effects come out, time is an argument. [`driver`] is a
-//! thin loop that runs it. `docs/duties.md` holds the safety argument.
+//! [`DutyManager`] is a deterministic state machine: commands go in, effects come out, and time is an argument.
+//! [`driver`] is the event loop that runs it. `docs/duties.md` contains the safety argument.
 //!
 //! ```
 //! use seamfront_lease::port::Effect;
@@ -19,12 +19,12 @@
 //!     transaction_changes: 48,
 //!     changes_per_second: 100,
 //! };
-//! let settings = LeaseSettings::new("a", &["a", "b"], &["cleaning"], limits);
+//! let settings = LeaseSettings::new("a", &["a", "b"], &["scale-out"], limits);
 //! let mut manager = DutyManager::new(settings)?;
-//! // The first step requests a lease and reads the present claims.
+//! // The first step requests a lease and lists the current claims.
 //! let effects = manager.step(Micros::ZERO, Vec::new());
 //! assert!(effects.iter().all(|effect| matches!(effect, Effect::Store { .. })));
-//! assert_eq!(manager.fencing_token("cleaning"), None);
+//! assert_eq!(manager.fencing_token("scale-out"), None);
 //! # Ok::<(), seamfront_lease::settings::SettingsError>(())
 //! ```
 #![forbid(unsafe_code)]
--- a/crates/seamfront-lease/src/log/batch.rs
+++ b/crates/seamfront-lease/src/log/batch.rs
@@ -1,36 +1,37 @@
-//! What fits into one change of the log: which operations are recorded and which end with it, within the limits of the
-//! store and of the log's own size.
+//! Selects the operations to record and to end in one update of the log, within the limits of the store and of the
+//! log's own size.
 
-use super::transaction::{Changes, EndedPart};
+use super::transaction::{Changes, EndedWrites};
 use super::{LogEntry, OperationLog, OperationState};
 use crate::record::{self, LogRecord, Operation, OperationName, SettledOperation, FORMAT};
 use crate::settings::StoreLimits;
 use crate::store::Write;
 use serde_json::Value;
 
-/// Bytes of changes in one transaction, well below what the store takes.
+/// Maximum size of the changes in one transaction, well below what the store accepts.
 const TRANSACTION_BYTES_MAX: usize = 40_000;
-/// Bytes of the log at the most, so that it leaves room for changes beside it.
+/// Maximum size of the log, which leaves room for other changes in the same transaction.
 const LOG_BYTES_MAX: usize = 20_000;
-/// Bytes of a write beside its key and value.
+/// Size of a write without its key and value.
 const WRITE_OVERHEAD_BYTES: usize = 60;
-/// Ended operations that are kept for people to read.
+/// Number of ended operations that the log keeps for operators to read.
 const RECENT_MAX: usize = 16;
 
-/// Whether an operation is small enough for the log. Alone it must fit into half of one, or it could block all others.
+/// Whether an operation is small enough for the log. One operation may take up half of it at most, so that it can't
+/// block all others.
 pub(super) fn fits_log(operation: &Operation, limits: &StoreLimits) -> bool {
     encoded_bytes(operation) <= log_bytes(limits) / 2
 }
 
-/// Whether changes fit into one transaction, beside the log.
+/// Whether these changes fit into one transaction together with the log.
 pub(super) fn fits_transaction(writes: &[Write], limits: &StoreLimits) -> bool {
     let bytes: usize = writes.iter().map(write_bytes).sum();
     writes.len() < limits.transaction_changes && bytes <= TRANSACTION_BYTES_MAX
 }
 
 impl OperationLog {
-    /// Which operations can be ended in one transaction, with their changes. One with more changes than a transaction
-    /// takes gets the first of them and stays open.
+    /// Adds the operations that can end in one transaction to `changes` and returns the writes that belong to them. If
+    /// an operation has more writes than the transaction takes, the first are written and it stays open.
     pub(super) fn collect_ended(&self, changes: &mut Changes, limits: &StoreLimits) -> Vec<Write> {
         let max_writes = limits.transaction_changes.saturating_sub(1).max(1);
         let mut batch = Vec::new();
@@ -53,11 +54,11 @@
             }
             if taken < writes.len() {
                 if taken > 0 {
-                    changes.ended.insert(*name, EndedPart::First(taken));
+                    changes.ended.insert(*name, EndedWrites::First(taken));
                 }
                 break;
             }
-            changes.ended.insert(*name, EndedPart::All);
+            changes.ended.insert(*name, EndedWrites::All);
             changes.ended_count += 1;
             changes.recent.push(SettledOperation {
                 name: *name,
@@ -67,19 +68,22 @@
         batch
     }
 
-    /// Adds operations that are not recorded yet as far as they fit, and returns the log's new value. None: not even what
-    /// is open fits, as the limits have shrunk; more operations must end first.
+    /// Adds operations that are not recorded yet to `changes`, as many as fit, and returns the log's new value. None if
+    /// the open operations alone are too large because the limits have shrunk; some of them must end first.
     pub(super) fn collect_begun(
         &self,
         changes: &mut Changes,
         limits: &StoreLimits,
     ) -> Option<Value> {
-        let ends = |name: &OperationName| changes.ended.get(name) == Some(&EndedPart::All);
-        let kept = |entry: &&LogEntry| entry.recorded() && !ends(&entry.operation.name);
-        let mut open = self.operations(kept);
-        let unrecorded = self.operations(|entry| entry.state == OperationState::Unrecorded);
+        let ends = |name: &OperationName| changes.ended.get(name) == Some(&EndedWrites::All);
+        let still_open = |entry: &&LogEntry| entry.recorded() && !ends(&entry.operation.name);
+        let mut open = self.select_operations(still_open);
+        let unrecorded = self.select_operations(|entry| entry.state == OperationState::Unrecorded);
         let max_bytes = log_bytes(limits);
-        let mut bytes = self.shortened(changes, &open, max_bytes).to_string().len();
+        let mut bytes = self
+            .trimmed_value(changes, &open, max_bytes)
+            .to_string()
+            .len();
         if bytes > limits.value_bytes {
             return None;
         }
@@ -94,20 +98,21 @@
         Some(record::write(&self.record(changes, &open)))
     }
 
-    /// The log as it is, with the next sequence. None: it does not fit any more, since the limits have shrunk.
+    /// The current value of the log, with the next sequence number. None if it is too large because the limits have
+    /// shrunk.
     pub(super) fn unchanged_value(&self, limits: &StoreLimits) -> Option<Value> {
-        let open = self.operations(|entry| entry.recorded());
-        let value = self.shortened(&mut self.no_changes(), &open, log_bytes(limits));
+        let open = self.select_operations(|entry| entry.recorded());
+        let value = self.trimmed_value(&mut self.no_changes(), &open, log_bytes(limits));
         (value.to_string().len() <= limits.value_bytes).then_some(value)
     }
 
-    fn operations(&self, wanted: impl FnMut(&&LogEntry) -> bool) -> Vec<Operation> {
+    fn select_operations(&self, wanted: impl FnMut(&&LogEntry) -> bool) -> Vec<Operation> {
         let entries = self.entries.values().filter(wanted);
         entries.map(|entry| entry.operation.clone()).collect()
     }
 
-    /// The log's value, with as many of the ended operations as fit.
-    fn shortened(&self, changes: &mut Changes, open: &[Operation], max_bytes: usize) -> Value {
+    /// The log's value, without the oldest ended operations if it would be too large with them.
+    fn trimmed_value(&self, changes: &mut Changes, open: &[Operation], max_bytes: usize) -> Value {
         let skip = changes.recent.len().saturating_sub(RECENT_MAX);
         changes.recent.drain(..skip);
         loop {
--- a/crates/seamfront-lease/src/log/mod.rs
+++ b/crates/seamfront-lease/src/log/mod.rs
@@ -1,11 +1,7 @@
-//! The operation log of one duty, as its holder keeps it. The whole log is one value in the store, so every change is
-//! one transaction on the version before it: a change that is applied late fails, and nothing is ever half written.
-//!
-//! An operation is performed only once the store is known to hold it, and leaves the log only together with the changes
-//! that belong to its end.
-//!
-//! This module holds the state of the operations, `transaction` the one change of the log that may be in flight, and
-//! `batch` what fits into such a change.
+//! The operation log of one duty, as its holder keeps it. The whole log is one value in the store and every update is a
+//! compare-and-swap on its version, so an update that arrives late fails and none is applied in part. This module holds
+//! the state of the operations, `transaction` the update that may be in flight, and `batch` selects what fits into an
+//! update.
 
 mod batch;
 mod transaction;
@@ -23,22 +19,22 @@
 use std::collections::{BTreeMap, VecDeque};
 use transaction::Transaction;
 
-/// Delay of the second attempt of an operation; each further one comes after twice as long.
+/// Delay before the second attempt of an operation. It doubles with each further attempt.
 const FIRST_RETRY_DELAY: Micros = Micros::from_millis(500);
-/// Delay between attempts at the most.
+/// Maximum delay between attempts.
 const MAX_RETRY_DELAY: Micros = Micros::from_secs(10);
 
 #[derive(Clone, Debug, PartialEq)]
 enum OperationState {
-    /// Begun here, not recorded yet.
+    /// Begun by this holder and not recorded yet.
     Unrecorded,
-    /// In the transaction in flight.
+    /// Contained in the transaction in flight.
     Recording,
-    /// Recorded; may be performed from then on.
+    /// Recorded in the store. May be performed from this time on.
     Ready { from: Micros },
     /// An attempt is in flight.
     Performing { attempt: u64 },
-    /// Its end is known; these changes are still to be written.
+    /// Its outcome is known. These changes remain to be written.
     Ended {
         settlement: Settlement,
         writes: VecDeque<Write>,
@@ -54,7 +50,7 @@
 }
 
 impl LogEntry {
-    /// Whether the store holds the operation.
+    /// Whether the store is known to hold the operation.
     fn recorded(&self) -> bool {
         !matches!(
             self.state,
@@ -62,8 +58,8 @@
         )
     }
 
-    /// Whether the log has to be changed for it.
-    fn changed(&self) -> bool {
+    /// Whether the log must be updated for this operation.
+    fn needs_update(&self) -> bool {
         matches!(
             self.state,
             OperationState::Unrecorded | OperationState::Ended { .. }
@@ -71,31 +67,32 @@
     }
 }
 
-/// A change of the store that the embedding program wants, fenced by the duty's token.
+/// A transaction that the embedding program requests, fenced by the duty's token.
 #[derive(Clone, Debug, PartialEq)]
 pub struct FencedCommit {
-    /// Name of the request.
+    /// Id of the request.
     pub request: RequestId,
-    /// The program's conditions.
+    /// The program's own conditions: keys and their expected versions.
     pub conditions: Vec<(String, u64)>,
-    /// Changes.
+    /// The changes to write.
     pub writes: Vec<Write>,
 }
 
-/// What becomes of requests when a duty is lost.
+/// Requests that are unfinished when a duty is lost.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Unfinished {
+pub struct UnfinishedRequests {
     /// Operations that were never recorded.
     pub unrecorded: Vec<RequestId>,
-    /// Operations that may be recorded: then a successor settles them.
+    /// Operations that may have been recorded. If so, a successor settles them.
     pub uncertain: Vec<RequestId>,
-    /// Fenced changes that were never sent.
+    /// Fenced commits that were never sent.
     pub unsent: Vec<RequestId>,
-    /// A fenced change whose outcome is not known.
+    /// A fenced commit whose outcome is unknown.
     pub fenced: Option<RequestId>,
 }
 
-/// The log of a duty that is held.
+/// The operation log of a duty that is held here. An operation is performed only once the store is known to hold it,
+/// and is removed only in the transaction that writes the last of its changes.
 #[derive(Clone, Debug, Default)]
 pub struct OperationLog {
     fencing_token: u64,
@@ -105,16 +102,16 @@
     ended: u64,
     recent: Vec<SettledOperation>,
     entries: BTreeMap<OperationName, LogEntry>,
-    /// Fenced changes that are not sent yet.
-    fenced_queue: VecDeque<FencedCommit>,
-    /// Whether a fenced change goes next, where operations are to be written as well.
-    fenced_next: bool,
+    /// Fenced commits that have not been sent.
+    commit_queue: VecDeque<FencedCommit>,
+    /// Whether a fenced commit is sent next if operations have to be written as well. The two take turns.
+    commit_next: bool,
     in_flight: Option<Transaction>,
-    unclear: bool,
+    needs_reread: bool,
 }
 
 impl OperationLog {
-    /// The log as it was read under a new token; None if there was none.
+    /// The log as it was read under a new token. `record` is None if there was no log.
     pub fn loaded(fencing_token: u64, version: u64, record: Option<LogRecord>) -> OperationLog {
         let record = record.unwrap_or_default();
         let entry = |operation| LogEntry {
@@ -138,36 +135,36 @@
         }
     }
 
-    /// Operations that are begun or open.
+    /// Number of open operations, including those that are not recorded yet.
     pub fn open(&self) -> usize {
         self.entries.len()
     }
 
-    /// Whether operations of a predecessor are open.
+    /// Whether operations of a predecessor are still open.
     pub fn unsettled(&self) -> bool {
         self.entries
             .keys()
             .any(|name| name.fencing_token != self.fencing_token)
     }
 
-    /// Whether an attempt is in flight.
+    /// Whether an attempt to perform an operation is in flight.
     pub fn performing(&self) -> bool {
         self.entries
             .values()
             .any(|entry| matches!(entry.state, OperationState::Performing { .. }))
     }
 
-    /// Whether a change of the log is in flight, or its outcome unknown.
+    /// Whether an update of the log is in flight or has an unknown outcome.
     pub fn writing(&self) -> bool {
         self.in_flight.is_some()
     }
 
-    /// Whether the log must be read before it is changed again.
-    pub fn unclear(&self) -> bool {
-        self.unclear
+    /// Whether the log must be read before its next update.
+    pub fn needs_reread(&self) -> bool {
+        self.needs_reread
     }
 
-    /// Begins an operation. It is recorded with the next change.
+    /// Begins an operation. It is recorded with the next update of the log.
     pub fn begin(
         &mut self,
         request: RequestId,
@@ -197,40 +194,40 @@
         Ok(name)
     }
 
-    /// Takes a fenced change. It is sent alone, since its conditions may fail.
-    pub fn commit(
+    /// Queues a fenced commit. It gets a transaction of its own, since its conditions may fail.
+    pub fn queue_commit(
         &mut self,
         commit: FencedCommit,
         max_queued: usize,
         limits: &StoreLimits,
     ) -> Result<(), Rejection> {
-        if self.fenced_queue.len() >= max_queued {
+        if self.commit_queue.len() >= max_queued {
             return Err(Rejection::TooManyOpen);
         }
         if !batch::fits_transaction(&commit.writes, limits) {
             return Err(Rejection::TooLarge);
         }
-        self.fenced_queue.push_back(commit);
+        self.commit_queue.push_back(commit);
         Ok(())
     }
 
-    /// Whether there are fenced changes that are not sent yet.
-    pub fn fenced_queued(&self) -> bool {
-        !self.fenced_queue.is_empty()
+    /// Whether there are fenced commits that have not been sent.
+    pub fn has_queued_commits(&self) -> bool {
+        !self.commit_queue.is_empty()
     }
 
-    /// What is left of requests, as the duty was lost.
-    pub fn unfinished(&self) -> Unfinished {
+    /// The requests that are unfinished if the duty is lost now.
+    pub fn unfinished(&self) -> UnfinishedRequests {
         let requests_in = |state: OperationState| {
             let entries = self.entries.values();
             let entries = entries.filter(move |entry| entry.state == state);
             entries.filter_map(|entry| entry.request).collect()
         };
-        Unfinished {
+        UnfinishedRequests {
             unrecorded: requests_in(OperationState::Unrecorded),
             uncertain: requests_in(OperationState::Recording),
             unsent: self
-                .fenced_queue
+                .commit_queue
                 .iter()
                 .map(|commit| commit.request)
                 .collect(),
@@ -241,7 +238,7 @@
         }
     }
 
-    /// The next operation that may be performed.
+    /// The next operation that may be performed now.
     pub fn due(&self, now: Micros) -> Option<OperationName> {
         let due = |entry: &&LogEntry| matches!(entry.state, OperationState::Ready { from } if from <= now);
         self.entries
@@ -250,16 +247,22 @@
             .map(|entry| entry.operation.name)
     }
 
-    /// Begins an attempt.
-    pub fn attempt(&mut self, name: OperationName, attempt: u64) -> Option<Operation> {
+    /// Starts an attempt to perform an operation and returns the operation.
+    pub fn begin_attempt(&mut self, name: OperationName, attempt: u64) -> Option<Operation> {
         let entry = self.entries.get_mut(&name)?;
         entry.state = OperationState::Performing { attempt };
         Some(entry.operation.clone())
     }
 
-    /// Takes the outcome of an attempt. Another attempt's outcome changes nothing: a refusal that comes late says nothing
-    /// of what a later attempt has done.
-    pub fn performed(&mut self, name: OperationName, attempt: u64, outcome: Outcome, now: Micros) {
+    /// Applies the outcome of an attempt. An earlier attempt's outcome is ignored: its late refusal says nothing about
+    /// what the current attempt has done.
+    pub fn finish_attempt(
+        &mut self,
+        name: OperationName,
+        attempt: u64,
+        outcome: Outcome,
+        now: Micros,
+    ) {
         let Some(entry) = self.entries.get_mut(&name) else {
             return;
         };
--- a/crates/seamfront-lease/src/log/transaction.rs
+++ b/crates/seamfront-lease/src/log/transaction.rs
@@ -1,4 +1,4 @@
-//! The one change of the log that may be in flight: making it, and what its replies mean.
+//! The one update of the log that may be in flight: creating it, and interpreting its replies.
 
 use super::{FencedCommit, OperationLog, OperationState};
 use crate::port::{CommitOutcome, RequestId};
@@ -9,62 +9,64 @@
 use serde_json::Value;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Which changes of an ended operation a transaction carries.
+/// The writes of an ended operation that a transaction contains.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum EndedPart {
-    /// So many of them; the operation stays open.
+pub(super) enum EndedWrites {
+    /// This many, from the first on. The operation stays open.
     First(usize),
-    /// All that are left: the transaction ends the operation.
+    /// All that are left. The transaction ends the operation.
     All,
 }
 
-/// What the transaction in flight will have done.
+/// What the transaction in flight changes once it is applied.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Changes {
     pub began: BTreeSet<OperationName>,
-    pub ended: BTreeMap<OperationName, EndedPart>,
+    pub ended: BTreeMap<OperationName, EndedWrites>,
     pub ended_count: u64,
     pub recent: Vec<SettledOperation>,
     pub fenced: Option<FencedCommit>,
 }
 
-/// A change of the log that prevents a fenced change from being made late.
+/// An update of the log without other writes. It changes the log's version, so that a late copy of a fenced commit
+/// fails.
 #[derive(Clone, Debug)]
 struct FenceOff {
-    /// The program's conditions that failed.
+    /// Keys of the program's conditions that failed.
     failed: Vec<String>,
-    /// Sequence of the change that is prevented.
+    /// Sequence number of the fenced commit.
     sequence: u64,
 }
 
-/// The transaction in flight. It is sent again, to the letter, until its outcome is known: of several copies one at the
-/// most is made, since each has the log's version among its conditions.
+/// The transaction in flight. It is resent unchanged until its outcome is known. At most one copy can be applied, since
+/// each has the log's version among its conditions.
 #[derive(Clone, Debug)]
 pub(super) struct Transaction {
     sequence: u64,
     changes: Changes,
     write: LogWrite,
-    /// To be sent again.
+    /// Whether it must be sent again.
     resend: bool,
-    /// A copy got no reply, and may yet be made.
+    /// Whether a copy got no reply and may still be applied.
     uncertain: bool,
-    /// The program's conditions have failed while the outcome of a copy was uncertain: this is sent instead.
+    /// Set if the program's conditions failed while the outcome of an earlier copy was unknown. This update is then
+    /// sent instead of the fenced commit.
     fence_off: Option<FenceOff>,
 }
 
 impl Transaction {
-    /// The request for the fenced change that it carries.
+    /// The request whose fenced commit it carries.
     pub fn fenced_request(&self) -> Option<RequestId> {
         self.changes.fenced.as_ref().map(|commit| commit.request)
     }
 }
 
-/// One change of the log.
+/// An update of the log, as one transaction.
 #[derive(Clone, Debug, PartialEq)]
 pub struct LogWrite {
     /// The version that the log must have.
     pub version: u64,
-    /// Its new value.
+    /// The log's new value.
     pub value: Value,
     /// Further conditions.
     pub conditions: Vec<(String, u64)>,
@@ -72,7 +74,7 @@
     pub writes: Vec<Write>,
 }
 
-/// An operation that was recorded.
+/// An operation that has been recorded.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct BegunOperation {
     /// The request that began it.
@@ -81,7 +83,7 @@
     pub operation: OperationName,
 }
 
-/// An operation whose end was recorded.
+/// An operation whose end has been recorded.
 #[derive(Clone, Debug, PartialEq)]
 pub struct EndedOperation {
     /// The operation.
@@ -90,52 +92,53 @@
     pub settlement: Settlement,
 }
 
-/// A fenced change whose outcome is known.
+/// The outcome of a fenced commit.
 #[derive(Clone, Debug, PartialEq)]
 pub struct FencedOutcome {
-    /// The request for it.
+    /// The request for the commit.
     pub request: RequestId,
-    /// What became of it.
+    /// The outcome.
     pub outcome: CommitOutcome,
 }
 
-/// What a change of the log has brought.
+/// Results of an update of the log.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct LogProgress {
-    /// Operations that are recorded now.
+    /// Operations that are now recorded.
     pub began: Vec<BegunOperation>,
-    /// Operations whose end is recorded now.
+    /// Operations whose end is now recorded.
     pub settled: Vec<EndedOperation>,
-    /// A fenced change with its outcome.
+    /// The outcome of a fenced commit, if it is now known.
     pub fenced: Option<FencedOutcome>,
 }
 
-/// What reading the log showed after a change without a reply.
+/// What a read of the log shows about an update without a reply.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Reread {
-    /// The change was made.
+    /// The update was applied.
     Applied(LogProgress),
-    /// It was not yet: it is sent again.
+    /// The update has not been applied yet and is sent again.
     NotApplied,
-    /// Somebody else has written the log.
-    Foreign,
+    /// Another process has written the log.
+    WrittenByOther,
 }
 
 impl OperationLog {
-    /// The next change, if there is something to change and it fits. It counts as in flight from now on.
+    /// The next update, if there is one and it fits, or the update in flight if it must be sent again. A new update
+    /// counts as in flight from now on.
     pub fn next_write(&mut self, limits: &StoreLimits) -> Option<LogWrite> {
         if let Some(transaction) = &mut self.in_flight {
-            let again = std::mem::take(&mut transaction.resend);
-            return again.then(|| transaction.write.clone());
+            let resend = std::mem::take(&mut transaction.resend);
+            return resend.then(|| transaction.write.clone());
         }
-        let operations = self.entries.values().any(super::LogEntry::changed);
-        if self.fenced_queue.is_empty() && !operations {
+        let operations = self.entries.values().any(super::LogEntry::needs_update);
+        if self.commit_queue.is_empty() && !operations {
             return None;
         }
-        let fenced = !self.fenced_queue.is_empty() && (self.fenced_next || !operations);
-        self.fenced_next = !fenced;
+        let fenced = !self.commit_queue.is_empty() && (self.commit_next || !operations);
+        self.commit_next = !fenced;
         if fenced {
-            return self.fenced_write(limits);
+            return self.commit_write(limits);
         }
         self.operations_write(limits)
     }
@@ -155,9 +158,9 @@
         Some(self.begin_write(changes, value, Vec::new(), writes))
     }
 
-    fn fenced_write(&mut self, limits: &StoreLimits) -> Option<LogWrite> {
+    fn commit_write(&mut self, limits: &StoreLimits) -> Option<LogWrite> {
         let value = self.unchanged_value(limits)?;
-        let commit = self.fenced_queue.pop_front()?;
+        let commit = self.commit_queue.pop_front()?;
         let (conditions, writes) = (commit.conditions.clone(), commit.writes.clone());
         let changes = Changes {
             fenced: Some(commit),
@@ -199,12 +202,12 @@
         write
     }
 
-    /// The change in flight was made, with this revision.
+    /// The update in flight was applied, at this revision.
     pub fn written(&mut self, revision: u64, now: Micros) -> LogProgress {
         let Some(transaction) = self.in_flight.take() else {
             return LogProgress::default();
         };
-        self.unclear = false;
+        self.needs_reread = false;
         self.version = revision;
         if let Some(FenceOff { failed, .. }) = transaction.fence_off {
             return fenced_progress(transaction.changes, CommitOutcome::Conflict(failed));
@@ -228,7 +231,7 @@
         }
     }
 
-    /// These operations are recorded: they may be performed.
+    /// Marks operations as recorded, so that they may be performed.
     fn mark_recorded(
         &mut self,
         began: &BTreeSet<OperationName>,
@@ -248,13 +251,13 @@
         recorded
     }
 
-    /// Changes of these operations are written: those without further ones leave the log.
-    fn settle(&mut self, ended: &BTreeMap<OperationName, EndedPart>) -> Vec<EndedOperation> {
+    /// Drops the writes of ended operations that were applied, and removes operations that have none left.
+    fn settle(&mut self, ended: &BTreeMap<OperationName, EndedWrites>) -> Vec<EndedOperation> {
         let mut settled = Vec::new();
-        for (name, part) in ended {
-            match part {
-                EndedPart::All => settled.extend(self.remove_ended(*name)),
-                EndedPart::First(written) => {
+        for (name, portion) in ended {
+            match portion {
+                EndedWrites::All => settled.extend(self.remove_ended(*name)),
+                EndedWrites::First(written) => {
                     let entry = self.entries.get_mut(name);
                     if let Some(OperationState::Ended { writes, .. }) =
                         entry.map(|entry| &mut entry.state)
@@ -278,7 +281,7 @@
         })
     }
 
-    /// The store has not carried out the last copy.
+    /// The store has not executed the last copy that was sent.
     pub fn refused(&mut self) -> LogProgress {
         let Some(transaction) = &mut self.in_flight else {
             return LogProgress::default();
@@ -290,7 +293,7 @@
         self.withdraw(CommitOutcome::Refused)
     }
 
-    /// Conditions other than the claim and the log have failed.
+    /// Conditions other than those on the claim and the log have failed.
     pub fn conflicted(&mut self, failed: Vec<String>) -> LogProgress {
         let Some(transaction) = &mut self.in_flight else {
             return LogProgress::default();
@@ -298,7 +301,8 @@
         if !transaction.uncertain {
             return self.withdraw(CommitOutcome::Conflict(failed));
         }
-        // An earlier copy could be made once the conditions hold again. The next change of the log is to prevent that.
+        // An earlier copy could still be applied if the conditions hold again. The next update of the log prevents
+        // that.
         self.sequence += 1;
         transaction.fence_off = Some(FenceOff {
             failed,
@@ -312,7 +316,7 @@
         LogProgress::default()
     }
 
-    /// The change in flight was certainly not made, nor will be.
+    /// The update in flight was not applied and can no longer be.
     fn withdraw(&mut self, outcome: CommitOutcome) -> LogProgress {
         let Some(transaction) = self.in_flight.take() else {
             return LogProgress::default();
@@ -325,17 +329,17 @@
         fenced_progress(transaction.changes, outcome)
     }
 
-    /// Whether the change in flight was made is not known: the log has to be read.
-    pub fn write_unclear(&mut self) {
+    /// It is unknown whether the update in flight was applied. The log must be read.
+    pub fn write_outcome_unknown(&mut self) {
         if let Some(transaction) = &mut self.in_flight {
             transaction.uncertain = true;
-            self.unclear = true;
+            self.needs_reread = true;
         }
     }
 
-    /// Takes what a reading showed after a change without a reply.
+    /// Interprets a read of the log after an update without a reply.
     pub fn reread(&mut self, version: u64, stored: Option<&LogRecord>, now: Micros) -> Reread {
-        self.unclear = false;
+        self.needs_reread = false;
         let Some(transaction) = &mut self.in_flight else {
             return Reread::NotApplied;
         };
@@ -350,12 +354,12 @@
             .as_ref()
             .map(|fence_off| fence_off.sequence);
         if sequence.is_some() && sequence == prevented {
-            // The copy that was to be prevented came first.
+            // The copy that was to fail was applied first.
             transaction.fence_off = None;
             return Reread::Applied(self.written(version, now));
         }
         if version != self.version {
-            return Reread::Foreign;
+            return Reread::WrittenByOther;
         }
         transaction.resend = true;
         Reread::NotApplied
--- a/crates/seamfront-lease/src/manager/claims.rs
+++ b/crates/seamfront-lease/src/manager/claims.rs
@@ -1,9 +1,9 @@
-//! Acquiring claims on duties, verifying them and losing them.
+//! Acquires, verifies and loses claims on duties.
 
 use super::state::{Duty, HeldClaim, Holding, Pending, Phase, SeenClaim};
 use super::{DutyManager, RETRY_DELAY};
 use crate::balancing;
-use crate::log::{OperationLog, Unfinished};
+use crate::log::{OperationLog, UnfinishedRequests};
 use crate::permit::{permit, Permit, Verification};
 use crate::port::{CommitOutcome, Effect, LossReason, Rejection, Successor};
 use crate::record::{self, ClaimRecord, FORMAT};
@@ -32,19 +32,19 @@
         }) {
             self.lose(index, LossReason::Replaced);
         }
-        self.notify_successor(index);
+        self.notify_replaced(index);
     }
 
-    /// Notifies the embedding program, once for each token, of who holds what was lost here.
-    fn notify_successor(&mut self, index: usize) {
+    /// Tells the embedding program, once for each token, which member holds a duty that was lost here.
+    fn notify_replaced(&mut self, index: usize) {
         let duty = &mut self.duties[index];
-        let (Some(fencing_token), Some(claim)) = (duty.lost, &duty.claim) else {
+        let (Some(fencing_token), Some(claim)) = (duty.lost_token, &duty.claim) else {
             return;
         };
         if claim.version <= fencing_token || claim.member.is_empty() {
             return;
         }
-        duty.lost = None;
+        duty.lost_token = None;
         let successor = Successor {
             member: claim.member.clone(),
             fencing_token: claim.version,
@@ -58,22 +58,22 @@
         });
     }
 
-    /// Ends holding a duty at once. Its token is never acted on again.
+    /// Stops holding a duty at once. Its token is never used again.
     pub(super) fn lose(&mut self, index: usize, reason: LossReason) {
         let duty = &mut self.duties[index];
         let Some(holding) = duty.holding.take() else {
             return;
         };
         duty.last_released_token = duty.last_released_token.max(holding.fencing_token);
-        duty.lost = Some(holding.fencing_token);
-        duty.handover_wanted = None;
+        duty.lost_token = Some(holding.fencing_token);
+        duty.transfer_requested = None;
         let name = duty.name.clone();
-        if reason == LossReason::HandedOver {
+        if reason == LossReason::Transferred {
             info!(duty = %name, fencing_token = holding.fencing_token, "duty transferred");
         } else {
             warn!(duty = %name, fencing_token = holding.fencing_token, %reason, "duty lost");
         }
-        self.end_requests(holding.log.unfinished());
+        self.emit_unfinished(holding.log.unfinished());
         self.effects.push(Effect::Lost {
             duty: name,
             fencing_token: holding.fencing_token,
@@ -81,8 +81,8 @@
         });
     }
 
-    /// Reports what has become of requests under a token that is void.
-    fn end_requests(&mut self, unfinished: Unfinished) {
+    /// Emits the outcomes of requests that were unfinished when their token was lost.
+    fn emit_unfinished(&mut self, unfinished: UnfinishedRequests) {
         for request in unfinished.unrecorded {
             self.effects.push(Effect::Rejected {
                 request,
@@ -106,7 +106,8 @@
         }
     }
 
-    /// Whether a condition on this duty's claim has failed under the token that is held. If so, it is lost.
+    /// Whether the reply shows that a condition on this duty's claim has failed. The duty is lost if it is still held
+    /// under that token.
     pub(super) fn token_refused(
         &mut self,
         index: usize,
@@ -125,10 +126,10 @@
         true
     }
 
-    /// The embedding program's own write was refused for its token.
-    pub(super) fn refused_elsewhere(&mut self, duty: &str, fencing_token: u64) {
+    /// A transaction that the embedding program sent by itself failed on the token.
+    pub(super) fn program_token_refused(&mut self, duty: &str, fencing_token: u64) {
         let index = self
-            .index(duty)
+            .duty_index(duty)
             .filter(|index| self.held_token(*index) == Some(fencing_token));
         if let Some(index) = index {
             self.lose(index, LossReason::TokenRefused);
@@ -158,35 +159,36 @@
         }
         for index in 0..self.duties.len() {
             let duty = &self.duties[index];
-            let rests = duty.claim_busy || self.now < duty.claim_next.max(duty.unreadable_until);
-            if duty.holding.is_none() && !rests {
-                self.claim_tick(index, lease);
+            let paused =
+                duty.claim_in_flight || self.now < duty.claim_retry_at.max(duty.unreadable_until);
+            if duty.holding.is_none() && !paused {
+                self.try_claim(index, lease);
             }
         }
     }
 
-    /// Of two members that started at the same time with different settings, this one gives up its duties.
+    /// Gives up all duties because another member, which started at the same time, runs with different settings.
     fn give_up_duties(&mut self) {
         for index in 0..self.duties.len() {
             self.lose(index, LossReason::SettingsDiffer);
         }
     }
 
-    fn claim_tick(&mut self, index: usize, lease: u64) {
+    fn try_claim(&mut self, index: usize, lease: u64) {
         let duty = &self.duties[index];
         let expected = match &duty.claim {
             Some(claim) if claim.member == self.settings.member => {
                 if claim.lease == lease && claim.version > duty.last_released_token {
-                    // Transferred to us, or claimed by us and the reply was lost.
+                    // Transferred to this member, or acquired by it in a request that got no reply.
                     let version = claim.version;
-                    return self.hold(index, version, None);
+                    return self.begin_holding(index, version, None);
                 }
                 if self.leaving {
                     let version = claim.version;
                     return self.remove_claim(index, version);
                 }
-                // A former incarnation's, which can't come back, or one that we have given up. Replies to requests made
-                // under it may still come; a new version distinguishes them.
+                // Acquired by an earlier incarnation, which can't come back, or released by this one. Replies to
+                // requests under that token may still arrive; a new version distinguishes them.
                 claim.version
             }
             Some(_) => return,
@@ -197,7 +199,7 @@
                 0
             }
         };
-        self.duties[index].claim_busy = true;
+        self.duties[index].claim_in_flight = true;
         let key = self.claim_key(index);
         let value = record::write(&ClaimRecord {
             format: FORMAT,
@@ -210,7 +212,7 @@
             lease: Some(lease),
         }];
         let sent = self.now;
-        self.store(
+        self.send_request(
             StoreRequest::CompareAndSwap {
                 conditions: vec![(key, expected)],
                 writes,
@@ -223,7 +225,8 @@
         );
     }
 
-    /// The least loaded member claims first, the others one takeover step after another.
+    /// The least loaded member claims a free duty at once, each other one a takeover step after the one ranked before
+    /// it.
     fn claim_delay_elapsed(&mut self, index: usize) -> bool {
         let now = self.now;
         let since = *self.duties[index].free_since.get_or_insert(now);
@@ -231,7 +234,8 @@
         now - since >= self.settings.takeover_step.times(rank as i64)
     }
 
-    /// How many takeover steps this member waits: the holder of the affinity group comes before all others.
+    /// The number of takeover steps that this member waits. The holder of the affinity group is ranked before all
+    /// others.
     fn takeover_rank(&self, index: usize) -> usize {
         let member = &self.settings.member;
         let by_load = || balancing::rank(&self.duties[index].name, member, &self.loads());
@@ -242,7 +246,7 @@
         }
     }
 
-    /// Who holds most of the duties of the affinity group that this one belongs to.
+    /// The member that holds most duties of this duty's affinity group, if the duty belongs to it.
     pub(super) fn group_holder(&self, index: usize) -> Option<String> {
         let affinity_group = &self.settings.affinity_group;
         if !affinity_group.contains(&self.duties[index].name) {
@@ -260,7 +264,7 @@
     }
 
     pub(super) fn claimed(&mut self, index: usize, lease: u64, sent: Micros, reply: StoreReply) {
-        self.duties[index].claim_busy = false;
+        self.duties[index].claim_in_flight = false;
         match reply {
             StoreReply::Committed { revision } if self.membership.lease == Some(lease) => {
                 let newer = self.duties[index]
@@ -274,23 +278,24 @@
                         member,
                         lease,
                     });
-                    self.hold(index, revision, Some(sent));
+                    self.begin_holding(index, revision, Some(sent));
                 }
             }
-            StoreReply::NoSuchLease if self.membership.lease == Some(lease) => self.lease_ended(),
-            // The race is lost, or the outcome is unknown: the view will show it.
-            _ => self.duties[index].claim_next = self.now + RETRY_DELAY,
+            StoreReply::NoSuchLease if self.membership.lease == Some(lease) => self.lease_expired(),
+            // Another member was first, or the outcome is unknown: the view will show it.
+            _ => self.duties[index].claim_retry_at = self.now + RETRY_DELAY,
         }
     }
 
-    /// Begins holding a duty. Its claim is verified if it was acquired by a request sent then.
-    fn hold(&mut self, index: usize, fencing_token: u64, verified: Option<Micros>) {
+    /// Starts holding a duty. `verified` is the time at which the request that acquired the claim was sent, or None if
+    /// the claim must be verified first.
+    fn begin_holding(&mut self, index: usize, fencing_token: u64, verified: Option<Micros>) {
         let mut verification = Verification::default();
         if let Some(sent) = verified {
             verification.confirm(sent);
         }
         let duty = &mut self.duties[index];
-        duty.lost = None;
+        duty.lost_token = None;
         duty.free_since = None;
         duty.holding = Some(Holding {
             fencing_token,
@@ -299,12 +304,12 @@
             verification,
             verification_due: verified.is_none(),
             log: OperationLog::default(),
-            log_busy: false,
-            log_next: self.now,
+            log_in_flight: false,
+            log_retry_at: self.now,
         });
         let name = duty.name.clone();
         info!(duty = %name, fencing_token, "duty acquired");
-        self.effects.push(Effect::Taken {
+        self.effects.push(Effect::Acquired {
             duty: name,
             fencing_token,
         });
@@ -312,7 +317,7 @@
 
     // ---- verification --------------------------------------------------------------------------
 
-    /// In the embedding program's time.
+    /// The permit to act under a claim, if it is valid now. Its time is that of the embedding program's clock.
     pub(super) fn current_permit(&self, index: usize) -> Option<Permit> {
         let holding = self.duties[index].holding.as_ref()?;
         let permit = permit(
@@ -328,9 +333,9 @@
         })
     }
 
-    /// Verifies all held claims with one transaction, if one of them needs it.
+    /// Verifies all held claims in one transaction if at least one needs it.
     pub(super) fn verify_tick(&mut self) {
-        if self.verify_busy || self.now < self.verify_next {
+        if self.verify_in_flight || self.now < self.verify_retry_at {
             return;
         }
         let wanted = |duty: &Duty| {
@@ -349,13 +354,13 @@
             })
         };
         let claims: Vec<HeldClaim> = (0..self.duties.len()).filter_map(held).collect();
-        self.verify_busy = true;
+        self.verify_in_flight = true;
         let conditions = claims
             .iter()
             .map(|claim| (self.claim_key(claim.duty), claim.fencing_token))
             .collect();
         let sent = self.now;
-        self.store(
+        self.send_request(
             StoreRequest::CompareAndSwap {
                 conditions,
                 writes: Vec::new(),
@@ -365,7 +370,7 @@
     }
 
     pub(super) fn verify_reply(&mut self, sent: Micros, claims: &[HeldClaim], reply: &StoreReply) {
-        self.verify_busy = false;
+        self.verify_in_flight = false;
         match reply {
             StoreReply::Committed { .. } => {
                 for claim in claims {
@@ -377,11 +382,11 @@
                     self.token_refused(claim.duty, claim.fencing_token, reply);
                 }
             }
-            _ => self.verify_next = self.now + RETRY_DELAY,
+            _ => self.verify_retry_at = self.now + RETRY_DELAY,
         }
     }
 
-    /// A transaction on the claim under this token has succeeded.
+    /// A transaction that was sent at this time, with the claim under this token among its conditions, has succeeded.
     pub(super) fn claim_verified(&mut self, index: usize, fencing_token: u64, sent: Micros) {
         let holding = self.duties[index]
             .holding
--- a/crates/seamfront-lease/src/manager/membership.rs
+++ b/crates/seamfront-lease/src/manager/membership.rs
@@ -1,4 +1,4 @@
-//! The member's lease and its record in the store.
+//! The member's lease and its records in the store.
 
 use super::state::{Pending, SeenMember};
 use super::{DutyManager, RETRY_DELAY};
@@ -11,30 +11,30 @@
 use std::collections::BTreeSet;
 use tracing::{info, warn};
 
-/// How often the member's record may be rewritten as its load changes.
+/// Minimum interval between updates of the member's record because of its load.
 const LOAD_UPDATE_INTERVAL: Micros = Micros::from_secs(5);
-/// The smallest change of load, in percent, that others should know of.
+/// Minimum change of load, in percent, for which the record is updated.
 const LOAD_CHANGE_MIN: u64 = 20;
 
-/// A member's standing with the store.
+/// The member's lease, and what it has registered under it.
 #[derive(Debug, Default)]
 pub(super) struct Membership {
     pub(super) lease: Option<u64>,
-    /// All leases that this process has had: their keys are no other process's.
+    /// All leases that this process has had. Keys attached to them can't belong to another process.
     own_leases: BTreeSet<u64>,
     pub(super) verification: Verification,
-    renew_busy: bool,
-    pub(super) renew_next: Micros,
-    /// Version of our record, once it is written under the present lease.
+    renew_in_flight: bool,
+    pub(super) renew_at: Micros,
+    /// Version of the member's record, once it is written under the current lease.
     pub(super) registered: Option<u64>,
-    /// Whether it was written under any lease.
-    registered_once: bool,
+    /// Whether the record was ever written by this process.
+    ever_registered: bool,
     written: Option<MemberRecord>,
-    register_busy: bool,
-    register_next: Micros,
-    load_next: Micros,
-    pub(super) version_busy: bool,
-    /// Another process runs under this name; this one takes no part any more.
+    register_in_flight: bool,
+    register_retry_at: Micros,
+    load_update_at: Micros,
+    pub(super) version_in_flight: bool,
+    /// Another process runs under this member's name, and this one no longer takes part.
     pub(super) superseded: bool,
 }
 
@@ -49,19 +49,19 @@
     }
 
     fn renew_tick(&mut self) {
-        if self.membership.renew_busy || self.now < self.membership.renew_next {
+        if self.membership.renew_in_flight || self.now < self.membership.renew_at {
             return;
         }
-        self.membership.renew_busy = true;
+        self.membership.renew_in_flight = true;
         let sent = self.now;
         match self.membership.lease {
-            None => self.store(
+            None => self.send_request(
                 StoreRequest::GrantLease {
                     ttl: self.settings.lease,
                 },
                 Pending::Grant { sent },
             ),
-            Some(lease) => self.store(
+            Some(lease) => self.send_request(
                 StoreRequest::RenewLease { lease },
                 Pending::Renew { sent, lease },
             ),
@@ -69,44 +69,44 @@
     }
 
     pub(super) fn granted(&mut self, sent: Micros, reply: StoreReply) {
-        self.membership.renew_busy = false;
+        self.membership.renew_in_flight = false;
         let StoreReply::Lease { id } = reply else {
-            self.membership.renew_next = self.now + RETRY_DELAY;
+            self.membership.renew_at = self.now + RETRY_DELAY;
             return;
         };
         info!(lease = id, "lease granted");
-        self.membership.renew_next = self.now + self.settings.renew_every();
+        self.membership.renew_at = self.now + self.settings.renew_every();
         self.membership.lease = Some(id);
         self.membership.own_leases.insert(id);
         self.membership.verification.confirm(sent);
     }
 
     pub(super) fn renewed(&mut self, sent: Micros, lease: u64, reply: StoreReply) {
-        self.membership.renew_busy = false;
+        self.membership.renew_in_flight = false;
         if self.membership.lease != Some(lease) {
             return;
         }
         match reply {
             StoreReply::Renewed => {
                 self.membership.verification.confirm(sent);
-                self.membership.renew_next = sent + self.settings.renew_every();
+                self.membership.renew_at = sent + self.settings.renew_every();
             }
-            StoreReply::NoSuchLease => self.lease_ended(),
-            _ => self.membership.renew_next = self.now + RETRY_DELAY,
+            StoreReply::NoSuchLease => self.lease_expired(),
+            _ => self.membership.renew_at = self.now + RETRY_DELAY,
         }
     }
 
-    /// All keys that are attached to the lease were deleted with it.
-    pub(super) fn lease_ended(&mut self) {
+    /// The lease has expired, and the store has deleted all keys attached to it.
+    pub(super) fn lease_expired(&mut self) {
         warn!("lease expired; all duties are lost");
         for index in 0..self.duties.len() {
-            self.lose(index, LossReason::LeaseEnded);
+            self.lose(index, LossReason::LeaseExpired);
         }
         self.membership.lease = None;
         self.membership.verification.clear();
         self.membership.registered = None;
         self.membership.written = None;
-        self.membership.renew_next = self.now;
+        self.membership.renew_at = self.now;
     }
 
     fn own_record(&self, lease: u64) -> MemberRecord {
@@ -119,14 +119,14 @@
         }
     }
 
-    /// Writes the member's record, and rewrites it when others should know of a change.
+    /// Writes the member's record, and updates it when other members should know of a change.
     fn register_tick(&mut self) {
         let Some(lease) = self.membership.lease else {
             return;
         };
         if !self.view.loaded()
-            || self.membership.register_busy
-            || self.now < self.membership.register_next
+            || self.membership.register_in_flight
+            || self.now < self.membership.register_retry_at
         {
             return;
         }
@@ -134,30 +134,30 @@
             return;
         }
         let record = self.own_record(lease);
-        if !self.worth_writing(&record) {
+        if !self.record_outdated(&record) {
             return;
         }
         let key = keys::member(&self.settings.member);
         let stored = self.members.get(&self.settings.member);
-        let stranger =
+        let other_process =
             stored.is_some_and(|seen| !self.membership.own_leases.contains(&seen.record.lease));
-        if stranger && self.membership.registered_once {
-            return self.superseded();
+        if other_process && self.membership.ever_registered {
+            return self.mark_superseded();
         }
-        // A former incarnation's record can be overwritten: that process can't come back.
+        // The record of an earlier incarnation can be overwritten, since that process can't come back.
         let version = self
             .membership
             .registered
             .or(stored.map(|seen| seen.version))
             .unwrap_or(0);
-        self.membership.register_busy = true;
+        self.membership.register_in_flight = true;
         let value = record::write(&record);
         let writes = vec![Write::Put {
             key: key.clone(),
             value,
             lease: Some(lease),
         }];
-        self.store(
+        self.send_request(
             StoreRequest::CompareAndSwap {
                 conditions: vec![(key, version)],
                 writes,
@@ -166,26 +166,26 @@
         );
     }
 
-    fn worth_writing(&self, record: &MemberRecord) -> bool {
+    fn record_outdated(&self, record: &MemberRecord) -> bool {
         let Some(written) = &self.membership.written else {
             return true;
         };
         let load_changed = written.load.abs_diff(record.load) >= LOAD_CHANGE_MIN
-            && self.now >= self.membership.load_next;
+            && self.now >= self.membership.load_update_at;
         written.lease != record.lease || written.leaving != record.leaving || load_changed
     }
 
     pub(super) fn registered(&mut self, record: MemberRecord, reply: StoreReply) {
-        self.membership.register_busy = false;
-        self.membership.register_next = self.now + RETRY_DELAY;
+        self.membership.register_in_flight = false;
+        self.membership.register_retry_at = self.now + RETRY_DELAY;
         if self.membership.lease != Some(record.lease) {
             return;
         }
         match reply {
             StoreReply::Committed { revision } => {
                 self.membership.registered = Some(revision);
-                self.membership.registered_once = true;
-                self.membership.load_next = self.now + LOAD_UPDATE_INTERVAL;
+                self.membership.ever_registered = true;
+                self.membership.load_update_at = self.now + LOAD_UPDATE_INTERVAL;
                 let own = SeenMember {
                     record: record.clone(),
                     version: revision,
@@ -193,8 +193,8 @@
                 self.members.insert(self.settings.member.clone(), own);
                 self.membership.written = Some(record);
             }
-            StoreReply::NoSuchLease => self.lease_ended(),
-            // Which version stands there is not known: it is written once more, on what the view shows.
+            StoreReply::NoSuchLease => self.lease_expired(),
+            // The record's version is unknown. It is written again on top of what the view shows.
             _ => {
                 self.membership.registered = None;
                 self.membership.written = None;
@@ -202,9 +202,9 @@
         }
     }
 
-    /// Two processes under one name would take every claim from each other. The one that came first gives way: the other
-    /// may be its successor.
-    pub(super) fn superseded(&mut self) {
+    /// Two processes under one name would take every claim from each other. The one that started first stops, since the
+    /// other may be its successor.
+    pub(super) fn mark_superseded(&mut self) {
         if self.membership.superseded {
             return;
         }
@@ -222,7 +222,7 @@
                 && self.membership.registered.is_none()
             {
                 self.membership.registered = Some(seen.version);
-                self.membership.registered_once = true;
+                self.membership.ever_registered = true;
                 self.membership.written = Some(seen.record.clone());
             }
             return;
@@ -232,12 +232,12 @@
             .registered
             .is_some_and(|version| version < seen.version)
         {
-            self.superseded();
+            self.mark_superseded();
         }
     }
 
-    /// Whether another member that is up runs with other settings. A member that comes later doesn't register; of two
-    /// that came together the one with the later name steps back.
+    /// Whether another live member runs with different settings. A member that starts later does not register; of two
+    /// that start together, the one whose name sorts last gives way.
     pub(super) fn settings_differ(&mut self) -> bool {
         let own = self.settings.shared();
         let me = &self.settings.member;
@@ -252,7 +252,7 @@
         let Some((member, field)) = difference.min() else {
             return false;
         };
-        if self.first_report(format!("settings differ: {member} {field}")) {
+        if self.first_occurrence(format!("settings differ: {member} {field}")) {
             warn!(
                 member,
                 field, "settings differ from another member's; no duty is acquired"
@@ -261,17 +261,17 @@
         true
     }
 
-    /// Records once and for good that this member supports duties.
+    /// Records permanently that this member supports duties.
     fn version_tick(&mut self) {
         let known = self.versions.contains_key(&self.settings.member);
         if known
-            || self.membership.version_busy
+            || self.membership.version_in_flight
             || !self.view.loaded()
             || self.settings.former_claim.is_none()
         {
             return;
         }
-        self.membership.version_busy = true;
+        self.membership.version_in_flight = true;
         let key = keys::version(&self.settings.member);
         let value = record::write(&VersionRecord { format: FORMAT });
         let writes = vec![Write::Put {
@@ -279,7 +279,7 @@
             value,
             lease: None,
         }];
-        self.store(
+        self.send_request(
             StoreRequest::CompareAndSwap {
                 conditions: vec![(key, 0)],
                 writes,
@@ -289,13 +289,13 @@
     }
 
     pub(super) fn unregistered(&mut self, reply: &StoreReply) {
-        self.membership.register_busy = false;
+        self.membership.register_in_flight = false;
         let gone = matches!(
             reply,
             StoreReply::Committed { .. } | StoreReply::Conflict { .. }
         );
         if !gone {
-            self.membership.register_next = self.now + RETRY_DELAY;
+            self.membership.register_retry_at = self.now + RETRY_DELAY;
             return;
         }
         info!("left; all duties are transferred");
@@ -303,25 +303,25 @@
         self.effects.push(Effect::Left);
     }
 
-    /// Removes the member's record once nothing is held any more.
+    /// Deletes the member's record once no duty is held.
     pub(super) fn leave_tick(&mut self) {
         let holds = self
             .duties
             .iter()
-            .any(|duty| duty.holding.is_some() || duty.claim_busy);
+            .any(|duty| duty.holding.is_some() || duty.claim_in_flight);
         if !self.leaving
             || holds
-            || self.membership.register_busy
-            || self.now < self.membership.register_next
+            || self.membership.register_in_flight
+            || self.now < self.membership.register_retry_at
         {
             return;
         }
-        let reported = self
+        let leaving_registered = self
             .membership
             .written
             .as_ref()
             .is_some_and(|record| record.leaving);
-        let (Some(version), true) = (self.membership.registered, reported) else {
+        let (Some(version), true) = (self.membership.registered, leaving_registered) else {
             if self.membership.lease.is_none() || self.membership.superseded {
                 self.left = true;
                 self.effects.push(Effect::Left);
@@ -329,9 +329,9 @@
             return;
         };
         let key = keys::member(&self.settings.member);
-        self.membership.register_busy = true;
+        self.membership.register_in_flight = true;
         let writes = vec![Write::Delete { key: key.clone() }];
-        self.store(
+        self.send_request(
             StoreRequest::CompareAndSwap {
                 conditions: vec![(key, version)],
                 writes,
--- a/crates/seamfront-lease/src/manager/mod.rs
+++ b/crates/seamfront-lease/src/manager/mod.rs
@@ -1,5 +1,5 @@
-//! The one owner of a member's duties: a deterministic state machine. Commands come in batches, effects go out; time is an
-//! argument. The same commands at the same times give the same effects.
+//! The duties of one member, as a deterministic state machine: a batch of commands and the time go in, effects come
+//! out. The same commands at the same times give the same effects.
 
 use crate::balancing::{self, MemberLoad};
 use crate::keys;
@@ -15,20 +15,20 @@
 
 mod budget;
 mod claims;
-mod handover;
 mod membership;
 mod operations;
 mod state;
 mod switch;
+mod transfer;
 mod views;
 
 use budget::WriteBudget;
 use membership::Membership;
-use state::{Duty, HandoverTarget, Pending, Phase, SeenMember, SeenMove};
+use state::{Duty, Pending, Phase, SeenMember, SeenMove, TransferTarget};
 
-/// Delay after which a request is made again that was refused or got no reply.
+/// Delay before a request is repeated that was refused or got no reply.
 const RETRY_DELAY: Micros = Micros::from_millis(250);
-/// Fenced changes of one duty that are queued at the most.
+/// Maximum number of queued fenced commits per duty.
 const FENCED_QUEUE_MAX: usize = 64;
 
 /// The duties of one member.
@@ -36,49 +36,49 @@
 pub struct DutyManager {
     settings: LeaseSettings,
     now: Micros,
-    /// What is added to the given time, so that time never goes back here.
+    /// Offset added to the embedding program's time, so that `now` never decreases.
     clock_offset: Micros,
     effects: Vec<Effect>,
     calls: BTreeMap<CallId, Pending>,
-    next_call: CallId,
+    last_id: CallId,
     membership: Membership,
     view: View,
-    view_busy: bool,
-    view_next: Micros,
+    view_in_flight: bool,
+    view_request_at: Micros,
     seen_keys: BTreeSet<String>,
     members: BTreeMap<String, SeenMember>,
     versions: BTreeMap<String, u64>,
     switch: Option<SwitchRecord>,
     former_claim: Option<u64>,
-    switch_busy: bool,
-    switch_next: Micros,
+    switch_in_flight: bool,
+    switch_retry_at: Micros,
     moves: BTreeMap<String, SeenMove>,
     duties: Vec<Duty>,
-    verify_busy: bool,
-    verify_next: Micros,
+    verify_in_flight: bool,
+    verify_retry_at: Micros,
     budget: WriteBudget,
     load: u64,
     leaving: bool,
     left: bool,
-    /// Conditions that were logged already; each is logged once.
-    reported: BTreeSet<String>,
+    /// Conditions that have been logged. Each is logged once.
+    logged_conditions: BTreeSet<String>,
 }
 
 impl DutyManager {
-    /// A member that has just started. Settings that could not work are refused.
+    /// A member that has just started. Fails if the settings are invalid.
     pub fn new(settings: LeaseSettings) -> Result<DutyManager, SettingsError> {
         settings.validate()?;
         let duty = |name: &String| Duty {
             name: name.clone(),
             claim: None,
             free_since: None,
-            claim_busy: false,
-            claim_next: Micros::ZERO,
+            claim_in_flight: false,
+            claim_retry_at: Micros::ZERO,
             last_released_token: 0,
             holding: None,
-            lost: None,
+            lost_token: None,
             unreadable_until: Micros::ZERO,
-            handover_wanted: None,
+            transfer_requested: None,
         };
         Ok(DutyManager {
             duties: settings.duties.iter().map(duty).collect(),
@@ -87,40 +87,41 @@
             clock_offset: Micros::ZERO,
             effects: Vec::new(),
             calls: BTreeMap::new(),
-            next_call: 1,
+            last_id: 1,
             membership: Membership::default(),
             view: View::default(),
-            view_busy: false,
-            view_next: Micros::ZERO,
+            view_in_flight: false,
+            view_request_at: Micros::ZERO,
             seen_keys: BTreeSet::new(),
             members: BTreeMap::new(),
             versions: BTreeMap::new(),
             switch: None,
             former_claim: None,
-            switch_busy: false,
-            switch_next: Micros::ZERO,
+            switch_in_flight: false,
+            switch_retry_at: Micros::ZERO,
             moves: BTreeMap::new(),
-            verify_busy: false,
-            verify_next: Micros::ZERO,
+            verify_in_flight: false,
+            verify_retry_at: Micros::ZERO,
             budget: WriteBudget::default(),
             load: 0,
             leaving: false,
             left: false,
-            reported: BTreeSet::new(),
+            logged_conditions: BTreeSet::new(),
         })
     }
 
-    /// One step. `now` is a steady clock's; nothing is ever compared with another machine's clock.
+    /// Handles commands and returns the effects. `now` is read from a monotonic clock and is never compared with
+    /// another machine's clock.
     pub fn step(&mut self, now: Micros, commands: Vec<Command>) -> Vec<Effect> {
-        self.advance(now);
+        self.advance_clock(now);
         for command in commands {
-            self.take(command);
+            self.handle_command(command);
         }
         self.tick();
         std::mem::take(&mut self.effects)
     }
 
-    /// Duties that may be performed here now, with their tokens.
+    /// Duties that may be performed here now, with their fencing tokens.
     pub fn active(&self) -> Vec<(&str, u64)> {
         let holding = |duty: &Duty| {
             duty.holding
@@ -134,7 +135,7 @@
             .collect()
     }
 
-    /// The token of a duty that may be performed here.
+    /// The fencing token of a duty that may be performed here.
     pub fn fencing_token(&self, duty: &str) -> Option<u64> {
         self.active()
             .into_iter()
@@ -142,15 +143,16 @@
             .map(|held| held.1)
     }
 
-    /// Who holds a duty, as far as this member sees.
+    /// The holder of a duty according to this member's view.
     pub fn holder(&self, duty: &str) -> Option<&str> {
-        let claim = self.duties[self.index(duty)?].claim.as_ref()?;
+        let claim = self.duties[self.duty_index(duty)?].claim.as_ref()?;
         (!claim.member.is_empty()).then_some(claim.member.as_str())
     }
 
-    /// Has a duty's claim verified where the permit has expired or soon will: an effect is about to begin.
+    /// Requests a verification of a duty's claim if the permit has expired or soon will. Called when an effect is about
+    /// to begin.
     pub fn request_verification(&mut self, duty: &str) {
-        let Some(index) = self.index(duty) else {
+        let Some(index) = self.duty_index(duty) else {
             return;
         };
         let half = self.settings.verification_ttl().over(2);
@@ -162,25 +164,26 @@
         }
     }
 
-    /// Whether a duty is held here, be it that its predecessor's operations are not settled yet.
+    /// Whether a duty is held here, even if the operations of its predecessor are not settled yet.
     pub fn holds(&self, duty: &str) -> bool {
-        self.index(duty)
+        self.duty_index(duty)
             .is_some_and(|index| self.duties[index].holding.is_some())
     }
 
-    /// The right to begin an effect of a duty now, if there is one without another request to the store.
+    /// The permit to begin an effect of a duty now. None if the lease or the claim must be confirmed first.
     pub fn permit(&self, duty: &str) -> Option<Permit> {
-        let index = self.index(duty)?;
+        let index = self.duty_index(duty)?;
         self.current_permit(index)
     }
 
-    /// The settings that it runs with, limits included.
+    /// The current settings, including the store's limits.
     pub fn settings(&self) -> &LeaseSettings {
         &self.settings
     }
 
-    /// A clock that goes back is not the one that verifications were counted by: all of them are void.
-    fn advance(&mut self, now: Micros) {
+    /// Advances the time. A clock that goes back is not the one by which verifications were measured, so all of them
+    /// are discarded.
+    fn advance_clock(&mut self, now: Micros) {
         let shifted = now + self.clock_offset;
         if shifted >= self.now {
             self.now = shifted;
@@ -192,7 +195,7 @@
         );
         self.clock_offset = self.now - now;
         self.membership.verification.clear();
-        self.membership.renew_next = self.now;
+        self.membership.renew_at = self.now;
         for holding in self
             .duties
             .iter_mut()
@@ -202,7 +205,7 @@
         }
     }
 
-    fn take(&mut self, command: Command) {
+    fn handle_command(&mut self, command: Command) {
         match command {
             Command::Store { call, reply } => self.store_reply(call, reply),
             Command::Begin {
@@ -225,13 +228,13 @@
             Command::TokenRefused {
                 duty,
                 fencing_token,
-            } => self.refused_elsewhere(&duty, fencing_token),
+            } => self.program_token_refused(&duty, fencing_token),
             Command::SetLoad(load) => self.load = load,
             Command::SetLimits(limits) => self.set_limits(limits),
-            Command::HandOver { duty, to } => {
-                if let Some(index) = self.index(&duty) {
-                    let target = to.map_or(HandoverTarget::LeastLoaded, HandoverTarget::Member);
-                    self.duties[index].handover_wanted = Some(target);
+            Command::Transfer { duty, to } => {
+                if let Some(index) = self.duty_index(&duty) {
+                    let target = to.map_or(TransferTarget::LeastLoaded, TransferTarget::Member);
+                    self.duties[index].transfer_requested = Some(target);
                 }
             }
             Command::Leave => self.leaving = true,
@@ -241,7 +244,7 @@
 
     fn tick(&mut self) {
         let rate = self.settings.limits.changes_per_second;
-        self.budget.fill(self.now, rate);
+        self.budget.refill(self.now, rate);
         self.membership_tick();
         self.view_tick();
         if self.left {
@@ -249,7 +252,7 @@
         }
         self.switch_tick();
         self.claims_tick();
-        self.handover_tick();
+        self.transfer_tick();
         for index in 0..self.duties.len() {
             self.operations_tick(index);
         }
@@ -267,7 +270,7 @@
             Pending::View => self.view_reply(reply),
             Pending::Register { record } => self.registered(record, reply),
             Pending::Unregister => self.unregistered(&reply),
-            Pending::Version => self.membership.version_busy = false,
+            Pending::Version => self.membership.version_in_flight = false,
             Pending::Claim { duty, lease, sent } => self.claimed(duty, lease, sent, reply),
             Pending::Verify { sent, claims } => self.verify_reply(sent, &claims, &reply),
             Pending::LogRead {
@@ -291,29 +294,29 @@
 
     // ---- helpers -------------------------------------------------------------------------
 
-    fn index(&self, duty: &str) -> Option<usize> {
+    fn duty_index(&self, duty: &str) -> Option<usize> {
         self.duties.iter().position(|d| d.name == duty)
     }
 
-    fn store(&mut self, request: StoreRequest, pending: Pending) {
-        let call = self.next_number();
+    fn send_request(&mut self, request: StoreRequest, pending: Pending) {
+        let call = self.next_id();
         self.calls.insert(call, pending);
         self.effects.push(Effect::Store { call, request });
     }
 
-    /// A number that is never used again by this process, for calls and attempts.
-    fn next_number(&mut self) -> u64 {
-        self.next_call += 1;
-        self.next_call
+    /// A number that this process does not use again, for calls and attempts.
+    fn next_id(&mut self) -> u64 {
+        self.last_id += 1;
+        self.last_id
     }
 
-    /// Whether a condition is logged for the first time.
-    fn first_report(&mut self, condition: String) -> bool {
-        self.reported.insert(condition)
+    /// Whether a condition is to be logged for the first time.
+    fn first_occurrence(&mut self, condition: String) -> bool {
+        self.logged_conditions.insert(condition)
     }
 
-    fn report_unreadable(&mut self, error: &RecordError) {
-        if self.first_report(error.to_string()) {
+    fn warn_unreadable(&mut self, error: &RecordError) {
+        if self.first_occurrence(error.to_string()) {
             warn!(%error, "unreadable stored value ignored");
         }
     }
@@ -323,7 +326,7 @@
         self.settings.limits = limits;
     }
 
-    /// All members that are up, with what they hold.
+    /// The loads of all members that are up and not leaving.
     fn loads(&self) -> Vec<MemberLoad> {
         let holders = self
             .duties
--- a/crates/seamfront-lease/src/manager/operations.rs
+++ b/crates/seamfront-lease/src/manager/operations.rs
@@ -1,4 +1,4 @@
-//! Operations of the duties that are held: recording, performing, settling.
+//! Records, performs and settles the operations of held duties.
 
 use super::state::{Holding, Pending, Phase};
 use super::{DutyManager, FENCED_QUEUE_MAX, RETRY_DELAY};
@@ -11,14 +11,14 @@
 use serde_json::Value;
 use tracing::info;
 
-/// After its log could not be read, a duty is not claimed for so long.
+/// Delay before a duty is claimed again whose log could not be read.
 const UNREADABLE_RETRY_DELAY: Micros = Micros::from_secs(10);
 
 impl DutyManager {
     pub(super) fn begin(&mut self, request: RequestId, duty: &str, payload: Value) {
-        let (most, limits) = (self.settings.open_operations, self.settings.limits);
-        let begun = match self.ready_holding(duty) {
-            Ok(holding) => holding.log.begin(request, payload, most, &limits),
+        let (max_open, limits) = (self.settings.open_operations, self.settings.limits);
+        let begun = match self.active_holding(duty) {
+            Ok(holding) => holding.log.begin(request, payload, max_open, &limits),
             Err(rejection) => Err(rejection),
         };
         if let Err(rejection) = begun {
@@ -26,15 +26,15 @@
         }
     }
 
-    fn ready_holding(&mut self, duty: &str) -> Result<&mut Holding, Rejection> {
-        let index = self.index(duty).ok_or(Rejection::UnknownDuty)?;
+    fn active_holding(&mut self, duty: &str) -> Result<&mut Holding, Rejection> {
+        let index = self.duty_index(duty).ok_or(Rejection::UnknownDuty)?;
         let holding = self.duties[index]
             .holding
             .as_mut()
             .ok_or(Rejection::NotHeld)?;
         match holding.phase {
             Phase::Active => Ok(holding),
-            Phase::HandingOver { .. } => Err(Rejection::HandingOver),
+            Phase::Transferring { .. } => Err(Rejection::Transferring),
             Phase::Loading | Phase::Settling => Err(Rejection::NotHeld),
         }
     }
@@ -48,20 +48,20 @@
 
     // ---- the log -------------------------------------------------------------------------
 
-    /// The log is read after the claim was taken, when whatever a predecessor may still have in flight fails.
+    /// Reads the log. Since the claim is already held, updates that a predecessor still has in flight fail.
     fn log_read_tick(&mut self, index: usize) {
         let now = self.now;
         let duty = &mut self.duties[index];
         let Some(holding) = duty.holding.as_mut() else {
             return;
         };
-        let wanted = holding.phase == Phase::Loading || holding.log.unclear();
-        if !wanted || holding.log_busy || now < holding.log_next {
+        let wanted = holding.phase == Phase::Loading || holding.log.needs_reread();
+        if !wanted || holding.log_in_flight || now < holding.log_retry_at {
             return;
         }
-        holding.log_busy = true;
+        holding.log_in_flight = true;
         let (key, fencing_token) = (keys::log(&duty.name), holding.fencing_token);
-        self.store(
+        self.send_request(
             StoreRequest::Get { key },
             Pending::LogRead {
                 duty: index,
@@ -83,24 +83,24 @@
             _ => {
                 let now = self.now;
                 if let Some(holding) = self.duties[index].holding.as_mut() {
-                    holding.log_busy = false;
-                    holding.log_next = now + RETRY_DELAY;
+                    holding.log_in_flight = false;
+                    holding.log_retry_at = now + RETRY_DELAY;
                 }
                 return;
             }
         };
         match stored {
-            Ok((version, record)) => self.log_known(index, version, record),
+            Ok((version, record)) => self.log_decoded(index, version, record),
             Err(error) => self.log_unreadable(index, &error),
         }
     }
 
-    fn log_known(&mut self, index: usize, version: u64, stored: Option<LogRecord>) {
+    fn log_decoded(&mut self, index: usize, version: u64, stored: Option<LogRecord>) {
         let now = self.now;
         let Some(holding) = self.duties[index].holding.as_mut() else {
             return;
         };
-        holding.log_busy = false;
+        holding.log_in_flight = false;
         if holding.phase == Phase::Loading {
             holding.log = OperationLog::loaded(holding.fencing_token, version, stored);
             holding.phase = Phase::Settling;
@@ -113,13 +113,13 @@
         match holding.log.reread(version, stored.as_ref(), now) {
             Reread::Applied(progress) => self.log_progress(index, progress),
             Reread::NotApplied => {}
-            Reread::Foreign => self.lose(index, LossReason::TokenRefused),
+            Reread::WrittenByOther => self.lose(index, LossReason::TokenRefused),
         }
     }
 
-    /// Nothing is guessed and nothing deleted. The duty is given up, perhaps to a member that can read its log.
+    /// Releases the duty, so that a member that can read its log may hold it. The log is left unchanged.
     fn log_unreadable(&mut self, index: usize, error: &RecordError) {
-        self.report_unreadable(error);
+        self.warn_unreadable(error);
         let fencing_token = self.held_token(index);
         self.lose(index, LossReason::UnreadableLog);
         self.duties[index].unreadable_until = self.now + UNREADABLE_RETRY_DELAY;
@@ -136,8 +136,8 @@
             return;
         };
         if !budget
-            || now < holding.log_next
-            || matches!(holding.phase, Phase::HandingOver { sent: true, .. })
+            || now < holding.log_retry_at
+            || matches!(holding.phase, Phase::Transferring { sent: true, .. })
         {
             return;
         }
@@ -158,7 +158,7 @@
         writes.extend(write.writes);
         self.budget.spend(writes.len());
         let sent = self.now;
-        self.store(
+        self.send_request(
             StoreRequest::CompareAndSwap { conditions, writes },
             Pending::LogWrite {
                 duty: index,
@@ -192,15 +192,15 @@
                 progress
             }
             StoreReply::Refused => {
-                holding.log_next = now + RETRY_DELAY;
+                holding.log_retry_at = now + RETRY_DELAY;
                 holding.log.refused()
             }
             StoreReply::Conflict { failed } if !failed.contains(&log_key) => {
                 holding.log.conflicted(failed.clone())
             }
-            // A copy that came late has changed the log, or the outcome is unknown.
+            // A late copy has changed the log, or the outcome is unknown.
             _ => {
-                holding.log.write_unclear();
+                holding.log.write_outcome_unknown();
                 LogProgress::default()
             }
         };
@@ -233,7 +233,7 @@
 
     // ---- performing ----------------------------------------------------------------------
 
-    /// The duty is active once all operations of predecessors are settled and the claim is verified.
+    /// Makes the duty active once all operations of predecessors are settled and the claim is verified.
     fn phase_tick(&mut self, index: usize) {
         let permitted = self.current_permit(index).is_some();
         let duty = &mut self.duties[index];
@@ -256,7 +256,7 @@
         });
     }
 
-    /// Takes the outcome of an attempt.
+    /// Applies the outcome of an attempt to perform an operation.
     pub(super) fn performed(
         &mut self,
         duty: &str,
@@ -266,17 +266,17 @@
     ) {
         let now = self.now;
         let holding = self
-            .index(duty)
+            .duty_index(duty)
             .and_then(|index| self.duties[index].holding.as_mut());
         if let Some(holding) = holding {
-            holding.log.performed(operation, attempt, outcome, now);
+            holding.log.finish_attempt(operation, attempt, outcome, now);
         }
     }
 
     fn perform_tick(&mut self, index: usize) {
         while let Some(name) = self.due_operation(index) {
             let permit = self.current_permit(index);
-            let attempt = self.next_number();
+            let attempt = self.next_id();
             let duty = &mut self.duties[index];
             let Some(holding) = duty.holding.as_mut() else {
                 return;
@@ -285,7 +285,7 @@
                 holding.verification_due = true;
                 return;
             };
-            let Some(operation) = holding.log.attempt(name, attempt) else {
+            let Some(operation) = holding.log.begin_attempt(name, attempt) else {
                 return;
             };
             let settling = name.fencing_token != holding.fencing_token;
@@ -304,11 +304,11 @@
         let holding = self.duties[index].holding.as_ref()?;
         match holding.phase {
             Phase::Settling | Phase::Active => holding.log.due(self.now),
-            Phase::Loading | Phase::HandingOver { .. } => None,
+            Phase::Loading | Phase::Transferring { .. } => None,
         }
     }
 
-    // ---- fenced changes ------------------------------------------------------------------
+    // ---- fenced commits ------------------------------------------------------------------
 
     pub(super) fn fenced_commit(
         &mut self,
@@ -323,8 +323,8 @@
             conditions,
             writes,
         };
-        let accepted = match self.ready_holding(duty) {
-            Ok(holding) => holding.log.commit(commit, FENCED_QUEUE_MAX, &limits),
+        let accepted = match self.active_holding(duty) {
+            Ok(holding) => holding.log.queue_commit(commit, FENCED_QUEUE_MAX, &limits),
             Err(rejection) => Err(rejection),
         };
         if let Err(rejection) = accepted {
--- a/crates/seamfront-lease/src/manager/state.rs
+++ b/crates/seamfront-lease/src/manager/state.rs
@@ -1,4 +1,4 @@
-//! What a member knows of claims, members and duties, and what its requests to the store are for.
+//! What a member knows of claims, members and duties, and the purposes of its pending requests to the store.
 
 use crate::log::OperationLog;
 use crate::permit::Verification;
@@ -13,36 +13,36 @@
     pub lease: u64,
 }
 
-/// How far a holder has come.
+/// The phase of holding a duty.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(super) enum Phase {
     /// The log is being read.
     Loading,
-    /// Operations of a predecessor are being settled.
+    /// Operations of predecessors are being settled.
     Settling,
     /// The duty is performed.
     Active,
-    /// It goes to another member once nothing is in flight.
-    HandingOver {
+    /// The duty is transferred to another member once no request of it is in flight.
+    Transferring {
         to: String,
         since: Micros,
         sent: bool,
     },
 }
 
-/// A duty that is held, by its index, and the token that it is held under.
+/// A held duty, by its index, and the token under which it is held.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct HeldClaim {
     pub duty: usize,
     pub fencing_token: u64,
 }
 
-/// Whom the embedding program wants a duty handed over to.
+/// The target of a transfer that the embedding program requested.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub(super) enum HandoverTarget {
+pub(super) enum TransferTarget {
     /// This member.
     Member(String),
-    /// Whoever has least to do.
+    /// The member with the fewest duties, and the least load of several.
     LeastLoaded,
 }
 
@@ -63,8 +63,8 @@
     /// The claim must be verified before the next effect.
     pub verification_due: bool,
     pub log: OperationLog,
-    pub log_busy: bool,
-    pub log_next: Micros,
+    pub log_in_flight: bool,
+    pub log_retry_at: Micros,
 }
 
 /// A duty, held here or not.
@@ -73,27 +73,28 @@
     pub name: String,
     pub claim: Option<SeenClaim>,
     pub free_since: Option<Micros>,
-    pub claim_busy: bool,
-    pub claim_next: Micros,
-    /// The last token that was given up here. It is never acted on again, even if the store still has it as ours.
+    pub claim_in_flight: bool,
+    /// The claim is neither acquired nor transferred before this time.
+    pub claim_retry_at: Micros,
+    /// The last token that was given up here. It is never used again, even if the claim still names this member.
     pub last_released_token: u64,
     pub holding: Option<Holding>,
-    /// A token that was lost, until its successor is known.
-    pub lost: Option<u64>,
-    /// Not claimed before, since its log could not be read.
+    /// A lost token whose successor is not known yet.
+    pub lost_token: Option<u64>,
+    /// The duty is not claimed before this time because its log could not be read.
     pub unreadable_until: Micros,
-    /// The embedding program wants it handed over.
-    pub handover_wanted: Option<HandoverTarget>,
+    /// A transfer that the embedding program requested.
+    pub transfer_requested: Option<TransferTarget>,
 }
 
-/// Another member's record, or our own, with its version.
+/// The record of any member, with its version.
 #[derive(Clone, Debug)]
 pub(super) struct SeenMember {
     pub record: MemberRecord,
     pub version: u64,
 }
 
-/// What a request to the store is for.
+/// The purpose of a pending request to the store.
 #[derive(Debug)]
 pub(super) enum Pending {
     Grant {
--- a/crates/seamfront-lease/src/manager/switch.rs
+++ b/crates/seamfront-lease/src/manager/switch.rs
@@ -1,8 +1,6 @@
-//! The switch from one claim that carries all duties to a claim for each.
-//!
-//! While a member may still run a version that knows no duties, the former claim carries them all. Once every member has
-//! said that it knows duties, the holder of the former claim ends it for good and records the switch, in one
-//! transaction. What then stands in the former claim's key can't be taken over by an old process that comes back.
+//! The switch from the former claim, which covers all duties, to a claim for each duty. Once every member has recorded
+//! that it supports duties, the holder of the former claim replaces it permanently and writes the switch record, in one
+//! transaction. The value left in the former claim's key keeps processes of old versions from acquiring it.
 
 use super::state::Pending;
 use super::{DutyManager, RETRY_DELAY};
@@ -12,7 +10,7 @@
 use tracing::info;
 
 impl DutyManager {
-    /// Whether duties have their own claims.
+    /// Whether duties have claims of their own.
     pub fn duties_in_force(&self) -> bool {
         self.settings.former_claim.is_none() || self.switch.is_some()
     }
@@ -25,8 +23,8 @@
             return;
         };
         if self.switch.is_some()
-            || self.switch_busy
-            || self.now < self.switch_next
+            || self.switch_in_flight
+            || self.now < self.switch_retry_at
             || !self.view.loaded()
         {
             return;
@@ -38,10 +36,10 @@
             .map(|m| Some((keys::version(m), *self.versions.get(m)?)))
             .collect();
         let Some(versions) = known else { return };
-        self.switch_busy = true;
+        self.switch_in_flight = true;
         let mut conditions = vec![(key.clone(), version), (keys::SWITCH.to_owned(), 0)];
         conditions.extend(versions);
-        let nobody = record::write(&FormerClaimRecord {
+        let placeholder = record::write(&FormerClaimRecord {
             member: String::new(),
             lease: 0,
         });
@@ -53,7 +51,7 @@
         let writes = vec![
             Write::Put {
                 key,
-                value: nobody,
+                value: placeholder,
                 lease: None,
             },
             Write::Put {
@@ -62,15 +60,15 @@
                 lease: None,
             },
         ];
-        self.store(
+        self.send_request(
             StoreRequest::CompareAndSwap { conditions, writes },
             Pending::Switch,
         );
     }
 
     pub(super) fn switched(&mut self, reply: &StoreReply) {
-        self.switch_busy = false;
-        self.switch_next = self.now + RETRY_DELAY;
+        self.switch_in_flight = false;
+        self.switch_retry_at = self.now + RETRY_DELAY;
         if matches!(reply, StoreReply::Committed { .. }) {
             info!("all members support duties; the former claim has ended");
         }
--- a/crates/seamfront-lease/src/manager/handover.rs
+++ b/crates/seamfront-lease/src/manager/transfer.rs
@@ -1,6 +1,6 @@
-//! Handing duties over on purpose: to balance load, at an operator's request, before the process ends.
+//! Transfers duties to other members: to balance load, at an operator's request, or because this member is leaving.
 
-use super::state::{Duty, HandoverTarget, Pending, Phase, SeenClaim};
+use super::state::{Duty, Pending, Phase, SeenClaim, TransferTarget};
 use super::{DutyManager, RETRY_DELAY};
 use crate::balancing;
 use crate::keys;
@@ -10,32 +10,32 @@
 use crate::time::Micros;
 use tracing::{info, warn};
 
-/// A handover that can't be sent within this time is cancelled.
-const HANDOVER_TIMEOUT: Micros = Micros::from_secs(10);
-/// After a handover that failed, the duty stays for so long.
-const HANDOVER_RETRY_DELAY: Micros = Micros::from_secs(2);
+/// A transfer whose transaction can't be sent within this time is cancelled.
+const TRANSFER_TIMEOUT: Micros = Micros::from_secs(10);
+/// Delay before a duty is transferred after a failed attempt.
+const TRANSFER_RETRY_DELAY: Micros = Micros::from_secs(2);
 
 impl DutyManager {
-    /// One duty at a time is handed over, and only once nothing of it is in flight.
-    pub(super) fn handover_tick(&mut self) {
-        let handing = |duty: &Duty| {
+    /// Transfers one duty at a time, and only once none of its requests is in flight.
+    pub(super) fn transfer_tick(&mut self) {
+        let transferring = |duty: &Duty| {
             matches!(
                 duty.holding.as_ref().map(|h| &h.phase),
-                Some(Phase::HandingOver { .. })
+                Some(Phase::Transferring { .. })
             )
         };
-        match self.duties.iter().position(handing) {
-            Some(index) => self.continue_handover(index),
-            None => self.begin_handover(),
+        match self.duties.iter().position(transferring) {
+            Some(index) => self.continue_transfer(index),
+            None => self.begin_transfer(),
         }
     }
 
-    fn begin_handover(&mut self) {
+    fn begin_transfer(&mut self) {
         for index in 0..self.duties.len() {
             let Some(holding) = self.duties[index].holding.as_ref() else {
                 continue;
             };
-            if holding.phase != Phase::Active || self.now < self.duties[index].claim_next {
+            if holding.phase != Phase::Active || self.now < self.duties[index].claim_retry_at {
                 continue;
             }
             if self.leaving
@@ -47,15 +47,15 @@
                 self.release(index);
                 continue;
             }
-            let Some(to) = self.wanted_receiver(index) else {
+            let Some(to) = self.transfer_target(index) else {
                 continue;
             };
             let since = self.now;
             let duty = &mut self.duties[index];
-            duty.handover_wanted = None;
+            duty.transfer_requested = None;
             info!(duty = %duty.name, %to, "transferring duty");
             if let Some(holding) = duty.holding.as_mut() {
-                holding.phase = Phase::HandingOver {
+                holding.phase = Phase::Transferring {
                     to,
                     since,
                     sent: false,
@@ -65,9 +65,10 @@
         }
     }
 
-    /// Who should hold this duty instead of us: by an operator's request, the embedding program's, or load.
-    fn wanted_receiver(&mut self, index: usize) -> Option<String> {
-        if let Some(to) = self.requested_receiver(index) {
+    /// The member that should hold this duty instead: by an operator's request, the embedding program's request, or
+    /// load.
+    fn transfer_target(&mut self, index: usize) -> Option<String> {
+        if let Some(to) = self.move_request_target(index) {
             return Some(to);
         }
         let duty = &self.duties[index];
@@ -75,13 +76,13 @@
         let loads = self.loads();
         let others = || loads.iter().filter(|member| member.member != me);
         let least = || others().min_by_key(|member| (member.duties, member.load, &member.member));
-        match &duty.handover_wanted {
-            Some(HandoverTarget::Member(to)) => {
+        match &duty.transfer_requested {
+            Some(TransferTarget::Member(to)) => {
                 return others()
                     .find(|member| member.member == *to)
                     .map(|member| member.member.clone())
             }
-            Some(HandoverTarget::LeastLoaded) => {
+            Some(TransferTarget::LeastLoaded) => {
                 return least().map(|member| member.member.clone())
             }
             None if self.leaving => return least().map(|member| member.member.clone()),
@@ -94,11 +95,12 @@
         if self.settings.affinity_group.contains(&duty.name) {
             return self.group_holder(index).filter(|holder| holder != me);
         }
-        let receiver = balancing::receiver(me, &loads)?;
-        Some(receiver.to_owned())
+        let target = balancing::rebalance_target(me, &loads)?;
+        Some(target.to_owned())
     }
 
-    fn requested_receiver(&mut self, index: usize) -> Option<String> {
+    /// The member to which an operator has requested to move this duty, if that member is up.
+    fn move_request_target(&mut self, index: usize) -> Option<String> {
         let name = self.duties[index].name.clone();
         let to = self.moves.get(&name)?.record.to.clone();
         if to == self.settings.member {
@@ -111,60 +113,62 @@
         if up {
             return Some(to);
         }
-        if self.first_report(format!("move {name} {to}")) {
+        if self.first_occurrence(format!("move {name} {to}")) {
             warn!(duty = %name, %to, "move requested to a member that is down; the duty stays until it is up");
         }
         None
     }
 
-    fn continue_handover(&mut self, index: usize) {
+    fn continue_transfer(&mut self, index: usize) {
         let Some(holding) = self.duties[index].holding.as_ref() else {
             return;
         };
-        let Phase::HandingOver { to, since, sent } = holding.phase.clone() else {
+        let Phase::Transferring { to, since, sent } = holding.phase.clone() else {
             return;
         };
         if sent {
             return;
         }
-        let busy = holding.log.performing() || holding.log.writing() || holding.log.fenced_queued();
+        let busy =
+            holding.log.performing() || holding.log.writing() || holding.log.has_queued_commits();
         if !busy {
-            return self.transfer(index, &to);
+            return self.send_transfer(index, &to);
         }
-        if self.now - since > HANDOVER_TIMEOUT {
+        if self.now - since > TRANSFER_TIMEOUT {
             info!(duty = %self.duties[index].name, "duty transfer cancelled: an operation is still in flight");
-            self.keep(index);
+            self.cancel_transfer(index);
         }
     }
 
-    /// The duty stays here after all.
-    fn keep(&mut self, index: usize) {
-        self.duties[index].claim_next = self.now + HANDOVER_RETRY_DELAY;
+    /// Cancels a transfer. The duty stays here.
+    fn cancel_transfer(&mut self, index: usize) {
+        self.duties[index].claim_retry_at = self.now + TRANSFER_RETRY_DELAY;
         if let Some(holding) = self.duties[index].holding.as_mut() {
             holding.phase = Phase::Active;
         }
     }
 
-    /// One transaction makes the receiver the holder: there is no moment without one, nor with two. Nothing is done here
-    /// from its sending on, unless it is known to have failed.
-    fn transfer(&mut self, index: usize, to: &str) {
-        let Some(receiver) = self
+    /// Makes the target the holder in one transaction, so that the duty is never without a holder and never has two.
+    /// Once the transaction is sent, nothing is done here under the claim unless the transaction is known to have
+    /// failed.
+    fn send_transfer(&mut self, index: usize, to: &str) {
+        let Some(target) = self
             .members
             .get(to)
             .filter(|seen| !seen.record.leaving)
             .cloned()
         else {
-            return self.keep(index);
+            return self.cancel_transfer(index);
         };
         let Some(holding) = self.duties[index].holding.as_mut() else {
             return;
         };
-        if let Phase::HandingOver { sent, .. } = &mut holding.phase {
+        if let Phase::Transferring { sent, .. } = &mut holding.phase {
             *sent = true;
         }
         let fencing_token = holding.fencing_token;
         let key = self.claim_key(index);
-        let lease = receiver.record.lease;
+        let lease = target.record.lease;
         let value = record::write(&ClaimRecord {
             format: FORMAT,
             member: to.to_owned(),
@@ -172,7 +176,7 @@
         });
         let mut conditions = vec![
             (key.clone(), fencing_token),
-            (keys::member(to), receiver.version),
+            (keys::member(to), target.version),
         ];
         let mut writes = vec![Write::Put {
             key,
@@ -191,7 +195,7 @@
             fencing_token,
             to: to.to_owned(),
         };
-        self.store(StoreRequest::CompareAndSwap { conditions, writes }, pending);
+        self.send_request(StoreRequest::CompareAndSwap { conditions, writes }, pending);
     }
 
     pub(super) fn transferred(
@@ -208,7 +212,7 @@
         }
         match reply {
             StoreReply::Committed { revision } => {
-                self.lose(index, LossReason::HandedOver);
+                self.lose(index, LossReason::Transferred);
                 let lease = self.members.get(to).map_or(0, |seen| seen.record.lease);
                 let claim = SeenClaim {
                     version: *revision,
@@ -217,31 +221,31 @@
                 };
                 self.claim_changed(index, Some(claim), *revision);
             }
-            // Certainly not made: the receiver is not a member any more, or the store refused.
+            // Certainly not applied: the target is no longer a member, or the store refused the request.
             StoreReply::Conflict { .. } | StoreReply::NoSuchLease | StoreReply::Refused => {
-                self.keep(index);
+                self.cancel_transfer(index);
             }
-            // It may yet be made. Our token is given up; if the claim stays ours, it is claimed anew under another, and
-            // the transfer fails if it comes then.
-            _ => self.lose(index, LossReason::HandedOver),
+            // It may still be applied. The token is given up. If the claim stays with this member, it is acquired again
+            // under a new token, and a late copy of the transfer fails.
+            _ => self.lose(index, LossReason::Transferred),
         }
     }
 
-    /// Gives a duty up when there is no other member to take it.
+    /// Releases a duty when there is no other member to transfer it to.
     fn release(&mut self, index: usize) {
         let Some(fencing_token) = self.held_token(index) else {
             return;
         };
-        self.lose(index, LossReason::HandedOver);
+        self.lose(index, LossReason::Transferred);
         self.remove_claim(index, fencing_token);
     }
 
-    /// Removes our claim of this version.
+    /// Deletes this member's claim of this version.
     pub(super) fn remove_claim(&mut self, index: usize, version: u64) {
-        self.duties[index].claim_busy = true;
+        self.duties[index].claim_in_flight = true;
         let key = self.claim_key(index);
         let writes = vec![Write::Delete { key: key.clone() }];
-        self.store(
+        self.send_request(
             StoreRequest::CompareAndSwap {
                 conditions: vec![(key, version)],
                 writes,
@@ -252,14 +256,15 @@
 
     pub(super) fn released(&mut self, index: usize, reply: &StoreReply) {
         let duty = &mut self.duties[index];
-        duty.claim_busy = false;
-        duty.claim_next = self.now + RETRY_DELAY;
+        duty.claim_in_flight = false;
+        duty.claim_retry_at = self.now + RETRY_DELAY;
         let ours = duty
             .claim
             .as_ref()
             .is_some_and(|claim| claim.version <= duty.last_released_token);
         if ours && matches!(reply, StoreReply::Committed { .. }) {
-            // Before the view shows it, or it would be taken for a claim that is to be overwritten.
+            // The claim is cleared before the view shows its deletion; otherwise it would be overwritten as one of an
+            // earlier incarnation.
             duty.claim = None;
             duty.free_since = Some(self.now);
         }
--- a/crates/seamfront-lease/src/manager/views.rs
+++ b/crates/seamfront-lease/src/manager/views.rs
@@ -1,4 +1,4 @@
-//! The view of claims, members, requests to move duties, and the switch.
+//! The view of claims, members, versions, move requests and the switch record.
 
 use super::state::{Pending, SeenClaim, SeenMember, SeenMove};
 use super::{DutyManager, RETRY_DELAY};
@@ -11,32 +11,32 @@
 use std::collections::BTreeSet;
 use tracing::warn;
 
-/// How long the store may hold a request for changes.
+/// Maximum time that the store may hold a watch request.
 const WATCH_WAIT: Micros = Micros::from_secs(20);
-/// Changes are collected for so long before the next request for more.
+/// Delay before the next watch request, so that one reply covers several changes.
 const WATCH_INTERVAL: Micros = Micros::from_millis(50);
 
 impl DutyManager {
     pub(super) fn view_tick(&mut self) {
-        if self.view_busy || self.now < self.view_next {
+        if self.view_in_flight || self.now < self.view_request_at {
             return;
         }
-        self.view_busy = true;
+        self.view_in_flight = true;
         let request = self.view.request(keys::CONTROL_PREFIX, WATCH_WAIT);
-        self.store(request, Pending::View);
+        self.send_request(request, Pending::View);
     }
 
     pub(super) fn view_reply(&mut self, reply: StoreReply) {
-        self.view_busy = false;
-        self.view_next = self.now + WATCH_INTERVAL;
-        match self.view.take(reply) {
-            ViewUpdate::Failed => self.view_next = self.now + RETRY_DELAY,
-            ViewUpdate::Partial | ViewUpdate::TooOld => self.view_next = self.now,
+        self.view_in_flight = false;
+        self.view_request_at = self.now + WATCH_INTERVAL;
+        match self.view.handle_reply(reply) {
+            ViewUpdate::Failed => self.view_request_at = self.now + RETRY_DELAY,
+            ViewUpdate::Partial | ViewUpdate::TooOld => self.view_request_at = self.now,
             ViewUpdate::Changed { changes, revision } => {
                 for change in changes {
-                    self.changed(change);
+                    self.apply_change(change);
                 }
-                self.view.reached(revision);
+                self.view.mark_applied(revision);
             }
             ViewUpdate::Read { entries, revision } => self.view_read(entries, revision),
         }
@@ -51,18 +51,18 @@
             .cloned()
             .collect();
         for key in gone {
-            self.changed(Change {
+            self.apply_change(Change {
                 key,
                 value: None,
                 version: revision,
             });
         }
         for entry in entries {
-            self.changed(entry);
+            self.apply_change(entry);
         }
     }
 
-    fn changed(&mut self, change: Change) {
+    fn apply_change(&mut self, change: Change) {
         if change.value.is_some() {
             self.seen_keys.insert(change.key.clone());
         } else {
@@ -86,27 +86,27 @@
         }
     }
 
-    /// None: deleted, or unreadable.
+    /// Decodes a changed value. None if it was deleted or is unreadable.
     fn parse<T: DeserializeOwned>(&mut self, change: &Change) -> Option<T> {
         match record::read(&change.key, change.value.as_ref()?) {
             Ok(value) => Some(value),
             Err(error) => {
-                self.report_unreadable(&error);
+                self.warn_unreadable(&error);
                 None
             }
         }
     }
 
     fn claim_key_changed(&mut self, duty: &str, change: &Change) {
-        let Some(index) = self.index(duty) else {
-            if self.first_report(format!("unknown duty {duty}")) {
+        let Some(index) = self.duty_index(duty) else {
+            if self.first_occurrence(format!("unknown duty {duty}")) {
                 warn!(duty, "claim on a duty that is not in the settings");
             }
             return;
         };
         let claim: Option<ClaimRecord> = self.parse(change);
         if claim.is_none() && change.value.is_some() {
-            // Somebody holds it, whoever that is: it is not free.
+            // The claim is held, though the holder is unknown: the duty is not free.
             let unknown = SeenClaim {
                 version: change.version,
                 member: String::new(),
@@ -138,7 +138,7 @@
         if member == self.settings.member {
             self.own_record_changed(seen.as_ref());
         } else if seen.is_some() && !self.settings.members.iter().any(|name| name == member) {
-            if self.first_report(format!("unknown member {member}")) {
+            if self.first_occurrence(format!("unknown member {member}")) {
                 warn!(
                     member,
                     "member that is not in the settings; no duty is transferred to it"
--- a/crates/seamfront-lease/src/permit.rs
+++ b/crates/seamfront-lease/src/permit.rs
@@ -1,15 +1,15 @@
-//! When a holder may act: verifications count from the sending of the request, and every effect has a time until which
-//! it may begin.
+//! When a holder may act. Verifications count from the time at which the request was sent, and every effect has a time
+//! by which it must have begun.
 
 use crate::settings::LeaseSettings;
 use crate::time::Micros;
 
-/// The right to begin one effect. Whoever carries it out compares it with a clock read just before.
+/// The right to begin one effect. It must be checked against a clock that is read immediately before the effect.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Permit {
     /// The fencing token.
     pub fencing_token: u64,
-    /// The effect may begin before this instant.
+    /// The effect must begin before this time.
     pub until: Micros,
 }
 
@@ -20,32 +20,33 @@
     }
 }
 
-/// When a lease or a claim was last confirmed by the store, counted from the sending of the request. It only ever moves
-/// forward, until it is cleared.
+/// When a lease or a claim was last confirmed by the store, counted from the time at which the request was sent. The
+/// time never decreases, except by [`Verification::clear`].
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Verification {
     confirmed: Option<Micros>,
 }
 
 impl Verification {
-    /// A request that was sent then has succeeded: a renewal of the lease, or a transaction with the claim among its
+    /// A request sent at this time has succeeded: a renewal of the lease, or a transaction with the claim among its
     /// conditions.
     pub fn confirm(&mut self, sent: Micros) {
         self.confirmed = self.confirmed.max(Some(sent));
     }
 
-    /// Nothing is known any more.
+    /// Discards the confirmation.
     pub fn clear(&mut self) {
         self.confirmed = None;
     }
 
-    /// Until when it can be relied on, if it can for so long after its confirmation.
+    /// When the confirmation expires if it is valid for `ttl`. None if there is no confirmation.
     fn until(&self, ttl: Micros) -> Option<Micros> {
         self.confirmed.map(|sent| sent + ttl)
     }
 }
 
-/// The right to act under a claim, if there is one: the lease must hold, and the claim's verification must be recent.
+/// The permit to act under a claim. It ends with the time for which the lease is relied on or with the claim's
+/// verification, whichever is earlier. None if either is unconfirmed.
 pub fn permit(
     fencing_token: u64,
     claim: &Verification,
--- a/crates/seamfront-lease/src/port.rs
+++ b/crates/seamfront-lease/src/port.rs
@@ -1,4 +1,4 @@
-//! What goes into a [`DutyManager`](crate::DutyManager) and what comes out of it.
+//! Inputs and outputs of a [`DutyManager`](crate::DutyManager).
 
 use crate::permit::Permit;
 use crate::record::{Operation, OperationName, Settlement};
@@ -7,40 +7,40 @@
 use serde_json::Value;
 use thiserror::Error;
 
-/// Names a request to the store.
+/// Id of a request to the store.
 pub type CallId = u64;
 
-/// Names a request of the embedding program; it chooses them.
+/// Id of a request of the embedding program, which chooses it.
 pub type RequestId = u64;
 
-/// What goes in.
+/// An input: a request of the embedding program, or the reply to a request of the manager.
 #[derive(Clone, Debug)]
 pub enum Command {
-    /// The store has replied.
+    /// A reply from the store.
     Store {
-        /// The request that it replies to.
+        /// The request that this is the reply to.
         call: CallId,
         /// The reply.
         reply: StoreReply,
     },
     /// Begin an operation: record it, then perform it.
     Begin {
-        /// Name of this request.
+        /// Id of this request.
         request: RequestId,
         /// The duty that it belongs to.
         duty: String,
-        /// What is to be done.
+        /// What to do, for the performer to interpret.
         payload: Value,
     },
-    /// Change the store, fenced by the duty's token: carried out while the duty is held here, or not at all.
+    /// Write to the store, fenced by the duty's token: applied only while the duty is held here.
     Commit {
-        /// Name of this request.
+        /// Id of this request.
         request: RequestId,
         /// The duty that it belongs to.
         duty: String,
-        /// Further conditions.
+        /// Further conditions: keys and their expected versions.
         conditions: Vec<(String, u64)>,
-        /// Changes.
+        /// The changes to write.
         writes: Vec<Write>,
     },
     /// An attempt to perform an operation has ended.
@@ -49,102 +49,104 @@
         duty: String,
         /// The operation.
         operation: OperationName,
-        /// The attempt, as [`Effect::Perform`] named it.
+        /// Number of the attempt, from [`Effect::Perform`].
         attempt: u64,
-        /// What became of it.
+        /// The outcome of the attempt.
         outcome: Outcome,
     },
-    /// A change that the embedding program made by itself, with the duty's claim among its conditions, failed on it.
+    /// A transaction that the embedding program sent by itself failed on the duty's claim, which was among its
+    /// conditions.
     TokenRefused {
         /// The duty.
         duty: String,
         /// The token that was refused.
         fencing_token: u64,
     },
-    /// How busy this member is, in percent.
+    /// Set the load of this member, in percent.
     SetLoad(u64),
-    /// What the store takes from now on.
+    /// Set the limits of the store.
     SetLimits(StoreLimits),
-    /// Hand a duty over: to a member, or to whoever has least to do.
-    HandOver {
+    /// Transfer a duty to another member.
+    Transfer {
         /// The duty.
         duty: String,
-        /// The receiver.
+        /// The member that is to hold it; None selects the least loaded one.
         to: Option<String>,
     },
-    /// Hand over all duties, then take none any more.
+    /// Transfer all duties and acquire none any more.
     Leave,
-    /// The version of the former claim while this member holds it, else none.
+    /// Set the version under which this member holds the former claim, None if it does not hold it.
     FormerClaim(Option<u64>),
 }
 
-/// What became of an attempt to perform an operation.
+/// Outcome of an attempt to perform an operation.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Outcome {
-    /// It was carried out, now or earlier. The changes are written with the end of the operation.
+    /// It was carried out, by this attempt or an earlier one. The writes are applied together with the end of the
+    /// operation.
     Done {
         /// Changes to the store that belong to it.
         writes: Vec<Write>,
     },
-    /// It was refused for good: not carried out, and not to be tried again.
+    /// It was refused permanently: it was not carried out and is not retried.
     NotDone,
-    /// It may have been carried out, or may yet be. The same will be tried again.
+    /// It may have been carried out, or may still be. The same operation is retried.
     Unknown,
-    /// The permit had run out before it could begin: nothing was sent.
+    /// The permit had expired before the attempt began. Nothing was sent.
     NotPermitted,
 }
 
-/// Why a request of the embedding program was refused. Nothing of it was or will be done.
+/// Why a request of the embedding program was rejected. No part of it was carried out or will be.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum Rejection {
-    /// There is no such duty in the settings.
+    /// The settings contain no such duty.
     #[error("unknown duty")]
     UnknownDuty,
     /// The duty is not held here, or its predecessor's operations are not settled yet.
     #[error("the duty is not held here")]
     NotHeld,
-    /// The duty is being handed over.
-    #[error("the duty is being handed over")]
-    HandingOver,
-    /// As many operations are open as may be.
+    /// The duty is being transferred to another member.
+    #[error("the duty is being transferred")]
+    Transferring,
+    /// The maximum number of operations is open, or of fenced commits is queued.
     #[error("too many open operations")]
     TooManyOpen,
-    /// It doesn't fit into the log or into a transaction.
+    /// It exceeds the size limit of the log or of a transaction.
     #[error("too large for the store")]
     TooLarge,
 }
 
-/// What became of a fenced change to the store.
+/// Outcome of a fenced commit.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum CommitOutcome {
-    /// Carried out, with this revision.
+    /// It was applied, at this revision.
     Committed(u64),
-    /// One of the caller's conditions did not hold.
+    /// Some of the caller's conditions did not hold: their keys.
     Conflict(Vec<String>),
-    /// Not carried out.
+    /// The store refused it. It was not applied.
     Refused,
-    /// The duty was lost before there was a reply: it may have been carried out.
+    /// The duty was lost before there was a reply. It may have been applied.
     Unknown,
-    /// The duty was lost: not carried out.
+    /// The duty was lost before it was sent. It was not applied.
     Lost,
 }
 
 /// Why a duty was lost.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum LossReason {
-    /// The member's lease has ended.
-    #[error("lease ended")]
-    LeaseEnded,
+    /// The member's lease has expired.
+    #[error("lease expired")]
+    LeaseExpired,
     /// The store refused the token.
     #[error("token refused by the store")]
     TokenRefused,
-    /// The view shows another's claim.
-    #[error("claimed by another")]
+    /// The view shows another member's claim.
+    #[error("claimed by another member")]
     Replaced,
-    /// It was handed over on purpose.
-    #[error("handed over")]
-    HandedOver,
-    /// Its log can't be read by this version.
+    /// It was transferred to another member, or released.
+    #[error("transferred")]
+    Transferred,
+    /// This version can't read the operation log.
     #[error("unreadable log")]
     UnreadableLog,
     /// Another process runs under this member's name.
@@ -155,26 +157,27 @@
     SettingsDiffer,
 }
 
-/// Who holds a duty after it was lost here.
+/// The member that holds a duty after it was lost here.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Successor {
-    /// The member.
+    /// The member's name.
     pub member: String,
-    /// Its token.
+    /// Its fencing token.
     pub fencing_token: u64,
 }
 
-/// What comes out.
+/// An output: a request to carry out, or an event.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Effect {
-    /// Ask the store.
+    /// Send a request to the store.
     Store {
-        /// Name of the request.
+        /// Id of the request, to be returned with the reply.
         call: CallId,
         /// The request.
         request: StoreRequest,
     },
-    /// Perform a recorded operation. It may begin only while the permit is valid by a clock read just before.
+    /// Perform a recorded operation. It may begin only while the permit is valid by a clock that is read immediately
+    /// before.
     Perform {
         /// The duty.
         duty: String,
@@ -182,25 +185,25 @@
         operation: Operation,
         /// Number of the attempt.
         attempt: u64,
-        /// The right to begin.
+        /// The permit to begin the attempt.
         permit: Permit,
-        /// Whether a predecessor recorded it.
+        /// Whether a predecessor recorded the operation.
         settling: bool,
     },
-    /// An operation is recorded.
+    /// An operation has been recorded.
     Began {
         /// The request that began it.
         request: RequestId,
         /// The duty.
         duty: String,
-        /// Its name.
+        /// Name of the operation.
         operation: OperationName,
     },
-    /// A request was refused.
+    /// A request was rejected.
     Rejected {
         /// The request.
         request: RequestId,
-        /// Why.
+        /// The reason.
         rejection: Rejection,
     },
     /// The duty was lost before it was known whether an operation is recorded. If it is, a successor settles it.
@@ -208,14 +211,14 @@
         /// The request that began it.
         request: RequestId,
     },
-    /// The outcome of a fenced change.
+    /// The outcome of a fenced commit.
     Committed {
         /// The request.
         request: RequestId,
-        /// What became of it.
+        /// The outcome.
         outcome: CommitOutcome,
     },
-    /// The end of an operation is recorded.
+    /// The end of an operation has been recorded.
     Settled {
         /// The duty.
         duty: String,
@@ -224,38 +227,38 @@
         /// How it ended.
         settlement: Settlement,
     },
-    /// The claim is taken; the predecessor's operations come first.
-    Taken {
+    /// The claim was acquired. Operations of a predecessor are settled before the duty becomes active.
+    Acquired {
         /// The duty.
         duty: String,
-        /// The token.
+        /// The fencing token.
         fencing_token: u64,
     },
-    /// The duty may be performed.
+    /// The duty may be performed from now on.
     Active {
         /// The duty.
         duty: String,
-        /// The token.
+        /// The fencing token.
         fencing_token: u64,
     },
     /// The duty is not held here any more.
     Lost {
         /// The duty.
         duty: String,
-        /// The token that is void.
+        /// The fencing token that is no longer valid.
         fencing_token: u64,
-        /// Why.
+        /// The reason.
         reason: LossReason,
     },
-    /// Who holds a duty that was lost here; sent once for each token.
+    /// Another member holds a duty that was lost here. Emitted once for each lost token.
     Replaced {
         /// The duty.
         duty: String,
-        /// The void token.
+        /// The fencing token that was lost.
         fencing_token: u64,
         /// The new holder.
         successor: Successor,
     },
-    /// All duties are handed over.
+    /// All duties were transferred or released after [`Command::Leave`].
     Left,
 }
--- a/crates/seamfront-lease/src/record.rs
+++ b/crates/seamfront-lease/src/record.rs
@@ -1,4 +1,5 @@
-//! Values in the store. Each carries its format's number; a newer one is refused, never guessed.
+//! Formats of the values in the store. Each value carries its format number; a value of a newer format is rejected,
+//! never interpreted.
 
 use serde::de::DeserializeOwned;
 use serde::{Deserialize, Serialize};
@@ -6,7 +7,7 @@
 use std::fmt;
 use thiserror::Error;
 
-/// The format that this version writes.
+/// The format number that this version writes.
 pub const FORMAT: u32 = 1;
 
 /// Why a stored value can't be used.
@@ -15,22 +16,22 @@
     /// A newer version wrote it.
     #[error("{key}: format {format} is newer than {FORMAT}")]
     Newer {
-        /// Its key.
+        /// Key of the value.
         key: String,
-        /// Its format.
+        /// Its format number.
         format: u64,
     },
-    /// It is damaged, or something else.
+    /// It does not have the expected fields.
     #[error("{key}: unreadable: {reason}")]
     Unreadable {
-        /// Its key.
+        /// Key of the value.
         key: String,
-        /// What is wrong with it.
+        /// The decoder's error.
         reason: String,
     },
 }
 
-/// Reads a stored value.
+/// Decodes the value stored under a key.
 pub fn read<T: DeserializeOwned>(key: &str, value: &Value) -> Result<T, RecordError> {
     match value.get("format").and_then(Value::as_u64) {
         Some(format) if format > u64::from(FORMAT) => Err(RecordError::Newer {
@@ -44,12 +45,12 @@
     }
 }
 
-/// A value as it is stored.
+/// Encodes a value for the store.
 pub fn write<T: Serialize>(record: &T) -> Value {
     serde_json::to_value(record).unwrap_or_default()
 }
 
-/// Value of a claim. The lease distinguishes one incarnation of a member from the next.
+/// Value of a claim. The lease distinguishes the incarnations of a member.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ClaimRecord {
     /// Format of this value.
@@ -60,10 +61,10 @@
     pub lease: u64,
 }
 
-/// What all members must agree on.
+/// The settings that must be the same at all members.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SharedSettings {
-    /// Length of the members' leases in milliseconds.
+    /// Duration of the members' leases in milliseconds.
     pub lease_ms: i64,
     /// Names of the duties.
     pub duties: Vec<String>,
@@ -72,7 +73,7 @@
 }
 
 impl SharedSettings {
-    /// The first field that differs.
+    /// Name of the first setting that differs.
     pub fn difference(&self, other: &SharedSettings) -> Option<&'static str> {
         if self.lease_ms != other.lease_ms {
             return Some("lease");
@@ -91,18 +92,18 @@
     pub format: u32,
     /// The member's lease.
     pub lease: u64,
-    /// How busy it is, in percent of what it can do.
+    /// Its load, in percent of its capacity.
     pub load: u64,
-    /// Whether it wants to be rid of its duties.
+    /// Whether it is leaving and transfers its duties.
     pub leaving: bool,
     /// The settings that it runs with.
     pub settings: SharedSettings,
 }
 
-/// Value of a member's version key: once written it stays.
+/// Value of a member's version key, which is never removed.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct VersionRecord {
-    /// The newest format that the member reads.
+    /// The newest format number that the member reads.
     pub format: u32,
 }
 
@@ -115,32 +116,32 @@
     pub to: String,
 }
 
-/// Value of the switch from the former claim to duties.
+/// Value of the switch record, written when a claim for each duty replaces the former claim on all of them.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SwitchRecord {
     /// Format of this value.
     pub format: u32,
-    /// The member that recorded it.
+    /// The member that wrote it.
     pub by: String,
-    /// Version of the former claim that it ended.
+    /// Version of the former claim that was replaced.
     pub ended: u64,
 }
 
-/// What stands in the former claim after the switch. A version that knows no duties takes it for a claim of somebody
-/// it does not know, and can't take it.
+/// Value of the former claim's key after the switch. To versions without support for duties it is the claim of an
+/// unknown member, which they can't acquire.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct FormerClaimRecord {
-    /// No member's name.
+    /// Empty, which is no member's name.
     pub member: String,
-    /// No lease.
+    /// 0, which is no lease's id.
     pub lease: u64,
 }
 
-/// Name of an operation: the token under which it was recorded and its number in that holding. No token comes twice,
-/// so no name does.
+/// Name of an operation: the token under which it was recorded, and its number under that token. Names are unique
+/// because tokens are.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct OperationName {
-    /// Token of the holder that recorded it.
+    /// Fencing token of the holder that recorded it.
     #[serde(rename = "token")]
     pub fencing_token: u64,
     /// Its number under that token.
@@ -153,12 +154,12 @@
     }
 }
 
-/// An operation as it is recorded.
+/// An operation as it is recorded in the log.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Operation {
     /// Its name.
     pub name: OperationName,
-    /// What is to be done, in the words of whoever performs it.
+    /// What to do, for the performer to interpret.
     pub payload: Value,
 }
 
@@ -168,7 +169,7 @@
 pub enum Settlement {
     /// It was carried out.
     Done,
-    /// It was refused for good.
+    /// It was refused permanently.
     NotDone,
 }
 
@@ -181,20 +182,20 @@
     pub settlement: Settlement,
 }
 
-/// Value of a duty's operation log: all open operations, and the last that ended.
+/// Value of a duty's operation log: all open operations and the most recently ended ones.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LogRecord {
     /// Format of this value.
     pub format: u32,
-    /// Token of the holder that wrote it.
+    /// Fencing token of the holder that wrote it.
     #[serde(rename = "token")]
     pub fencing_token: u64,
-    /// Number of this write under that token.
+    /// Number of this update under that token.
     pub sequence: u64,
-    /// Operations that have ended since the log began.
+    /// Number of operations that have ended since the log was created.
     pub ended: u64,
-    /// Operations that are open.
+    /// Open operations.
     pub open: Vec<Operation>,
-    /// The last that ended, the newest last; shortened as need be.
+    /// The operations that ended last, the newest at the end. Shortened as needed to limit the size.
     pub recent: Vec<SettledOperation>,
 }
--- a/crates/seamfront-lease/src/settings.rs
+++ b/crates/seamfront-lease/src/settings.rs
@@ -1,18 +1,18 @@
-//! Settings of a member, with their limits.
+//! Settings of a member, and their validation.
 
 use crate::record::SharedSettings;
 use crate::time::Micros;
 use std::collections::BTreeSet;
 use thiserror::Error;
 
-/// What the store takes. It may shrink while a member runs.
+/// Limits of the store. They may shrink while a member runs.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct StoreLimits {
-    /// Bytes in one value.
+    /// Maximum size of a value in bytes.
     pub value_bytes: usize,
-    /// Changes in one transaction.
+    /// Maximum number of changes in a transaction.
     pub transaction_changes: usize,
-    /// Changes a second that this member may use.
+    /// Changes per second that this member may make.
     pub changes_per_second: i64,
 }
 
@@ -21,48 +21,49 @@
 pub struct LeaseSettings {
     /// This member's name.
     pub member: String,
-    /// Names of all members, in the same order everywhere.
+    /// Names of all members, in the same order at each.
     pub members: Vec<String>,
-    /// Names of the duties, in the same order everywhere.
+    /// Names of the duties, in the same order at each member.
     pub duties: Vec<String>,
-    /// How long a member's lease lasts without being renewed.
+    /// Duration of a member's lease after a renewal.
     pub lease: Micros,
-    /// The longest that a request to the store may go without a reply before its outcome counts as unknown.
+    /// Timeout of requests to the store. The outcome of a request is unknown once it has passed.
     pub store_answer: Micros,
-    /// How long the next member in turn waits before it claims a duty that has become free.
+    /// How much longer each member waits than the one ranked before it, before it claims a free duty.
     pub takeover_step: Micros,
-    /// How long a duty stays where it is before it may be moved for the sake of load.
+    /// Minimum time that a duty is held before it may be transferred to balance load.
     pub rebalance_after: Micros,
-    /// Open operations of one duty at the most.
+    /// Maximum number of open operations per duty.
     pub open_operations: usize,
-    /// What the store takes.
+    /// Limits of the store.
     pub limits: StoreLimits,
-    /// Duties that are best held by one member, since they work on the same data. They follow whoever holds most of
-    /// them, instead of being balanced.
+    /// Duties that one member should hold together, since they work on the same data. They follow the member that holds
+    /// most of them and are not balanced by load.
     pub affinity_group: Vec<String>,
-    /// Key of the claim that carried all duties in a version that knew none of them.
+    /// Key of the former claim, which covers all duties in versions without support for duties. If it is set, duties
+    /// have claims of their own only after the switch.
     pub former_claim: Option<String>,
 }
 
-/// A setting that can't be used.
+/// An invalid setting.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 #[error("{field}: {reason}")]
 pub struct SettingsError {
-    /// The setting.
+    /// Name of the setting.
     pub field: &'static str,
-    /// What is wrong with it.
+    /// What is wrong with its value.
     pub reason: String,
 }
 
-/// A lease is renewed so many times while it lasts.
+/// Number of renewals sent during one lease.
 pub const RENEWALS_PER_LEASE: i64 = 4;
-/// One part in so many of a lease is left unused at its end, whatever the clocks say.
-const SAFETY_PART: i64 = 8;
+/// Divisor of a lease for the time at its end that is never used, as a margin beyond the assumed clock drift.
+const SAFETY_MARGIN_DIVISOR: i64 = 8;
 const LEASE_MAX: Micros = Micros::from_secs(600);
 const NAME_LENGTH_MAX: usize = 100;
 
 impl LeaseSettings {
-    /// Settings with the usual times, for a store with these limits.
+    /// Settings with default durations, for a store with these limits.
     pub fn new(
         member: &str,
         members: &[&str],
@@ -84,24 +85,24 @@
         }
     }
 
-    /// How long after the sending of its last renewal a holder may act: the lease, less the stated drift of clocks and
-    /// a part that is never used.
+    /// How long a holder may act after sending its last successful renewal: the lease, less the assumed clock drift and
+    /// the safety margin.
     pub fn acting_time(&self) -> Micros {
         let drift = self.lease.with_drift() - self.lease;
-        self.lease - drift - self.lease.over(SAFETY_PART)
+        self.lease - drift - self.lease.over(SAFETY_MARGIN_DIVISOR)
     }
 
-    /// How old the verification of a claim may be when an effect begins.
+    /// Maximum age of a claim's verification when an effect begins.
     pub fn verification_ttl(&self) -> Micros {
         self.acting_time().over(2)
     }
 
-    /// How long after one renewal the next is sent.
+    /// Interval between renewals.
     pub fn renew_every(&self) -> Micros {
         self.lease.over(RENEWALS_PER_LEASE)
     }
 
-    /// What must be the same at all members.
+    /// The settings that must be the same at all members.
     pub fn shared(&self) -> SharedSettings {
         SharedSettings {
             lease_ms: self.lease.0 / 1_000,
@@ -110,7 +111,7 @@
         }
     }
 
-    /// Refuses settings that could not work, naming the first field that is wrong.
+    /// Checks the settings. The error names the first field that is invalid.
     pub fn validate(&self) -> Result<(), SettingsError> {
         check_names("members", &self.members)?;
         check_names("duties", &self.duties)?;
@@ -122,7 +123,8 @@
             .iter()
             .find(|name| !self.duties.contains(name));
         require(unknown.is_none(), "together", || {
-            format!("{unknown:?} is not among the duties")
+            let name = unknown.map_or("", String::as_str);
+            format!("{name:?} is not among the duties")
         })?;
         require(self.store_answer > Micros::ZERO, "store_answer", || {
             "must be more than 0".to_owned()
@@ -130,14 +132,14 @@
         require(self.lease <= LEASE_MAX, "lease", || {
             "must be at most 600 s".to_owned()
         })?;
-        // A renewal whose reply is lost must leave time for another before the holder stops.
+        // After a renewal without a reply there must be time for another one before the holder has to stop.
         let least = self.renew_every() + self.store_answer;
         require(self.acting_time() > least, "lease", || {
             let (lease, answer) = (
                 self.lease.as_secs_decimal(),
                 self.store_answer.as_secs_decimal(),
             );
-            format!("{lease} s is too short for a store that may take {answer} s to answer")
+            format!("{lease} s is too short for a store that may take {answer} s to reply")
         })?;
         require(self.takeover_step > Micros::ZERO, "takeover_step", || {
             "must be more than 0".to_owned()
@@ -181,7 +183,7 @@
     require(!names.is_empty(), field, || "must not be empty".to_owned())?;
     let distinct: BTreeSet<&String> = names.iter().collect();
     require(distinct.len() == names.len(), field, || {
-        "a name stands twice".to_owned()
+        "contains the same name twice".to_owned()
     })?;
     for name in names {
         let characters = name
@@ -189,7 +191,9 @@
             .all(|c| c.is_ascii_alphanumeric() || "-_.".contains(c));
         let fits = !name.is_empty() && name.len() <= NAME_LENGTH_MAX && characters;
         require(fits, field, || {
-            format!("{name:?} is no name: letters, digits, '-', '_' and '.' only")
+            format!(
+                "{name:?} is not a name of 1 to {NAME_LENGTH_MAX} letters, digits, '-', '_' and '.'"
+            )
         })?;
     }
     Ok(())
--- a/crates/seamfront-lease/src/store.rs
+++ b/crates/seamfront-lease/src/store.rs
@@ -1,4 +1,4 @@
-//! The key-value store that leases, claims and logs are kept in: requests and replies.
+//! Requests to the key-value store that holds leases, claims and operation logs, and its replies.
 
 use crate::time::Micros;
 use serde_json::Value;
@@ -11,28 +11,28 @@
         /// Key.
         key: String,
     },
-    /// Read the keys with a prefix, a page at a time.
+    /// Read the keys with a prefix, in pages.
     List {
         /// Prefix of the keys.
         prefix: String,
-        /// The last key of the page before.
+        /// The last key of the previous page.
         after: Option<String>,
     },
-    /// Compare versions, then write; all or nothing.
+    /// Compare the versions of keys and, if all match, apply the changes in one transaction.
     CompareAndSwap {
-        /// Keys with the versions that they must have, 0 for none.
+        /// Keys and their expected versions, 0 for a key that must not exist.
         conditions: Vec<(String, u64)>,
-        /// Changes; without any the versions are only compared.
+        /// The changes; if there are none, the versions are only compared.
         writes: Vec<Write>,
     },
-    /// Get a lease.
+    /// Create a lease.
     GrantLease {
-        /// How long it lasts without being renewed.
+        /// How long it lasts without renewal.
         ttl: Micros,
     },
     /// Renew a lease.
     RenewLease {
-        /// The lease.
+        /// Id of the lease.
         lease: u64,
     },
     /// Wait for changes after a revision.
@@ -41,31 +41,31 @@
         prefix: String,
         /// The revision after which changes are wanted.
         after: u64,
-        /// How long to wait for one.
+        /// Maximum time to wait for a change.
         wait: Micros,
     },
 }
 
-/// A change in a transaction.
+/// A change of one key in a transaction.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Write {
-    /// Write a key, attached to a lease or not.
+    /// Write a key, optionally attached to a lease.
     Put {
         /// Key.
         key: String,
         /// Value.
         value: Value,
-        /// The lease that the key ends with.
+        /// Id of the lease whose end deletes the key.
         lease: Option<u64>,
     },
-    /// Remove a key.
+    /// Delete a key.
     Delete {
         /// Key.
         key: String,
     },
 }
 
-/// A key as it is stored.
+/// A stored key and its value.
 #[derive(Clone, Debug)]
 pub struct Entry {
     /// Key.
@@ -79,49 +79,49 @@
 /// A reply of the key-value store.
 #[derive(Clone, Debug)]
 pub enum StoreReply {
-    /// The key asked for.
+    /// The requested key.
     Entry(Entry),
-    /// There is no such key.
+    /// The key does not exist.
     Missing,
     /// A page of keys.
     Page {
-        /// The keys, in order.
+        /// The keys in ascending order.
         entries: Vec<Entry>,
-        /// Whether there are more after the last.
+        /// Whether there are more keys after the last.
         more: bool,
-        /// The store's revision.
+        /// Revision of the store.
         revision: u64,
     },
-    /// The transaction was carried out.
+    /// The transaction was applied.
     Committed {
-        /// Its revision, or the present one if it only compared.
+        /// Its revision, or the store's current one if there were no changes to apply.
         revision: u64,
     },
     /// A condition did not hold; nothing was changed.
     Conflict {
-        /// Keys whose version is another.
+        /// Keys whose version differs from the expected one.
         failed: Vec<String>,
     },
     /// A lease was granted.
     Lease {
-        /// Its name.
+        /// Id of the lease.
         id: u64,
     },
-    /// The lease has its full time again.
+    /// The lease was renewed for its full duration.
     Renewed,
-    /// Deletions have no value.
+    /// The changes after a revision. Deletions have no value.
     Changes {
-        /// The revision up to which these are all changes.
+        /// The revision up to which the changes are complete.
         revision: u64,
         /// Key, value and revision of each change.
         events: Vec<(String, Option<Value>, u64)>,
     },
-    /// The changes asked for are not kept any more.
+    /// The requested changes are no longer kept.
     TooOld,
-    /// The lease has ended.
+    /// The lease has expired.
     NoSuchLease,
-    /// 429 or 503, or the connection was never made: certainly not executed.
+    /// HTTP status 429 or 503, or no connection could be made: the request was certainly not executed.
     Refused,
-    /// No reply: may have been executed, or may be later.
+    /// No reply: the request may have been executed, or may still be.
     Unknown,
 }
--- a/crates/seamfront-lease/src/time.rs
+++ b/crates/seamfront-lease/src/time.rs
@@ -1,51 +1,52 @@
-//! Time as the deterministic cores count it.
+//! The unit of time of the deterministic state machines.
 
 use serde::{Deserialize, Serialize};
 use std::ops::{Add, AddAssign, Sub};
 
-/// Whole microseconds, used both for instants (since the process began) and for spans.
+/// Whole microseconds, used both for durations and for times of a monotonic clock.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
 pub struct Micros(pub i64);
 
 impl Micros {
-    /// No time.
+    /// Zero.
     pub const ZERO: Micros = Micros(0);
-    /// Longer than anything lasts.
+    /// Longer than any duration in use.
     pub const MAX: Micros = Micros(i64::MAX / 4);
 
-    /// From milliseconds.
+    /// Converts from milliseconds.
     pub const fn from_millis(ms: i64) -> Micros {
         Micros(ms * 1_000)
     }
 
-    /// From seconds.
+    /// Converts from seconds.
     pub const fn from_secs(s: i64) -> Micros {
         Micros(s * 1_000_000)
     }
 
-    /// Wire durations are decimal seconds; this is the only place where they become time.
+    /// Converts from decimal seconds, the form of durations on the wire. No other code makes this conversion.
     pub fn from_secs_decimal(s: f64) -> Micros {
         Micros((s * 1e6).round().clamp(0.0, Micros::MAX.0 as f64) as i64)
     }
 
-    /// As decimal seconds, for the wire and for logs.
+    /// Converts to decimal seconds, for the wire and for logs.
     pub fn as_secs_decimal(self) -> f64 {
         self.0 as f64 / 1e6
     }
 
-    /// So many times as long.
+    /// Multiplies by `n`, saturating at the bounds.
     pub fn times(self, n: i64) -> Micros {
         Micros(self.0.saturating_mul(n))
     }
 
-    /// A part of it.
+    /// Divides by `n`.
     pub fn over(self, n: i64) -> Micros {
         Micros(self.0 / n)
     }
 
-    /// This span as another machine may count it: clocks drift by at most 0.05% against each other.
+    /// The upper bound of this duration as measured by another machine. Clocks drift by at most 0.05% against each
+    /// other; the bound allows for twice that plus 1 ms.
     pub fn with_drift(self) -> Micros {
         Micros(self.0 + self.0 / 1_000 + 1_000)
     }
--- a/crates/seamfront-lease/src/view.rs
+++ b/crates/seamfront-lease/src/view.rs
@@ -1,55 +1,55 @@
-//! A view of all keys with one prefix: read once, then kept up by long-lived requests for changes.
+//! A view of all keys with one prefix: listed once, then updated by watch requests.
 
 use crate::store::{Entry, StoreReply, StoreRequest};
 use crate::time::Micros;
 use serde_json::Value;
 use std::collections::BTreeMap;
 
-/// One key's change, or what a reading showed.
+/// The change of one key, or its state in a listing.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Change {
     /// Key.
     pub key: String,
-    /// Its value; None if it is not there.
+    /// Its value. None if the key does not exist.
     pub value: Option<Value>,
-    /// Revision of the change, or of the reading that did not show it.
+    /// Revision of the key's last change, or of the listing from which it is missing.
     pub version: u64,
 }
 
 /// What a reply means for the view.
 #[derive(Clone, Debug, PartialEq)]
 pub enum ViewUpdate {
-    /// Nothing new is known; ask again after a pause.
+    /// There was no usable reply. The request is repeated after a delay.
     Failed,
-    /// A page of a reading; there are more.
+    /// A page of a listing, with more to follow.
     Partial,
-    /// A complete listing. Keys that are known and not in it were deleted.
+    /// A complete listing. Known keys that are missing from it were deleted.
     Read {
         /// All keys.
         entries: Vec<Change>,
-        /// The revision of the reading.
+        /// Revision of the listing.
         revision: u64,
     },
-    /// Changes since. Once they are taken in, [`View::reached`] is to be called with the revision.
+    /// Changes since the last update. Once they are applied, [`View::mark_applied`] must be called with the revision.
     Changed {
         /// The changes, in order.
         changes: Vec<Change>,
-        /// The revision up to which these are all.
+        /// The revision up to which the changes are complete.
         revision: u64,
     },
-    /// The changes asked for are not kept any more: all is read anew.
+    /// The requested changes are no longer kept. All keys are listed again.
     TooOld,
 }
 
-/// The view's progress. What it shows is kept by whoever owns it.
+/// The progress of a view. Its owner keeps the contents.
 #[derive(Debug, Default)]
 pub struct View {
     loaded: bool,
-    seen: u64,
+    revision: u64,
     listing: Option<Listing>,
 }
 
-/// A reading of all keys, page by page.
+/// A listing of all keys that is being read page by page.
 #[derive(Debug, Default)]
 struct Listing {
     /// Revision of the first page.
@@ -58,14 +58,14 @@
 }
 
 impl View {
-    /// Whether all keys have been read once.
+    /// Whether all keys have been listed once.
     pub fn loaded(&self) -> bool {
         self.loaded
     }
 
-    /// The revision up to which all changes are in.
-    pub fn seen(&self) -> u64 {
-        self.seen
+    /// The revision up to which all changes have been applied.
+    pub fn revision(&self) -> u64 {
+        self.revision
     }
 
     /// The next request.
@@ -74,7 +74,7 @@
         if self.loaded && self.listing.is_none() {
             return StoreRequest::Watch {
                 prefix,
-                after: self.seen,
+                after: self.revision,
                 wait,
             };
         }
@@ -85,22 +85,22 @@
         StoreRequest::List { prefix, after }
     }
 
-    /// All changes up to this revision have been taken in.
-    pub fn reached(&mut self, revision: u64) {
-        self.seen = self.seen.max(revision);
+    /// Records that all changes up to this revision have been applied.
+    pub fn mark_applied(&mut self, revision: u64) {
+        self.revision = self.revision.max(revision);
     }
 
-    /// Takes the reply to a request.
-    pub fn take(&mut self, reply: StoreReply) -> ViewUpdate {
+    /// Interprets the reply to a request.
+    pub fn handle_reply(&mut self, reply: StoreReply) -> ViewUpdate {
         match reply {
             StoreReply::Page {
                 entries,
                 more,
                 revision,
-            } => self.take_page(entries, more, revision),
+            } => self.add_page(entries, more, revision),
             StoreReply::Changes { revision, events } => {
-                // Two replies may hold the same change; the older must not undo the newer.
-                let new = events.into_iter().filter(|event| event.2 > self.seen);
+                // Two replies may contain the same change; an older one must not overwrite a newer one.
+                let new = events.into_iter().filter(|event| event.2 > self.revision);
                 let changes = new
                     .map(|(key, value, version)| Change {
                         key,
@@ -118,7 +118,7 @@
         }
     }
 
-    fn take_page(&mut self, entries: Vec<Entry>, more: bool, revision: u64) -> ViewUpdate {
+    fn add_page(&mut self, entries: Vec<Entry>, more: bool, revision: u64) -> ViewUpdate {
         let listing = self.listing.get_or_insert_with(|| Listing {
             revision,
             entries: BTreeMap::new(),
@@ -131,7 +131,7 @@
         }
         let Listing { revision, entries } = self.listing.take().unwrap_or_default();
         self.loaded = true;
-        self.seen = self.seen.max(revision);
+        self.revision = self.revision.max(revision);
         let changes = entries.into_values().map(|entry| Change {
             key: entry.key,
             value: Some(entry.value),
--- a/crates/seamfront-lease/tests/hard_cases.rs
+++ b/crates/seamfront-lease/tests/hard_cases.rs
@@ -497,7 +497,7 @@
     rig.performed(first, Rig::done());
     rig.run(ms(200));
     let before = rig.fencing_token();
-    rig.step(vec![Command::HandOver {
+    rig.step(vec![Command::Transfer {
         duty: DUTY.to_owned(),
         to: Some("n1".to_owned()),
     }]);
@@ -509,7 +509,7 @@
         "acts although the transfer may have been made"
     );
     rig.unanswered(call);
-    assert_eq!(rig.lost(), [LossReason::HandedOver]);
+    assert_eq!(rig.lost(), [LossReason::Transferred]);
     rig.run(ms(1_000));
     assert!(
         rig.fencing_token() > before,
@@ -530,7 +530,7 @@
     rig.neighbour(&settings());
     rig.run(ms(200));
     let before = rig.fencing_token();
-    rig.step(vec![Command::HandOver {
+    rig.step(vec![Command::Transfer {
         duty: DUTY.to_owned(),
         to: Some("n1".to_owned()),
     }]);
--- a/crates/seamfront-lease/tests/histories.rs
+++ b/crates/seamfront-lease/tests/histories.rs
@@ -40,7 +40,7 @@
         }
         15 => world.command(
             node,
-            Command::HandOver {
+            Command::Transfer {
                 duty: seamfront_testing::fleet_keeper::RETURNING.to_owned(),
                 to: None,
             },
@@ -49,7 +49,7 @@
             let to = format!("n{}", world.draw(0, 2));
             world.command(
                 node,
-                Command::HandOver {
+                Command::Transfer {
                     duty: seamfront_testing::fleet_keeper::RENTING.to_owned(),
                     to: Some(to),
                 },
--- a/crates/seamfront-testing/src/member_simulation.rs
+++ b/crates/seamfront-testing/src/member_simulation.rs
@@ -444,7 +444,7 @@
 
     fn observe(&mut self, node: usize, effect: &Effect) {
         match effect {
-            Effect::Taken { duty, .. } => {
+            Effect::Acquired { duty, .. } => {
                 self.coverage.taken += 1;
                 self.nodes[node].settling.insert(duty.clone());
             }
@@ -460,7 +460,7 @@
                     self.coverage.settling_interrupted += 1;
                 }
                 match reason {
-                    LossReason::HandedOver => self.coverage.handed_over += 1,
+                    LossReason::Transferred => self.coverage.handed_over += 1,
                     LossReason::TokenRefused => self.coverage.refused_tokens += 1,
                     _ => {}
                 }
--- a/crates/seamfront/examples/duty_holder/main.rs
+++ b/crates/seamfront/examples/duty_holder/main.rs
@@ -309,7 +309,7 @@
         performer: cloud.clone(),
         commands: command_queue,
         events: event_queue,
-        perform_time: PERFORM_TIMEOUT,
+        perform_timeout: PERFORM_TIMEOUT,
     };
     let program = Program {
         keeper: Keeper::new(args.target),
--- a/crates/seamfront/examples/measure_duties/main.rs
+++ b/crates/seamfront/examples/measure_duties/main.rs
@@ -70,7 +70,7 @@
         HolderFault::Handover => {
             world.command(
                 holder,
-                Command::HandOver {
+                Command::Transfer {
                     duty: RENTING.to_owned(),
                     to: None,
                 },
