--- a/crates/seamfront-core/src/store_session/watches.rs
+++ b/crates/seamfront-core/src/store_session/watches.rs
@@ -66,7 +66,7 @@
 
     /// Revision up to which the view contains all changes.
     pub(super) fn revision(&self) -> u64 {
-        self.view.seen()
+        self.view.revision()
     }
 
     /// Whether the view is loaded and at least as new as this revision.
@@ -115,7 +115,7 @@
         let pause = context.settings.ask_every();
         let watch = self.watch_mut(view_id);
         watch.request_in_flight = false;
-        let update = watch.view.take(reply);
+        let update = watch.view.handle_reply(reply);
         watch.retry_at = match &update {
             ViewUpdate::Failed => now + RETRY_INTERVAL,
             // The next watch starts after a pause: otherwise every single change would cost each controller a request.
@@ -132,7 +132,7 @@
         view_id: ViewId,
         reply: StoreReply,
     ) -> bool {
-        let update = self.watch_mut(view_id).view.take(reply);
+        let update = self.watch_mut(view_id).view.handle_reply(reply);
         let usable = matches!(update, ViewUpdate::Changed { .. } | ViewUpdate::TooOld);
         self.view_updated(context, view_id, update);
         usable
@@ -144,7 +144,7 @@
                 for change in changes {
                     self.entry_changed(context, view_id, change);
                 }
-                self.watch_mut(view_id).view.reached(revision);
+                self.watch_mut(view_id).view.mark_applied(revision);
             }
             ViewUpdate::Read { entries, revision } => {
                 self.remove_absent(context, view_id, &entries, revision);
--- a/crates/seamfront-lease/tests/histories.rs
+++ b/crates/seamfront-lease/tests/histories.rs
@@ -42,7 +42,7 @@
         }
         15 => world.command(
             node,
-            Command::HandOver {
+            Command::Transfer {
                 duty: seamfront_testing::fleet_reconciler::TERMINATION_DUTY.to_owned(),
                 to: None,
             },
@@ -51,7 +51,7 @@
             let to = format!("n{}", world.draw(0, 2));
             world.command(
                 node,
-                Command::HandOver {
+                Command::Transfer {
                     duty: seamfront_testing::fleet_reconciler::PROVISIONING_DUTY.to_owned(),
                     to: Some(to),
                 },
--- a/crates/seamfront-testing/src/member_simulation.rs
+++ b/crates/seamfront-testing/src/member_simulation.rs
@@ -521,7 +521,7 @@
 
     fn record_effect(&mut self, member: usize, effect: &Effect) {
         match effect {
-            Effect::Taken { duty, .. } => {
+            Effect::Acquired { duty, .. } => {
                 self.coverage.taken += 1;
                 self.members[member].settling_duties.insert(duty.clone());
             }
@@ -537,7 +537,7 @@
                     self.coverage.settling_interrupted += 1;
                 }
                 match reason {
-                    LossReason::HandedOver => self.coverage.handed_over += 1,
+                    LossReason::Transferred => self.coverage.handed_over += 1,
                     LossReason::TokenRefused => self.coverage.refused_tokens += 1,
                     _ => {}
                 }
