--- a/crates/seamfront-core/tests/dependencies.rs
+++ b/crates/seamfront-core/tests/dependencies.rs
@@ -4,7 +4,7 @@
 use seamfront_core::types::*;
 use seamfront_testing::simulation::recording::scenario;
 use seamfront_testing::simulation::scenarios::{
-    count, pairs, pairs_of_all_kinds, play as play_histories, Coverage,
+    count, fault_pairs, fault_pairs_of_all_kinds, simulate_seeds as play_histories, Coverage,
 };
 use seamfront_testing::simulation::{ms, Fault, Scale, Simulation, SMALL};
 use std::ops::Range;
@@ -39,14 +39,14 @@
 #[test]
 fn chains_under_troubles_in_pairs() {
     scenario("chains.chains_under_troubles_in_pairs");
-    let coverage = play(2_100..2_130, pairs);
+    let coverage = play(2_100..2_130, fault_pairs);
     assert!(count(&coverage, CALLED_OFF) > 20, "{coverage:?}");
 }
 
 #[test]
 fn chains_under_all_kinds_of_troubles_in_pairs() {
     scenario("chains.chains_under_all_kinds_of_troubles_in_pairs");
-    let coverage = play(2_700..2_730, pairs_of_all_kinds);
+    let coverage = play(2_700..2_730, fault_pairs_of_all_kinds);
     assert!(count(&coverage, CALLED_OFF) > 20, "{coverage:?}");
 }
 
@@ -61,18 +61,18 @@
             seed,
             Scale {
                 machines: 24,
-                most: 40,
+                max_machines: 40,
                 limits: [0; 10],
                 ..SMALL
             },
         );
-        w.quiet_from = ms(1_000);
+        w.faults_end = ms(1_000);
         for k in 0..8 {
             w.pipeline(200 + 10 * k, 5_000 + 6_000 * i64::from(k));
         }
         w.run_until(ms(200_000));
-        assert_eq!(w.owed(), Vec::<String>::new(), "seed {seed}");
-        waits.extend(w.waits_after_needs());
+        assert_eq!(w.unfinished(), Vec::<String>::new(), "seed {seed}");
+        waits.extend(w.dependency_waits());
     }
     waits.sort();
     let at = |percent: usize| waits[(waits.len() - 1) * percent / 100];
@@ -136,7 +136,7 @@
         );
         w.fault(
             ms(at + spell),
-            Fault::Outage {
+            Fault::StoreOutage {
                 until: ms(at + spell + 34_000),
             },
         );
@@ -187,11 +187,11 @@
             value_bytes: 2_048,
             txn_ops: 16,
             machines: 10,
-            most: 30,
+            max_machines: 30,
             ..SMALL
         };
         let mut w = Simulation::sized(seed, scale);
-        w.quiet_from = ms(120_000);
+        w.faults_end = ms(120_000);
         let mut small = Vec::new();
         for n in 0..400 {
             let mut spec = w.job(1_000 + n);
@@ -223,6 +223,6 @@
             w.fault(ms(24_000 + 20_000 * k), Fault::KillMachines { count: 1 });
         }
         w.run_until(ms(420_000));
-        assert_eq!(w.owed(), Vec::<String>::new(), "seed {seed}");
+        assert_eq!(w.unfinished(), Vec::<String>::new(), "seed {seed}");
     }
 }
--- a/crates/seamfront-core/tests/duties.rs
+++ b/crates/seamfront-core/tests/duties.rs
@@ -4,9 +4,9 @@
 use seamfront_core::types::*;
 use seamfront_testing::simulation::recording::scenario;
 use seamfront_testing::simulation::scenarios::{
-    add_coverage, count, history_of, pairs_of_all_kinds, Coverage,
+    add_coverage, count, fault_pairs_of_all_kinds, simulate_at_scale, Coverage,
 };
-use seamfront_testing::simulation::{ms, Fault, Scale, Simulation, NODES, SMALL};
+use seamfront_testing::simulation::{ms, Fault, Scale, Simulation, CONTROLLERS, SMALL};
 
 const DUTIES: Scale = Scale {
     duties: true,
@@ -21,7 +21,7 @@
 
 /// Holders of duties crash, are refused by the store, cut off, or stand still.
 fn holders_in_trouble(w: &mut Simulation, troubles: i64) {
-    pairs_of_all_kinds(w, troubles);
+    fault_pairs_of_all_kinds(w, troubles);
     for k in 0..8 {
         let at = 6_000 + 10_000 * k + w.draw(0..6_000);
         let claim = CLAIMS[w.draw(0..3) as usize];
@@ -31,8 +31,8 @@
             0 => Fault::CrashHolder { claim, back },
             1 => Fault::RefuseHolder { claim, until },
             2 => Fault::IsolateHolder { claim, until },
-            _ => Fault::PauseNode {
-                node: w.draw(0..NODES as i64) as usize,
+            _ => Fault::PauseController {
+                controller: w.draw(0..CONTROLLERS as i64) as usize,
                 until,
             },
         };
@@ -51,9 +51,9 @@
     scenario("duties.no_rule_breaks_while_holders_of_duties_are_in_trouble");
     let mut coverage = Coverage::new();
     for seed in 5_000..5_010 {
-        let w = history_of(seed, DUTIES, holders_in_trouble);
+        let w = simulate_at_scale(seed, DUTIES, holders_in_trouble);
         assert_eq!(
-            w.stored("duty/switch"),
+            w.count_keys("duty/switch"),
             1,
             "seed {seed}: the leader's claim carries everything still"
         );
@@ -66,7 +66,7 @@
 fn in_calm_hours_one_member_holds_what_belongs_together() {
     scenario("duties.in_calm_hours_one_member_holds_what_belongs_together");
     for seed in 5_100..5_104 {
-        let mut w = history_of(seed, DUTIES, |_, _| {});
+        let mut w = simulate_at_scale(seed, DUTIES, |_, _| {});
         let end = w.now + ms(60_000);
         w.run_until(end);
         let holders: Vec<Option<usize>> = CLAIMS.iter().map(|claim| w.holder(claim)).collect();
@@ -93,7 +93,7 @@
     let mut coverage = Coverage::new();
     for seed in 5_200..5_208 {
         let mut w = Simulation::sized(seed, DUTIES);
-        w.quiet_from = ms(150_000);
+        w.faults_end = ms(150_000);
         w.start_with_old_version();
         for n in 0..40 {
             let spec = w.job(n);
@@ -108,28 +108,28 @@
                 w.cancel(ms(at + later), id);
             }
         }
-        pairs_of_all_kinds(&mut w, 90_000);
-        for node in 0..NODES {
-            let at = 20_000 + 25_000 * node as i64 + w.draw(0..8_000);
+        fault_pairs_of_all_kinds(&mut w, 90_000);
+        for controller in 0..CONTROLLERS {
+            let at = 20_000 + 25_000 * controller as i64 + w.draw(0..8_000);
             w.fault(
                 ms(at - 9_000),
                 Fault::Crash {
-                    nodes: vec![node],
+                    controllers: vec![controller],
                     back: ms(1_000),
                 },
             );
             let back = ms(w.draw(300..5_000));
-            w.fault(ms(at), Fault::Upgrade { node, back });
+            w.fault(ms(at), Fault::Upgrade { controller, back });
         }
         w.run_until(ms(60_000));
         assert_eq!(
-            w.stored("duty/claim/"),
+            w.count_keys("duty/claim/"),
             0,
             "seed {seed}: duties beside an old controller"
         );
         w.run_until(ms(480_000));
-        assert_eq!(w.owed(), Vec::<String>::new(), "seed {seed}");
-        assert_eq!(w.stored("duty/claim/"), 4, "seed {seed}");
+        assert_eq!(w.unfinished(), Vec::<String>::new(), "seed {seed}");
+        assert_eq!(w.count_keys("duty/claim/"), 4, "seed {seed}");
         add_coverage(&mut coverage, w.coverage);
     }
     assert!(count(&coverage, ACTED) > 200, "{coverage:?}");
--- a/crates/seamfront-core/tests/fault_combinations.rs
+++ b/crates/seamfront-core/tests/fault_combinations.rs
@@ -4,10 +4,10 @@
 use seamfront_core::types::*;
 use seamfront_testing::simulation::recording::scenario;
 use seamfront_testing::simulation::scenarios::{
-    add_coverage, any_node, count, play, stream_of_small_jobs, teams_at_their_limits, Coverage,
-    SHARDS,
+    add_coverage, any_controller, count, simulate_seeds, stream_of_small_jobs,
+    teams_at_their_limits, Coverage, SHARD_CLAIMS,
 };
-use seamfront_testing::simulation::{ms, Fault, Simulation, NODES};
+use seamfront_testing::simulation::{ms, Fault, Simulation, CONTROLLERS};
 
 /// The seeded world's jobs, with something changed.
 fn submit(w: &mut Simulation, n: u32, at: i64, change: impl Fn(&mut JobSpec)) {
@@ -26,8 +26,8 @@
 #[test]
 fn cancelled_as_one_is_refused_and_then_all() {
     scenario("fault_combinations.cancelled_as_one_is_refused_and_then_all");
-    let coverage = play(1_000..1_016, |w, _| {
-        for (k, claim) in [(0, SHARDS[0]), (1, SHARDS[1])] {
+    let coverage = simulate_seeds(1_000..1_016, |w, _| {
+        for (k, claim) in [(0, SHARD_CLAIMS[0]), (1, SHARD_CLAIMS[1])] {
             let at = 14_000 + 38_000 * k;
             let spell = w.draw(700..4_500);
             w.fault(
@@ -42,17 +42,17 @@
             w.fault(ms(at + soon), Fault::CancelRunning { count, hang });
             w.fault(
                 ms(at + spell),
-                Fault::Outage {
+                Fault::StoreOutage {
                     until: ms(at + spell + 34_000),
                 },
             );
             if w.draw(0..3) == 0 {
-                let node = any_node(w);
+                let controller = any_controller(w);
                 let back = ms(w.draw(50..900));
                 w.fault(
                     ms(at + spell + 3_000),
                     Fault::Crash {
-                        nodes: vec![node],
+                        controllers: vec![controller],
                         back,
                     },
                 );
@@ -75,7 +75,7 @@
 #[test]
 fn transactions_carried_out_late_after_newer_ones() {
     scenario("fault_combinations.transactions_carried_out_late_after_newer_ones");
-    let coverage = play(1_020..1_032, |w, troubles| {
+    let coverage = simulate_seeds(1_020..1_032, |w, troubles| {
         w.fault(
             ms(5_000),
             Fault::DelayWrites {
@@ -84,7 +84,7 @@
         );
         for k in 0..4 {
             let at = 12_000 + 18_000 * k + w.draw(0..6_000);
-            let claim = SHARDS[w.draw(0..3) as usize];
+            let claim = SHARD_CLAIMS[w.draw(0..3) as usize];
             let back = ms(w.draw(100..6_000));
             w.fault(ms(at), Fault::CrashHolder { claim, back });
         }
@@ -105,17 +105,17 @@
 #[test]
 fn a_zone_with_a_controller_cut_off_for_longer_than_a_lease() {
     scenario("fault_combinations.a_zone_with_a_controller_cut_off_for_longer_than_a_lease");
-    let coverage = play(1_040..1_050, |w, _| {
+    let coverage = simulate_seeds(1_040..1_050, |w, _| {
         for k in 0..2 {
             let at = 10_000 + 40_000 * k;
             // Longer than a lease of 12 s.
             let lasts = 20_000 + 12_000 * k;
-            let (node, zone) = (any_node(w), if k == 0 { "x" } else { "y" });
+            let (controller, zone) = (any_controller(w), if k == 0 { "x" } else { "y" });
             w.fault(
                 ms(at),
                 Fault::CutZone {
                     zone,
-                    node,
+                    controller,
                     until: ms(at + lasts),
                 },
             );
@@ -140,7 +140,7 @@
 #[test]
 fn cancellations_questions_and_submissions_meet_a_jobs_end() {
     scenario("fault_combinations.cancellations_questions_and_submissions_meet_a_jobs_end");
-    let coverage = play(1_060..1_070, |w, troubles| {
+    let coverage = simulate_seeds(1_060..1_070, |w, troubles| {
         w.fault(
             ms(3_000),
             Fault::CancelAtCompletion {
@@ -160,7 +160,7 @@
 #[test]
 fn requests_that_make_no_sense_change_nothing() {
     scenario("fault_combinations.requests_that_make_no_sense_change_nothing");
-    let coverage = play(1_070..1_078, |w, troubles| {
+    let coverage = simulate_seeds(1_070..1_078, |w, troubles| {
         w.fault(
             ms(3_000),
             Fault::InvalidRequests {
@@ -181,10 +181,10 @@
 #[test]
 fn handed_over_and_back_all_end_and_one_returns_at_once() {
     scenario("fault_combinations.handed_over_and_back_all_end_and_one_returns_at_once");
-    let coverage = play(1_080..1_092, |w, _| {
+    let coverage = simulate_seeds(1_080..1_092, |w, _| {
         for k in 0..5 {
             let at = 9_000 + 15_000 * k + w.draw(0..3_000);
-            let claim = SHARDS[(k % 3) as usize];
+            let claim = SHARD_CLAIMS[(k % 3) as usize];
             let back = ms(w.draw(4_500..6_500));
             w.fault(ms(at), Fault::CrashHolder { claim, back });
             let back = ms(w.draw(50..900));
@@ -196,14 +196,14 @@
                 w.fault(
                     ms(home + 200),
                     Fault::Crash {
-                        nodes: (0..NODES).collect(),
+                        controllers: (0..CONTROLLERS).collect(),
                         back: ms(soon),
                     },
                 );
             }
             w.fault(
                 ms(home),
-                Fault::SlowState {
+                Fault::SlowStore {
                     until: ms(home + 2_500),
                 },
             );
@@ -218,8 +218,8 @@
 #[test]
 fn a_slow_state_service_refuses_the_leader_and_then_everybody() {
     scenario("fault_combinations.a_slow_state_service_refuses_the_leader_and_then_everybody");
-    let coverage = play(1_100..1_110, |w, _| {
-        w.fault(ms(10_000), Fault::SlowState { until: ms(85_000) });
+    let coverage = simulate_seeds(1_100..1_110, |w, _| {
+        w.fault(ms(10_000), Fault::SlowStore { until: ms(85_000) });
         for k in 0..2 {
             let at = 14_000 + 38_000 * k;
             w.fault(
@@ -239,7 +239,7 @@
             let down = at + w.draw(3_000..7_000);
             w.fault(
                 ms(down),
-                Fault::Outage {
+                Fault::StoreOutage {
                     until: ms(down + 32_000),
                 },
             );
@@ -259,7 +259,7 @@
 fn leaders_change_ten_times_in_two_minutes() {
     scenario("fault_combinations.leaders_change_ten_times_in_two_minutes");
     for seed in 1_120..1_128 {
-        let coverage = play(seed..seed + 1, |w, _| {
+        let coverage = simulate_seeds(seed..seed + 1, |w, _| {
             for k in 0..12 {
                 let at = 5_000 + 7_000 * k;
                 let back = ms(if k % 3 == 0 { 400 } else { 5_000 });
@@ -274,7 +274,7 @@
             let at = w.draw(20_000..50_000);
             w.fault(
                 ms(at),
-                Fault::Outage {
+                Fault::StoreOutage {
                     until: ms(at + 6_000),
                 },
             );
@@ -289,10 +289,10 @@
 #[test]
 fn old_reports_after_newer_ones_of_another_session_or_attempt() {
     scenario("fault_combinations.old_reports_after_newer_ones_of_another_session_or_attempt");
-    let coverage = play(1_140..1_150, |w, troubles| {
+    let coverage = simulate_seeds(1_140..1_150, |w, troubles| {
         w.fault(
             ms(1_000),
-            Fault::DuplicateReports {
+            Fault::DuplicateHeartbeats {
                 until: ms(troubles),
             },
         );
@@ -309,7 +309,7 @@
 #[test]
 fn jobs_bound_to_a_zone_lose_machines() {
     scenario("fault_combinations.jobs_bound_to_a_zone_lose_machines");
-    let coverage = play(1_160..1_170, |w, _| {
+    let coverage = simulate_seeds(1_160..1_170, |w, _| {
         for n in 100..120 {
             let at = w.draw(500..70_000);
             submit(w, n, at, |s| {
@@ -319,7 +319,10 @@
         }
         for k in 0..6 {
             w.fault(ms(8_000 + 12_000 * k), Fault::KillMachines { count: 2 });
-            w.fault(ms(11_000 + 12_000 * k), Fault::Notice { count: 1 });
+            w.fault(
+                ms(11_000 + 12_000 * k),
+                Fault::PreemptionNotice { count: 1 },
+            );
         }
     });
     assert!(
@@ -331,7 +334,7 @@
 #[test]
 fn a_leader_ends_while_machines_are_out_of_reach_or_hear_nothing() {
     scenario("fault_combinations.a_leader_ends_while_machines_are_out_of_reach_or_hear_nothing");
-    let coverage = play(1_180..1_190, |w, _| {
+    let coverage = simulate_seeds(1_180..1_190, |w, _| {
         for k in 0..4 {
             let at = 9_000 + 19_000 * k;
             let lasts = ms(w.draw(6_000..26_000));
@@ -344,7 +347,7 @@
             w.fault(
                 ms(at + 300),
                 Fault::CrashHolder {
-                    claim: SHARDS[(k % 3) as usize],
+                    claim: SHARD_CLAIMS[(k % 3) as usize],
                     back,
                 },
             );
@@ -371,11 +374,11 @@
 #[test]
 fn machines_that_reach_no_controller_obey_commands() {
     scenario("fault_combinations.machines_that_reach_no_controller_obey_commands");
-    let coverage = play(1_200..1_224, |w, _| {
+    let coverage = simulate_seeds(1_200..1_224, |w, _| {
         for k in 0..5 {
             let at = 8_000 + 15_000 * k;
             let lasts = ms(w.draw(3_000..30_000));
-            w.fault(ms(at), Fault::LoseReports { count: 3, lasts });
+            w.fault(ms(at), Fault::LoseHeartbeats { count: 3, lasts });
         }
         for n in 100..140 {
             let at = w.draw(5_000..85_000);
@@ -398,13 +401,13 @@
     scenario(
         "fault_combinations.a_leader_without_state_service_and_peers_goes_on_with_its_workers",
     );
-    let coverage = play(1_240..1_252, |w, _| {
+    let coverage = simulate_seeds(1_240..1_252, |w, _| {
         for k in 0..2 {
             let at = 10_000 + 40_000 * k;
             let claim = if k == 0 {
                 "leader"
             } else {
-                SHARDS[w.draw(0..3) as usize]
+                SHARD_CLAIMS[w.draw(0..3) as usize]
             };
             w.fault(
                 ms(at),
@@ -434,13 +437,13 @@
 #[test]
 fn all_controllers_away_for_longer_than_a_lease() {
     scenario("fault_combinations.all_controllers_away_for_longer_than_a_lease");
-    let coverage = play(1_260..1_268, |w, _| {
+    let coverage = simulate_seeds(1_260..1_268, |w, _| {
         for at in [12_000, 50_000] {
             let back = ms(w.draw(13_000..26_000));
             w.fault(
                 ms(at),
                 Fault::Crash {
-                    nodes: (0..NODES).collect(),
+                    controllers: (0..CONTROLLERS).collect(),
                     back,
                 },
             );
@@ -455,7 +458,7 @@
 #[test]
 fn commands_and_answers_held_up_for_seconds() {
     scenario("fault_combinations.commands_and_answers_held_up_for_seconds");
-    let coverage = play(1_280..1_292, |w, troubles| {
+    let coverage = simulate_seeds(1_280..1_292, |w, troubles| {
         w.fault(
             ms(5_000),
             Fault::DelayAnswers {
@@ -464,7 +467,10 @@
         );
         for k in 0..6 {
             let lasts = ms(w.draw(1_000..10_000));
-            w.fault(ms(9_000 + 12_000 * k), Fault::Hang { count: 3, lasts });
+            w.fault(
+                ms(9_000 + 12_000 * k),
+                Fault::HangMachines { count: 3, lasts },
+            );
         }
     });
     assert!(
@@ -478,7 +484,7 @@
     scenario(
         "fault_combinations.a_team_at_its_limit_as_the_leader_changes_and_machines_cannot_be_asked",
     );
-    let coverage = play(1_300..1_320, |w, _| {
+    let coverage = simulate_seeds(1_300..1_320, |w, _| {
         for n in 100..118 {
             let at = w.draw(500..80_000);
             submit(w, n, at, |s| {
@@ -493,7 +499,7 @@
             w.fault(
                 ms(at + 1_000),
                 Fault::CrashHolder {
-                    claim: SHARDS[(k % 3) as usize],
+                    claim: SHARD_CLAIMS[(k % 3) as usize],
                     back: ms(5_500),
                 },
             );
@@ -515,10 +521,10 @@
 #[test]
 fn a_held_report_arrives_at_the_new_leader() {
     scenario("fault_combinations.a_held_report_arrives_at_the_new_leader");
-    let coverage = play(1_320..1_332, |w, troubles| {
+    let coverage = simulate_seeds(1_320..1_332, |w, troubles| {
         w.fault(
             ms(1_000),
-            Fault::DuplicateReports {
+            Fault::DuplicateHeartbeats {
                 until: ms(troubles),
             },
         );
@@ -528,7 +534,7 @@
             w.fault(
                 ms(at),
                 Fault::CrashHolder {
-                    claim: SHARDS[(k % 3) as usize],
+                    claim: SHARD_CLAIMS[(k % 3) as usize],
                     back,
                 },
             );
@@ -546,7 +552,7 @@
 #[test]
 fn small_jobs_end_far_apart_across_a_change_of_leader() {
     scenario("fault_combinations.small_jobs_end_far_apart_across_a_change_of_leader");
-    let coverage = play(1_340..1_350, |w, _| {
+    let coverage = simulate_seeds(1_340..1_350, |w, _| {
         for n in 100..140 {
             let (at, tasks) = (w.draw(500..80_000), w.draw(2..4) as u32);
             submit(w, n, at, |s| (s.kind, s.tasks) = (JobKind::Array, tasks));
@@ -557,7 +563,7 @@
             w.fault(
                 ms(at),
                 Fault::CrashHolder {
-                    claim: SHARDS[(k % 3) as usize],
+                    claim: SHARD_CLAIMS[(k % 3) as usize],
                     back,
                 },
             );
@@ -575,7 +581,7 @@
 #[test]
 fn more_work_than_room_over_slow_links() {
     scenario("fault_combinations.more_work_than_room_over_slow_links");
-    let coverage = play(1_360..1_366, |w, troubles| {
+    let coverage = simulate_seeds(1_360..1_366, |w, troubles| {
         w.fault(
             ms(3_000),
             Fault::DelayAnswers {
@@ -598,11 +604,11 @@
             });
         }
         for k in 0..3 {
-            let node = any_node(w);
+            let controller = any_controller(w);
             w.fault(
                 ms(10_000 + 25_000 * k),
-                Fault::SlowNode {
-                    node,
+                Fault::SlowController {
+                    controller,
                     until: ms(25_000 + 25_000 * k),
                 },
             );
@@ -615,15 +621,15 @@
 #[test]
 fn a_controller_stands_still_while_others_take_over() {
     scenario("fault_combinations.a_controller_stands_still_while_others_take_over");
-    play(1_380..1_392, |w, _| {
+    simulate_seeds(1_380..1_392, |w, _| {
         for k in 0..4 {
             let at = 8_000 + 20_000 * k;
             let lasts = w.draw(3_000..18_000);
-            let node = any_node(w);
+            let controller = any_controller(w);
             w.fault(
                 ms(at),
-                Fault::PauseNode {
-                    node,
+                Fault::PauseController {
+                    controller,
                     until: ms(at + lasts),
                 },
             );
@@ -642,9 +648,9 @@
 #[test]
 fn troubles_in_pairs() {
     scenario("fault_combinations.troubles_in_pairs");
-    play(
+    simulate_seeds(
         1_400..1_440,
-        seamfront_testing::simulation::scenarios::pairs,
+        seamfront_testing::simulation::scenarios::fault_pairs,
     );
 }
 
@@ -653,16 +659,16 @@
 #[test]
 fn a_machine_that_comes_back_while_it_is_given_up() {
     scenario("fault_combinations.a_machine_that_comes_back_while_it_is_given_up");
-    play(
+    simulate_seeds(
         41_407..41_408,
-        seamfront_testing::simulation::scenarios::pairs,
+        seamfront_testing::simulation::scenarios::fault_pairs,
     );
 }
 
 #[test]
 fn jobs_are_cancelled_as_the_work_of_a_controller_changes_hands() {
     scenario("fault_combinations.jobs_are_cancelled_as_the_work_of_a_controller_changes_hands");
-    let coverage = play(1_500..1_512, |w, _| {
+    let coverage = simulate_seeds(1_500..1_512, |w, _| {
         for k in 0..4 {
             let at = 9_000 + 19_000 * k;
             // Its claim ends within 4 s, and goes back to it 3 s after it is ready again.
@@ -670,7 +676,7 @@
             w.fault(
                 ms(at),
                 Fault::CrashHolder {
-                    claim: SHARDS[(k % 3) as usize],
+                    claim: SHARD_CLAIMS[(k % 3) as usize],
                     back,
                 },
             );
@@ -710,7 +716,7 @@
 #[test]
 fn a_command_of_a_former_leader_arrives_after_the_new_leaders() {
     scenario("fault_combinations.a_command_of_a_former_leader_arrives_after_the_new_leaders");
-    let coverage = play(1_540..1_556, |w, troubles| {
+    let coverage = simulate_seeds(1_540..1_556, |w, troubles| {
         w.fault(
             ms(3_000),
             Fault::DelayCommands {
@@ -719,7 +725,7 @@
         );
         for k in 0..6 {
             let at = 8_000 + 13_000 * k + w.draw(0..3_000);
-            let claim = SHARDS[(k % 3) as usize];
+            let claim = SHARD_CLAIMS[(k % 3) as usize];
             let back = ms(w.draw(100..6_000));
             let fault = match k % 2 {
                 0 => Fault::CrashHolder { claim, back },
@@ -747,7 +753,7 @@
     scenario(
         "fault_combinations.new_machines_get_work_at_once_while_writes_lag_and_the_leader_ends",
     );
-    let coverage = play(1_560..1_572, |w, troubles| {
+    let coverage = simulate_seeds(1_560..1_572, |w, troubles| {
         w.fault(
             ms(1_000),
             Fault::FastBoots {
@@ -758,7 +764,7 @@
             let at = 7_000 + 16_000 * k;
             w.fault(
                 ms(at),
-                Fault::SlowState {
+                Fault::SlowStore {
                     until: ms(at + 9_000),
                 },
             );
@@ -774,7 +780,7 @@
                 let claim = if n % 2 == 0 {
                     "leader"
                 } else {
-                    SHARDS[w.draw(0..3) as usize]
+                    SHARD_CLAIMS[w.draw(0..3) as usize]
                 };
                 let back = ms(w.draw(50..900));
                 w.fault(
@@ -791,10 +797,10 @@
 #[test]
 fn old_reports_reach_every_controller_as_a_new_leader_begins() {
     scenario("fault_combinations.old_reports_reach_every_controller_as_a_new_leader_begins");
-    let coverage = play(1_580..1_592, |w, troubles| {
+    let coverage = simulate_seeds(1_580..1_592, |w, troubles| {
         w.fault(
             ms(1_000),
-            Fault::KeepReports {
+            Fault::ReplayHeartbeats {
                 until: ms(troubles),
             },
         );
@@ -803,7 +809,7 @@
             let claim = if k % 2 == 0 {
                 "leader"
             } else {
-                SHARDS[(k % 3) as usize]
+                SHARD_CLAIMS[(k % 3) as usize]
             };
             let back = ms(if k % 2 == 0 { 300 } else { 5_500 });
             w.fault(ms(at), Fault::CrashHolder { claim, back });
@@ -821,7 +827,7 @@
 #[test]
 fn only_the_answer_to_a_transaction_is_lost_while_others_read_it() {
     scenario("fault_combinations.only_the_answer_to_a_transaction_is_lost_while_others_read_it");
-    let coverage = play(1_600..1_612, |w, troubles| {
+    let coverage = simulate_seeds(1_600..1_612, |w, troubles| {
         w.fault(
             ms(3_000),
             Fault::LoseCommitAnswers {
@@ -830,13 +836,13 @@
         );
         w.fault(
             ms(3_000),
-            Fault::CloseLooks {
+            Fault::PollEverywhere {
                 until: ms(troubles),
             },
         );
         for k in 0..3 {
             let at = 15_000 + 22_000 * k;
-            let claim = SHARDS[(k % 3) as usize];
+            let claim = SHARD_CLAIMS[(k % 3) as usize];
             let back = ms(w.draw(100..6_000));
             w.fault(ms(at), Fault::CrashHolder { claim, back });
             w.fault(
@@ -855,10 +861,10 @@
 #[test]
 fn users_ask_at_all_controllers_within_milliseconds() {
     scenario("fault_combinations.users_ask_at_all_controllers_within_milliseconds");
-    let coverage = play(1_620..1_634, |w, troubles| {
+    let coverage = simulate_seeds(1_620..1_634, |w, troubles| {
         w.fault(
             ms(1_000),
-            Fault::CloseLooks {
+            Fault::PollEverywhere {
                 until: ms(troubles),
             },
         );
@@ -878,18 +884,18 @@
                 },
             );
             let fault = match k {
-                0 => Fault::SlowState {
+                0 => Fault::SlowStore {
                     until: ms(at + 8_000),
                 },
                 1 => Fault::RefuseHolder {
-                    claim: SHARDS[1],
+                    claim: SHARD_CLAIMS[1],
                     until: ms(at + 8_000),
                 },
                 2 => Fault::DelayWrites {
                     until: ms(at + 8_000),
                 },
                 _ => Fault::CrashHolder {
-                    claim: SHARDS[2],
+                    claim: SHARD_CLAIMS[2],
                     back: ms(400),
                 },
             };
@@ -915,7 +921,7 @@
         assert_eq!(w.accepted(), 480, "seed {seed}");
         let writes = |from: i64| {
             (from..from + 10)
-                .filter_map(|s| w.asked_of_store.get(&s))
+                .filter_map(|s| w.store_load.get(&s))
                 .map(|s| s.1)
                 .sum::<u32>()
         };
@@ -932,8 +938,8 @@
 #[test]
 fn all_kinds_of_troubles_in_pairs() {
     scenario("fault_combinations.all_kinds_of_troubles_in_pairs");
-    play(
+    simulate_seeds(
         1_700..1_740,
-        seamfront_testing::simulation::scenarios::pairs_of_all_kinds,
+        seamfront_testing::simulation::scenarios::fault_pairs_of_all_kinds,
     );
 }
--- a/crates/seamfront-core/tests/garbage_collection.rs
+++ b/crates/seamfront-core/tests/garbage_collection.rs
@@ -2,7 +2,7 @@
 //! goes, and no rule is broken meanwhile.
 
 use seamfront_testing::simulation::recording::scenario;
-use seamfront_testing::simulation::scenarios::{history_of, pairs_of_all_kinds};
+use seamfront_testing::simulation::scenarios::{fault_pairs_of_all_kinds, simulate_at_scale};
 use seamfront_testing::simulation::{ms, Scale, Simulation, SMALL};
 
 const DUTIES: Scale = Scale {
@@ -27,24 +27,24 @@
 fn only_records_of_ended_jobs_are_removed_under_troubles() {
     scenario("cleaning.only_records_of_ended_jobs_are_removed_under_troubles");
     for seed in 4_000..4_012 {
-        let mut w = history_of(seed, DUTIES, |w, troubles| {
+        let mut w = simulate_at_scale(seed, DUTIES, |w, troubles| {
             for n in 0..45 {
-                w.leave_key(&leftovers(n)[0]);
+                w.put_key(&leftovers(n)[0]);
             }
-            pairs_of_all_kinds(w, troubles);
+            fault_pairs_of_all_kinds(w, troubles);
         });
         let ended = |w: &Simulation, n: u32| !w.stored_keys(&format!("end/j-{n:06}")).is_empty();
         // Nobody has submitted these; that may yet come, and what they need with it.
         for n in 900..920 {
             for key in leftovers(n) {
-                w.leave_key(&key);
+                w.put_key(&key);
             }
         }
         for n in (0..45).filter(|n| ended(&w, *n)).collect::<Vec<_>>() {
-            w.leave_key(&leftovers(n)[1]);
+            w.put_key(&leftovers(n)[1]);
         }
         // A part with its head, though its job has ended: it belongs to that.
-        w.leave_key("work/1/j-000001");
+        w.put_key("work/1/j-000001");
         sweep(&mut w);
         for n in 0..45 {
             let [dependencies, part] = leftovers(n);
@@ -71,7 +71,7 @@
 #[test]
 fn many_leftovers_of_one_job_are_removed_in_several_transactions() {
     scenario("cleaning.many_leftovers_of_one_job_are_removed_in_several_transactions");
-    let mut w = history_of(
+    let mut w = simulate_at_scale(
         4_100,
         Scale {
             value_bytes: 4_096,
@@ -84,7 +84,7 @@
         .find(|n| !w.stored_keys(&format!("end/j-{n:06}")).is_empty())
         .expect("a job that has ended");
     for part in 0..100 {
-        w.leave_key(&format!("needs/j-{job:06}/{part:05}"));
+        w.put_key(&format!("needs/j-{job:06}/{part:05}"));
     }
     sweep(&mut w);
     assert!(w.stored_keys("needs/").is_empty());
@@ -93,8 +93,8 @@
 #[test]
 fn without_duties_nothing_is_written_nor_removed() {
     scenario("cleaning.without_duties_nothing_is_written_nor_removed");
-    let mut w = history_of(4_200, SMALL, |_, _| {});
-    w.leave_key("needs/j-000001/00001");
+    let mut w = simulate_at_scale(4_200, SMALL, |_, _| {});
+    w.put_key("needs/j-000001/00001");
     sweep(&mut w);
     assert_eq!(w.stored_keys("needs/").len(), 1);
     assert!(w.stored_keys("duty").is_empty());
--- a/crates/seamfront-core/tests/operational_faults.rs
+++ b/crates/seamfront-core/tests/operational_faults.rs
@@ -5,9 +5,9 @@
 use seamfront_core::types::*;
 use seamfront_testing::simulation::recording::scenario;
 use seamfront_testing::simulation::scenarios::{
-    add_coverage, any_node, count, history, play, Coverage, SHARDS,
+    add_coverage, any_controller, count, simulate, simulate_seeds, Coverage, SHARD_CLAIMS,
 };
-use seamfront_testing::simulation::{ms, Fault, Scale, Simulation, NODES, SMALL};
+use seamfront_testing::simulation::{ms, Fault, Scale, Simulation, CONTROLLERS, SMALL};
 
 /// Nothing that never comes up is paid for once the troubles are over, whoever has led since it was rented.
 #[test]
@@ -15,7 +15,7 @@
     scenario("on_call.machines_come_up_late_or_never_while_leaders_change");
     let mut coverage = Coverage::new();
     for seed in 2_000..2_012 {
-        let w = history(seed, |w, troubles| {
+        let w = simulate(seed, |w, troubles| {
             let percent = [100, 400, 800][w.draw(0..3) as usize];
             w.fault(
                 ms(1_000),
@@ -40,7 +40,7 @@
                 w.fault(ms(at), fault);
             }
         });
-        assert_eq!(w.never_up(), [], "seed {seed}: paid for to the end");
+        assert_eq!(w.never_booting(), [], "seed {seed}: paid for to the end");
         add_coverage(&mut coverage, w.coverage);
     }
     assert!(
@@ -53,7 +53,7 @@
 #[test]
 fn nothing_boots_or_everything_at_once() {
     scenario("on_call.nothing_boots_or_everything_at_once");
-    let coverage = play(2_020..2_030, |w, _| {
+    let coverage = simulate_seeds(2_020..2_030, |w, _| {
         w.fault(
             ms(1_000),
             Fault::BadBoots {
@@ -98,39 +98,51 @@
 #[test]
 fn controllers_are_silent_for_a_minute_while_jobs_are_cancelled() {
     scenario("on_call.controllers_are_silent_for_a_minute_while_jobs_are_cancelled");
-    let coverage = play(2_040..2_054, |w, _| {
-        let first = any_node(w);
-        let second = (first + 1) % NODES;
+    let coverage = simulate_seeds(2_040..2_054, |w, _| {
+        let first = any_controller(w);
+        let second = (first + 1) % CONTROLLERS;
         for (k, n) in [first, second, first].into_iter().enumerate() {
             let at = [8_000, 9_500, 71_500][k];
             let until = ms(at + [60_000, 45_000, 15_000][k]);
             if w.draw(0..2) == 0 {
-                w.fault(ms(at), Fault::PauseNode { node: n, until });
+                w.fault(
+                    ms(at),
+                    Fault::PauseController {
+                        controller: n,
+                        until,
+                    },
+                );
             } else {
                 w.fault(
                     ms(at),
-                    Fault::CutState {
-                        node: n,
+                    Fault::CutStore {
+                        controller: n,
                         until,
                         hold: true,
                     },
                 );
                 w.fault(
                     ms(at),
-                    Fault::CutWorkers {
-                        node: n,
+                    Fault::CutAgents {
+                        controller: n,
                         until,
                         hold: true,
                     },
                 );
-                w.fault(ms(at), Fault::CutMesh { node: n, until });
+                w.fault(
+                    ms(at),
+                    Fault::CutPeers {
+                        controller: n,
+                        until,
+                    },
+                );
             }
         }
         for at in [10_000, 22_000, 68_500, 73_000] {
             let hang = ms(w.draw(0..8_000));
             w.fault(ms(at), Fault::CancelRunning { count: 3, hang });
         }
-        w.fault(ms(8_000), Fault::DuplicateReports { until: ms(85_000) });
+        w.fault(ms(8_000), Fault::DuplicateHeartbeats { until: ms(85_000) });
     });
     assert!(
         count(&coverage, "leadership was taken") > 20,
@@ -143,21 +155,24 @@
 #[test]
 fn a_controller_sees_a_part_of_what_it_needs() {
     scenario("on_call.a_controller_sees_a_part_of_what_it_needs");
-    let coverage = play(2_060..2_076, |w, _| {
+    let coverage = simulate_seeds(2_060..2_076, |w, _| {
         for k in 0..3 {
             let at = 9_000 + 26_000 * k;
-            let n = any_node(w);
+            let n = any_controller(w);
             let until = ms(at + [5_000, 11_000, 24_000][w.draw(0..3) as usize]);
             let hold = w.draw(0..2) == 0;
             let fault = match w.draw(0..4) {
-                0 => Fault::CutState {
-                    node: n,
+                0 => Fault::CutStore {
+                    controller: n,
                     until,
                     hold,
                 },
-                1 => Fault::Refused { node: n, until },
-                _ => Fault::CutWorkers {
-                    node: n,
+                1 => Fault::RefuseController {
+                    controller: n,
+                    until,
+                },
+                _ => Fault::CutAgents {
+                    controller: n,
                     until,
                     hold,
                 },
@@ -181,7 +196,7 @@
 #[test]
 fn jobs_that_fail_on_every_machine_until_they_are_cancelled() {
     scenario("on_call.jobs_that_fail_on_every_machine_until_they_are_cancelled");
-    let coverage = play(2_080..2_092, |w, _| {
+    let coverage = simulate_seeds(2_080..2_092, |w, _| {
         for n in 100..112 {
             let mut spec = w.job(n);
             if spec.team == "b" {
@@ -189,14 +204,14 @@
             }
             spec.class = format!("{} with a mistake", spec.class);
             let (id, at) = (spec.id.clone(), w.draw(500..30_000));
-            w.fails_always(&spec);
+            w.make_failing(&spec);
             w.submit(ms(at), spec);
             let later = w.draw(25_000..60_000);
             w.cancel(ms(at + later), id);
         }
         for k in 0..3 {
             let at = 14_000 + 22_000 * k + w.draw(0..6_000);
-            let claim = SHARDS[w.draw(0..3) as usize];
+            let claim = SHARD_CLAIMS[w.draw(0..3) as usize];
             let back = ms(w.draw(100..6_000));
             w.fault(ms(at), Fault::CrashHolder { claim, back });
         }
@@ -219,7 +234,7 @@
         let mut sum = 0;
         let mut coverage = Coverage::new();
         for seed in 2_100..2_106 {
-            let w = history(seed, |w, _| {
+            let w = simulate(seed, |w, _| {
                 w.fault(
                     ms(15_000),
                     Fault::PollStorm {
@@ -242,9 +257,7 @@
                     },
                 );
             });
-            sum += (20..70)
-                .map(|second| w.asked_of_store[&second].0)
-                .sum::<u32>();
+            sum += (20..70).map(|second| w.store_load[&second].0).sum::<u32>();
             add_coverage(&mut coverage, w.coverage);
         }
         (
@@ -278,14 +291,14 @@
             seed,
             Scale {
                 machines: 60,
-                most: 90,
+                max_machines: 90,
                 write_rps: 16,
                 limits: [0; 10],
                 ..SMALL
             },
         );
-        w.quiet_from = ms(1_000);
-        w.fault(ms(1), Fault::SlowRentals { until: ms(60_000) });
+        w.faults_end = ms(1_000);
+        w.fault(ms(1), Fault::SlowProvisioning { until: ms(60_000) });
         for n in 0..20 {
             let mut spec = w.job(n);
             (spec.kind, spec.tasks, spec.types) = (JobKind::Array, 30, Some(vec!["large".into()]));
@@ -294,9 +307,9 @@
         }
         w.run_until(ms(25_000));
         assert!(
-            w.stored("machine/") >= 60,
+            w.count_keys("machine/") >= 60,
             "seed {seed}: {} of 60 after 25 s",
-            w.stored("machine/")
+            w.count_keys("machine/")
         );
         assert!(
             count(
@@ -318,12 +331,12 @@
             seed,
             Scale {
                 machines: 16,
-                most: 20,
+                max_machines: 20,
                 limits: [0; 10],
                 ..SMALL
             },
         );
-        w.quiet_from = ms(90_000);
+        w.faults_end = ms(90_000);
         for n in 0..30 {
             let mut spec = w.job(n);
             spec.team = ["a", "b", "c"][n as usize % 3].into();
@@ -364,9 +377,9 @@
             },
         );
         w.run_until(ms(390_000));
-        assert_eq!(w.owed(), Vec::<String>::new(), "seed {seed}");
+        assert_eq!(w.unfinished(), Vec::<String>::new(), "seed {seed}");
         assert_eq!(w.not_served(), Vec::<String>::new(), "seed {seed}");
-        let writes: u32 = w.asked_of_store.values().map(|second| second.1).sum();
+        let writes: u32 = w.store_load.values().map(|second| second.1).sum();
         assert!(
             writes < TASKS,
             "seed {seed}: {writes} writes for {TASKS} tasks and thirty other jobs"
--- a/crates/seamfront-core/tests/records.rs
+++ b/crates/seamfront-core/tests/records.rs
@@ -7,9 +7,9 @@
 use seamfront_core::types::*;
 use seamfront_testing::simulation::recording::scenario;
 use seamfront_testing::simulation::scenarios::{
-    add_coverage, count, log_if_chosen, pairs_of_all_kinds, Coverage,
+    add_coverage, count, fault_pairs_of_all_kinds, init_logging_if_selected, Coverage,
 };
-use seamfront_testing::simulation::{ms, Fault, Scale, Simulation, NODES, SMALL};
+use seamfront_testing::simulation::{ms, Fault, Scale, Simulation, CONTROLLERS, SMALL};
 use serde_json::{json, Value};
 use std::collections::BTreeMap;
 
@@ -155,7 +155,7 @@
         value_bytes: VALUE,
         txn_ops: CHANGES,
         machines,
-        most: machines + 12,
+        max_machines: machines + 12,
         limits: [0; 10],
         page: 40,
         ..SMALL
@@ -182,11 +182,11 @@
     scenario("records.a_gang_of_two_hundred_members_runs_with_small_values");
     let mut coverage = Coverage::new();
     for seed in 3_000..3_003 {
-        log_if_chosen(seed);
+        init_logging_if_selected(seed);
         let mut w = Simulation::sized(seed, small_values(210));
-        w.quiet_from = ms(90_000);
+        w.faults_end = ms(90_000);
         let first = large_gang(&mut w, 1, 200);
-        let shard = w.shard_key(&first);
+        let shard = w.shard_claim(&first);
         w.fault(
             ms(24_000),
             Fault::CrashHolder {
@@ -206,9 +206,9 @@
         let second = large_gang(&mut w, 2, 180);
         w.cancel(ms(70_000), second);
         w.run_until(ms(400_000));
-        assert_eq!(w.owed(), Vec::<String>::new(), "seed {seed}");
+        assert_eq!(w.unfinished(), Vec::<String>::new(), "seed {seed}");
         assert_eq!(
-            w.stored("part/"),
+            w.count_keys("part/"),
             0,
             "seed {seed}: parts are removed with their record"
         );
@@ -231,9 +231,9 @@
     scenario("records.old_and_new_versions_run_side_by_side");
     let mut coverage = Coverage::new();
     for seed in 3_100..3_116 {
-        log_if_chosen(seed);
+        init_logging_if_selected(seed);
         let mut w = Simulation::sized(seed, small_values(110));
-        w.quiet_from = ms(150_000);
+        w.faults_end = ms(150_000);
         w.start_with_old_version();
         for n in 0..40 {
             let spec = w.job(n);
@@ -257,25 +257,25 @@
             (large.one_zone, large.spread) = (false, false);
             w.submit(ms(at), large);
         }
-        pairs_of_all_kinds(&mut w, 90_000);
+        fault_pairs_of_all_kinds(&mut w, 90_000);
         w.fault(ms(5_000), Fault::DelayWrites { until: ms(100_000) });
-        for node in 0..NODES {
-            let at = 20_000 + 25_000 * node as i64 + w.draw(0..8_000);
+        for controller in 0..CONTROLLERS {
+            let at = 20_000 + 25_000 * controller as i64 + w.draw(0..8_000);
             let back = ms(w.draw(300..5_000));
             // One that dies before its turn comes back old.
             w.fault(
                 ms(at - 9_000),
                 Fault::Crash {
-                    nodes: vec![node],
+                    controllers: vec![controller],
                     back: ms(1_000),
                 },
             );
-            w.fault(ms(at), Fault::Upgrade { node, back });
+            w.fault(ms(at), Fault::Upgrade { controller, back });
         }
         let at = w.draw(95_000..105_000);
         w.pipeline(200, at);
         w.run_until(ms(480_000));
-        assert_eq!(w.owed(), Vec::<String>::new(), "seed {seed}");
+        assert_eq!(w.unfinished(), Vec::<String>::new(), "seed {seed}");
         add_coverage(&mut coverage, w.coverage);
     }
     assert!(
--- a/crates/seamfront-core/tests/rules.rs
+++ b/crates/seamfront-core/tests/rules.rs
@@ -3,37 +3,45 @@
 
 use seamfront_core::types::*;
 use seamfront_testing::simulation::recording::scenario;
-use seamfront_testing::simulation::scenarios::history;
-use seamfront_testing::simulation::{ms, Fault, Simulation, NODES};
+use seamfront_testing::simulation::scenarios::simulate;
+use seamfront_testing::simulation::{ms, Fault, Simulation, CONTROLLERS};
 
 fn random_faults(w: &mut Simulation, troubles: i64) {
     for _ in 0..7 {
         let at = w.draw(5_000..troubles - 12_000);
         let lasts = w.draw(1_000..25_000);
         let until = ms((at + lasts).min(troubles));
-        let node = w.draw(0..NODES as i64) as usize;
+        let controller = w.draw(0..CONTROLLERS as i64) as usize;
         let hold = w.draw(0..2) == 0;
         let fault = match w.draw(0..17) {
             0 => Fault::Crash {
-                nodes: vec![node],
+                controllers: vec![controller],
                 back: ms(w.draw(100..6_000)),
             },
             1 => Fault::Crash {
-                nodes: vec![node, (node + 1) % NODES],
+                controllers: vec![controller, (controller + 1) % CONTROLLERS],
                 back: ms(5_000),
             },
             2 => Fault::Crash {
-                nodes: (0..NODES).collect(),
+                controllers: (0..CONTROLLERS).collect(),
                 back: ms(w.draw(200..6_000)),
             },
-            3 => Fault::Outage { until },
-            4 => Fault::Refused { node, until },
-            5 => Fault::CutState { node, until, hold },
-            6 => Fault::CutWorkers { node, until, hold },
-            7 => Fault::CutMesh { node, until },
+            3 => Fault::StoreOutage { until },
+            4 => Fault::RefuseController { controller, until },
+            5 => Fault::CutStore {
+                controller,
+                until,
+                hold,
+            },
+            6 => Fault::CutAgents {
+                controller,
+                until,
+                hold,
+            },
+            7 => Fault::CutPeers { controller, until },
             8 => Fault::CloudOutage { until },
             12 => Fault::CutLinks {
-                node,
+                controller,
                 count: 4,
                 until,
             },
@@ -41,18 +49,18 @@
                 count: 3,
                 lasts: ms(lasts),
             },
-            14 => Fault::DuplicateReports {
+            14 => Fault::DuplicateHeartbeats {
                 until: ms(at + 40_000),
             },
             15 => Fault::RestartMachines { count: 2 },
             16 => Fault::Crash {
-                nodes: vec![node],
+                controllers: vec![controller],
                 back: ms(w.draw(20..600)),
             },
             9 => Fault::KillMachines {
                 count: w.draw(1..4) as usize,
             },
-            10 => Fault::Hang {
+            10 => Fault::HangMachines {
                 count: 2,
                 lasts: ms(lasts),
             },
@@ -60,7 +68,7 @@
                 count: 3,
                 lasts: ms(lasts),
             },
-            _ => Fault::Notice { count: 2 },
+            _ => Fault::PreemptionNotice { count: 2 },
         };
         w.fault(ms(at), fault);
     }
@@ -83,7 +91,7 @@
 fn no_rule_breaks_under_random_overlapping_troubles() {
     scenario("rules.no_rule_breaks_under_random_overlapping_troubles");
     for seed in (0..40).chain(136..137) {
-        history(seed, random_faults);
+        simulate(seed, random_faults);
     }
 }
 
@@ -91,7 +99,7 @@
 fn a_quiet_day_gets_everything_done() {
     scenario("rules.a_quiet_day_gets_everything_done");
     for seed in 100..104 {
-        history(seed, |_, _| {});
+        simulate(seed, |_, _| {});
     }
 }
 
@@ -99,25 +107,25 @@
 fn crashes_in_the_middle_of_elections() {
     scenario("rules.crashes_in_the_middle_of_elections");
     for seed in 200..212 {
-        history(seed, |w, _| {
+        simulate(seed, |w, _| {
             for k in 0..6 {
                 let at = 10_000 + k * 9_000 + w.draw(0..6_000);
-                let node = w.draw(0..NODES as i64) as usize;
+                let controller = w.draw(0..CONTROLLERS as i64) as usize;
                 let back = ms(w.draw(100..5_000));
                 w.fault(
                     ms(at),
                     Fault::Crash {
-                        nodes: vec![node],
+                        controllers: vec![controller],
                         back,
                     },
                 );
                 let soon = at + w.draw(50..4_500);
-                let other = (node + 1) % NODES;
+                let other = (controller + 1) % CONTROLLERS;
                 let back = ms(w.draw(100..1_000));
                 w.fault(
                     ms(soon),
                     Fault::Crash {
-                        nodes: vec![other],
+                        controllers: vec![other],
                         back,
                     },
                 );
@@ -132,24 +140,24 @@
 fn refused_by_the_state_service_alone() {
     scenario("rules.refused_by_the_state_service_alone");
     for seed in 300..330 {
-        history(seed, |w, _| {
+        simulate(seed, |w, _| {
             for k in 0..3 {
                 let at = 12_000 + k * 26_000;
-                let node = w.draw(0..NODES as i64) as usize;
+                let controller = w.draw(0..CONTROLLERS as i64) as usize;
                 w.fault(
                     ms(at),
-                    Fault::Refused {
-                        node,
+                    Fault::RefuseController {
+                        controller,
                         until: ms(at + 24_000),
                     },
                 );
                 if w.draw(0..3) > 0 {
                     let until = ms(at + 24_000);
-                    w.fault(ms(at + 100), Fault::CutMesh { node, until });
+                    w.fault(ms(at + 100), Fault::CutPeers { controller, until });
                     w.fault(
                         ms(at + 4_500),
                         Fault::CutLinks {
-                            node,
+                            controller,
                             count: 5,
                             until,
                         },
@@ -166,35 +174,35 @@
 fn a_holder_cut_off_for_longer_than_it_may_act() {
     scenario("rules.a_holder_cut_off_for_longer_than_it_may_act");
     for seed in 350..362 {
-        history(seed, |w, _| {
+        simulate(seed, |w, _| {
             let at = w.draw(8_000..16_000);
-            let node = w.draw(0..NODES as i64) as usize;
+            let controller = w.draw(0..CONTROLLERS as i64) as usize;
             let until = ms(at + 70_000);
             if w.draw(0..2) == 0 {
-                w.fault(ms(at), Fault::Refused { node, until });
+                w.fault(ms(at), Fault::RefuseController { controller, until });
             } else {
                 w.fault(
                     ms(at),
-                    Fault::CutState {
-                        node,
+                    Fault::CutStore {
+                        controller,
                         until,
                         hold: true,
                     },
                 );
             }
-            w.fault(ms(at), Fault::CutMesh { node, until });
+            w.fault(ms(at), Fault::CutPeers { controller, until });
             for k in 0..3 {
                 w.fault(
                     ms(at + 4_500 + 2_000 * k),
                     Fault::CutLinks {
-                        node,
+                        controller,
                         count: 3,
                         until,
                     },
                 );
                 w.fault(
                     ms(at + 10_500 + 1_500 * k),
-                    Fault::Hang {
+                    Fault::HangMachines {
                         count: 2,
                         lasts: ms(9_000),
                     },
@@ -208,30 +216,30 @@
 fn cut_from_the_state_service_with_late_transactions() {
     scenario("rules.cut_from_the_state_service_with_late_transactions");
     for seed in 400..416 {
-        history(seed, |w, _| {
+        simulate(seed, |w, _| {
             for k in 0..3 {
                 let at = 10_000 + k * 25_000;
-                let node = w.draw(0..NODES as i64) as usize;
+                let controller = w.draw(0..CONTROLLERS as i64) as usize;
                 let until = ms(at + w.draw(3_000..24_000));
                 w.fault(
                     ms(at),
-                    Fault::CutState {
-                        node,
+                    Fault::CutStore {
+                        controller,
                         until,
                         hold: true,
                     },
                 );
-                w.fault(ms(at), Fault::CutMesh { node, until });
+                w.fault(ms(at), Fault::CutPeers { controller, until });
                 w.fault(
                     ms(at + 2_000),
                     Fault::CutLinks {
-                        node,
+                        controller,
                         count: 4,
                         until,
                     },
                 );
                 let lasts = ms(w.draw(3_000..20_000));
-                w.fault(ms(at + 500), Fault::Hang { count: 2, lasts });
+                w.fault(ms(at + 500), Fault::HangMachines { count: 2, lasts });
             }
         });
     }
@@ -241,13 +249,13 @@
 fn machines_that_hang_are_cut_or_taken() {
     scenario("rules.machines_that_hang_are_cut_or_taken");
     for seed in 500..512 {
-        history(seed, |w, _| {
+        simulate(seed, |w, _| {
             for k in 0..6 {
                 let at = 8_000 + k * 12_000;
                 let lasts = ms(w.draw(2_000..22_000));
-                w.fault(ms(at), Fault::Hang { count: 2, lasts });
+                w.fault(ms(at), Fault::HangMachines { count: 2, lasts });
                 w.fault(ms(at + 3_000), Fault::CutMachines { count: 2, lasts });
-                w.fault(ms(at + 5_000), Fault::Notice { count: 1 });
+                w.fault(ms(at + 5_000), Fault::PreemptionNotice { count: 1 });
             }
         });
     }
@@ -259,18 +267,18 @@
 fn reports_arrive_but_answers_and_commands_do_not() {
     scenario("rules.reports_arrive_but_answers_and_commands_do_not");
     for seed in 600..616 {
-        history(seed, |w, _| {
+        simulate(seed, |w, _| {
             for k in 0..4 {
                 let at = 8_000 + k * 19_000 + w.draw(0..5_000);
                 let lasts = ms(w.draw(3_000..40_000));
                 w.fault(ms(at), Fault::LoseAnswers { count: 3, lasts });
                 if w.draw(0..2) == 0 {
-                    let node = w.draw(0..NODES as i64) as usize;
+                    let controller = w.draw(0..CONTROLLERS as i64) as usize;
                     let back = ms(w.draw(50..6_000));
                     w.fault(
                         ms(at + 300),
                         Fault::Crash {
-                            nodes: vec![node],
+                            controllers: vec![controller],
                             back,
                         },
                     );
@@ -286,31 +294,31 @@
 fn late_copies_of_reports_prove_nothing() {
     scenario("rules.late_copies_of_reports_prove_nothing");
     for seed in 700..720 {
-        history(seed, |w, troubles| {
+        simulate(seed, |w, troubles| {
             w.fault(
                 ms(1_000),
-                Fault::DuplicateReports {
+                Fault::DuplicateHeartbeats {
                     until: ms(troubles),
                 },
             );
             for k in 0..6 {
                 let at = 9_000 + k * 12_000 + w.draw(0..4_000);
-                let node = w.draw(0..NODES as i64) as usize;
+                let controller = w.draw(0..CONTROLLERS as i64) as usize;
                 let fault = match w.draw(0..5) {
                     0 => Fault::Crash {
-                        nodes: vec![node],
+                        controllers: vec![controller],
                         back: ms(w.draw(20..900)),
                     },
                     1 => Fault::Crash {
-                        nodes: (0..NODES).collect(),
+                        controllers: (0..CONTROLLERS).collect(),
                         back: ms(w.draw(20..5_000)),
                     },
-                    2 => Fault::Hang {
+                    2 => Fault::HangMachines {
                         count: 3,
                         lasts: ms(w.draw(2_000..20_000)),
                     },
                     3 => Fault::CutLinks {
-                        node,
+                        controller,
                         count: 5,
                         until: ms(at + 15_000),
                     },
@@ -328,16 +336,16 @@
 fn back_within_a_fraction_of_a_second() {
     scenario("rules.back_within_a_fraction_of_a_second");
     for seed in 800..816 {
-        history(seed, |w, troubles| {
+        simulate(seed, |w, troubles| {
             w.fault(
                 ms(1_000),
-                Fault::DuplicateReports {
+                Fault::DuplicateHeartbeats {
                     until: ms(troubles),
                 },
             );
             for k in 0..8 {
                 let at = 8_000 + k * 9_000 + w.draw(0..4_000);
-                let node = w.draw(0..NODES as i64) as usize;
+                let controller = w.draw(0..CONTROLLERS as i64) as usize;
                 let hold = w.draw(0..2) == 0;
                 let (lasts, soon, back, blink) = (
                     w.draw(200..5_000),
@@ -347,8 +355,8 @@
                 );
                 w.fault(
                     ms(at),
-                    Fault::CutState {
-                        node,
+                    Fault::CutStore {
+                        controller,
                         until: ms(at + lasts),
                         hold,
                     },
@@ -356,7 +364,7 @@
                 w.fault(
                     ms(at + soon),
                     Fault::Crash {
-                        nodes: vec![node],
+                        controllers: vec![controller],
                         back: ms(back),
                     },
                 );
@@ -373,7 +381,7 @@
     scenario("rules.a_gang_as_large_as_its_teams_limit_gets_its_turn");
     for seed in 850..854 {
         let mut w = Simulation::new(seed);
-        w.quiet_from = ms(300_000);
+        w.faults_end = ms(300_000);
         let mut gang = w.job(0);
         (gang.kind, gang.class, gang.team, gang.priority) =
             (JobKind::Gang, "gang".into(), "b".into(), Priority::Urgent);
@@ -403,7 +411,7 @@
     let mut late = 0;
     for seed in 800..806 {
         let mut w = Simulation::new(seed);
-        w.quiet_from = ms(1_000);
+        w.faults_end = ms(1_000);
         for n in 0..60 {
             let spec = w.job(n);
             let (at, id) = (w.draw(31_000..110_000), spec.id.clone());
--- a/crates/seamfront-core/tests/size.rs
+++ b/crates/seamfront-core/tests/size.rs
@@ -6,13 +6,13 @@
 use seamfront_testing::simulation::recording::scenario;
 use seamfront_testing::simulation::{ms, Fault, Scale, Simulation};
 
-fn fleet(nodes: usize, machines: usize, state_rps: i64, write_rps: i64) -> Scale {
+fn fleet(controllers: usize, machines: usize, state_rps: i64, write_rps: i64) -> Scale {
     let most = machines + machines / 20;
     Scale {
-        nodes,
+        controllers,
         teams: 10,
         machines,
-        most,
+        max_machines: most,
         page: 500,
         state_rps,
         write_rps,
@@ -42,12 +42,12 @@
 
 fn day(seed: u64, scale: Scale) {
     let mut w = Simulation::sized(seed, scale);
-    w.quiet_from = ms(40_000);
+    w.faults_end = ms(40_000);
     jobs(&mut w);
     w.fault(
         ms(15_000),
         Fault::Crash {
-            nodes: (0..scale.nodes).collect(),
+            controllers: (0..scale.controllers).collect(),
             back: ms(3_000),
         },
     );
@@ -59,13 +59,13 @@
     );
     w.run_until(ms(120_000));
     assert!(
-        w.truth.started > 10_000,
+        w.ground_truth.tasks_started > 10_000,
         "the run proves nothing: {} tasks started",
-        w.truth.started
+        w.ground_truth.tasks_started
     );
     assert_eq!(w.not_served(), Vec::<String>::new());
     let seconds: Vec<(u32, u32)> = (0..120)
-        .map(|s| w.asked_of_store.get(&s).copied().unwrap_or_default())
+        .map(|s| w.store_load.get(&s).copied().unwrap_or_default())
         .collect();
     for five in seconds.windows(5) {
         let (requests, writes) = five
@@ -81,7 +81,7 @@
             "{writes} writes in five seconds: {seconds:?}"
         );
     }
-    let (message, commit) = w.largest;
+    let (message, commit) = w.largest_bytes;
     assert!(commit <= 60 * 1024, "a transaction of {commit} bytes");
     assert!(
         message <= 256 * 1024,
@@ -122,13 +122,13 @@
     scenario("size.a_step_looks_at_no_more_in_a_fleet_twice_as_large");
     let work_done = |machines: usize| {
         let mut w = Simulation::sized(902, fleet(3, machines, 1_000, 400));
-        w.quiet_from = ms(1_000);
+        w.faults_end = ms(1_000);
         jobs(&mut w);
         w.run_until(ms(60_000));
         assert!(
-            w.truth.started > 5_000,
+            w.ground_truth.tasks_started > 5_000,
             "the run proves nothing: {} tasks started",
-            w.truth.started
+            w.ground_truth.tasks_started
         );
         let (steps, work_done) = w.steps;
         work_done as f64 / steps as f64
--- a/crates/seamfront-testing/src/lib.rs
+++ b/crates/seamfront-testing/src/lib.rs
@@ -1,18 +1,18 @@
-//! What the tests of the other crates share: stand-ins of outside systems, deterministic simulations, and harnesses.
+//! Shared test code of the other crates: stand-ins for outside systems, deterministic simulations, and harnesses.
 //!
-//! | module | what it stands for |
+//! | module | contents |
 //! | --- | --- |
 //! | [`store`] | the key-value store, in memory |
 //! | [`store_service`] | the same, served over HTTP on loopback |
-//! | [`cloud`] | the cloud, with a ledger of every machine |
-//! | [`http`] | as much of HTTP/1.1 as the stand-ins need |
+//! | [`cloud`] | the cloud API, with a ledger of every machine |
+//! | [`http`] | the part of HTTP/1.1 that the stand-ins need |
 //! | [`controller_process`] | the real program as a child process |
-//! | [`simulation`] | several engines with store, cloud, workers, users and a network; one seed, one history |
-//! | [`member_simulation`] | several members that hold duties, with a store and a cloud; one seed, one history |
-//! | [`fleet_keeper`] | what the members of that simulation and of the examples do under their duties |
+//! | [`simulation`] | several engines with a store, a cloud, machines, users and a network; a seed determines the run |
+//! | [`member_simulation`] | several members that hold duties, with a store and a cloud; a seed determines the run |
+//! | [`fleet_keeper`] | the work that the members of that simulation and of the examples do under their duties |
 //! | [`shard_harness`] | one shard, driven step by step |
 //!
-//! It is a development dependency only, and is never published.
+//! This crate is a development dependency only and is never published.
 #![forbid(unsafe_code)]
 
 pub mod cloud;
--- a/crates/seamfront-testing/src/simulation/cloud.rs
+++ b/crates/seamfront-testing/src/simulation/cloud.rs
@@ -1,43 +1,43 @@
-//! Stand-in for the cloud that rents and deletes machines.
+//! Stand-in for the cloud API: provisions, terminates and lists machines.
 
 use super::{
     machine_types, ms, BadBoots, CallId, CloudReply, CloudRequest, Command, Event, ListedMachine,
-    ListedState, MachineId, Micros, RngExt, Simulation, Worker,
+    ListedState, Machine, MachineId, Micros, RngExt, Simulation,
 };
 
 impl Simulation {
-    pub(super) fn cloud(
+    pub(super) fn handle_cloud_request(
         &mut self,
-        node: usize,
-        life: u64,
+        controller: usize,
+        generation: u64,
         call: CallId,
         request: CloudRequest,
         late: bool,
     ) {
-        if !late && (self.cloud_outage > self.now || self.lost()) {
-            if self.cloud_outage <= self.now {
+        if !late && (self.cloud_outage_until > self.now || self.message_lost()) {
+            if self.cloud_outage_until <= self.now {
                 let d = ms(self.rng.random_range(100..30_000));
-                self.after(
+                self.schedule_after(
                     d,
                     Event::Cloud {
-                        node,
-                        life,
+                        controller,
+                        generation,
                         call,
                         request,
                         late: true,
                     },
                 );
             }
-            return self.tell(
-                node,
-                life,
+            return self.send_to_controller(
+                controller,
+                generation,
                 Command::Cloud {
                     call,
                     reply: CloudReply::Failed,
                 },
             );
         }
-        let rental = matches!(request, CloudRequest::Provision { .. });
+        let provisioning = matches!(request, CloudRequest::Provision { .. });
         let reply = match request {
             CloudRequest::MachineTypes => CloudReply::MachineTypes(machine_types()),
             CloudRequest::Provision {
@@ -49,7 +49,13 @@
             } => {
                 if let Some(ids) = self.provisioned.get(&name) {
                     CloudReply::Provisioned(ids.clone())
-                } else if self.truth.workers.values().filter(|w| !w.dead).count() > self.scale.most
+                } else if self
+                    .ground_truth
+                    .machines
+                    .values()
+                    .filter(|machine| !machine.dead)
+                    .count()
+                    > self.scale.max_machines
                     || self.rng.random_range(0..5) == 0
                 {
                     CloudReply::NoCapacity
@@ -71,18 +77,26 @@
             }
             CloudRequest::Terminate { machines } => {
                 for id in machines {
-                    if let Some(w) = self.truth.workers.get_mut(&id) {
-                        // One that comes back just as it is given up is bad luck and no mistake.
-                        let heard = self.now - w.lease_from < ms(3_000)
-                            && self.now - w.steady_from > ms(5_000);
-                        let runs = w.tasks.values().any(super::workers::Task::on_machine);
-                        if !w.dead && heard && runs && w.notice_at.is_none() {
+                    if let Some(machine) = self.ground_truth.machines.get_mut(&id) {
+                        // No violation if heartbeats were answered again only just before the termination: the
+                        // decision may be older.
+                        let heartbeats_answered = self.now - machine.lease_renewed_at < ms(3_000)
+                            && self.now - machine.steady_since > ms(5_000);
+                        let runs = machine
+                            .tasks
+                            .values()
+                            .any(super::machines::Task::on_machine);
+                        if !machine.dead
+                            && heartbeats_answered
+                            && runs
+                            && machine.preempt_at.is_none()
+                        {
                             let t = self.now.as_secs_decimal();
-                            self.truth.broken.push(format!(
-                                "{t:.3} {id} was returned under its tasks, though heard of"
+                            self.ground_truth.violations.push(format!(
+                                "{t:.3} {id} was terminated with running tasks although its heartbeats were answered"
                             ));
                         }
-                        w.dead = true;
+                        machine.dead = true;
                     }
                 }
                 CloudReply::Terminated
@@ -90,25 +104,26 @@
             CloudRequest::ListMachines { .. } => {
                 let lag = self.settings.list_lag;
                 let machines = self
-                    .truth
-                    .workers
+                    .ground_truth
+                    .machines
                     .iter()
-                    .filter(|(_, w)| {
-                        let long_not_up =
-                            w.up_at > self.now && w.rented_at + lag + ms(9_000) < self.now;
-                        !w.dead && (w.up_at + lag < self.now || w.up_at == ms(1) || long_not_up)
+                    .filter(|(_, machine)| {
+                        let overdue = machine.up_at > self.now
+                            && machine.provisioned_at + lag + ms(9_000) < self.now;
+                        !machine.dead
+                            && (machine.up_at + lag < self.now || machine.up_at == ms(1) || overdue)
                     })
-                    .map(|(id, w)| ListedMachine {
+                    .map(|(id, machine)| ListedMachine {
                         id: id.clone(),
-                        kind: w.kind.clone(),
-                        zone: w.zone.clone(),
-                        spot: w.spot,
-                        state: if w.up_at > self.now {
+                        kind: machine.kind.clone(),
+                        zone: machine.zone.clone(),
+                        spot: machine.spot,
+                        state: if machine.up_at > self.now {
                             ListedState::Starting
                         } else {
                             ListedState::Running
                         },
-                        age: self.now - w.up_at.min(self.now),
+                        age: self.now - machine.up_at.min(self.now),
                     })
                     .collect();
                 CloudReply::Page {
@@ -121,22 +136,22 @@
             return;
         }
         let command = Command::Cloud { call, reply };
-        if rental && self.now < self.slow_rentals {
+        if provisioning && self.now < self.slow_provisioning_until {
             self.cover("the cloud took seconds to answer a request for machines");
             let d = ms(self.rng.random_range(2_000..4_000));
-            return self.after(
+            return self.schedule_after(
                 d,
-                Event::ToNode {
-                    node,
-                    life,
+                Event::DeliverCommand {
+                    controller,
+                    generation,
                     command: Box::new(command),
                 },
             );
         }
-        self.tell(node, life, command);
+        self.send_to_controller(controller, generation, command);
     }
 
-    /// How long a machine takes to come up, of which `usual` was drawn.
+    /// The boot time of a new machine: `usual`, unless `Fault::BadBoots` is active.
     fn boot_time(&mut self, usual: Micros) -> Micros {
         let BadBoots {
             until,
@@ -154,13 +169,13 @@
         usual.times(percent).over(100)
     }
 
-    /// Machines that are paid for and will never be up.
-    pub fn never_up(&self) -> Vec<MachineId> {
-        let never = |w: &Worker| !w.dead && w.up_at >= Micros::MAX;
-        self.truth
-            .workers
+    /// Machines that are still provisioned and will never boot.
+    pub fn never_booting(&self) -> Vec<MachineId> {
+        let never = |machine: &Machine| !machine.dead && machine.up_at >= Micros::MAX;
+        self.ground_truth
+            .machines
             .iter()
-            .filter(|(_, w)| never(w))
+            .filter(|(_, machine)| never(machine))
             .map(|(id, _)| id.clone())
             .collect()
     }
--- a/crates/seamfront-testing/src/simulation/faults.rs
+++ b/crates/seamfront-testing/src/simulation/faults.rs
@@ -1,248 +1,202 @@
-//! Faults: what can go wrong in a run, and how each is brought about.
+//! The faults of a simulated run and how each of them is injected.
 
 use super::{
-    ms, workers, BTreeMap, BadBoots, Event, JobId, MachineId, Micros, PollStorm, RngExt,
-    Simulation, TaskKey, TaskState, Team, Worker,
+    machines, ms, BTreeMap, BadBoots, Event, JobId, Machine, MachineId, Micros, PollStorm, RngExt,
+    Simulation, TaskKey, TaskState, Team,
 };
 
-/// What can go wrong; each is drawn by the seed and ends by itself.
+/// A fault. Most faults end by themselves: at `until`, after `lasts`, or when a crashed controller restarts after
+/// `back`. A fault that names a claim affects the holder of the claim at that time.
 #[derive(Clone, Debug)]
 pub enum Fault {
+    /// The processes end at once and restart after `back`.
     Crash {
-        nodes: Vec<usize>,
+        controllers: Vec<usize>,
         back: Micros,
     },
-    Outage {
-        until: Micros,
-    },
-    Refused {
-        node: usize,
-        until: Micros,
-    },
-    CutState {
-        node: usize,
+    /// The store refuses all requests.
+    StoreOutage { until: Micros },
+    /// The store refuses all requests of one controller.
+    RefuseController { controller: usize, until: Micros },
+    /// Cuts the controller off from the store. With `hold`, its requests are executed late, when the cut ends.
+    CutStore {
+        controller: usize,
         until: Micros,
         hold: bool,
     },
-    CutWorkers {
-        node: usize,
+    /// Cuts the controller off from all agents. With `hold`, heartbeats and their answers arrive late, when the cut
+    /// ends.
+    CutAgents {
+        controller: usize,
         until: Micros,
         hold: bool,
     },
-    CutMesh {
-        node: usize,
-        until: Micros,
-    },
-    /// Between one node and some machines only: they go to another node, the rest stays.
+    /// Cuts the controller off from the other controllers. Half of the messages arrive late, when the cut ends.
+    CutPeers { controller: usize, until: Micros },
+    /// Cuts the links between one controller and `count` machines; their agents turn to another controller.
     CutLinks {
-        node: usize,
-        count: usize,
-        until: Micros,
-    },
-    CloudOutage {
-        until: Micros,
-    },
-    KillMachines {
-        count: usize,
-    },
-    Hang {
-        count: usize,
-        lasts: Micros,
-    },
-    CutMachines {
+        controller: usize,
         count: usize,
-        lasts: Micros,
-    },
-    Notice {
-        count: usize,
-    },
-    /// Their reports arrive; answers and commands don't reach them.
-    LoseAnswers {
-        count: usize,
-        lasts: Micros,
-    },
-    /// Reports sent until then are delivered again later, to any controller.
-    DuplicateReports {
         until: Micros,
     },
-    /// Down and back at once: what ran is gone.
-    RestartMachines {
-        count: usize,
-    },
-    /// A part of the transactions gets no answer and is carried out 2 to 12 s later, after newer ones.
-    DelayWrites {
-        until: Micros,
-    },
-    /// These reach no controller; commands reach them.
-    LoseReports {
-        count: usize,
-        lasts: Micros,
-    },
-    /// Answers and commands to workers take seconds.
-    DelayAnswers {
-        until: Micros,
-    },
-    /// The controller stands still while its clocks run on.
-    PauseNode {
-        node: usize,
-        until: Micros,
-    },
-    /// It computes several times slower: whatever reaches it waits.
-    SlowNode {
-        node: usize,
-        until: Micros,
-    },
-    /// The state service takes up to seconds to answer.
-    SlowState {
-        until: Micros,
-    },
-    /// All machines of a zone and one controller hear one another and nobody else.
+    /// The cloud API fails all requests.
+    CloudOutage { until: Micros },
+    /// The machines are gone for good, without notice.
+    KillMachines { count: usize },
+    /// The agents do nothing and answer nothing; their tasks make no progress.
+    HangMachines { count: usize, lasts: Micros },
+    /// Cuts the machines off from all controllers.
+    CutMachines { count: usize, lasts: Micros },
+    /// The cloud announces that it preempts the machines, and does so 8 s later.
+    PreemptionNotice { count: usize },
+    /// Heartbeats of these machines arrive; answers and commands don't reach them.
+    LoseAnswers { count: usize, lasts: Micros },
+    /// A part of the heartbeats sent meanwhile is delivered a second time, 1 to 30 s later, to a random controller.
+    DuplicateHeartbeats { until: Micros },
+    /// The agents restart at once with a new incarnation, without the tasks that ran.
+    RestartMachines { count: usize },
+    /// A part of the transactions gets no answer and is executed 2 to 12 s later, possibly after newer ones.
+    DelayWrites { until: Micros },
+    /// Heartbeats of these machines are lost; commands reach them.
+    LoseHeartbeats { count: usize, lasts: Micros },
+    /// A part of the answers and commands to agents is delayed by up to 6 s.
+    DelayAnswers { until: Micros },
+    /// The controller is frozen while its clocks run on.
+    PauseController { controller: usize, until: Micros },
+    /// The controller handles everything 100 to 900 ms late.
+    SlowController { controller: usize, until: Micros },
+    /// A part of the requests takes up to 3 s longer to reach the store.
+    SlowStore { until: Micros },
+    /// Network partition: all machines of a zone and one controller reach only one another.
     CutZone {
         zone: &'static str,
-        node: usize,
+        controller: usize,
         until: Micros,
     },
-    /// Whoever holds this claim then.
-    CrashHolder {
-        claim: &'static str,
-        back: Micros,
-    },
-    /// The state service refuses the claim's holder alone.
-    RefuseHolder {
-        claim: &'static str,
-        until: Micros,
-    },
-    /// The claim's holder loses the state service and the other controllers, not its workers or users.
-    IsolateHolder {
-        claim: &'static str,
-        until: Micros,
-    },
-    /// Users call off that many jobs that run, at whatever controllers; some of their machines hang then.
-    CancelRunning {
-        count: usize,
-        hang: Micros,
-    },
-    /// Jobs that end are called off, asked about and submitted again in that moment.
-    CancelAtCompletion {
-        until: Micros,
-    },
-    /// Its process is killed and comes back with the new version.
-    Upgrade {
-        node: usize,
-        back: Micros,
-    },
-    /// A part of direct commands is held up, unanswered, and carried out once, 2 to 16 s late.
-    DelayCommands {
-        until: Micros,
-    },
-    /// A part of the transactions is carried out at once, and only the answer is lost.
-    LoseCommitAnswers {
-        until: Micros,
-    },
-    /// Copies of a part of the reports are kept until a claim changes hands, and then reach every controller.
-    KeepReports {
-        until: Micros,
-    },
-    /// The cloud takes seconds to answer requests for machines.
-    SlowRentals {
-        until: Micros,
-    },
-    /// Users ask about their jobs so many times as often.
-    PollStorm {
-        until: Micros,
-        factor: i64,
-    },
-    /// Of the machines rented meanwhile so many of a hundred never come up, and the others take so many percent of the
+    /// Crashes the holder of the claim.
+    CrashHolder { claim: &'static str, back: Micros },
+    /// The store refuses all requests of the claim's holder, and of nobody else.
+    RefuseHolder { claim: &'static str, until: Micros },
+    /// The claim's holder is cut off from the store and the other controllers, but not from agents and users.
+    IsolateHolder { claim: &'static str, until: Micros },
+    /// Users cancel up to `count` running jobs at random controllers. If `hang` is not zero, up to two machines of each
+    /// job hang from then on until 150 ms and `hang` have passed.
+    CancelRunning { count: usize, hang: Micros },
+    /// Users cancel, poll and resubmit every job within half a second of its last task's completion.
+    CancelAtCompletion { until: Micros },
+    /// The process is killed and restarted with the new version.
+    Upgrade { controller: usize, back: Micros },
+    /// A part of the direct commands gets no answer and is carried out once, 2 to 16 s late.
+    DelayCommands { until: Micros },
+    /// A part of the transactions is executed at once, and only the answer is lost.
+    LoseCommitAnswers { until: Micros },
+    /// Copies of a part of the heartbeats are kept until a claim is acquired and then delivered to every controller.
+    ReplayHeartbeats { until: Micros },
+    /// The cloud takes 2 to 4 s to answer provisioning requests.
+    SlowProvisioning { until: Micros },
+    /// Users poll their jobs `factor` times as often in addition.
+    PollStorm { until: Micros, factor: i64 },
+    /// Of the machines provisioned meanwhile, `never` percent never boot, and the others take `percent` percent of the
     /// usual time.
     BadBoots {
         until: Micros,
         never: i64,
         percent: i64,
     },
-    /// New machines are up within two seconds.
-    FastBoots {
-        until: Micros,
-    },
-    /// Users ask at all controllers within milliseconds after a job was accepted, ended or called off.
-    CloseLooks {
-        until: Micros,
-    },
-    /// Unfinished jobs are submitted again, done ones cancelled, impossible ones submitted.
-    InvalidRequests {
-        until: Micros,
-    },
+    /// New machines boot within 2 s instead of up to 9 s.
+    FastBoots { until: Micros },
+    /// Users poll and resubmit a job at all controllers within milliseconds after it was accepted, completed or
+    /// cancelled.
+    PollEverywhere { until: Micros },
+    /// Users resubmit unfinished jobs, cancel completed ones and submit jobs that can never run.
+    InvalidRequests { until: Micros },
 }
 
 impl Simulation {
-    pub(super) fn some_machines(&mut self, count: usize) -> Vec<MachineId> {
+    pub(super) fn random_machines(&mut self, count: usize) -> Vec<MachineId> {
         let up: Vec<MachineId> = self
-            .truth
-            .workers
+            .ground_truth
+            .machines
             .iter()
-            .filter(|(_, w)| !w.dead && w.up_at <= self.now)
-            .map(|w| w.0.clone())
+            .filter(|(_, machine)| !machine.dead && machine.up_at <= self.now)
+            .map(|machine| machine.0.clone())
             .collect();
         (0..count.min(up.len()))
             .map(|_| up[self.rng.random_range(0..up.len())].clone())
             .collect()
     }
 
-    /// In what state of things a controller ends.
+    /// Counts in which situations controllers crash.
     pub(super) fn cover_crash(&mut self) {
         let now = self.now;
-        let up = || self.truth.workers.iter().filter(|(_, w)| !w.dead);
-        let apart = |id: &MachineId| {
-            self.loses_answers(id) || self.cut_machines.get(id).is_some_and(|t| *t > now)
+        let up = || {
+            self.ground_truth
+                .machines
+                .iter()
+                .filter(|(_, machine)| !machine.dead)
+        };
+        let cut_off = |id: &MachineId| {
+            self.loses_answers(id) || self.machines_cut_until.get(id).is_some_and(|t| *t > now)
         };
-        let out_of_reach =
-            up().any(|(id, w)| apart(id) && w.tasks.values().any(super::workers::Task::on_machine));
-        let cpus_by_team = |counts: fn(&workers::Task) -> bool| {
+        let out_of_reach = up().any(|(id, machine)| {
+            cut_off(id)
+                && machine
+                    .tasks
+                    .values()
+                    .any(super::machines::Task::on_machine)
+        });
+        let cpus_by_team = |counts: fn(&machines::Task) -> bool| {
             let mut cpus: BTreeMap<&str, i64> = BTreeMap::new();
             for (k, _) in up()
-                .flat_map(|(_, w)| w.tasks.iter())
+                .flat_map(|(_, machine)| machine.tasks.iter())
                 .filter(|(_, t)| counts(t))
             {
-                let spec = &self.truth.jobs[&k.job];
+                let spec = &self.ground_truth.jobs[&k.job];
                 *cpus.entry(&spec.team).or_default() += spec.task_resources.cpus;
             }
             cpus
         };
-        let used = cpus_by_team(workers::Task::on_machine);
-        // Nothing more of the smallest size fits in.
+        let used = cpus_by_team(machines::Task::on_machine);
+        // A team is at its limit if not even a task of one CPU, the smallest size, fits in.
         let full = |t: &&Team| {
             t.limit.cpus > 0
                 && used
                     .get(t.name.as_str())
                     .is_some_and(|u| u + 1_000 > t.limit.cpus)
         };
-        let at_limit = self.truth.teams.iter().any(|t| full(&t));
-        let halfway = self.truth.completed.iter().any(|(id, done)| {
-            let n = self.truth.jobs[id].tasks;
-            (2..=3).contains(&n) && (done.len() as u32) < n && !self.final_answers.contains_key(id)
+        let at_limit = self.ground_truth.teams.iter().any(|t| full(&t));
+        let halfway = self.ground_truth.completed.iter().any(|(id, done)| {
+            let n = self.ground_truth.jobs[id].tasks;
+            (2..=3).contains(&n) && (done.len() as u32) < n && !self.final_states.contains_key(id)
         });
         let mut limited = self
-            .truth
+            .ground_truth
             .teams
             .iter()
             .filter(|t| t.limit.cpus > 0)
             .peekable();
-        // What still fetches its image holds its part of the limit as well.
+        // Tasks that are fetching their image count against the team's limit as well.
         let held = cpus_by_team(|t| !matches!(t.state, TaskState::Exited(_)));
         let holds_all = |t: &Team| {
             held.get(t.name.as_str())
                 .is_some_and(|u| u + 1_000 > t.limit.cpus)
         };
         let all_at_limit = limited.peek().is_some() && limited.all(holds_all);
-        let stopping = |id: &MachineId, w: &Worker| {
-            let called_off = |k: &TaskKey| self.truth.cancelled.contains_key(&k.job);
-            let silent = apart(id) || w.hung_until > now;
-            silent && w.tasks.iter().any(|(k, t)| t.on_machine() && called_off(k))
+        let stopping = |id: &MachineId, machine: &Machine| {
+            let cancelled = |k: &TaskKey| self.ground_truth.cancelled.contains_key(&k.job);
+            let silent = cut_off(id) || machine.hung_until > now;
+            silent
+                && machine
+                    .tasks
+                    .iter()
+                    .any(|(k, t)| t.on_machine() && cancelled(k))
+        };
+        let stopping = up().any(|(id, machine)| stopping(id, machine));
+        let new_machine = |machine: &Machine| {
+            machine.up_at <= now && now - machine.up_at < ms(4_000) && !machine.tasks.is_empty()
         };
-        let stopping = up().any(|(id, w)| stopping(id, w));
-        let new_machine =
-            |w: &Worker| w.up_at <= now && now - w.up_at < ms(4_000) && !w.tasks.is_empty();
-        let new_machine = up().any(|(_, w)| new_machine(w));
-        let writes_lag = now < self.slow_state.max(self.delay_writes_until);
+        let new_machine = up().any(|(_, machine)| new_machine(machine));
+        let writes_lag = now < self.slow_store_until.max(self.delay_writes_until);
         if all_at_limit && stopping {
             self.cover("every team stood at its limit, a cancelled task was out of reach and a controller ended");
         }
@@ -262,86 +216,111 @@
 
     pub(super) fn inject(&mut self, f: Fault) {
         match f {
-            Fault::Crash { nodes, back } => {
+            Fault::Crash { controllers, back } => {
                 self.cover_crash();
-                for node in nodes {
-                    if self.nodes[node].old && self.nodes.iter().any(|n| !n.old) {
+                for controller in controllers {
+                    if self.controllers[controller].old_version
+                        && self.controllers.iter().any(|n| !n.old_version)
+                    {
                         self.cover("an old controller ended beside new ones");
                     }
-                    self.nodes[node].engine = None;
-                    self.nodes[node].life += 1;
-                    self.after(back, Event::Boot { node });
+                    self.controllers[controller].engine = None;
+                    self.controllers[controller].generation += 1;
+                    self.schedule_after(back, Event::StartController { controller });
                 }
             }
-            Fault::Outage { until } => {
-                self.outage = until;
-                // Leases stand still: as far as they go, the outage did not happen.
+            Fault::StoreOutage { until } => {
+                self.store_outage_until = until;
+                // An outage does not use up leases: at its end each has its full time to live.
                 let store = &mut self.store;
                 store.refresh(until);
             }
-            Fault::Refused { node, until } => self.nodes[node].refused = until,
-            Fault::CutState { node, until, hold } => self.nodes[node].cut_state = (until, hold),
-            Fault::CutWorkers { node, until, hold } => self.nodes[node].cut_workers = (until, hold),
-            Fault::CutMesh { node, until } => self.nodes[node].cut_mesh = until,
-            Fault::CutLinks { node, count, until } => {
-                for id in self.some_machines(count) {
-                    self.cut_links.insert((node, id), until);
+            Fault::RefuseController { controller, until } => {
+                self.controllers[controller].store_refuses_until = until;
+            }
+            Fault::CutStore {
+                controller,
+                until,
+                hold,
+            } => self.controllers[controller].store_cut = (until, hold),
+            Fault::CutAgents {
+                controller,
+                until,
+                hold,
+            } => self.controllers[controller].agents_cut = (until, hold),
+            Fault::CutPeers { controller, until } => {
+                self.controllers[controller].peers_cut_until = until;
+            }
+            Fault::CutLinks {
+                controller,
+                count,
+                until,
+            } => {
+                for id in self.random_machines(count) {
+                    self.links_cut_until.insert((controller, id), until);
                 }
             }
-            Fault::CloudOutage { until } => self.cloud_outage = until,
+            Fault::CloudOutage { until } => self.cloud_outage_until = until,
             Fault::KillMachines { count } => {
-                for id in self.some_machines(count) {
+                for id in self.random_machines(count) {
                     let bound = |k: &TaskKey| {
-                        self.truth.jobs[&k.job].one_zone || self.truth.jobs[&k.job].zone.is_some()
+                        self.ground_truth.jobs[&k.job].one_zone
+                            || self.ground_truth.jobs[&k.job].zone.is_some()
                     };
-                    if self.truth.workers[&id].tasks.keys().any(bound) {
+                    if self.ground_truth.machines[&id].tasks.keys().any(bound) {
                         self.cover("a job bound to one zone lost a machine");
                     }
-                    self.truth.workers.get_mut(&id).unwrap().dead = true;
+                    self.ground_truth.machines.get_mut(&id).unwrap().dead = true;
                 }
             }
-            Fault::Hang { count, lasts } => {
+            Fault::HangMachines { count, lasts } => {
                 let until = self.now + lasts;
-                for id in self.some_machines(count) {
-                    self.truth.workers.get_mut(&id).unwrap().hung_until = until;
+                for id in self.random_machines(count) {
+                    self.ground_truth.machines.get_mut(&id).unwrap().hung_until = until;
                 }
             }
             Fault::CutMachines { count, lasts } => {
                 let until = self.now + lasts;
-                for id in self.some_machines(count) {
-                    self.cut_machines.insert(id, until);
+                for id in self.random_machines(count) {
+                    self.machines_cut_until.insert(id, until);
                 }
             }
             Fault::LoseAnswers { count, lasts } => {
                 let until = self.now + lasts;
-                for id in self.some_machines(count) {
-                    self.answers_lost.insert(id, until);
+                for id in self.random_machines(count) {
+                    self.answers_lost_until.insert(id, until);
                 }
             }
-            Fault::DuplicateReports { until } => self.duplicate_reports_until = until,
+            Fault::DuplicateHeartbeats { until } => self.duplicate_heartbeats_until = until,
             Fault::DelayWrites { until } => self.delay_writes_until = until,
             Fault::DelayAnswers { until } => self.delay_answers_until = until,
-            Fault::PauseNode { node, until } => self.nodes[node].stalled = until,
-            Fault::SlowNode { node, until } => self.nodes[node].slow = until,
-            Fault::SlowState { until } => self.slow_state = until,
-            Fault::CancelAtCompletion { until } => self.cancel_at_completion = until,
-            Fault::Upgrade { node, back } => {
-                if self.nodes.iter().any(|n| !n.old) && self.nodes[node].old {
+            Fault::PauseController { controller, until } => {
+                self.controllers[controller].paused_until = until;
+            }
+            Fault::SlowController { controller, until } => {
+                self.controllers[controller].slow_until = until;
+            }
+            Fault::SlowStore { until } => self.slow_store_until = until,
+            Fault::CancelAtCompletion { until } => self.cancel_at_completion_until = until,
+            Fault::Upgrade { controller, back } => {
+                if self.controllers.iter().any(|n| !n.old_version)
+                    && self.controllers[controller].old_version
+                {
                     self.cover("a controller was upgraded while others had been");
                 }
                 self.inject(Fault::Crash {
-                    nodes: vec![node],
+                    controllers: vec![controller],
                     back,
                 });
-                self.nodes[node].old = false;
+                self.controllers[controller].old_version = false;
             }
             Fault::DelayCommands { until } => self.delay_commands_until = until,
             Fault::LoseCommitAnswers { until } => self.lose_commit_answers_until = until,
-            Fault::KeepReports { until } => self.keep_reports_until = until,
-            Fault::SlowRentals { until } => self.slow_rentals = until,
+            Fault::ReplayHeartbeats { until } => self.keep_heartbeats_until = until,
+            Fault::SlowProvisioning { until } => self.slow_provisioning_until = until,
             Fault::PollStorm { until, factor } => {
                 self.poll_storm = PollStorm { until, factor };
-                self.at(self.now, Event::AskOften);
+                self.schedule_at(self.now, Event::PollStormStep);
             }
             Fault::BadBoots {
                 until,
@@ -355,88 +334,100 @@
                 }
             }
             Fault::FastBoots { until } => self.fast_boots_until = until,
-            Fault::CloseLooks { until } => self.close_looks_until = until,
+            Fault::PollEverywhere { until } => self.poll_everywhere_until = until,
             Fault::InvalidRequests { until } => {
-                self.invalid_requests = until;
-                self.at(self.now, Event::InvalidRequests);
+                self.invalid_requests_until = until;
+                self.schedule_at(self.now, Event::InvalidRequest);
             }
-            Fault::LoseReports { count, lasts } => {
+            Fault::LoseHeartbeats { count, lasts } => {
                 let until = self.now + lasts;
-                for id in self.some_machines(count) {
-                    self.reports_lost.insert(id, until);
+                for id in self.random_machines(count) {
+                    self.heartbeats_lost_until.insert(id, until);
                 }
             }
-            Fault::CutZone { zone, node, until } => {
-                (self.nodes[node].cut_state, self.nodes[node].cut_mesh) = ((until, true), until);
+            Fault::CutZone {
+                zone,
+                controller,
+                until,
+            } => {
+                (
+                    self.controllers[controller].store_cut,
+                    self.controllers[controller].peers_cut_until,
+                ) = ((until, true), until);
                 let zones: Vec<(MachineId, bool)> = self
-                    .truth
-                    .workers
+                    .ground_truth
+                    .machines
                     .iter()
-                    .map(|(id, w)| (id.clone(), w.zone == zone))
+                    .map(|(id, machine)| (id.clone(), machine.zone == zone))
                     .collect();
                 for (id, inside) in zones {
-                    for k in (0..self.scale.nodes).filter(|k| (*k == node) != inside) {
-                        self.cut_links.insert((k, id.clone()), until);
+                    for k in (0..self.scale.controllers).filter(|k| (*k == controller) != inside) {
+                        self.links_cut_until.insert((k, id.clone()), until);
                     }
                 }
             }
             Fault::CrashHolder { claim, back } => {
-                if let Some(node) = self.holder(claim) {
+                if let Some(controller) = self.holder(claim) {
                     self.inject(Fault::Crash {
-                        nodes: vec![node],
+                        controllers: vec![controller],
                         back,
                     });
                 }
             }
             Fault::RefuseHolder { claim, until } => {
-                if let Some(node) = self.holder(claim) {
-                    self.inject(Fault::Refused { node, until });
+                if let Some(controller) = self.holder(claim) {
+                    self.inject(Fault::RefuseController { controller, until });
                 }
             }
             Fault::IsolateHolder { claim, until } => {
-                if let Some(node) = self.holder(claim) {
-                    self.inject(Fault::CutState {
-                        node,
+                if let Some(controller) = self.holder(claim) {
+                    self.inject(Fault::CutStore {
+                        controller,
                         until,
                         hold: true,
                     });
-                    self.inject(Fault::CutMesh { node, until });
+                    self.inject(Fault::CutPeers { controller, until });
                 }
             }
             Fault::CancelRunning { count, hang } => {
                 let mut running: BTreeMap<JobId, Vec<MachineId>> = BTreeMap::new();
-                for (id, w) in self.truth.workers.iter().filter(|(_, w)| !w.dead) {
-                    for (k, _) in w.tasks.iter().filter(|(_, t)| t.on_machine()) {
+                for (id, machine) in self
+                    .ground_truth
+                    .machines
+                    .iter()
+                    .filter(|(_, machine)| !machine.dead)
+                {
+                    for (k, _) in machine.tasks.iter().filter(|(_, t)| t.on_machine()) {
                         running.entry(k.job.clone()).or_default().push(id.clone());
                     }
                 }
-                running.retain(|job, _| !self.wants_cancel.contains(job));
+                running.retain(|job, _| !self.cancel_requested.contains(job));
                 for (job, on) in running.into_iter().take(count) {
-                    self.wants_cancel.insert(job.clone());
-                    // Asked of several controllers at once: one of them may be refused by the store.
+                    self.cancel_requested.insert(job.clone());
+                    // Sent to several controllers, since the store may be refusing one of them.
                     for k in 0..4 {
-                        self.after(ms(40 * k), Event::Cancel { job: job.clone() });
+                        self.schedule_after(ms(40 * k), Event::Cancel { job: job.clone() });
                     }
                     for id in on.into_iter().filter(|_| hang > Micros::ZERO).take(2) {
                         self.cover("a machine hung as its job was cancelled");
-                        self.truth.workers.get_mut(&id).unwrap().hung_until =
+                        self.ground_truth.machines.get_mut(&id).unwrap().hung_until =
                             self.now + ms(150) + hang;
                     }
                 }
             }
             Fault::RestartMachines { count } => {
                 let now = self.now;
-                for id in self.some_machines(count) {
-                    let w = self.truth.workers.get_mut(&id).unwrap();
-                    w.incarnation += 1;
-                    w.tasks.clear();
-                    (w.lease_from, w.in_flight) = (now, None);
+                for id in self.random_machines(count) {
+                    let machine = self.ground_truth.machines.get_mut(&id).unwrap();
+                    machine.incarnation += 1;
+                    machine.tasks.clear();
+                    (machine.lease_renewed_at, machine.in_flight) = (now, None);
                 }
             }
-            Fault::Notice { count } => {
+            Fault::PreemptionNotice { count } => {
                 let at = self.now + ms(8_000);
-                for id in self.some_machines(count) {
-                    self.truth.workers.get_mut(&id).unwrap().notice_at = Some(at);
+                for id in self.random_machines(count) {
+                    self.ground_truth.machines.get_mut(&id).unwrap().preempt_at = Some(at);
                 }
             }
         }
--- a/crates/seamfront-testing/src/simulation/invariants.rs
+++ b/crates/seamfront-testing/src/simulation/invariants.rs
@@ -1,4 +1,5 @@
-//! Checks of the whole world: what is still owed at the end, who was not served, who is passed over.
+//! Invariants that are checked during a simulated run, and what a test checks at its end: unfinished jobs and jobs
+//! that were not served.
 
 use super::{
     ms, BTreeMap, BTreeSet, CloudRequest, Event, JobId, JobKind, JobSpec, MachineId, Micros, Order,
@@ -6,64 +7,76 @@
 };
 
 impl Simulation {
-    /// What is still owed once everything has been quiet for long.
-    pub fn owed(&self) -> Vec<String> {
-        let mut owed = Vec::new();
+    /// Accepted jobs that are not in the state they must reach long after the last fault: services run completely or
+    /// are cancelled on request, all other jobs have ended.
+    pub fn unfinished(&self) -> Vec<String> {
+        let mut unfinished = Vec::new();
         for id in &self.accepted {
-            let spec = &self.truth.jobs[id];
-            let done = self.truth.completed.get(id).map_or(0, |c| c.len() as u32) == spec.tasks;
-            let over = self.final_answers.contains_key(id);
+            let spec = &self.ground_truth.jobs[id];
+            let done = self
+                .ground_truth
+                .completed
+                .get(id)
+                .map_or(0, |c| c.len() as u32)
+                == spec.tasks;
+            let has_final_state = self.final_states.contains_key(id);
             match spec.kind {
-                JobKind::Service if self.wants_cancel.contains(id) && !over => {
-                    owed.push(format!("{id} not cancelled"));
+                JobKind::Service if self.cancel_requested.contains(id) && !has_final_state => {
+                    unfinished.push(format!("{id} not cancelled"));
                 }
-                JobKind::Service if !self.wants_cancel.contains(id) => {
-                    let up = self.truth.workers.values().filter(|w| !w.dead);
+                JobKind::Service if !self.cancel_requested.contains(id) => {
+                    let up = self
+                        .ground_truth
+                        .machines
+                        .values()
+                        .filter(|machine| !machine.dead);
                     let running = up
-                        .flat_map(|w| w.tasks.iter())
+                        .flat_map(|machine| machine.tasks.iter())
                         .filter(|(k, t)| k.job == *id && t.state == TaskState::Running)
                         .count();
                     if running as u32 != spec.tasks {
-                        owed.push(format!("{id}: {running} of {} replicas run", spec.tasks));
+                        unfinished.push(format!("{id}: {running} of {} replicas run", spec.tasks));
                     }
                 }
-                _ if !over => owed.push(format!(
-                    "{id} {:?} not over (done {done}): {spec:?}",
+                _ if !has_final_state => unfinished.push(format!(
+                    "{id} {:?} has no final state (all tasks done: {done}): {spec:?}",
                     spec.kind
                 )),
                 _ => {}
             }
         }
-        owed
+        unfinished
     }
 
-    /// Classes, teams and the largest jobs of each class that were not served as the operators ask:
-    /// at least half of each, and the largest begun within four minutes.
+    /// Groups of jobs that were not served as the operators ask. The groups are all classes, all teams, and the
+    /// largest jobs of each class (at least three quarters of the class's largest size). At least half of each group
+    /// must have started, and a largest job counts only if it started within four minutes.
     pub fn not_served(&self) -> Vec<String> {
-        let asked = |id: &&JobId| {
-            let wanted = !self.wants_cancel.contains(*id) && self.truth.called_off(id).is_none();
-            wanted || self.truth.began.contains_key(*id)
+        let counted = |id: &&JobId| {
+            let wanted = !self.cancel_requested.contains(*id)
+                && self.ground_truth.dependency_cancelled_at(id).is_none();
+            wanted || self.ground_truth.first_started_at.contains_key(*id)
         };
         let mut groups: BTreeMap<String, (u32, u32)> = BTreeMap::new();
-        for id in self.accepted.iter().filter(asked) {
-            let spec = &self.truth.jobs[id];
-            // What waits for others may begin once the last of them is done.
+        for id in self.accepted.iter().filter(counted) {
+            let spec = &self.ground_truth.jobs[id];
+            // The wait of a job with dependencies is counted from the end of the last of them.
             let ready = spec
                 .dependencies
                 .iter()
-                .filter_map(|n| self.ended.get(n))
+                .filter_map(|n| self.completed_at.get(n))
                 .max()
                 .copied()
                 .unwrap_or(Micros::ZERO);
-            let began = self
-                .truth
-                .began
+            let wait = self
+                .ground_truth
+                .first_started_at
                 .get(id)
-                .map(|t| *t - ready.max(self.submitted[id]));
+                .map(|t| *t - ready.max(self.submitted_at[id]));
             let largest = self
                 .accepted
                 .iter()
-                .map(|j| &self.truth.jobs[j])
+                .map(|j| &self.ground_truth.jobs[j])
                 .filter(|j| j.class == spec.class);
             let size = |j: &JobSpec| i64::from(j.tasks) * j.task_resources.cpus;
             let largest = largest.map(size).max().unwrap_or(0);
@@ -71,9 +84,9 @@
                 format!("class {}", spec.class),
                 format!("team {}", spec.team),
             ];
-            let mut served = began.is_some();
+            let mut served = wait.is_some();
             if size(spec) * 4 >= largest * 3 {
-                served &= began.is_some_and(|d| d <= ms(240_000));
+                served &= wait.is_some_and(|d| d <= ms(240_000));
                 names.push(format!("largest of {}", spec.class));
             }
             for n in names {
@@ -92,42 +105,43 @@
         self.accepted.len()
     }
 
-    pub(super) fn follow_completions(&mut self) {
-        let over =
-            |(id, done): (&JobId, &BTreeSet<u32>)| done.len() as u32 == self.truth.jobs[id].tasks;
+    pub(super) fn track_completions(&mut self) {
+        let complete = |(id, done): (&JobId, &BTreeSet<u32>)| {
+            done.len() as u32 == self.ground_truth.jobs[id].tasks
+        };
         let ended: Vec<JobId> = self
-            .truth
+            .ground_truth
             .completed
             .iter()
-            .filter(|c| !self.ended.contains_key(c.0) && over(*c))
+            .filter(|c| !self.completed_at.contains_key(c.0) && complete(*c))
             .map(|c| c.0.clone())
             .collect();
         for job in ended {
-            self.ended.insert(job.clone(), self.now);
-            self.look_closely(&job);
-            if self.now < self.cancel_at_completion
+            self.completed_at.insert(job.clone(), self.now);
+            self.poll_everywhere_if_enabled(&job);
+            if self.now < self.cancel_at_completion_until
                 && self.accepted.contains(&job)
-                && !self.final_answers.contains_key(&job)
+                && !self.final_states.contains_key(&job)
             {
                 self.cover("a cancellation, a question and a submission met a job's end");
-                self.wants_cancel.insert(job.clone());
+                self.cancel_requested.insert(job.clone());
                 for k in 0..4 {
                     let d = ms(self.rng.random_range(0..500));
-                    self.after(d, Event::Cancel { job: job.clone() });
+                    self.schedule_after(d, Event::Cancel { job: job.clone() });
                     let event = if k == 0 {
                         Event::Submit { job: job.clone() }
                     } else {
                         Event::Poll { job: job.clone() }
                     };
                     let d = ms(self.rng.random_range(0..500));
-                    self.after(d, event);
+                    self.schedule_after(d, event);
                 }
             }
         }
     }
 
-    /// Whoever acts on the cloud under a duty holds it, and so by the store.
-    pub(super) fn check_duty(&mut self, node: usize, request: &CloudRequest) {
+    /// Invariant: a controller that calls the cloud under a duty holds that duty's claim in the store.
+    pub(super) fn check_duty(&mut self, controller: usize, request: &CloudRequest) {
         let claim = match request {
             CloudRequest::Terminate { .. } => "duty/claim/returning",
             CloudRequest::MachineTypes
@@ -135,16 +149,16 @@
             | CloudRequest::Provision { .. } => "duty/claim/renting",
         };
         self.cover("a duty acted on the cloud");
-        if self.holder(claim) != Some(node) {
+        if self.holder(claim) != Some(controller) {
             let t = self.now.as_secs_decimal();
-            self.truth
-                .broken
-                .push(format!("{t:.3} n{node} acts without {claim}: {request:?}"));
+            self.ground_truth.violations.push(format!(
+                "{t:.3} n{controller} calls the cloud without holding {claim}: {request:?}"
+            ));
         }
     }
 
-    pub(super) fn follow_claims(&mut self) {
-        let shards = (0..self.scale.nodes).map(|k| format!("share/{k}"));
+    pub(super) fn track_claims(&mut self) {
+        let shards = (0..self.scale.controllers).map(|k| format!("share/{k}"));
         for claim in shards.chain(["leader".to_owned()]) {
             let version = self.store.keys.get(&claim).map(|v| v.1);
             let known = self.claims.entry(claim.clone()).or_insert((None, self.now));
@@ -157,34 +171,35 @@
                 if claim == "leader" {
                     self.cover("leadership was taken");
                 }
-                self.deliver_kept_reports(&claim);
+                self.deliver_kept_heartbeats(&claim);
             }
         }
     }
 
-    /// To every controller as the claim is taken, and once more to its holder when it has begun to act.
-    fn deliver_kept_reports(&mut self, claim: &str) {
+    /// Delivers copies of old heartbeats to every controller as a claim is acquired, and once more to the new holder
+    /// within the next 4 s, when it has begun to act.
+    fn deliver_kept_heartbeats(&mut self, claim: &str) {
         let Some(holder) = self.holder(claim) else {
             return;
         };
-        for (sent, heartbeat) in std::mem::take(&mut self.kept_reports) {
+        for (sent, heartbeat) in std::mem::take(&mut self.kept_heartbeats) {
             self.cover("an old report reached every controller as a claim was taken");
-            for node in 0..self.scale.nodes {
+            for controller in 0..self.scale.controllers {
                 let soon = ms(self.rng.random_range(0..200));
-                self.after(
+                self.schedule_after(
                     soon,
-                    Event::DuplicateReport {
-                        node,
+                    Event::DuplicateHeartbeat {
+                        controller,
                         sent,
                         heartbeat: Box::new(heartbeat.clone()),
                     },
                 );
             }
             let later = ms(self.rng.random_range(500..4_000));
-            self.after(
+            self.schedule_after(
                 later,
-                Event::DuplicateReport {
-                    node: holder,
+                Event::DuplicateHeartbeat {
+                    controller: holder,
                     sent,
                     heartbeat: Box::new(heartbeat),
                 },
@@ -192,35 +207,35 @@
         }
     }
 
-    /// The claim on the share of a job's team.
-    pub fn shard_key(&self, job: &JobId) -> &'static str {
+    /// The claim on the shard that the job's team belongs to.
+    pub fn shard_claim(&self, job: &JobId) -> &'static str {
         let shard = self
             .settings
-            .shard_of(&self.truth.jobs[job].team)
-            .expect("a known team");
+            .shard_of(&self.ground_truth.jobs[job].team)
+            .expect("the team of the job is configured");
         ["share/0", "share/1", "share/2"][shard]
     }
 
-    /// Of each job that needs others and was started: from the durable end of the last of those, or its own submission
-    /// if that is later, to the order of its first start.
-    pub fn waits_after_needs(&self) -> Vec<Micros> {
+    /// For each job with dependencies that was started: the time from the stored end of its last dependency, or from
+    /// its own submission if that is later, to the first order that starts one of its tasks. Sorted.
+    pub fn dependency_waits(&self) -> Vec<Micros> {
         let mut waits = Vec::new();
-        for (job, ordered) in &self.first_orders {
-            let dependencies = &self.truth.jobs[job].dependencies;
+        for (job, ordered) in &self.first_start_ordered {
+            let dependencies = &self.ground_truth.jobs[job].dependencies;
             let last = dependencies
                 .iter()
-                .filter_map(|n| self.durable_ends.get(n))
+                .filter_map(|n| self.ended_in_store.get(n))
                 .max();
             if let Some(last) = last {
-                waits.push(*ordered - (*last).max(self.submitted[job]));
+                waits.push(*ordered - (*last).max(self.submitted_at[job]));
             }
         }
         waits.sort();
         waits
     }
 
-    /// How many keys with this prefix the state service holds.
-    pub fn stored(&self, prefix: &str) -> usize {
+    /// The number of stored keys with this prefix.
+    pub fn count_keys(&self, prefix: &str) -> usize {
         self.store
             .keys
             .keys()
@@ -228,127 +243,136 @@
             .count()
     }
 
-    /// A claim that nobody holds, or that was taken a moment ago.
-    pub(super) fn changes_hands(&self, claim: &str) -> bool {
+    /// Whether the claim is free or was acquired or released less than 3 s ago.
+    pub(super) fn recently_transferred(&self, claim: &str) -> bool {
         self.claims
             .get(claim)
             .is_some_and(|(v, since)| v.is_none() || self.now - *since < ms(3_000))
     }
 
-    /// No controller orders a start of a job that it has itself called cancelled, however troubled the times.
-    pub(super) fn check_orders(&mut self, node: usize, orders: &[Order]) {
+    /// Invariant: no controller orders the start of a job that it has itself reported as cancelled, whatever faults
+    /// there are.
+    pub(super) fn check_orders(&mut self, controller: usize, orders: &[Order]) {
         for o in orders {
             let Order::Start { task, .. } = o else {
                 continue;
             };
-            self.first_orders
+            self.first_start_ordered
                 .entry(task.job.clone())
                 .or_insert(self.now);
-            if self.nodes[node].called_cancelled.contains(&task.job) {
+            if self.controllers[controller]
+                .reported_cancelled
+                .contains(&task.job)
+            {
                 let t = self.now.as_secs_decimal();
-                let bad = format!(
-                    "{t:.3} start of {task} ordered by n{node}, which had called the job cancelled"
+                let violation = format!(
+                    "{t:.3} start of {task} ordered by n{controller}, which had reported the job as cancelled"
                 );
-                self.truth.broken.push(bad);
+                self.ground_truth.violations.push(violation);
             }
         }
     }
 
-    /// Starts after a confirmed cancellation are counted. Once the troubles are over, what was under way as the
-    /// job was called off is stopped with the next reply: no start comes later than that.
+    /// Counts starts after a confirmed cancellation. Invariant: once the faults are over, a start that was in flight
+    /// as the job was cancelled is stopped by the answer to the next heartbeat, so no task starts later than that.
     pub(super) fn check_late_starts(&mut self) {
-        let settled = self.quiet_from + ms(30_000);
+        let check_from = self.faults_end + ms(30_000);
         let at_most = self.settings.heartbeat_interval.times(5).over(2) + ms(1_000);
-        for (task, confirmed) in std::mem::take(&mut self.truth.started_cancelled) {
+        for (task, confirmed) in std::mem::take(&mut self.ground_truth.started_after_cancellation) {
             self.cover("a task started after its cancellation was confirmed");
-            if confirmed > settled && self.now - confirmed > at_most {
+            if confirmed > check_from && self.now - confirmed > at_most {
                 let t = self.now.as_secs_decimal();
-                self.truth.broken.push(format!(
-                    "{t:.3} {task} started though cancelled at {confirmed:?}"
+                self.ground_truth.violations.push(format!(
+                    "{t:.3} {task} started although its job was reported as cancelled at {confirmed:?}"
                 ));
             }
         }
     }
 
-    /// What can never run is in no record of the state service.
-    pub(super) fn check_impossible_jobs(&mut self) {
-        for id in &self.impossible {
+    /// Invariant: the store has no record of a job that can never run.
+    pub(super) fn check_invalid_jobs(&mut self) {
+        for id in &self.invalid_jobs {
             if self.store.keys.contains_key(&format!("job/{id}"))
                 || self.store.keys.contains_key(&format!("end/{id}"))
             {
-                self.truth
-                    .broken
-                    .push(format!("accepted though it can never run: {id}"));
+                self.ground_truth
+                    .violations
+                    .push(format!("accepted although it can never run: {id}"));
             }
         }
     }
 
-    /// Once all troubles are over, an accepted job is answered for at least every 75 s. Silence counts too.
+    /// Invariant: once the faults are over, polls about an accepted job are answered at least every 75 s.
     pub(super) fn check_answered(&mut self) {
-        // Users poll on until then.
-        if self.now > self.quiet_from + ms(100_000) {
+        // Users stop polling 100 s after the last fault.
+        if self.now > self.faults_end + ms(100_000) {
             return;
         }
         let forgotten = |id: &&JobId| {
             let last = self
-                .answered
+                .last_answered
                 .get(*id)
                 .copied()
                 .unwrap_or(Micros::ZERO)
-                .max(self.quiet_from);
-            !self.final_answers.contains_key(*id) && self.now - last > ms(75_000)
+                .max(self.faults_end);
+            !self.final_states.contains_key(*id) && self.now - last > ms(75_000)
         };
         let forgotten: Vec<String> = self
             .accepted
             .iter()
             .filter(forgotten)
-            .map(|id| format!("forgotten: {id} was not answered for"))
+            .map(|id| format!("forgotten: no request about {id} was answered for 75 s"))
             .collect();
-        self.truth.broken.extend(forgotten);
+        self.ground_truth.violations.extend(forgotten);
     }
 
-    /// Once the troubles are over, no job is left waiting for 90 s while a machine that fits has room and
-    /// its team is under its limit. Gangs that need several places at once are not judged.
+    /// Invariant: once the faults are over, no job waits for 90 s while the same suitable machine has room and its
+    /// team is below its limit. Gangs of several tasks and jobs with zone constraints are not checked.
     pub(super) fn check_waiting_jobs(&mut self) {
-        let since = self.quiet_from + ms(30_000);
+        let since = self.faults_end + ms(30_000);
         if self.now < since || self.now.0 / 100_000 % 10 != 0 {
             return;
         }
         let mut used: BTreeMap<&str, Resources> = BTreeMap::new();
         let mut room: BTreeMap<&MachineId, Resources> = BTreeMap::new();
         let mut placed: BTreeMap<&JobId, u32> = BTreeMap::new();
-        for (id, w) in self
-            .truth
-            .workers
+        for (id, machine) in self
+            .ground_truth
+            .machines
             .iter()
-            .filter(|(_, w)| !w.dead && w.up_at <= self.now)
+            .filter(|(_, machine)| !machine.dead && machine.up_at <= self.now)
         {
-            for (k, _) in w
+            for (k, _) in machine
                 .tasks
                 .iter()
                 .filter(|(_, t)| !matches!(t.state, TaskState::Exited(_)))
             {
-                let spec = &self.truth.jobs[&k.job];
+                let spec = &self.ground_truth.jobs[&k.job];
                 used.entry(&spec.team).or_default().add(spec.task_resources);
                 *placed.entry(&k.job).or_default() += 1;
             }
-            room.insert(id, w.free(&self.truth.jobs));
+            room.insert(id, machine.free(&self.ground_truth.jobs));
         }
         let mut waits = BTreeSet::new();
-        let wanted =
-            |id: &&JobId| !self.wants_cancel.contains(*id) && !self.final_answers.contains_key(*id);
+        let wanted = |id: &&JobId| {
+            !self.cancel_requested.contains(*id) && !self.final_states.contains_key(*id)
+        };
         for id in self.accepted.iter().filter(wanted) {
-            let spec = &self.truth.jobs[id];
+            let spec = &self.ground_truth.jobs[id];
             if spec
                 .dependencies
                 .iter()
-                .any(|n| !self.ended.contains_key(n))
+                .any(|n| !self.completed_at.contains_key(n))
             {
                 continue;
             }
-            let done = self.truth.completed.get(id).map_or(0, |c| c.len() as u32);
-            let whole = spec.kind == JobKind::Gang && spec.tasks > 1;
-            if whole
+            let done = self
+                .ground_truth
+                .completed
+                .get(id)
+                .map_or(0, |c| c.len() as u32);
+            let multi_task_gang = spec.kind == JobKind::Gang && spec.tasks > 1;
+            if multi_task_gang
                 || spec.one_zone
                 || spec.spread
                 || done + placed.get(id).copied().unwrap_or(0) >= spec.tasks
@@ -356,35 +380,35 @@
                 continue;
             }
             let team = self
-                .truth
+                .ground_truth
                 .teams
                 .iter()
                 .find(|t| t.name == spec.team)
                 .unwrap();
             let mut sum = used.get(spec.team.as_str()).copied().unwrap_or_default();
             sum.add(spec.task_resources);
-            let under = team.limit.cpus == 0 || sum.cpus <= team.limit.cpus;
+            let below_limit = team.limit.cpus == 0 || sum.cpus <= team.limit.cpus;
             let fits = |m: &MachineId, free: &Resources| {
-                let w = &self.truth.workers[m];
-                spec.allows(&w.kind, &w.zone, w.spot)
+                let machine = &self.ground_truth.machines[m];
+                spec.allows(&machine.kind, &machine.zone, machine.spot)
                     && free.fits(spec.task_resources) > 0
-                    && w.notice_at.is_none()
+                    && machine.preempt_at.is_none()
             };
-            for (m, _) in room.iter().filter(|(m, free)| under && fits(m, free)) {
+            for (m, _) in room.iter().filter(|(m, free)| below_limit && fits(m, free)) {
                 waits.insert((id.clone(), (*m).clone()));
             }
         }
-        self.passed_over.retain(|id, _| waits.contains(id));
+        self.waiting_with_room.retain(|id, _| waits.contains(id));
         for (id, m) in waits {
             let since = *self
-                .passed_over
+                .waiting_with_room
                 .entry((id.clone(), m.clone()))
                 .or_insert(self.now);
             if self.now - since > ms(90_000) {
-                let spec = &self.truth.jobs[&id];
+                let spec = &self.ground_truth.jobs[&id];
                 let t = self.now.as_secs_decimal();
-                self.truth.broken.push(format!(
-                    "{t:.3} left waiting for 90 s though {m} has room: {spec:?}"
+                self.ground_truth.violations.push(format!(
+                    "{t:.3} waiting for 90 s although {m} has room: {spec:?}"
                 ));
             }
         }
--- a/crates/seamfront-testing/src/simulation/workers.rs
+++ b/crates/seamfront-testing/src/simulation/machines.rs
@@ -1,5 +1,5 @@
-//! Stand-in for the workers, and the truth about what runs where. The rules are checked here, on
-//! this truth, never on what an engine believes.
+//! Stand-in for the machines and their agents, and with it the ground truth about what runs where. Invariants on tasks
+//! are checked against this state, never against what an engine believes.
 
 use seamfront_core::port::{Exit, Heartbeat, Order, TaskState, TaskStatus};
 use seamfront_core::types::{JobId, JobKind, JobSpec, MachineId, Micros, Resources, TaskKey, Team};
@@ -9,14 +9,16 @@
 pub struct Task {
     pub attempt: u64,
     pub state: TaskState,
-    /// When the image is there, then when the work is done.
+    /// While fetching, when the image is complete; while running, when the work is done; while saving, when the
+    /// checkpoint is written.
     pub until: Micros,
     pub waiting_since: Micros,
+    /// When the task was ordered to stop with a checkpoint, or when a gang member noticed that others do not run.
     pub stopped: Option<Micros>,
 }
 
 impl Task {
-    /// From having its image until it exits.
+    /// Whether the task has its image and has not exited.
     pub fn on_machine(&self) -> bool {
         matches!(
             self.state,
@@ -25,30 +27,37 @@
     }
 }
 
-pub struct Worker {
+/// A machine and its agent.
+pub struct Machine {
     pub kind: String,
     pub zone: String,
     pub spot: bool,
     pub size: Resources,
+    /// When the machine has booted; `Micros::MAX` if it never boots.
     pub up_at: Micros,
-    pub rented_at: Micros,
+    pub provisioned_at: Micros,
+    /// Terminated, preempted or killed.
     pub dead: bool,
     pub hung_until: Micros,
     pub incarnation: u64,
     pub sequence: u64,
     pub fencing_token: u64,
     pub tasks: BTreeMap<TaskKey, Task>,
-    pub lease_from: Micros,
-    /// Since when its reports have been answered without a longer gap.
-    pub steady_from: Micros,
-    pub target: usize,
+    /// When the heartbeat was sent whose answer last renewed the lease.
+    pub lease_renewed_at: Micros,
+    /// Since when heartbeats have been answered without a gap of more than 6 s.
+    pub steady_since: Micros,
+    /// The controller that the next heartbeat goes to.
+    pub target_controller: usize,
+    /// Sequence number and time of the heartbeat that waits for its answer.
     pub in_flight: Option<(u64, Micros)>,
-    pub next_report: Micros,
-    pub notice_at: Option<Micros>,
+    pub next_heartbeat: Micros,
+    /// When the cloud preempts the machine, once it has given notice.
+    pub preempt_at: Option<Micros>,
 }
 
-impl Worker {
-    /// What is not taken by tasks that have not exited.
+impl Machine {
+    /// Resources that are not taken by tasks, except those that have exited.
     pub fn free(&self, jobs: &BTreeMap<JobId, JobSpec>) -> Resources {
         let mut free = self.size;
         for (k, _) in self
@@ -62,34 +71,40 @@
     }
 }
 
-pub struct Truth {
-    pub workers: BTreeMap<MachineId, Worker>,
+/// The actual state of machines, jobs and tasks, and the violations of invariants found in it.
+pub struct GroundTruth {
+    pub machines: BTreeMap<MachineId, Machine>,
     pub jobs: BTreeMap<JobId, JobSpec>,
     pub teams: Vec<Team>,
+    /// Completed tasks by job.
     pub completed: BTreeMap<JobId, BTreeSet<u32>>,
-    /// Jobs that were submitted with a mistake: their tasks fail on every machine.
-    pub failing: BTreeSet<JobId>,
-    /// How often such a task has failed since that was last counted.
+    /// Jobs whose specification is wrong, so that their tasks fail on every machine.
+    pub failing_jobs: BTreeSet<JobId>,
+    /// Failures of such tasks that are not in the coverage counters yet.
     pub failures: u32,
-    /// When a user was told that the job is cancelled.
+    /// When a user was first told that the job is cancelled.
     pub cancelled: BTreeMap<JobId, Micros>,
-    pub cancel: Micros,
+    /// Time within which the tasks of a cancelled job must be gone.
+    pub cancel_timeout: Micros,
+    /// How long a gang member waits for the others before it exits.
     pub gang_wait: Micros,
+    /// How long a running gang member goes on without the others before it exits.
     pub gang_peer: Micros,
     pub lease: Micros,
-    pub broken: Vec<String>,
-    pub started: u64,
-    /// Tasks that started after their job's cancellation was confirmed, with when that was.
-    pub started_cancelled: Vec<(TaskKey, Micros)>,
-    /// Leases that ended under tasks.
-    pub leases_ended: u64,
-    /// When the first task of a job began.
-    pub began: BTreeMap<JobId, Micros>,
-    /// Machines that may have tasks of a job, so that a large world needs no search for them.
-    pub holders: BTreeMap<JobId, BTreeSet<MachineId>>,
+    /// Violated invariants; any entry fails the run.
+    pub violations: Vec<String>,
+    pub tasks_started: u64,
+    /// Tasks that started after their job's cancellation was confirmed, with the time of the confirmation.
+    pub started_after_cancellation: Vec<(TaskKey, Micros)>,
+    /// Leases that expired while the machine had tasks.
+    pub leases_expired: u64,
+    /// When the first task of each job started.
+    pub first_started_at: BTreeMap<JobId, Micros>,
+    /// Machines that may have tasks of a job: an index, so that large simulations need no search.
+    pub machines_by_job: BTreeMap<JobId, BTreeSet<MachineId>>,
 }
 
-fn all_of(job: &JobId) -> std::ops::RangeInclusive<TaskKey> {
+fn task_keys_of(job: &JobId) -> std::ops::RangeInclusive<TaskKey> {
     let at = |index| TaskKey {
         job: job.clone(),
         index,
@@ -97,18 +112,18 @@
     at(0)..=at(u32::MAX)
 }
 
-impl Truth {
+impl GroundTruth {
     pub fn heartbeat(&mut self, id: &MachineId) -> Heartbeat {
-        let w = self.workers.get_mut(id).unwrap();
-        w.sequence += 1;
+        let machine = self.machines.get_mut(id).unwrap();
+        machine.sequence += 1;
         Heartbeat {
             machine: id.clone(),
             addr: id.to_string(),
-            incarnation: w.incarnation,
-            sequence: w.sequence,
-            fencing_token: w.fencing_token,
-            preemption_notice: w.notice_at.map(|_| Micros::from_secs(5)),
-            tasks: w
+            incarnation: machine.incarnation,
+            sequence: machine.sequence,
+            fencing_token: machine.fencing_token,
+            preemption_notice: machine.preempt_at.map(|_| Micros::from_secs(5)),
+            tasks: machine
                 .tasks
                 .iter()
                 .map(|(k, t)| TaskStatus {
@@ -120,46 +135,51 @@
         }
     }
 
-    pub fn obey(
+    pub fn apply_orders(
         &mut self,
         now: Micros,
         id: &MachineId,
         orders: &[Order],
-        run: impl Fn(&JobSpec) -> (Micros, bool),
+        fetch: impl Fn(&JobSpec) -> (Micros, bool),
     ) {
         for o in orders {
-            let w = self.workers.get_mut(id).unwrap();
+            let machine = self.machines.get_mut(id).unwrap();
             match o {
                 Order::Start { task, attempt } => {
-                    if w.tasks.get(task).is_some_and(|t| t.attempt == *attempt) {
+                    if machine
+                        .tasks
+                        .get(task)
+                        .is_some_and(|t| t.attempt == *attempt)
+                    {
                         continue;
                     }
                     let Some(spec) = self.jobs.get(&task.job) else {
                         continue;
                     };
-                    let free = w.free(&self.jobs);
-                    let live = w
+                    let free = machine.free(&self.jobs);
+                    let live = machine
                         .tasks
                         .get(task)
                         .is_some_and(|t| !matches!(t.state, TaskState::Exited(_)));
                     let state = if live {
-                        // Refused; the worker would show both, which one map entry can't: drop it.
+                        // The agent refuses a second attempt beside a live one. Its heartbeat would list both, which a
+                        // map by task cannot hold, so the order is dropped.
                         continue;
                     } else if free.fits(spec.task_resources) < 1 {
                         TaskState::Exited(Exit::NoRoom)
                     } else {
                         TaskState::Fetching
                     };
-                    let (fetch, _) = run(spec);
+                    let (fetch_time, _) = fetch(spec);
                     let t = Task {
                         attempt: *attempt,
                         state,
-                        until: now + fetch,
+                        until: now + fetch_time,
                         waiting_since: now,
                         stopped: None,
                     };
-                    w.tasks.insert(task.clone(), t);
-                    self.holders
+                    machine.tasks.insert(task.clone(), t);
+                    self.machines_by_job
                         .entry(task.job.clone())
                         .or_default()
                         .insert(id.clone());
@@ -169,7 +189,11 @@
                     attempt,
                     grace,
                 } => {
-                    let Some(t) = w.tasks.get_mut(task).filter(|t| t.attempt == *attempt) else {
+                    let Some(t) = machine
+                        .tasks
+                        .get_mut(task)
+                        .filter(|t| t.attempt == *attempt)
+                    else {
                         continue;
                     };
                     let spec = &self.jobs[&task.job];
@@ -189,10 +213,17 @@
                 Order::Forget { task, attempt } => {
                     let ended =
                         |t: &Task| t.attempt == *attempt && matches!(t.state, TaskState::Exited(_));
-                    if w.tasks.get(task).is_some_and(ended) {
-                        w.tasks.remove(task);
-                        if w.tasks.range(all_of(&task.job)).next().is_none() {
-                            self.holders.get_mut(&task.job).map(|h| h.remove(id));
+                    if machine.tasks.get(task).is_some_and(ended) {
+                        machine.tasks.remove(task);
+                        if machine
+                            .tasks
+                            .range(task_keys_of(&task.job))
+                            .next()
+                            .is_none()
+                        {
+                            self.machines_by_job
+                                .get_mut(&task.job)
+                                .map(|h| h.remove(id));
                         }
                     }
                 }
@@ -200,90 +231,96 @@
         }
     }
 
-    fn everywhere<'a>(
+    fn tasks_of_job<'a>(
         &'a self,
         job: &'a JobId,
-    ) -> impl Iterator<Item = (&'a MachineId, &'a Worker, u32, &'a Task)> {
-        let holders = self.holders.get(job).into_iter().flatten();
-        let up = holders
-            .filter_map(|id| self.workers.get_key_value(id))
-            .filter(|(_, w)| !w.dead);
-        up.flat_map(move |(id, w)| {
-            w.tasks
-                .range(all_of(job))
-                .map(move |(k, t)| (id, w, k.index, t))
+    ) -> impl Iterator<Item = (&'a MachineId, &'a Machine, u32, &'a Task)> {
+        let machine_ids = self.machines_by_job.get(job).into_iter().flatten();
+        let up = machine_ids
+            .filter_map(|id| self.machines.get_key_value(id))
+            .filter(|(_, machine)| !machine.dead);
+        up.flat_map(move |(id, machine)| {
+            machine
+                .tasks
+                .range(task_keys_of(job))
+                .map(move |(k, t)| (id, machine, k.index, t))
         })
     }
 
-    /// The rules that hold at the moment a task comes to be on a machine.
+    /// Checks the invariants that hold when a task has its image and starts on a machine.
     fn check_start(&mut self, now: Micros, id: &MachineId, key: &TaskKey) {
-        self.started += 1;
-        self.began.entry(key.job.clone()).or_insert(now);
+        self.tasks_started += 1;
+        self.first_started_at.entry(key.job.clone()).or_insert(now);
         let spec = self.jobs[&key.job].clone();
-        let w = &self.workers[id];
-        let mut bad = Vec::new();
+        let machine = &self.machines[id];
+        let mut violations = Vec::new();
         let others: Vec<(String, MachineId, u32)> = self
-            .everywhere(&key.job)
+            .tasks_of_job(&key.job)
             .filter(|(m, _, i, t)| t.on_machine() && !(*m == id && *i == key.index))
-            .map(|(m, w, i, _)| (w.zone.clone(), m.clone(), i))
+            .map(|(m, machine, i, _)| (machine.zone.clone(), m.clone(), i))
             .collect();
         if let Some(o) = others.iter().find(|o| o.2 == key.index) {
-            bad.push(format!("ran_twice: {key} on {id} and {}", o.1));
+            violations.push(format!("ran_twice: {key} on {id} and {}", o.1));
         }
-        if !spec.allows(&w.kind, &w.zone, w.spot) {
-            bad.push(format!("wrong_place: {key} on {id}"));
+        if !spec.allows(&machine.kind, &machine.zone, machine.spot) {
+            violations.push(format!("wrong_place: {key} on {id}"));
         }
-        if spec.one_zone && others.iter().any(|o| o.0 != w.zone) {
-            bad.push(format!(
+        if spec.one_zone && others.iter().any(|o| o.0 != machine.zone) {
+            violations.push(format!(
                 "wrong_place: {key} in another zone than its siblings"
             ));
         }
-        let same = others.iter().filter(|o| o.0 == w.zone).count() as u32 + 1;
+        let same = others.iter().filter(|o| o.0 == machine.zone).count() as u32 + 1;
         if same > spec.zone_cap() {
-            bad.push(format!("wrong_place: {key} makes {same} in one zone"));
+            violations.push(format!("wrong_place: {key} is task {same} in its zone"));
         }
         if let Some(confirmed) = self.cancelled.get(&key.job) {
-            self.started_cancelled.push((key.clone(), *confirmed));
+            self.started_after_cancellation
+                .push((key.clone(), *confirmed));
         }
         if self
             .cancelled
             .get(&key.job)
-            .is_some_and(|t| now - *t > self.cancel)
+            .is_some_and(|t| now - *t > self.cancel_timeout)
         {
-            bad.push(format!("ran_cancelled: {key} started"));
+            violations.push(format!("ran_cancelled: {key} started"));
         }
         let done =
             |n: &JobId| self.completed.get(n).map_or(0, |c| c.len() as u32) == self.jobs[n].tasks;
         if let Some(n) = spec.dependencies.iter().find(|n| !done(n)) {
-            bad.push(format!("too_early: {key} started before {n} was done"));
+            violations.push(format!("too_early: {key} started before {n} was done"));
         }
         let team = self.teams.iter().find(|t| t.name == spec.team).unwrap();
         let mut used = Resources::default();
         let limited = team.limit.cpus > 0 || team.limit.gpus > 0;
         for job in self
-            .holders
+            .machines_by_job
             .keys()
             .filter(|j| limited && self.jobs[*j].team == team.name)
         {
             used.add(
                 self.jobs[job]
                     .task_resources
-                    .times(self.everywhere(job).filter(|x| x.3.on_machine()).count() as i64),
+                    .times(self.tasks_of_job(job).filter(|x| x.3.on_machine()).count() as i64),
             );
         }
         if (team.limit.cpus > 0 && used.cpus > team.limit.cpus)
             || (team.limit.gpus > 0 && used.gpus > team.limit.gpus)
         {
-            bad.push(format!("quota: {key} makes {used:?} of {}", team.name));
+            violations.push(format!(
+                "quota: {key} raises the usage to {used:?} in team {}",
+                team.name
+            ));
         }
-        self.broken.extend(
-            bad.into_iter()
+        self.violations.extend(
+            violations
+                .into_iter()
                 .map(|b| format!("{:.3} {b}", now.as_secs_decimal())),
         );
     }
 
-    /// Since when a user has known that a job which this one needs, directly or through others, is cancelled.
-    pub fn called_off(&self, id: &JobId) -> Option<Micros> {
+    /// When a user was first told that a direct or transitive dependency of the job is cancelled.
+    pub fn dependency_cancelled_at(&self, id: &JobId) -> Option<Micros> {
         let mut since: Option<Micros> = None;
         let mut seen = BTreeSet::new();
         let mut todo = vec![id.clone()];
@@ -303,30 +340,30 @@
         since
     }
 
-    /// Everything that happens at workers by itself.
+    /// Advances machines and tasks to `now`: expired leases, fetched images, completions, failures and gangs.
     pub fn advance(&mut self, now: Micros, work: impl Fn(&JobSpec) -> Micros) {
-        let ids: Vec<MachineId> = self.workers.keys().cloned().collect();
-        let mut began = Vec::new();
+        let ids: Vec<MachineId> = self.machines.keys().cloned().collect();
+        let mut started = Vec::new();
         for id in &ids {
-            let w = self.workers.get_mut(id).unwrap();
-            if w.dead || w.up_at > now {
+            let machine = self.machines.get_mut(id).unwrap();
+            if machine.dead || machine.up_at > now {
                 continue;
             }
-            if now - w.lease_from > self.lease {
-                w.incarnation += 1;
-                self.leases_ended += u64::from(w.tasks.values().any(Task::on_machine));
-                w.tasks.clear();
-                w.lease_from = now;
-                w.in_flight = None;
+            if now - machine.lease_renewed_at > self.lease {
+                machine.incarnation += 1;
+                self.leases_expired += u64::from(machine.tasks.values().any(Task::on_machine));
+                machine.tasks.clear();
+                machine.lease_renewed_at = now;
+                machine.in_flight = None;
             }
-            if w.hung_until > now {
+            if machine.hung_until > now {
                 continue;
             }
-            for (k, t) in &mut w.tasks {
+            for (k, t) in &mut machine.tasks {
                 let spec = &self.jobs[&k.job];
                 match t.state {
                     TaskState::Fetching if t.until <= now => {
-                        began.push((id.clone(), k.clone()));
+                        started.push((id.clone(), k.clone()));
                         t.waiting_since = now;
                         t.until = now + work(spec);
                         t.state = if spec.kind == JobKind::Gang {
@@ -337,7 +374,7 @@
                     }
                     TaskState::Running
                         if spec.kind != JobKind::Gang
-                            && self.failing.contains(&k.job)
+                            && self.failing_jobs.contains(&k.job)
                             && t.until <= now =>
                     {
                         t.state = TaskState::Exited(Exit::Error);
@@ -360,14 +397,14 @@
                 }
             }
         }
-        for (id, key) in began {
+        for (id, key) in started {
             self.check_start(now, &id, &key);
         }
-        self.gangs(now, &work);
-        for (job, told_at) in self.cancelled.clone() {
-            if now - told_at > self.cancel {
+        self.advance_gangs(now, &work);
+        for (job, confirmed_at) in self.cancelled.clone() {
+            if now - confirmed_at > self.cancel_timeout {
                 let left: Vec<String> = self
-                    .everywhere(&job)
+                    .tasks_of_job(&job)
                     .filter(|x| x.3.on_machine())
                     .map(|(m, _, i, _)| {
                         format!(
@@ -376,47 +413,48 @@
                         )
                     })
                     .collect();
-                self.broken.extend(left);
+                self.violations.extend(left);
             }
         }
     }
 
-    fn gangs(&mut self, now: Micros, work: &impl Fn(&JobSpec) -> Micros) {
+    fn advance_gangs(&mut self, now: Micros, work: &impl Fn(&JobSpec) -> Micros) {
         let held = self
-            .holders
+            .machines_by_job
             .iter()
             .filter(|h| !h.1.is_empty())
             .map(|h| &self.jobs[h.0]);
         let gangs: Vec<JobSpec> = held.filter(|j| j.kind == JobKind::Gang).cloned().collect();
         for spec in gangs {
             let members: Vec<(MachineId, u32, u64, TaskState, Micros, bool)> = self
-                .everywhere(&spec.id)
-                .map(|(m, w, i, t)| {
+                .tasks_of_job(&spec.id)
+                .map(|(m, machine, i, t)| {
                     (
                         m.clone(),
                         i,
                         t.attempt,
                         t.state,
                         t.until,
-                        w.hung_until > now,
+                        machine.hung_until > now,
                     )
                 })
                 .collect();
             let Some(attempt) = members.iter().map(|m| m.2).max() else {
                 continue;
             };
-            let here: Vec<_> = members.iter().filter(|m| m.2 == attempt).collect();
-            let in_state = |s: TaskState| here.iter().filter(|m| m.3 == s && !m.5).count() as u32;
+            let current: Vec<_> = members.iter().filter(|m| m.2 == attempt).collect();
+            let in_state =
+                |s: TaskState| current.iter().filter(|m| m.3 == s && !m.5).count() as u32;
             let awake = |m: &&&(MachineId, u32, u64, TaskState, Micros, bool)| !m.5;
             if in_state(TaskState::Waiting) == spec.tasks {
                 let until = now + work(&spec);
-                for m in &here {
+                for m in &current {
                     let key = TaskKey {
                         job: spec.id.clone(),
                         index: m.1,
                     };
                     let t = self
-                        .workers
+                        .machines
                         .get_mut(&m.0)
                         .unwrap()
                         .tasks
@@ -425,15 +463,15 @@
                     (t.state, t.until) = (TaskState::Running, until);
                 }
             } else if in_state(TaskState::Running) == spec.tasks {
-                if here.iter().all(|m| m.4 <= now) {
-                    let failing = self.failing.contains(&spec.id);
-                    for m in &here {
+                if current.iter().all(|m| m.4 <= now) {
+                    let failing = self.failing_jobs.contains(&spec.id);
+                    for m in &current {
                         let key = TaskKey {
                             job: spec.id.clone(),
                             index: m.1,
                         };
                         let exit = if failing { Exit::Error } else { Exit::Done };
-                        self.workers
+                        self.machines
                             .get_mut(&m.0)
                             .unwrap()
                             .tasks
@@ -451,9 +489,9 @@
                     }
                 }
             } else {
-                // Some run, some do not: after a while those that run notice.
+                // Only some members run: these notice after `gang_peer` and exit.
                 let peer = self.gang_peer;
-                for m in here
+                for m in current
                     .iter()
                     .filter(|m| m.3 == TaskState::Running)
                     .filter(awake)
@@ -463,7 +501,7 @@
                         index: m.1,
                     };
                     let t = self
-                        .workers
+                        .machines
                         .get_mut(&m.0)
                         .unwrap()
                         .tasks
--- a/crates/seamfront-testing/src/simulation/mod.rs
+++ b/crates/seamfront-testing/src/simulation/mod.rs
@@ -1,21 +1,22 @@
-//! A small deterministic world round several engines: state service, cloud, workers, users and a
-//! network that delays, loses, holds back and repeats. One seed, one history.
+//! Deterministic simulation of several engines with stand-ins for the store, the cloud, machines and users, and a
+//! network that delays, loses, holds back and duplicates messages. A seed determines the whole run.
 
 mod cloud;
 mod faults;
 mod invariants;
+pub mod machines;
 mod network;
 mod old_version;
 pub mod recording;
 mod replay;
 pub mod scenarios;
-mod state_service;
+mod store_requests;
 mod users;
-pub mod workers;
 
 pub use faults::Fault;
 
 use crate::store::{self, Store};
+use machines::{GroundTruth, Machine};
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
 use seamfront_core::port::{
@@ -29,56 +30,60 @@
 };
 use seamfront_core::Engine;
 use std::collections::{BTreeMap, BTreeSet, BinaryHeap};
-use workers::{Truth, Worker};
 
-pub const NODES: usize = 3;
-const MS: i64 = 1_000;
+/// The usual number of controllers.
+pub const CONTROLLERS: usize = 3;
+const MICROS_PER_MS: i64 = 1_000;
 
 pub fn ms(n: i64) -> Micros {
-    Micros(n * MS)
+    Micros(n * MICROS_PER_MS)
 }
 
 #[derive(Debug)]
 enum Event {
+    /// The engine's regular step.
     Tick {
-        node: usize,
+        controller: usize,
     },
-    Boot {
-        node: usize,
+    StartController {
+        controller: usize,
     },
-    ToNode {
-        node: usize,
-        life: u64,
+    DeliverCommand {
+        controller: usize,
+        generation: u64,
         command: Box<Command>,
     },
-    State {
-        node: usize,
-        life: u64,
+    /// A request arrives at the store. If `late`, nobody waits for its answer any more; the same holds for the cloud.
+    Store {
+        controller: usize,
+        generation: u64,
         call: CallId,
         request: StoreRequest,
         late: bool,
     },
     Cloud {
-        node: usize,
-        life: u64,
+        controller: usize,
+        generation: u64,
         call: CallId,
         request: CloudRequest,
         late: bool,
     },
-    ReportDue {
+    HeartbeatDue {
         machine: MachineId,
     },
-    Answered {
+    /// The answer to a heartbeat arrives at its machine.
+    HeartbeatAnswered {
         machine: MachineId,
         incarnation: u64,
         sequence: u64,
         sent: Micros,
-        node: usize,
-        answer: ReportAnswer,
+        controller: usize,
+        answer: HeartbeatAnswer,
     },
-    Direct {
-        node: usize,
-        life: u64,
+    /// A direct command arrives at a machine. If `late`, nobody waits for its answer any more.
+    DirectOrders {
+        controller: usize,
+        generation: u64,
         call: CallId,
         machine: MachineId,
         incarnation: u64,
@@ -86,13 +91,14 @@
         orders: Vec<Order>,
         late: bool,
     },
-    /// A copy of a report that was delivered, or lost, long ago. Nobody waits for its answer.
-    DuplicateReport {
-        node: usize,
+    /// A copy of a heartbeat that was sent earlier. Nobody waits for its answer.
+    DuplicateHeartbeat {
+        controller: usize,
         sent: Micros,
         heartbeat: Box<Heartbeat>,
     },
-    Workers,
+    /// Machines and tasks advance, and the invariants are checked.
+    AdvanceMachines,
     Submit {
         job: JobId,
     },
@@ -102,60 +108,67 @@
     Cancel {
         job: JobId,
     },
-    /// Users ask about the job at all controllers within milliseconds, and submit it again.
-    AskAll {
+    /// Users poll and resubmit the job at all controllers within milliseconds.
+    PollEverywhere {
         job: JobId,
     },
-    InvalidRequests,
-    /// Users ask about all unfinished jobs, more often than usual.
-    AskOften,
+    /// Users send a request that makes no sense.
+    InvalidRequest,
+    /// Additional polls about all unfinished jobs.
+    PollStormStep,
     Fault(Fault),
 }
 
 #[derive(Clone, Debug)]
-enum ReportAnswer {
+enum HeartbeatAnswer {
+    /// Fencing token and orders.
     Orders(u64, Vec<Order>),
-    Elsewhere(Option<usize>),
-    Nothing,
+    /// The controller is not responsible, and names the one that is, if it knows.
+    Redirect(Option<usize>),
+    /// The controller does not run.
+    NoAnswer,
 }
 
-/// How machines that are rented boot for a while.
+/// How machines that are provisioned before `until` boot.
 #[derive(Clone, Copy, Default)]
 struct BadBoots {
     until: Micros,
-    /// So many of a hundred never come up.
+    /// Percentage of machines that never boot.
     never: i64,
-    /// The others take so many percent of the usual time.
+    /// Boot time of the others, in percent of the usual time.
     percent: i64,
 }
 
-/// Users ask so many times as often for a while.
+/// Until `until`, users poll `factor` times as often in addition.
 #[derive(Clone, Copy, Default)]
 struct PollStorm {
     until: Micros,
     factor: i64,
 }
 
-struct Node {
+struct Controller {
     engine: Option<Engine>,
-    life: u64,
-    born: Micros,
-    refused: Micros,
-    cut_state: (Micros, bool),
-    cut_workers: (Micros, bool),
-    cut_mesh: Micros,
-    stalled: Micros,
-    slow: Micros,
-    /// Revision of the last transaction of its that was carried out.
-    wrote: u64,
-    /// Still runs the version in production.
-    old: bool,
-    /// Jobs that this process has called cancelled: it must not start anything of theirs.
-    called_cancelled: BTreeSet<JobId>,
+    /// Number of the process: counts starts and crashes, so that messages to a former process are dropped.
+    generation: u64,
+    started_at: Micros,
+    store_refuses_until: Micros,
+    /// Until when the controller is cut off from the store, and whether its requests are executed afterwards.
+    store_cut: (Micros, bool),
+    /// Until when the controller is cut off from all agents, and whether messages are delivered afterwards.
+    agents_cut: (Micros, bool),
+    peers_cut_until: Micros,
+    paused_until: Micros,
+    slow_until: Micros,
+    /// Revision of the last transaction of this controller that was committed.
+    last_commit_revision: u64,
+    /// Whether the controller still runs the version in production.
+    old_version: bool,
+    /// Jobs that this process has reported as cancelled: it must not start any task of theirs.
+    reported_cancelled: BTreeSet<JobId>,
 }
 
-/// A request of a user or worker that waits for its answer.
-enum Asked {
+/// A request of a user or an agent that waits for its answer.
+enum PendingRequest {
     Heartbeat {
         machine: MachineId,
         incarnation: u64,
@@ -171,8 +184,8 @@
     Cancel {
         job: JobId,
     },
-    /// A job that can never run.
-    Impossible,
+    /// Submission of a job that can never run.
+    InvalidSubmission,
 }
 
 pub struct Simulation {
@@ -180,109 +193,118 @@
     seed: u64,
     _replay_hint: replay::ReplayHint,
     scale: Scale,
-    /// What the store was asked in each second: requests, and keys written.
-    pub asked_of_store: BTreeMap<i64, (u32, u32)>,
-    /// Bytes of the largest message between controllers and of the largest transaction. Counted in
-    /// large worlds only, since it takes writing each out.
-    pub largest: (usize, usize),
-    /// Steps of all engines, and what they looked at.
+    /// Load of the store in each second: requests, and keys written.
+    pub store_load: BTreeMap<i64, (u32, u32)>,
+    /// Bytes of the largest message between controllers and of the largest transaction. Measured in large fleets only,
+    /// since every message has to be serialized for it.
+    pub largest_bytes: (usize, usize),
+    /// Number of steps of all engines, and of the items that they examined.
     pub steps: (i64, i64),
     rng: StdRng,
+    /// Times and ids of future events, the next one first.
     queue: BinaryHeap<std::cmp::Reverse<(Micros, u64)>>,
     events: BTreeMap<u64, Event>,
-    next: u64,
-    nodes: Vec<Node>,
+    next_event_id: u64,
+    controllers: Vec<Controller>,
     store: Store,
-    outage: Micros,
-    cloud_outage: Micros,
-    /// Until when the cloud takes seconds to answer requests for machines.
-    slow_rentals: Micros,
+    store_outage_until: Micros,
+    cloud_outage_until: Micros,
+    /// Until when the cloud takes seconds to answer provisioning requests.
+    slow_provisioning_until: Micros,
+    /// Open watches: controller, generation, call, request and deadline.
     watches: Vec<(usize, u64, CallId, StoreRequest, Micros)>,
     provisioned: BTreeMap<String, Vec<MachineId>>,
-    machines_made: u32,
-    cut_machines: BTreeMap<MachineId, Micros>,
-    cut_links: BTreeMap<(usize, MachineId), Micros>,
-    answers_lost: BTreeMap<MachineId, Micros>,
-    duplicate_reports_until: Micros,
+    machines_created: u32,
+    machines_cut_until: BTreeMap<MachineId, Micros>,
+    links_cut_until: BTreeMap<(usize, MachineId), Micros>,
+    answers_lost_until: BTreeMap<MachineId, Micros>,
+    duplicate_heartbeats_until: Micros,
     delay_writes_until: Micros,
-    reports_lost: BTreeMap<MachineId, Micros>,
+    heartbeats_lost_until: BTreeMap<MachineId, Micros>,
     delay_answers_until: Micros,
-    slow_state: Micros,
-    cancel_at_completion: Micros,
-    invalid_requests: Micros,
+    slow_store_until: Micros,
+    cancel_at_completion_until: Micros,
+    invalid_requests_until: Micros,
     delay_commands_until: Micros,
     lose_commit_answers_until: Micros,
-    keep_reports_until: Micros,
-    /// Copies of reports that the next holder of a claim gets, with when they were sent.
-    kept_reports: Vec<(Micros, Heartbeat)>,
+    keep_heartbeats_until: Micros,
+    /// Copies of heartbeats, with the times they were sent, to be delivered when a claim is acquired next.
+    kept_heartbeats: Vec<(Micros, Heartbeat)>,
     fast_boots_until: Micros,
     bad_boots: BadBoots,
-    close_looks_until: Micros,
+    poll_everywhere_until: Micros,
     poll_storm: PollStorm,
-    /// Jobs that can never run: submitted, and never to be accepted.
-    impossible: BTreeSet<JobId>,
-    /// What the state service still takes in requests and in writes, in thousandths, and when that was counted.
-    state_tokens: (i64, i64, Micros),
-    /// Jobs whose last task has completed. last task has completed.
-    ended: BTreeMap<JobId, Micros>,
-    /// When the end of a job was written to the state service.
-    durable_ends: BTreeMap<JobId, Micros>,
-    /// When the first start of a job was ordered.
-    first_orders: BTreeMap<JobId, Micros>,
-    /// How often what the tests are for really happened.
+    /// Jobs that can never run. They are submitted and must never be accepted.
+    invalid_jobs: BTreeSet<JobId>,
+    /// Tokens left in the store's rate limits for requests and for writes, in thousandths, and when they were last
+    /// refilled.
+    store_rate_budget: (i64, i64, Micros),
+    /// When the last task of a job completed.
+    completed_at: BTreeMap<JobId, Micros>,
+    /// When the end of a job was written to the store.
+    ended_in_store: BTreeMap<JobId, Micros>,
+    /// When the first start of a task of the job was ordered.
+    first_start_ordered: BTreeMap<JobId, Micros>,
+    /// Coverage counters: how often the situations that the tests are about occurred.
     pub coverage: scenarios::Coverage,
-    /// By claim: its last version, and since when it is held or free.
+    /// For each claim its version, or none if it is free, and the time of its last change.
     claims: BTreeMap<String, (Option<u64>, Micros)>,
-    /// Since when a job waits though that machine has room for it.
-    passed_over: BTreeMap<(JobId, MachineId), Micros>,
-    pub truth: Truth,
-    asked: BTreeMap<(usize, u64, ClientRequestId), (Asked, Micros)>,
-    next_reply: ClientRequestId,
+    /// Since when a job has been waiting although the machine has room for it.
+    waiting_with_room: BTreeMap<(JobId, MachineId), Micros>,
+    pub ground_truth: GroundTruth,
+    pending_requests: BTreeMap<(usize, u64, ClientRequestId), (PendingRequest, Micros)>,
+    next_request_id: ClientRequestId,
     accepted: BTreeSet<JobId>,
-    /// Final answers, and since when they are known to the user.
-    final_answers: BTreeMap<JobId, (JobState, Micros)>,
-    wants_cancel: BTreeSet<JobId>,
-    submitted: BTreeMap<JobId, Micros>,
-    /// When a question about the job was last answered.
-    answered: BTreeMap<JobId, Micros>,
-    pub quiet_from: Micros,
+    /// Final states of jobs, and when they were first reported to a user.
+    final_states: BTreeMap<JobId, (JobState, Micros)>,
+    cancel_requested: BTreeSet<JobId>,
+    submitted_at: BTreeMap<JobId, Micros>,
+    /// When a request about the job was last answered.
+    last_answered: BTreeMap<JobId, Micros>,
+    /// When the faults end, set by the test: from then on no messages are lost.
+    pub faults_end: Micros,
     settings: Settings,
-    /// Writes the history down, where that is asked for.
+    /// Writes the record of the run, if one is asked for.
     recorder: Option<recording::Recorder>,
 }
 
-/// How large a world is.
+/// The size of a simulation and the limits of its stand-ins.
 #[derive(Clone, Copy)]
 pub struct Scale {
-    pub nodes: usize,
+    pub controllers: usize,
     pub teams: usize,
-    /// Up at the start, and how many the cloud lets there be.
+    /// Machines at the start.
     pub machines: usize,
-    pub most: usize,
-    /// Entries in one answer of the store: few where paging is to be exercised.
+    /// Number of machines above which the cloud has no capacity.
+    pub max_machines: usize,
+    /// Entries in one page of the store: few, so that paging is exercised.
     pub page: usize,
-    /// How much the store takes in a value, and in how many changes of a transaction.
+    /// Largest value that the store accepts, in bytes.
     pub value_bytes: usize,
+    /// Most changes in a transaction that the store accepts.
     pub txn_ops: usize,
-    /// Requests and writes a second that the store takes.
+    /// Requests per second that the store accepts.
     pub state_rps: i64,
+    /// Written keys per second that the store accepts.
     pub write_rps: i64,
     /// Each team's limit in CPUs, 0 for none.
     pub limits: [i64; 10],
-    /// Workers' times in seconds: between reports, a lease, until a cancelled job's tasks are gone.
+    /// In seconds: the interval between heartbeats, the duration of a machine's lease, and the time within which the
+    /// tasks of a cancelled job must be gone.
     pub times: (i64, i64, i64),
-    /// Whether duties are on.
+    /// Whether the controllers use duties.
     pub duties: bool,
 }
 
-/// From so many machines on, messages and transactions are measured.
-const LARGE: usize = 500;
+/// From this number of machines at the start, the sizes of messages and transactions are measured.
+const MEASURED_FLEET_MACHINES: usize = 500;
 
+/// Three controllers and a few machines: the scale of most tests.
 pub const SMALL: Scale = Scale {
-    nodes: NODES,
+    controllers: CONTROLLERS,
     teams: 4,
     machines: 4,
-    most: 14,
+    max_machines: 14,
     page: 7,
     value_bytes: 32 * 1024,
     txn_ops: 48,
@@ -300,7 +322,7 @@
         limit: Resources::offered(limit as f64, 0.0, 0.0),
     };
     Settings {
-        members: (0..scale.nodes).map(|k| format!("n{k}")).collect(),
+        members: (0..scale.controllers).map(|k| format!("n{k}")).collect(),
         me,
         teams: ["a", "b", "c", "d", "e", "f", "g", "h", "i", "j"]
             .into_iter()
@@ -348,8 +370,8 @@
         Simulation::sized(seed, SMALL)
     }
 
-    /// A key that somebody has left in the store.
-    pub fn leave_key(&mut self, key: &str) {
+    /// Writes a key into the store as an operator would.
+    pub fn put_key(&mut self, key: &str) {
         let writes = vec![Write::Put {
             key: key.to_owned(),
             value: serde_json::json!([]),
@@ -376,162 +398,162 @@
 
     pub fn sized(seed: u64, scale: Scale) -> Simulation {
         let settings = settings(scale, 0);
-        let truth = Truth {
-            workers: BTreeMap::new(),
+        let ground_truth = GroundTruth {
+            machines: BTreeMap::new(),
             jobs: BTreeMap::new(),
             teams: settings.teams.clone(),
             completed: BTreeMap::new(),
-            failing: BTreeSet::new(),
+            failing_jobs: BTreeSet::new(),
             failures: 0,
             cancelled: BTreeMap::new(),
-            cancel: settings.cancel,
+            cancel_timeout: settings.cancel,
             gang_wait: settings.gang_wait,
             gang_peer: settings.gang_peer,
             lease: settings.lease,
-            broken: Vec::new(),
-            started: 0,
-            started_cancelled: Vec::new(),
-            leases_ended: 0,
-            began: BTreeMap::new(),
-            holders: BTreeMap::new(),
+            violations: Vec::new(),
+            tasks_started: 0,
+            started_after_cancellation: Vec::new(),
+            leases_expired: 0,
+            first_started_at: BTreeMap::new(),
+            machines_by_job: BTreeMap::new(),
         };
-        let node = || Node {
+        let controller = || Controller {
             engine: None,
-            life: 0,
-            born: Micros::ZERO,
-            refused: Micros::ZERO,
-            cut_state: (Micros::ZERO, false),
-            cut_workers: (Micros::ZERO, false),
-            cut_mesh: Micros::ZERO,
-            stalled: Micros::ZERO,
-            slow: Micros::ZERO,
-            wrote: 0,
-            old: false,
-            called_cancelled: BTreeSet::new(),
+            generation: 0,
+            started_at: Micros::ZERO,
+            store_refuses_until: Micros::ZERO,
+            store_cut: (Micros::ZERO, false),
+            agents_cut: (Micros::ZERO, false),
+            peers_cut_until: Micros::ZERO,
+            paused_until: Micros::ZERO,
+            slow_until: Micros::ZERO,
+            last_commit_revision: 0,
+            old_version: false,
+            reported_cancelled: BTreeSet::new(),
         };
-        let mut w = Simulation {
+        let mut simulation = Simulation {
             now: Micros::ZERO,
             seed,
             _replay_hint: replay::ReplayHint::new(seed),
             scale,
-            asked_of_store: BTreeMap::new(),
-            largest: (0, 0),
+            store_load: BTreeMap::new(),
+            largest_bytes: (0, 0),
             steps: (0, 0),
             rng: StdRng::seed_from_u64(seed),
             queue: BinaryHeap::new(),
             events: BTreeMap::new(),
-            next: 0,
-            nodes: (0..scale.nodes).map(|_| node()).collect(),
+            next_event_id: 0,
+            controllers: (0..scale.controllers).map(|_| controller()).collect(),
             store: Store::with(scale.page, scale.value_bytes, scale.txn_ops),
-            outage: Micros::ZERO,
-            cloud_outage: Micros::ZERO,
-            slow_rentals: Micros::ZERO,
+            store_outage_until: Micros::ZERO,
+            cloud_outage_until: Micros::ZERO,
+            slow_provisioning_until: Micros::ZERO,
             watches: Vec::new(),
             provisioned: BTreeMap::new(),
-            machines_made: 0,
-            cut_machines: BTreeMap::new(),
-            cut_links: BTreeMap::new(),
-            answers_lost: BTreeMap::new(),
-            duplicate_reports_until: Micros::ZERO,
+            machines_created: 0,
+            machines_cut_until: BTreeMap::new(),
+            links_cut_until: BTreeMap::new(),
+            answers_lost_until: BTreeMap::new(),
+            duplicate_heartbeats_until: Micros::ZERO,
             delay_writes_until: Micros::ZERO,
-            reports_lost: BTreeMap::new(),
+            heartbeats_lost_until: BTreeMap::new(),
             delay_answers_until: Micros::ZERO,
-            slow_state: Micros::ZERO,
-            cancel_at_completion: Micros::ZERO,
-            invalid_requests: Micros::ZERO,
+            slow_store_until: Micros::ZERO,
+            cancel_at_completion_until: Micros::ZERO,
+            invalid_requests_until: Micros::ZERO,
             delay_commands_until: Micros::ZERO,
             lose_commit_answers_until: Micros::ZERO,
-            keep_reports_until: Micros::ZERO,
-            kept_reports: Vec::new(),
+            keep_heartbeats_until: Micros::ZERO,
+            kept_heartbeats: Vec::new(),
             fast_boots_until: Micros::ZERO,
             bad_boots: BadBoots::default(),
-            close_looks_until: Micros::ZERO,
+            poll_everywhere_until: Micros::ZERO,
             poll_storm: PollStorm::default(),
-            impossible: BTreeSet::new(),
-            state_tokens: (0, 0, Micros::ZERO),
-            ended: BTreeMap::new(),
-            durable_ends: BTreeMap::new(),
-            first_orders: BTreeMap::new(),
+            invalid_jobs: BTreeSet::new(),
+            store_rate_budget: (0, 0, Micros::ZERO),
+            completed_at: BTreeMap::new(),
+            ended_in_store: BTreeMap::new(),
+            first_start_ordered: BTreeMap::new(),
             coverage: BTreeMap::new(),
             claims: BTreeMap::new(),
-            passed_over: BTreeMap::new(),
-            truth,
-            asked: BTreeMap::new(),
-            next_reply: 0,
+            waiting_with_room: BTreeMap::new(),
+            ground_truth,
+            pending_requests: BTreeMap::new(),
+            next_request_id: 0,
             accepted: BTreeSet::new(),
-            final_answers: BTreeMap::new(),
-            wants_cancel: BTreeSet::new(),
-            submitted: BTreeMap::new(),
-            answered: BTreeMap::new(),
-            quiet_from: Micros::ZERO,
+            final_states: BTreeMap::new(),
+            cancel_requested: BTreeSet::new(),
+            submitted_at: BTreeMap::new(),
+            last_answered: BTreeMap::new(),
+            faults_end: Micros::ZERO,
             settings,
             recorder: recording::Recorder::from_env(seed),
         };
-        for k in 0..scale.nodes {
-            w.at(ms(k as i64), Event::Boot { node: k });
+        for k in 0..scale.controllers {
+            simulation.schedule_at(ms(k as i64), Event::StartController { controller: k });
         }
         for k in 0..scale.machines {
-            w.provision("small", if k % 2 == 0 { "x" } else { "y" }, false, ms(1));
+            simulation.provision("small", if k % 2 == 0 { "x" } else { "y" }, false, ms(1));
         }
-        w.at(ms(20), Event::Workers);
-        w
+        simulation.schedule_at(ms(20), Event::AdvanceMachines);
+        simulation
     }
 
-    fn at(&mut self, t: Micros, e: Event) {
-        self.next += 1;
+    fn schedule_at(&mut self, t: Micros, e: Event) {
+        self.next_event_id += 1;
         self.queue
-            .push(std::cmp::Reverse((t.max(self.now), self.next)));
-        self.events.insert(self.next, e);
+            .push(std::cmp::Reverse((t.max(self.now), self.next_event_id)));
+        self.events.insert(self.next_event_id, e);
     }
 
-    fn after(&mut self, d: Micros, e: Event) {
-        self.at(self.now + d, e);
+    fn schedule_after(&mut self, d: Micros, e: Event) {
+        self.schedule_at(self.now + d, e);
     }
 
-    fn delay(&mut self) -> Micros {
+    fn network_delay(&mut self) -> Micros {
         let slow = self.rng.random_range(0..40) == 0;
-        let most = if slow { 300 } else { 12 };
-        ms(self.rng.random_range(1..most))
+        let max_ms = if slow { 300 } else { 12 };
+        ms(self.rng.random_range(1..max_ms))
     }
 
-    /// Reaches its end; on the way there and back things may be lost.
-    fn lost(&mut self) -> bool {
-        self.now < self.quiet_from && self.rng.random_range(0..30) == 0
+    /// Whether a message is lost: one in thirty, until the faults end.
+    fn message_lost(&mut self) -> bool {
+        self.now < self.faults_end && self.rng.random_range(0..30) == 0
     }
 
     fn provision(&mut self, kind: &str, zone: &str, spot: bool, boot: Micros) -> MachineId {
-        let id: MachineId = format!("m-{:04}", self.machines_made).as_str().into();
-        self.machines_made += 1;
+        let id: MachineId = format!("m-{:04}", self.machines_created).as_str().into();
+        self.machines_created += 1;
         let size = machine_types()
             .into_iter()
             .find(|t| t.name == kind)
             .unwrap()
             .size;
         let up_at = self.now + boot;
-        let w = Worker {
+        let machine = Machine {
             kind: kind.into(),
             zone: zone.into(),
             spot,
             size,
             up_at,
-            rented_at: self.now,
+            provisioned_at: self.now,
             dead: false,
             hung_until: Micros::ZERO,
             incarnation: 1,
             sequence: 0,
             fencing_token: 0,
             tasks: BTreeMap::new(),
-            lease_from: up_at,
-            steady_from: up_at,
-            target: self.rng.random_range(0..self.scale.nodes),
+            lease_renewed_at: up_at,
+            steady_since: up_at,
+            target_controller: self.rng.random_range(0..self.scale.controllers),
             in_flight: None,
-            next_report: up_at,
-            notice_at: None,
+            next_heartbeat: up_at,
+            preempt_at: None,
         };
-        self.truth.workers.insert(id.clone(), w);
-        self.at(
+        self.ground_truth.machines.insert(id.clone(), machine);
+        self.schedule_at(
             up_at,
-            Event::ReportDue {
+            Event::HeartbeatDue {
                 machine: id.clone(),
             },
         );
@@ -545,14 +567,14 @@
                 break;
             }
             self.now = t;
-            let e = self.events.remove(&n).expect("each event once");
+            let e = self.events.remove(&n).expect("every queued event exists");
             self.dispatch(e);
             assert!(
-                self.truth.broken.is_empty(),
-                "seed {}: rules broken at {:.3} s: {:#?}",
+                self.ground_truth.violations.is_empty(),
+                "seed {}: invariants violated at {:.3} s: {:#?}",
                 self.seed,
                 self.now.as_secs_decimal(),
-                self.truth.broken
+                self.ground_truth.violations
             );
         }
         self.now = end;
@@ -560,151 +582,163 @@
 
     fn dispatch(&mut self, e: Event) {
         match e {
-            Event::Boot { node } => {
-                let n = &mut self.nodes[node];
+            Event::StartController { controller } => {
+                let n = &mut self.controllers[controller];
                 if n.engine.is_some() {
                     return;
                 }
-                n.life += 1;
-                n.called_cancelled.clear();
-                n.born = self.now;
-                let mut own = settings(self.scale, node);
-                own.tuning.duties &= !n.old;
+                n.generation += 1;
+                n.reported_cancelled.clear();
+                n.started_at = self.now;
+                let mut own = settings(self.scale, controller);
+                own.tuning.duties &= !n.old_version;
                 n.engine = Some(Engine::new(own));
-                self.after(ms(1), Event::Tick { node });
+                self.schedule_after(ms(1), Event::Tick { controller });
             }
-            Event::Tick { node } => {
-                if self.nodes[node].engine.is_some() {
-                    self.step(node, vec![]);
-                    let wait = self.processing_delay(node);
-                    self.after(ms(50) + wait, Event::Tick { node });
+            Event::Tick { controller } => {
+                if self.controllers[controller].engine.is_some() {
+                    self.step(controller, vec![]);
+                    let wait = self.processing_delay(controller);
+                    self.schedule_after(ms(50) + wait, Event::Tick { controller });
                 }
             }
-            Event::ToNode {
-                node,
-                life,
+            Event::DeliverCommand {
+                controller,
+                generation,
                 command,
             } => {
-                let n = &self.nodes[node];
-                if n.life == life && n.engine.is_some() {
-                    if n.stalled > self.now {
-                        let d = n.stalled - self.now + ms(1);
-                        return self.after(
+                let n = &self.controllers[controller];
+                if n.generation == generation && n.engine.is_some() {
+                    if n.paused_until > self.now {
+                        let d = n.paused_until - self.now + ms(1);
+                        return self.schedule_after(
                             d,
-                            Event::ToNode {
-                                node,
-                                life,
+                            Event::DeliverCommand {
+                                controller,
+                                generation,
                                 command,
                             },
                         );
                     }
-                    self.step(node, vec![*command]);
+                    self.step(controller, vec![*command]);
                 }
             }
-            Event::State {
-                node,
-                life,
+            Event::Store {
+                controller,
+                generation,
                 call,
                 request,
                 late,
-            } => self.state(node, life, call, request, late),
+            } => self.handle_store_request(controller, generation, call, request, late),
             Event::Cloud {
-                node,
-                life,
+                controller,
+                generation,
                 call,
                 request,
                 late,
-            } => self.cloud(node, life, call, request, late),
-            Event::ReportDue { machine } => self.send_report(machine),
-            Event::Answered {
+            } => self.handle_cloud_request(controller, generation, call, request, late),
+            Event::HeartbeatDue { machine } => self.send_heartbeat(machine),
+            Event::HeartbeatAnswered {
                 machine,
                 incarnation,
                 sequence,
                 sent,
-                node,
+                controller,
                 answer,
-            } => self.answered(machine, incarnation, sequence, sent, node, answer),
-            Event::Direct {
-                node,
-                life,
+            } => self.handle_heartbeat_answer(
+                machine,
+                incarnation,
+                sequence,
+                sent,
+                controller,
+                answer,
+            ),
+            Event::DirectOrders {
+                controller,
+                generation,
                 call,
                 machine,
                 incarnation,
                 fencing_token,
                 orders,
                 late,
-            } => self.direct(
-                (node, life, call),
+            } => self.deliver_orders(
+                (controller, generation, call),
                 machine,
                 incarnation,
                 fencing_token,
                 orders,
                 late,
             ),
-            Event::DuplicateReport {
-                node,
+            Event::DuplicateHeartbeat {
+                controller,
                 sent,
                 heartbeat,
             } => {
                 if self
-                    .truth
-                    .workers
+                    .ground_truth
+                    .machines
                     .get(&heartbeat.machine)
-                    .is_some_and(|w| w.incarnation > heartbeat.incarnation)
+                    .is_some_and(|machine| machine.incarnation > heartbeat.incarnation)
                 {
                     self.cover("a copy from an earlier session arrived");
                 }
-                if self.nodes[node].engine.is_some() && self.nodes[node].born > sent {
+                if self.controllers[controller].engine.is_some()
+                    && self.controllers[controller].started_at > sent
+                {
                     self.cover("a copy arrived at a controller that began after it was sent");
                 }
-                self.next_reply += 1;
-                let to = self.next_reply;
-                self.step(node, vec![Command::Heartbeat { to, heartbeat }]);
+                self.next_request_id += 1;
+                let to = self.next_request_id;
+                self.step(controller, vec![Command::Heartbeat { to, heartbeat }]);
             }
-            Event::Workers => self.workers(),
+            Event::AdvanceMachines => self.advance_machines(),
             Event::Submit { job } => {
-                if self.truth.jobs[&job]
+                if self.ground_truth.jobs[&job]
                     .dependencies
                     .iter()
                     .any(|n| !self.accepted.contains(n))
                 {
-                    // Users name only what was accepted.
-                    return self.after(ms(500), Event::Submit { job });
+                    // Users name only accepted jobs as dependencies.
+                    return self.schedule_after(ms(500), Event::Submit { job });
                 }
-                self.submitted.entry(job.clone()).or_insert(self.now);
-                let spec = self.truth.jobs[&job].clone();
-                self.ask(Asked::Submit { job }, |to| Command::Submit {
+                self.submitted_at.entry(job.clone()).or_insert(self.now);
+                let spec = self.ground_truth.jobs[&job].clone();
+                self.send_request(PendingRequest::Submit { job }, |to| Command::Submit {
                     to,
                     spec: Box::new(spec),
                 });
             }
             Event::Poll { job } => {
                 let id = job.clone();
-                self.ask(Asked::Poll { job }, |to| Command::Poll { to, id });
+                self.send_request(PendingRequest::Poll { job }, |to| Command::Poll { to, id });
             }
             Event::Cancel { job } => {
                 if self.accepted.contains(&job) {
                     let id = job.clone();
-                    self.ask(Asked::Cancel { job }, |to| Command::Cancel { to, id });
-                } else if self.now < self.quiet_from + ms(60_000) {
-                    self.after(ms(2_000), Event::Cancel { job });
+                    self.send_request(PendingRequest::Cancel { job }, |to| Command::Cancel {
+                        to,
+                        id,
+                    });
+                } else if self.now < self.faults_end + ms(60_000) {
+                    self.schedule_after(ms(2_000), Event::Cancel { job });
                 }
             }
-            Event::AskAll { job } => self.ask_all(&job),
-            Event::AskOften => self.ask_often(),
-            Event::InvalidRequests => self.invalid_requests(),
+            Event::PollEverywhere { job } => self.poll_and_resubmit_everywhere(&job),
+            Event::PollStormStep => self.poll_storm_step(),
+            Event::InvalidRequest => self.send_invalid_request(),
             Event::Fault(f) => self.inject(f),
         }
     }
 
-    /// How much longer than usual a controller takes to get to something.
-    fn processing_delay(&mut self, node: usize) -> Micros {
-        let n = &self.nodes[node];
-        let stalled = n.stalled.max(self.now) - self.now;
-        if n.slow > self.now {
-            return stalled + ms(self.rng.random_range(100..900));
+    /// The additional delay before a controller handles something, while it is paused or slow.
+    fn processing_delay(&mut self, controller: usize) -> Micros {
+        let n = &self.controllers[controller];
+        let paused_for = n.paused_until.max(self.now) - self.now;
+        if n.slow_until > self.now {
+            return paused_for + ms(self.rng.random_range(100..900));
         }
-        stalled
+        paused_for
     }
 
     pub fn cover(&mut self, what: &'static str) {
@@ -727,43 +761,44 @@
         self.settings.members.iter().position(|m| *m == member)
     }
 
-    fn step(&mut self, node: usize, commands: Vec<Command>) {
-        let n = &mut self.nodes[node];
-        // Clocks drift apart by at most 0.05%, and the time of day is somewhat off.
-        let own = Micros((self.now - n.born).0 * (100_000 + 25 * node as i64) / 100_000);
-        let wall_time = ms(1_700_000_000_000) + self.now + ms(20 * node as i64);
+    fn step(&mut self, controller: usize, commands: Vec<Command>) {
+        let n = &mut self.controllers[controller];
+        // Steady clocks drift by 0.025% per controller, by 0.05% at most among three; wall clocks are 20 ms apart.
+        let own =
+            Micros((self.now - n.started_at).0 * (100_000 + 25 * controller as i64) / 100_000);
+        let wall_time = ms(1_700_000_000_000) + self.now + ms(20 * controller as i64);
         let Some(engine) = n.engine.as_mut() else {
             return;
         };
         let before = engine.work_done();
         let effects = engine.step(own, wall_time, commands);
-        // A shard that is dropped takes its count along.
+        // A shard that is dropped takes its count with it, so the difference can be negative.
         self.steps = (
             self.steps.0 + 1,
             self.steps.1 + (engine.work_done() - before).max(0),
         );
-        let life = n.life;
+        let generation = n.generation;
         for f in effects {
-            self.effect(node, life, f);
+            self.handle_effect(controller, generation, f);
         }
     }
 
-    fn effect(&mut self, node: usize, life: u64, f: Effect) {
-        self.record_effect(node, life, &f);
-        let d = self.delay();
+    fn handle_effect(&mut self, controller: usize, generation: u64, f: Effect) {
+        self.record_effect(controller, generation, &f);
+        let d = self.network_delay();
         match f {
             Effect::Store { call, request } => {
-                let slow = self.now < self.slow_state && self.rng.random_range(0..3) > 0;
+                let slow = self.now < self.slow_store_until && self.rng.random_range(0..3) > 0;
                 let d = if slow {
                     d + ms(self.rng.random_range(200..3_000))
                 } else {
                     d
                 };
-                self.after(
+                self.schedule_after(
                     d,
-                    Event::State {
-                        node,
-                        life,
+                    Event::Store {
+                        controller,
+                        generation,
                         call,
                         request,
                         late: false,
@@ -776,13 +811,13 @@
                 until,
             } => {
                 if until.is_some() {
-                    self.check_duty(node, &request);
+                    self.check_duty(controller, &request);
                 }
-                self.after(
+                self.schedule_after(
                     d,
                     Event::Cloud {
-                        node,
-                        life,
+                        controller,
+                        generation,
                         call,
                         request,
                         late: false,
@@ -797,13 +832,13 @@
                 orders,
                 ..
             } => {
-                self.check_orders(node, &orders);
+                self.check_orders(controller, &orders);
                 let d = d + self.answer_delay();
-                self.after(
+                self.schedule_after(
                     d,
-                    Event::Direct {
-                        node,
-                        life,
+                    Event::DirectOrders {
+                        controller,
+                        generation,
                         call,
                         machine,
                         incarnation,
@@ -814,27 +849,29 @@
                 );
             }
             Effect::SendToPeer { to, message } => {
-                if self.scale.machines >= LARGE {
-                    self.largest.0 = self
-                        .largest
+                if self.scale.machines >= MEASURED_FLEET_MACHINES {
+                    self.largest_bytes.0 = self
+                        .largest_bytes
                         .0
                         .max(serde_json::to_vec(&message).unwrap().len());
                 }
-                // Half of what a cut stops is held back and comes when it ends.
-                let cut = self.nodes[node].cut_mesh.max(self.nodes[to].cut_mesh);
+                // During a network partition half of the messages are lost, and the others arrive when it ends.
+                let cut = self.controllers[controller]
+                    .peers_cut_until
+                    .max(self.controllers[to].peers_cut_until);
                 let held = cut > self.now && self.rng.random_range(0..2) == 0;
                 let d = if held { cut - self.now + d } else { d };
-                if (cut <= self.now || held) && !self.lost() {
-                    let life = self.nodes[to].life;
+                if (cut <= self.now || held) && !self.message_lost() {
+                    let generation = self.controllers[to].generation;
                     let command = Box::new(Command::Peer {
-                        from: node,
+                        from: controller,
                         message,
                     });
-                    self.after(
+                    self.schedule_after(
                         d,
-                        Event::ToNode {
-                            node: to,
-                            life,
+                        Event::DeliverCommand {
+                            controller: to,
+                            generation,
                             command,
                         },
                     );
@@ -845,36 +882,50 @@
                 fencing_token,
                 orders,
             } => {
-                self.check_orders(node, &orders);
-                self.report_answered(node, life, to, ReportAnswer::Orders(fencing_token, orders));
+                self.check_orders(controller, &orders);
+                self.answer_heartbeat(
+                    controller,
+                    generation,
+                    to,
+                    HeartbeatAnswer::Orders(fencing_token, orders),
+                );
             }
             Effect::Redirect { to, member } => {
-                self.report_answered(node, life, to, ReportAnswer::Elsewhere(member));
+                self.answer_heartbeat(
+                    controller,
+                    generation,
+                    to,
+                    HeartbeatAnswer::Redirect(member),
+                );
             }
             Effect::Healthy { .. } => {}
             Effect::Answer { to, answer } => {
-                if let Some((asked, at)) = self.asked.remove(&(node, life, to)) {
+                if let Some((request, at)) =
+                    self.pending_requests.remove(&(controller, generation, to))
+                {
                     if let Answer::Status {
                         id,
                         state: JobState::Cancelled,
                         ..
                     } = &answer
                     {
-                        self.nodes[node].called_cancelled.insert(id.clone());
+                        self.controllers[controller]
+                            .reported_cancelled
+                            .insert(id.clone());
                     }
-                    self.check_user_answer(asked, at, answer);
+                    self.check_user_answer(request, at, answer);
                 }
             }
         }
     }
 
-    fn tell(&mut self, node: usize, life: u64, command: Command) {
-        let d = self.delay() + self.processing_delay(node);
-        self.after(
+    fn send_to_controller(&mut self, controller: usize, generation: u64, command: Command) {
+        let d = self.network_delay() + self.processing_delay(controller);
+        self.schedule_after(
             d,
-            Event::ToNode {
-                node,
-                life,
+            Event::DeliverCommand {
+                controller,
+                generation,
                 command: Box::new(command),
             },
         );
