--- a/crates/seamfront-testing/src/simulation/network.rs
+++ b/crates/seamfront-testing/src/simulation/network.rs
@@ -1,32 +1,32 @@
-//! Between controllers and workers: reports, their answers, and direct commands.
+//! Messages between controllers and agents: heartbeats, their answers, and direct commands.
 
 use super::{
-    ms, Asked, CallId, ClientRequestId, Command, DirectOutcome, Event, MachineId, Micros, Order,
-    ReportAnswer, Resources, RngExt, Simulation, Worker,
+    ms, CallId, ClientRequestId, Command, DirectOutcome, Event, HeartbeatAnswer, Machine,
+    MachineId, Micros, Order, PendingRequest, Resources, RngExt, Simulation,
 };
 
 impl Simulation {
-    pub(super) fn report_answered(
+    pub(super) fn answer_heartbeat(
         &mut self,
-        node: usize,
-        life: u64,
+        controller: usize,
+        generation: u64,
         to: ClientRequestId,
-        answer: ReportAnswer,
+        answer: HeartbeatAnswer,
     ) {
         let Some((
-            Asked::Heartbeat {
+            PendingRequest::Heartbeat {
                 machine,
                 incarnation,
                 sequence,
                 sent,
             },
             _,
-        )) = self.asked.remove(&(node, life, to))
+        )) = self.pending_requests.remove(&(controller, generation, to))
         else {
             return;
         };
-        let (until, hold) = self.nodes[node].cut_workers;
-        let mut d = self.delay();
+        let (until, hold) = self.controllers[controller].agents_cut;
+        let mut d = self.network_delay();
         if until > self.now {
             if !hold {
                 return;
@@ -34,22 +34,23 @@
             d = until - self.now + d;
         }
         d += self.answer_delay();
-        if !self.lost() {
-            self.after(
+        if !self.message_lost() {
+            self.schedule_after(
                 d,
-                Event::Answered {
+                Event::HeartbeatAnswered {
                     machine,
                     incarnation,
                     sequence,
                     sent,
-                    node,
+                    controller,
                     answer,
                 },
             );
         }
     }
 
-    /// Some answers and commands to workers are held up, a few for longer than workers wait for them.
+    /// While `Fault::DelayAnswers` is active, half of the answers and commands to agents are delayed, some for longer
+    /// than the 4 s that an agent waits for an answer.
     pub(super) fn answer_delay(&mut self) -> Micros {
         if self.now < self.delay_answers_until && self.rng.random_range(0..2) == 0 {
             return ms(self.rng.random_range(500..6_000));
@@ -57,255 +58,284 @@
         Micros::ZERO
     }
 
-    /// Whether the process that sent a command has ended or no longer holds the claim that it sent it under.
-    fn is_former(&self, node: usize, life: u64, fencing_token: u64) -> bool {
+    /// Whether the process that sent a command has ended, or a claim with a higher version than its fencing token has
+    /// been acquired since.
+    fn sent_by_former_holder(
+        &self,
+        controller: usize,
+        generation: u64,
+        fencing_token: u64,
+    ) -> bool {
         let newer = |c: &(Option<u64>, Micros)| c.0.is_some_and(|v| v > fencing_token);
-        self.nodes[node].life != life || self.claims.values().any(newer)
+        self.controllers[controller].generation != generation || self.claims.values().any(newer)
     }
 
-    pub(super) fn unreachable(&self, node: usize, id: &MachineId) -> bool {
-        let link = self.cut_links.get(&(node, id.clone()));
-        link.or(self.cut_machines.get(id))
+    pub(super) fn unreachable(&self, controller: usize, id: &MachineId) -> bool {
+        let link = self.links_cut_until.get(&(controller, id.clone()));
+        link.or(self.machines_cut_until.get(id))
             .is_some_and(|t| *t > self.now)
     }
 
-    pub(super) fn loses_reports(&self, id: &MachineId) -> bool {
-        self.reports_lost.get(id).is_some_and(|t| *t > self.now)
+    pub(super) fn loses_heartbeats(&self, id: &MachineId) -> bool {
+        self.heartbeats_lost_until
+            .get(id)
+            .is_some_and(|t| *t > self.now)
     }
 
     pub(super) fn loses_answers(&self, id: &MachineId) -> bool {
-        self.answers_lost.get(id).is_some_and(|t| *t > self.now)
+        self.answers_lost_until
+            .get(id)
+            .is_some_and(|t| *t > self.now)
     }
 
-    /// The next report goes out then, or earlier if that was due already.
-    pub(super) fn report_in(&mut self, id: &MachineId, d: Micros) {
+    /// Schedules the next heartbeat after `d`, unless an earlier one is already due.
+    pub(super) fn schedule_heartbeat(&mut self, id: &MachineId, d: Micros) {
         let t = self.now + d;
-        let w = self.truth.workers.get_mut(id).unwrap();
-        w.next_report = w.next_report.min(t);
-        if w.next_report <= self.now {
-            w.next_report = t;
+        let machine = self.ground_truth.machines.get_mut(id).unwrap();
+        machine.next_heartbeat = machine.next_heartbeat.min(t);
+        if machine.next_heartbeat <= self.now {
+            machine.next_heartbeat = t;
         }
-        let at = w.next_report;
-        self.at(
+        let at = machine.next_heartbeat;
+        self.schedule_at(
             at,
-            Event::ReportDue {
+            Event::HeartbeatDue {
                 machine: id.clone(),
             },
         );
     }
 
-    pub(super) fn send_report(&mut self, id: MachineId) {
-        let Some(w) = self.truth.workers.get(&id) else {
+    pub(super) fn send_heartbeat(&mut self, id: MachineId) {
+        let Some(machine) = self.ground_truth.machines.get(&id) else {
             return;
         };
-        if w.dead {
+        if machine.dead {
             return;
         }
-        if self.now < w.next_report {
-            // An earlier one took its place.
+        if self.now < machine.next_heartbeat {
+            // Rescheduled: another event sends the next heartbeat.
             return;
         }
-        if w.hung_until > self.now {
-            let d = w.hung_until - self.now + ms(10);
-            return self.report_in(&id, d);
+        if machine.hung_until > self.now {
+            let d = machine.hung_until - self.now + ms(10);
+            return self.schedule_heartbeat(&id, d);
         }
         let period = ms(self
             .rng
             .random_range(750 * self.scale.times.0..1_250 * self.scale.times.0));
-        self.truth.workers.get_mut(&id).unwrap().next_report = Micros::MAX;
-        self.report_in(&id, period);
-        let w = &self.truth.workers[&id];
-        if let Some((_, sent)) = w.in_flight {
+        self.ground_truth
+            .machines
+            .get_mut(&id)
+            .unwrap()
+            .next_heartbeat = Micros::MAX;
+        self.schedule_heartbeat(&id, period);
+        let machine = &self.ground_truth.machines[&id];
+        if let Some((_, sent)) = machine.in_flight {
             if self.now - sent < ms(4_000) {
                 return;
             }
-            let w = self.truth.workers.get_mut(&id).unwrap();
-            w.target = (w.target + 1) % self.scale.nodes;
+            let machine = self.ground_truth.machines.get_mut(&id).unwrap();
+            machine.target_controller = (machine.target_controller + 1) % self.scale.controllers;
         }
-        let heartbeat = self.truth.heartbeat(&id);
-        if self.now < self.duplicate_reports_until && self.rng.random_range(0..4) == 0 {
-            // From seconds to well over a lease.
+        let heartbeat = self.ground_truth.heartbeat(&id);
+        if self.now < self.duplicate_heartbeats_until && self.rng.random_range(0..4) == 0 {
+            // From seconds to well over a lease of 12 s.
             let late = ms(self.rng.random_range(1_000..30_000));
-            let node = self.rng.random_range(0..self.scale.nodes);
-            self.after(
+            let controller = self.rng.random_range(0..self.scale.controllers);
+            self.schedule_after(
                 late,
-                Event::DuplicateReport {
-                    node,
+                Event::DuplicateHeartbeat {
+                    controller,
                     sent: self.now,
                     heartbeat: Box::new(heartbeat.clone()),
                 },
             );
         }
-        if self.now < self.keep_reports_until && self.rng.random_range(0..3) == 0 {
-            self.kept_reports.push((self.now, heartbeat.clone()));
+        if self.now < self.keep_heartbeats_until && self.rng.random_range(0..3) == 0 {
+            self.kept_heartbeats.push((self.now, heartbeat.clone()));
         }
-        let mute = self.loses_reports(&id);
-        let w = self.truth.workers.get_mut(&id).unwrap();
-        w.in_flight = Some((heartbeat.sequence, self.now));
-        let node = w.target;
-        if mute {
+        let heartbeats_lost = self.loses_heartbeats(&id);
+        let machine = self.ground_truth.machines.get_mut(&id).unwrap();
+        machine.in_flight = Some((heartbeat.sequence, self.now));
+        let controller = machine.target_controller;
+        if heartbeats_lost {
             return;
         }
-        let (until, hold) = self.nodes[node].cut_workers;
-        let mut d = self.delay();
-        if until > self.now || self.unreachable(node, &id) {
-            if !hold || self.unreachable(node, &id) {
+        let (until, hold) = self.controllers[controller].agents_cut;
+        let mut d = self.network_delay();
+        if until > self.now || self.unreachable(controller, &id) {
+            if !hold || self.unreachable(controller, &id) {
                 return;
             }
             d = until - self.now + d;
         }
-        if self.nodes[node].engine.is_none() {
-            let answer = ReportAnswer::Nothing;
+        if self.controllers[controller].engine.is_none() {
+            let answer = HeartbeatAnswer::NoAnswer;
             let (incarnation, sequence, sent) =
                 (heartbeat.incarnation, heartbeat.sequence, self.now);
-            return self.after(
+            return self.schedule_after(
                 d,
-                Event::Answered {
+                Event::HeartbeatAnswered {
                     machine: id,
                     incarnation,
                     sequence,
                     sent,
-                    node,
+                    controller,
                     answer,
                 },
             );
         }
-        if self.lost() {
+        if self.message_lost() {
             return;
         }
-        self.next_reply += 1;
-        let (to, life) = (self.next_reply, self.nodes[node].life);
-        let asked = Asked::Heartbeat {
+        self.next_request_id += 1;
+        let (to, generation) = (
+            self.next_request_id,
+            self.controllers[controller].generation,
+        );
+        let request = PendingRequest::Heartbeat {
             machine: id,
             incarnation: heartbeat.incarnation,
             sequence: heartbeat.sequence,
             sent: self.now,
         };
-        self.asked.insert((node, life, to), (asked, self.now));
+        self.pending_requests
+            .insert((controller, generation, to), (request, self.now));
         let command = Box::new(Command::Heartbeat {
             to,
             heartbeat: Box::new(heartbeat),
         });
-        let d = d + self.processing_delay(node);
-        self.after(
+        let d = d + self.processing_delay(controller);
+        self.schedule_after(
             d,
-            Event::ToNode {
-                node,
-                life,
+            Event::DeliverCommand {
+                controller,
+                generation,
                 command,
             },
         );
     }
 
-    pub(super) fn answered(
+    pub(super) fn handle_heartbeat_answer(
         &mut self,
         id: MachineId,
         incarnation: u64,
         sequence: u64,
         sent: Micros,
-        node: usize,
-        answer: ReportAnswer,
+        controller: usize,
+        answer: HeartbeatAnswer,
     ) {
-        if self.unreachable(node, &id) || self.loses_answers(&id) {
+        if self.unreachable(controller, &id) || self.loses_answers(&id) {
             return;
         }
         let now = self.now;
-        let Some(w) = self.truth.workers.get_mut(&id) else {
+        let Some(machine) = self.ground_truth.machines.get_mut(&id) else {
             return;
         };
-        if w.dead || w.hung_until > now || w.incarnation != incarnation || now - sent > ms(4_000) {
+        if machine.dead
+            || machine.hung_until > now
+            || machine.incarnation != incarnation
+            || now - sent > ms(4_000)
+        {
             return;
         }
-        if w.in_flight.is_none_or(|f| f.0 != sequence) {
+        if machine.in_flight.is_none_or(|f| f.0 != sequence) {
             return;
         }
-        w.in_flight = None;
+        machine.in_flight = None;
         match answer {
-            ReportAnswer::Orders(fencing_token, orders) => {
-                if fencing_token >= w.fencing_token {
-                    let changed = fencing_token > w.fencing_token;
-                    w.fencing_token = fencing_token;
-                    if sent - w.lease_from > ms(6_000) {
-                        w.steady_from = sent;
+            HeartbeatAnswer::Orders(fencing_token, orders) => {
+                if fencing_token >= machine.fencing_token {
+                    let changed = fencing_token > machine.fencing_token;
+                    machine.fencing_token = fencing_token;
+                    if sent - machine.lease_renewed_at > ms(6_000) {
+                        machine.steady_since = sent;
                     }
-                    w.lease_from = sent;
-                    self.obey(&id, &orders);
+                    machine.lease_renewed_at = sent;
+                    self.apply_orders(&id, &orders);
                     if changed {
-                        self.report_in(&id, ms(500));
+                        self.schedule_heartbeat(&id, ms(500));
                     }
                 }
             }
-            ReportAnswer::Elsewhere(Some(m)) if m != node => {
-                w.target = m;
-                self.report_in(&id, ms(200));
+            HeartbeatAnswer::Redirect(Some(m)) if m != controller => {
+                machine.target_controller = m;
+                self.schedule_heartbeat(&id, ms(200));
             }
             _ => {
-                w.target = (node + 1) % self.scale.nodes;
-                self.report_in(&id, ms(1_000));
+                machine.target_controller = (controller + 1) % self.scale.controllers;
+                self.schedule_heartbeat(&id, ms(1_000));
             }
         }
     }
 
-    pub(super) fn obey(&mut self, id: &MachineId, orders: &[Order]) {
+    pub(super) fn apply_orders(&mut self, id: &MachineId, orders: &[Order]) {
         let fetch = ms(self.rng.random_range(50..3_000));
-        self.truth.obey(self.now, id, orders, |_| (fetch, true));
+        self.ground_truth
+            .apply_orders(self.now, id, orders, |_| (fetch, true));
     }
 
-    pub(super) fn direct(
+    pub(super) fn deliver_orders(
         &mut self,
-        (node, life, call): (usize, u64, CallId),
+        (controller, generation, call): (usize, u64, CallId),
         id: MachineId,
         incarnation: u64,
         fencing_token: u64,
         orders: Vec<Order>,
         late: bool,
     ) {
-        let unknown = |w: &mut Simulation| {
+        let unknown = |simulation: &mut Simulation| {
             let command = Command::DirectResult {
                 call,
                 machine: id.clone(),
                 outcome: DirectOutcome::Unknown,
             };
-            w.after(
+            simulation.schedule_after(
                 ms(2_500),
-                Event::ToNode {
-                    node,
-                    life,
+                Event::DeliverCommand {
+                    controller,
+                    generation,
                     command: Box::new(command),
                 },
             );
         };
-        let gone = self.truth.workers.get(&id).is_none_or(|w| w.dead);
+        let gone = self
+            .ground_truth
+            .machines
+            .get(&id)
+            .is_none_or(|machine| machine.dead);
         let hung = self
-            .truth
-            .workers
+            .ground_truth
+            .machines
             .get(&id)
-            .is_some_and(|w| w.hung_until > self.now);
-        let cut = self.nodes[node].cut_workers;
-        let blocked =
-            cut.0 > self.now || self.unreachable(node, &id) || self.loses_answers(&id) || hung;
+            .is_some_and(|machine| machine.hung_until > self.now);
+        let cut = self.controllers[controller].agents_cut;
+        let blocked = cut.0 > self.now
+            || self.unreachable(controller, &id)
+            || self.loses_answers(&id)
+            || hung;
         if gone {
             if !late {
                 unknown(self);
             }
             return;
         }
-        if blocked || (!late && self.lost()) {
+        if blocked || (!late && self.message_lost()) {
             if !late {
                 unknown(self);
             }
-            // Held back and carried out late, as long as token and session still match.
-            let most = if self.rng.random_range(0..3) == 0 {
+            // Held back and carried out late, if the fencing token and the incarnation are still valid then.
+            let max_delay_ms = if self.rng.random_range(0..3) == 0 {
                 25_000
             } else {
                 4_500
             };
-            let d = ms(self.rng.random_range(300..most));
-            return self.after(
+            let d = ms(self.rng.random_range(300..max_delay_ms));
+            return self.schedule_after(
                 d,
-                Event::Direct {
-                    node,
-                    life,
+                Event::DirectOrders {
+                    controller,
+                    generation,
                     call,
                     machine: id,
                     incarnation,
@@ -318,11 +348,11 @@
         if !late && self.now < self.delay_commands_until && self.rng.random_range(0..2) == 0 {
             unknown(self);
             let d = ms(self.rng.random_range(2_000..16_000));
-            return self.after(
+            return self.schedule_after(
                 d,
-                Event::Direct {
-                    node,
-                    life,
+                Event::DirectOrders {
+                    controller,
+                    generation,
                     call,
                     machine: id,
                     incarnation,
@@ -332,33 +362,33 @@
                 },
             );
         }
-        let mute = self.loses_reports(&id);
-        let former = late && self.is_former(node, life, fencing_token);
-        let w = self.truth.workers.get_mut(&id).unwrap();
-        if former && fencing_token < w.fencing_token {
+        let heartbeats_lost = self.loses_heartbeats(&id);
+        let former = late && self.sent_by_former_holder(controller, generation, fencing_token);
+        let machine = self.ground_truth.machines.get_mut(&id).unwrap();
+        if former && fencing_token < machine.fencing_token {
             self.cover("a former holder's command arrived after the new holder's and was refused");
         } else if former {
             self.cover("a former holder's command arrived before the new holder's");
         }
-        let w = self.truth.workers.get_mut(&id).unwrap();
-        if fencing_token >= w.fencing_token && incarnation == w.incarnation {
-            w.fencing_token = fencing_token;
-            self.obey(&id, &orders);
+        let machine = self.ground_truth.machines.get_mut(&id).unwrap();
+        if fencing_token >= machine.fencing_token && incarnation == machine.incarnation {
+            machine.fencing_token = fencing_token;
+            self.apply_orders(&id, &orders);
             if late {
                 self.cover("a command was carried out late");
             }
-            if mute {
+            if heartbeats_lost {
                 self.cover("a command was carried out by a machine that reaches no controller");
             }
         }
-        let heartbeat = self.truth.heartbeat(&id);
+        let heartbeat = self.ground_truth.heartbeat(&id);
         if !late {
             let outcome = DirectOutcome::Settled {
                 heartbeat: Box::new(heartbeat),
             };
-            self.tell(
-                node,
-                life,
+            self.send_to_controller(
+                controller,
+                generation,
                 Command::DirectResult {
                     call,
                     machine: id,
@@ -368,40 +398,40 @@
         }
     }
 
-    pub(super) fn workers(&mut self) {
+    pub(super) fn advance_machines(&mut self) {
         let span = self.rng.random_range(2_000..12_000);
-        let before = self.truth.leases_ended;
-        self.truth.advance(self.now, |_| ms(span));
-        for _ in 0..std::mem::take(&mut self.truth.failures) {
+        let before = self.ground_truth.leases_expired;
+        self.ground_truth.advance(self.now, |_| ms(span));
+        for _ in 0..std::mem::take(&mut self.ground_truth.failures) {
             self.cover("a task failed since its job was submitted with a mistake");
         }
-        if self.truth.leases_ended > before {
+        if self.ground_truth.leases_expired > before {
             self.cover("a lease ended under running tasks");
         }
         let now = self.now;
         let smallest = Resources::needed(1.0, 0.0, 4.0);
-        let room = |w: &Worker| w.free(&self.truth.jobs).fits(smallest) > 0;
+        let room = |machine: &Machine| machine.free(&self.ground_truth.jobs).fits(smallest) > 0;
         if !self
-            .truth
-            .workers
+            .ground_truth
+            .machines
             .values()
-            .any(|w| !w.dead && w.up_at <= now && room(w))
+            .any(|machine| !machine.dead && machine.up_at <= now && room(machine))
         {
             self.cover("no machine had room");
         }
-        for w in self.truth.workers.values_mut() {
-            if w.notice_at.is_some_and(|t| t < now) {
-                w.dead = true;
+        for machine in self.ground_truth.machines.values_mut() {
+            if machine.preempt_at.is_some_and(|t| t < now) {
+                machine.dead = true;
             }
         }
-        self.leases_expire();
+        self.expire_leases();
         self.serve_watches();
-        self.follow_completions();
-        self.follow_claims();
+        self.track_completions();
+        self.track_claims();
         self.check_waiting_jobs();
         self.check_late_starts();
-        self.check_impossible_jobs();
+        self.check_invalid_jobs();
         self.check_answered();
-        self.after(ms(100), Event::Workers);
+        self.schedule_after(ms(100), Event::AdvanceMachines);
     }
 }
--- a/crates/seamfront-testing/src/simulation/old_version.rs
+++ b/crates/seamfront-testing/src/simulation/old_version.rs
@@ -1,5 +1,5 @@
-//! Stand-in for a controller that still runs the version in production. It writes old forms only and drops what it
-//! does not know: needed jobs in job records, parts of work records, and which versions others run.
+//! Stand-in for a controller that still runs the version in production. It writes only old formats and ignores what it
+//! does not know: dependencies in job records, parts of work records, and the records of the versions that others run.
 
 use super::{Simulation, StoreReply, StoreRequest, Write};
 use serde_json::Value;
@@ -7,7 +7,7 @@
 /// Fields of job records that the version in production does not know.
 const UNKNOWN_FIELDS: [&str; 2] = ["needs", "needs_parts"];
 
-fn forget_unknown_fields(value: &mut Value) {
+fn remove_unknown_fields(value: &mut Value) {
     if let Some(object) = value.as_object_mut() {
         for field in UNKNOWN_FIELDS {
             object.remove(field);
@@ -16,30 +16,31 @@
 }
 
 impl Simulation {
-    /// All controllers run the version in production until they are upgraded.
+    /// Starts all controllers with the version in production; they run it until they are upgraded.
     pub fn start_with_old_version(&mut self) {
-        for node in &mut self.nodes {
-            node.old = true;
+        for controller in &mut self.controllers {
+            controller.old_version = true;
         }
     }
 
-    /// Whether the version in production would never make this request.
-    pub(super) fn unknown_to_old(&self, node: usize, request: &StoreRequest) -> bool {
-        let foreign = |key: &str| key.starts_with("format/") || key.starts_with("part/");
-        self.nodes[node].old
+    /// Whether this controller runs the version in production, which would never make this request.
+    pub(super) fn unknown_to_old_version(&self, controller: usize, request: &StoreRequest) -> bool {
+        let unknown = |key: &str| key.starts_with("format/") || key.starts_with("part/");
+        self.controllers[controller].old_version
             && match request {
-                StoreRequest::Get { key } => foreign(key),
+                StoreRequest::Get { key } => unknown(key),
                 StoreRequest::List { prefix, .. } | StoreRequest::Watch { prefix, .. } => {
-                    foreign(prefix)
+                    unknown(prefix)
                 }
                 StoreRequest::CompareAndSwap { writes, .. } => writes.iter().any(|w| match w {
-                    Write::Put { key, .. } | Write::Delete { key } => foreign(key),
+                    Write::Put { key, .. } | Write::Delete { key } => unknown(key),
                 }),
                 StoreRequest::GrantLease { .. } | StoreRequest::RenewLease { .. } => false,
             }
     }
 
-    /// What the version in production has in the place of that answer: it knows of no such keys.
+    /// Replaces the answer to a request that the version in production would not make: a list without entries, or a
+    /// refusal.
     pub(super) fn answer_to_unknown(&self, request: &StoreRequest) -> StoreReply {
         match request {
             StoreRequest::List { .. } => StoreReply::Page {
@@ -51,10 +52,14 @@
         }
     }
 
-    /// What the version in production makes of an answer. A record in parts would be unreadable to it, and its tasks
-    /// would be started anew: that it ever reads one is an error of the new version.
-    pub(super) fn as_old_version_reads(&mut self, node: usize, reply: StoreReply) -> StoreReply {
-        if !self.nodes[node].old {
+    /// Removes from an answer what the version in production does not know. A record in parts would be unreadable to
+    /// it, and it would start the tasks again: reading one is a violation, caused by the new version.
+    pub(super) fn as_old_version_reads(
+        &mut self,
+        controller: usize,
+        reply: StoreReply,
+    ) -> StoreReply {
+        if !self.controllers[controller].old_version {
             return reply;
         }
         let mut reply = reply;
@@ -72,13 +77,13 @@
         let mut misread = Vec::new();
         for (key, value) in values {
             if key.starts_with("job/") {
-                forget_unknown_fields(value);
+                remove_unknown_fields(value);
             }
             if key.starts_with("work/") && value.get("parts").is_some() {
                 misread.push(format!("the old version read a record in parts: {key}"));
             }
         }
-        self.truth.broken.extend(misread);
+        self.ground_truth.violations.extend(misread);
         reply
     }
 }
--- a/crates/seamfront-testing/src/simulation/recording.rs
+++ b/crates/seamfront-testing/src/simulation/recording.rs
@@ -1,18 +1,18 @@
-//! Records what a history shows to the outside, so that two versions of the sources can be compared with
-//! `scripts/compare-decisions`: every request to the state service and the cloud, every order to a worker, every answer
+//! Records the externally visible behaviour of a simulated run, so that two versions of the sources can be compared
+//! with `scripts/compare-decisions`: every request to the store and the cloud, every order to an agent, every answer
 //! to a user, every message between controllers and every committed write, one line each with its virtual time and
 //! controller.
 //!
-//! With `SEAMFRONT_RECORD_DIR=DIR` each history writes one file there, named after its scenario and seed; without it
-//! nothing is recorded. Bodies of more than [`LONGEST`] characters are cut and end with their length and hash, unless
-//! `SEAMFRONT_RECORD_FULL=1`.
+//! With `SEAMFRONT_RECORD_DIR=DIR` each run writes one file there, named after its scenario and seed; without it
+//! nothing is recorded. Bodies of more than [`MAX_BODY_CHARS`] characters are cut and end with their length and hash,
+//! unless `SEAMFRONT_RECORD_FULL=1`.
 //!
-//! A record names no type and no field of the sources: no `Debug` form, only keys, paths, names, numbers and JSON
-//! as it is stored or sent. A renaming therefore leaves it as it is.
+//! A record contains no names of types or fields, nor `Debug` output, only keys, paths, names, numbers and JSON as it
+//! is stored or sent. Renaming identifiers therefore does not change it.
 
 use super::{
-    Answer, Asked, BTreeMap, ClientRequestId, CloudRequest, Effect, JobState, Micros, Order,
-    Simulation, StoreReply, StoreRequest, Write,
+    Answer, BTreeMap, ClientRequestId, CloudRequest, Effect, JobState, Micros, Order,
+    PendingRequest, Simulation, StoreReply, StoreRequest, Write,
 };
 use serde_json::{json, Value};
 use std::cell::RefCell;
@@ -20,44 +20,44 @@
 use std::io::{BufWriter, Write as _};
 use std::path::Path;
 
-/// Characters of a line's body that are kept in any case.
-const LONGEST: usize = 240;
+/// Longest body of a line that is recorded uncut.
+const MAX_BODY_CHARS: usize = 240;
 
-/// The scenario that a test plays, and how many of its histories each seed has begun.
+/// The scenario of a test, and how many runs it has started with each seed.
 struct Scenario {
     id: &'static str,
-    begun: BTreeMap<u64, u32>,
+    runs_started: BTreeMap<u64, u32>,
 }
 
 thread_local! {
     static SCENARIO: RefCell<Option<Scenario>> = const { RefCell::new(None) };
 }
 
-/// Names the scenario whose histories the calling test plays from now on. The records of two versions are matched by
-/// this name: it stays as it is when the test is renamed or moved, and no other test has the same.
+/// Sets the scenario of all runs that the calling test starts from now on. The records of two versions are matched by
+/// this id: it is unique, and it stays when the test is renamed or moved.
 pub fn scenario(id: &'static str) {
     SCENARIO.set(Some(Scenario {
         id,
-        begun: BTreeMap::new(),
+        runs_started: BTreeMap::new(),
     }));
 }
 
-/// The name of the record of a history that begins with this seed.
-fn name_of_next(seed: u64) -> String {
+/// The file name of the record of the next run with this seed.
+fn next_record_name(seed: u64) -> String {
     SCENARIO.with_borrow_mut(|scenario| {
         let scenario = scenario
             .as_mut()
-            .expect("a test that plays histories calls `scenario` first");
-        let begun = scenario.begun.entry(seed).or_default();
-        *begun += 1;
-        match *begun {
+            .expect("a test calls `scenario` before its first simulated run");
+        let runs_started = scenario.runs_started.entry(seed).or_default();
+        *runs_started += 1;
+        match *runs_started {
             1 => format!("{}-{seed}.txt", scenario.id),
             again => format!("{}-{seed}-{again}.txt", scenario.id),
         }
     })
 }
 
-/// FNV-1a, which is the same on all versions of the toolchain.
+/// FNV-1a, which does not depend on the version of the toolchain.
 fn hash(text: &str) -> u64 {
     text.bytes().fold(0xcbf2_9ce4_8422_2325, |h, b| {
         (h ^ u64::from(b)).wrapping_mul(0x0100_0000_01b3)
@@ -65,33 +65,34 @@
 }
 
 fn shortened(body: &str) -> String {
-    if body.chars().count() <= LONGEST {
+    if body.chars().count() <= MAX_BODY_CHARS {
         return body.to_owned();
     }
-    let start: String = body.chars().take(LONGEST).collect();
+    let start: String = body.chars().take(MAX_BODY_CHARS).collect();
     format!("{start}... {} bytes, hash {:016x}", body.len(), hash(body))
 }
 
-/// Writes the record of one history.
+/// Writes the record of one run.
 pub struct Recorder {
     out: BufWriter<File>,
     full: bool,
-    /// Entries of the store's log that are in the record.
-    logged: usize,
+    /// Number of entries of the store's log that are in the record.
+    recorded_writes: usize,
 }
 
 impl Recorder {
-    /// None unless records are asked for.
+    /// None unless `SEAMFRONT_RECORD_DIR` is set.
     pub fn from_env(seed: u64) -> Option<Recorder> {
         let dir = std::env::var_os("SEAMFRONT_RECORD_DIR")?;
-        let path = Path::new(&dir).join(name_of_next(seed));
-        // Not overwritten: two histories of one name could not be told apart.
-        let file = File::create_new(&path).unwrap_or_else(|e| panic!("{}: {e}", path.display()));
+        let path = Path::new(&dir).join(next_record_name(seed));
+        // Never overwritten, since two runs of one name could not be told apart.
+        let file = File::create_new(&path)
+            .unwrap_or_else(|e| panic!("cannot create the record {}: {e}", path.display()));
         let full = std::env::var("SEAMFRONT_RECORD_FULL").is_ok_and(|v| v == "1");
         Some(Recorder {
             out: BufWriter::new(file),
             full,
-            logged: 0,
+            recorded_writes: 0,
         })
     }
 
@@ -102,7 +103,7 @@
             shortened(body)
         };
         let (seconds, rest) = (now.0 / 1_000_000, now.0 % 1_000_000);
-        writeln!(self.out, "{seconds}.{rest:06} {by} {body}").expect("the record can be written");
+        writeln!(self.out, "{seconds}.{rest:06} {by} {body}").expect("cannot write to the record");
     }
 }
 
@@ -111,12 +112,12 @@
         let flushed = self.out.flush();
         assert!(
             flushed.is_ok() || std::thread::panicking(),
-            "the record can't be written: {flushed:?}"
+            "cannot flush the record: {flushed:?}"
         );
     }
 }
 
-/// Writes of a transaction.
+/// The writes of a transaction as JSON.
 fn writes_json(writes: &[Write]) -> Vec<Value> {
     let one = |write: &Write| match write {
         Write::Put { key, value, lease } => json!({"put": key, "value": value, "lease": lease}),
@@ -125,7 +126,7 @@
     writes.iter().map(one).collect()
 }
 
-fn state_text(request: &StoreRequest) -> String {
+fn store_request_text(request: &StoreRequest) -> String {
     match request {
         StoreRequest::Get { key } => format!("GET /kv/{key}"),
         StoreRequest::List { prefix, after } => {
@@ -155,7 +156,7 @@
     }
 }
 
-fn cloud_text(request: &CloudRequest, until: Option<Micros>) -> String {
+fn cloud_request_text(request: &CloudRequest, until: Option<Micros>) -> String {
     let call = match request {
         CloudRequest::MachineTypes => "GET /machine_types".to_owned(),
         CloudRequest::Provision {
@@ -221,33 +222,35 @@
     }
 }
 
-fn asked_text(asked: Option<&(Asked, Micros)>) -> String {
-    match asked.map(|(asked, _)| asked) {
-        Some(Asked::Heartbeat {
+fn pending_request_text(request: Option<&(PendingRequest, Micros)>) -> String {
+    match request.map(|(request, _)| request) {
+        Some(PendingRequest::Heartbeat {
             machine,
             incarnation,
             sequence,
             ..
         }) => format!("report of {machine} {incarnation}/{sequence}"),
-        Some(Asked::Submit { job }) => format!("submission of {job}"),
-        Some(Asked::Poll { job }) => format!("question about {job}"),
-        Some(Asked::Cancel { job }) => format!("cancellation of {job}"),
-        Some(Asked::Impossible) => "submission of what can't run".to_owned(),
+        Some(PendingRequest::Submit { job }) => format!("submission of {job}"),
+        Some(PendingRequest::Poll { job }) => format!("question about {job}"),
+        Some(PendingRequest::Cancel { job }) => format!("cancellation of {job}"),
+        Some(PendingRequest::InvalidSubmission) => "submission of what can't run".to_owned(),
         None => "what nobody waits for".to_owned(),
     }
 }
 
 impl Simulation {
-    /// Records what a controller has put out, as soon as it has.
-    pub(super) fn record_effect(&mut self, node: usize, life: u64, effect: &Effect) {
+    /// Records an effect of a controller before it is handled.
+    pub(super) fn record_effect(&mut self, controller: usize, generation: u64, effect: &Effect) {
         if self.recorder.is_none() {
             return;
         }
-        let asked = |to: &ClientRequestId| asked_text(self.asked.get(&(node, life, *to)));
+        let request_of = |to: &ClientRequestId| {
+            pending_request_text(self.pending_requests.get(&(controller, generation, *to)))
+        };
         let body = match effect {
-            Effect::Store { request, .. } => format!("store: {}", state_text(request)),
+            Effect::Store { request, .. } => format!("store: {}", store_request_text(request)),
             Effect::Cloud { request, until, .. } => {
-                format!("cloud: {}", cloud_text(request, *until))
+                format!("cloud: {}", cloud_request_text(request, *until))
             }
             Effect::SendDirect {
                 machine,
@@ -263,7 +266,8 @@
                 )
             }
             Effect::SendToPeer { to, message } => {
-                let message = serde_json::to_value(message).expect("a message can be sent");
+                let message =
+                    serde_json::to_value(message).expect("peer messages serialize to JSON");
                 format!("message to {}: {message}", self.settings.members[*to])
             }
             Effect::HeartbeatReply {
@@ -273,56 +277,56 @@
             } => {
                 format!(
                     "answer to {}: token {fencing_token}: {}",
-                    asked(to),
+                    request_of(to),
                     orders_text(orders)
                 )
             }
             Effect::Redirect { to, member } => {
                 let owner = member.map_or("unknown", |m| self.settings.members[m].as_str());
-                format!("answer to {}: owner {owner}", asked(to))
+                format!("answer to {}: owner {owner}", request_of(to))
             }
             Effect::Healthy { to, yes } => format!("answer to a health check: {to} {yes}"),
             Effect::Answer { to, answer } => {
-                format!("answer to {}: {}", asked(to), answer_text(answer))
+                format!("answer to {}: {}", request_of(to), answer_text(answer))
             }
         };
-        let by = self.settings.members[node].clone();
+        let by = self.settings.members[controller].clone();
         self.record(&by, &body);
     }
 
-    /// The store carries a request of a controller's out.
-    pub(super) fn store_executes(
+    /// Executes a controller's request in the store and records its writes.
+    pub(super) fn execute_in_store(
         &mut self,
-        node: usize,
+        controller: usize,
         request: &StoreRequest,
     ) -> Option<StoreReply> {
         let reply = self.store.execute(self.now, request);
         if self.recorder.is_some() {
-            let by = self.settings.members[node].clone();
+            let by = self.settings.members[controller].clone();
             self.record_writes(&by);
         }
         reply
     }
 
-    /// The store removes what was attached to leases that have ended.
-    pub(super) fn leases_expire(&mut self) {
+    /// Removes the keys of expired leases from the store and records that.
+    pub(super) fn expire_leases(&mut self) {
         self.store.expire(self.now);
         self.record_writes("store");
     }
 
-    /// Records what was written to the store since the last time.
+    /// Records the writes to the store since the last call.
     pub(super) fn record_writes(&mut self, by: &str) {
         let Some(recorder) = &mut self.recorder else {
             return;
         };
-        for (revision, key, value) in &self.store.log[recorder.logged..] {
+        for (revision, key, value) in &self.store.log[recorder.recorded_writes..] {
             let body = match value {
                 Some(value) => format!("written at {revision}: {key} {value}"),
                 None => format!("removed at {revision}: {key}"),
             };
             recorder.line(self.now, by, &body);
         }
-        recorder.logged = self.store.log.len();
+        recorder.recorded_writes = self.store.log.len();
     }
 
     fn record(&mut self, by: &str, body: &str) {
--- a/crates/seamfront-testing/src/simulation/replay.rs
+++ b/crates/seamfront-testing/src/simulation/replay.rs
@@ -1,6 +1,6 @@
-//! What a failed history prints: the one command that plays it again with its log.
+//! The command that repeats a failed simulated run with its log.
 
-/// Prints that command when a test fails while its history is in use.
+/// Prints that command if it is dropped while its test panics.
 pub(super) struct ReplayHint {
     seed: u64,
 }
@@ -17,12 +17,12 @@
             .unwrap_or_default()
             .to_string_lossy()
             .into_owned();
-        // Cargo adds a hash to the name of the test's file.
+        // Cargo appends a hash to the name of the test binary.
         let target = program
             .rsplit_once('-')
             .map_or(program.as_str(), |(target, _)| target);
         let thread = std::thread::current();
-        // With a single thread tests run on the main one, which has not their name.
+        // With a single thread, tests run on the main thread, which does not have their name.
         let test = thread
             .name()
             .filter(|name| *name != "main")
@@ -35,7 +35,7 @@
 impl Drop for ReplayHint {
     fn drop(&mut self) {
         if std::thread::panicking() {
-            eprintln!("with its log: {}", self.command());
+            eprintln!("repeat with log: {}", self.command());
         }
     }
 }
--- a/crates/seamfront-testing/src/simulation/scenarios.rs
+++ b/crates/seamfront-testing/src/simulation/scenarios.rs
@@ -1,19 +1,20 @@
-//! What a run consists of: the jobs that users submit, the faults drawn, and how many seeds are played.
+//! Contents of simulated runs: the jobs that users submit, the faults that are drawn, and the seeds.
 
 use super::{
     ms, BTreeMap, Event, Fault, JobId, JobKind, JobSpec, Micros, Priority, Resources, RngExt,
-    Scale, Simulation, NODES, SMALL,
+    Scale, Simulation, CONTROLLERS, SMALL,
 };
 
 /// The claims on all shards.
-pub const SHARDS: [&str; NODES] = ["share/0", "share/1", "share/2"];
+pub const SHARD_CLAIMS: [&str; CONTROLLERS] = ["share/0", "share/1", "share/2"];
 
-/// Any controller.
-pub fn any_node(w: &mut Simulation) -> usize {
-    w.draw(0..NODES as i64) as usize
+/// A random controller.
+pub fn any_controller(simulation: &mut Simulation) -> usize {
+    simulation.draw(0..CONTROLLERS as i64) as usize
 }
 
 impl Simulation {
+    /// Draws a random job with number `n`.
     pub fn job(&mut self, n: u32) -> JobSpec {
         let kind = [
             JobKind::Array,
@@ -62,26 +63,26 @@
         }
     }
 
-    /// The job is submitted with a mistake: its tasks fail on every machine.
-    pub fn fails_always(&mut self, spec: &JobSpec) {
-        self.truth.failing.insert(spec.id.clone());
+    /// Makes all tasks of the job fail on every machine, as with a wrong specification.
+    pub fn make_failing(&mut self, spec: &JobSpec) {
+        self.ground_truth.failing_jobs.insert(spec.id.clone());
     }
 
     pub fn submit(&mut self, t: Micros, spec: JobSpec) {
         let id = spec.id.clone();
-        self.truth.jobs.insert(id.clone(), spec);
-        self.at(t, Event::Submit { job: id });
+        self.ground_truth.jobs.insert(id.clone(), spec);
+        self.schedule_at(t, Event::Submit { job: id });
     }
 
-    /// A pipeline: one job, several that need it, a gang that needs all of these, and a last one. Returns their
-    /// names, the first one's first.
+    /// Submits a pipeline: one job, several that depend on it, a gang that depends on all of these, and a last job.
+    /// Returns their ids in this order.
     pub fn pipeline(&mut self, first: u32, at: i64) -> Vec<JobId> {
         let mut ids: Vec<JobId> = Vec::new();
-        let wide = self.rng.random_range(1..4);
-        for step in 0..wide + 3 {
+        let width = self.rng.random_range(1..4);
+        for step in 0..width + 3 {
             let mut spec = self.job(first + step);
             (spec.one_zone, spec.spread) = (false, false);
-            spec.kind = if step == wide + 1 {
+            spec.kind = if step == width + 1 {
                 JobKind::Gang
             } else {
                 JobKind::Array
@@ -92,13 +93,13 @@
                 if step == 0 {
                     0
                 } else {
-                    1 + step.saturating_sub(wide)
+                    1 + step.saturating_sub(width)
                 }
             );
             spec.dependencies = match step {
                 0 => vec![],
-                s if s <= wide => vec![ids[0].clone()],
-                s if s == wide + 1 => ids[1..].to_vec(),
+                s if s <= width => vec![ids[0].clone()],
+                s if s == width + 1 => ids[1..].to_vec(),
                 _ => vec![ids[ids.len() - 1].clone()],
             };
             let (id, later) = (
@@ -112,12 +113,12 @@
     }
 
     pub fn cancel(&mut self, t: Micros, job: JobId) {
-        self.wants_cancel.insert(job.clone());
-        self.at(t, Event::Cancel { job });
+        self.cancel_requested.insert(job.clone());
+        self.schedule_at(t, Event::Cancel { job });
     }
 
     pub fn fault(&mut self, t: Micros, fault: Fault) {
-        self.at(t, Event::Fault(fault));
+        self.schedule_at(t, Event::Fault(fault));
     }
 
     pub fn draw(&mut self, n: std::ops::Range<i64>) -> i64 {
@@ -125,8 +126,8 @@
     }
 }
 
-/// With SEED=313 and --nocapture that history tells its story, as far as `LOG_LEVEL` says.
-pub fn log_if_chosen(seed: u64) {
+/// With `SEED=313` and `--nocapture`, the run with this seed logs at `LOG_LEVEL`.
+pub fn init_logging_if_selected(seed: u64) {
     if std::env::var("SEED").is_ok_and(|s| s == seed.to_string()) {
         let level = std::env::var("LOG_LEVEL")
             .ok()
@@ -140,97 +141,102 @@
     }
 }
 
-/// One history: a quiet start, then troubles, then time to get everything done.
-pub fn history(seed: u64, faults: impl Fn(&mut Simulation, i64)) -> Simulation {
-    history_of(seed, SMALL, faults)
+/// Simulates a run: a start without faults, then `faults` until 90 s, then 300 s to finish all jobs. `faults` gets the
+/// end of the faults in milliseconds.
+pub fn simulate(seed: u64, faults: impl Fn(&mut Simulation, i64)) -> Simulation {
+    simulate_at_scale(seed, SMALL, faults)
 }
 
-/// The same in a world of another size.
-pub fn history_of(seed: u64, scale: Scale, faults: impl Fn(&mut Simulation, i64)) -> Simulation {
-    log_if_chosen(seed);
-    let mut w = Simulation::sized(seed, scale);
-    let troubles = 90_000;
-    w.quiet_from = ms(troubles);
+/// Like [`simulate`], with another scale.
+pub fn simulate_at_scale(
+    seed: u64,
+    scale: Scale,
+    faults: impl Fn(&mut Simulation, i64),
+) -> Simulation {
+    init_logging_if_selected(seed);
+    let mut simulation = Simulation::sized(seed, scale);
+    let faults_end_ms = 90_000;
+    simulation.faults_end = ms(faults_end_ms);
     for n in 0..45 {
-        let spec = w.job(n);
-        let at = w.draw(500..troubles - 10_000);
+        let spec = simulation.job(n);
+        let at = simulation.draw(500..faults_end_ms - 10_000);
         let id = spec.id.clone();
         let kind = spec.kind;
-        w.submit(ms(at), spec);
-        if kind == JobKind::Service || w.draw(0..4) == 0 {
-            let later = w.draw(2_000..40_000);
-            w.cancel(ms(at + later), id);
+        simulation.submit(ms(at), spec);
+        if kind == JobKind::Service || simulation.draw(0..4) == 0 {
+            let later = simulation.draw(2_000..40_000);
+            simulation.cancel(ms(at + later), id);
         }
     }
-    faults(&mut w, troubles);
-    w.run_until(ms(troubles + 300_000));
+    faults(&mut simulation, faults_end_ms);
+    simulation.run_until(ms(faults_end_ms + 300_000));
     assert!(
-        w.truth.started > 20,
-        "the run proves nothing: {} tasks started",
-        w.truth.started
+        simulation.ground_truth.tasks_started > 20,
+        "vacuous run: only {} tasks started",
+        simulation.ground_truth.tasks_started
     );
     assert!(
-        w.accepted() >= 35,
+        simulation.accepted() >= 35,
         "only {} jobs were accepted",
-        w.accepted()
+        simulation.accepted()
     );
-    let owed = w.owed();
+    let unfinished = simulation.unfinished();
     assert!(
-        owed.is_empty(),
-        "seed {seed}: not done in the end: {owed:#?}"
+        unfinished.is_empty(),
+        "seed {seed}: unfinished at the end: {unfinished:#?}"
     );
-    let not_served = w.not_served();
+    let not_served = simulation.not_served();
     assert!(
         not_served.is_empty(),
         "seed {seed}: not served: {not_served:#?}"
     );
-    w
+    simulation
 }
 
-/// Troubles drawn in pairs that overlap.
-pub fn pairs(w: &mut Simulation, troubles: i64) {
-    draw_pairs(w, troubles, 18);
+/// Injects random faults in pairs that overlap.
+pub fn fault_pairs(simulation: &mut Simulation, faults_end_ms: i64) {
+    draw_fault_pairs(simulation, faults_end_ms, 18);
 }
 
-/// The same of all kinds of troubles.
-pub fn pairs_of_all_kinds(w: &mut Simulation, troubles: i64) {
-    draw_pairs(w, troubles, 23);
+/// Like [`fault_pairs`], with all kinds of faults.
+pub fn fault_pairs_of_all_kinds(simulation: &mut Simulation, faults_end_ms: i64) {
+    draw_fault_pairs(simulation, faults_end_ms, 23);
 }
 
-fn draw_pairs(w: &mut Simulation, troubles: i64, kinds: i64) {
-    w.fault(
+fn draw_fault_pairs(simulation: &mut Simulation, faults_end_ms: i64, kinds: i64) {
+    simulation.fault(
         ms(3_000),
         Fault::CancelAtCompletion {
-            until: ms(troubles),
+            until: ms(faults_end_ms),
         },
     );
     for k in 0..4 {
         for _ in 0..2 {
-            let at = 8_000 + 20_000 * k + w.draw(0..4_000);
-            let lasts = w.draw(2_000..24_000);
-            let until = ms((at + lasts).min(troubles));
-            let (node, claim) = (
-                w.draw(0..NODES as i64) as usize,
-                ["leader", "share/0", "share/1", "share/2"][w.draw(0..4) as usize],
+            let at = 8_000 + 20_000 * k + simulation.draw(0..4_000);
+            let lasts = simulation.draw(2_000..24_000);
+            let until = ms((at + lasts).min(faults_end_ms));
+            let (controller, claim) = (
+                simulation.draw(0..CONTROLLERS as i64) as usize,
+                ["leader", "share/0", "share/1", "share/2"][simulation.draw(0..4) as usize],
             );
-            let fault = match w.draw(0..kinds) {
+            let fault = match simulation.draw(0..kinds) {
                 0 => Fault::DelayWrites { until },
-                1 => Fault::LoseReports {
+                1 => Fault::LoseHeartbeats {
                     count: 3,
                     lasts: ms(lasts),
                 },
                 2 => Fault::DelayAnswers { until },
-                3 => Fault::PauseNode { node, until },
-                4 => Fault::SlowNode { node, until },
-                5 => Fault::SlowState { until },
+                3 => Fault::PauseController { controller, until },
+                4 => Fault::SlowController { controller, until },
+                5 => Fault::SlowStore { until },
                 6 => Fault::CutZone {
                     zone: "x",
-                    node,
+                    controller,
                     until,
                 },
                 7 => Fault::CrashHolder {
                     claim,
-                    back: ms(w.draw(50..6_000)),
+                    back: ms(simulation.draw(50..6_000)),
                 },
                 8 => Fault::RefuseHolder { claim, until },
                 9 => Fault::IsolateHolder { claim, until },
@@ -239,39 +245,42 @@
                     hang: ms(lasts / 2),
                 },
                 11 => Fault::InvalidRequests { until },
-                12 => Fault::DuplicateReports {
+                12 => Fault::DuplicateHeartbeats {
                     until: ms(at + 40_000),
                 },
                 13 => Fault::LoseAnswers {
                     count: 3,
                     lasts: ms(lasts),
                 },
-                14 => Fault::Outage { until },
-                15 => Fault::Hang {
+                14 => Fault::StoreOutage { until },
+                15 => Fault::HangMachines {
                     count: 3,
                     lasts: ms(lasts),
                 },
                 16 => Fault::RestartMachines { count: 2 },
                 18 => Fault::DelayCommands { until },
                 19 => Fault::LoseCommitAnswers { until },
-                20 => Fault::KeepReports { until },
+                20 => Fault::ReplayHeartbeats { until },
                 21 => Fault::FastBoots { until },
-                22 => Fault::CloseLooks { until },
+                22 => Fault::PollEverywhere { until },
                 _ => Fault::Crash {
-                    nodes: (0..NODES).collect(),
-                    back: ms(w.draw(200..16_000)),
+                    controllers: (0..CONTROLLERS).collect(),
+                    back: ms(simulation.draw(200..16_000)),
                 },
             };
-            w.fault(ms(at), fault);
+            simulation.fault(ms(at), fault);
         }
     }
 }
 
-/// How often what a test is about happened.
+/// Coverage counters: how often the situations that a test is about occurred.
 pub type Coverage = BTreeMap<&'static str, u32>;
 
-/// Plays histories with several seeds; SOAK=20 plays twenty times as many.
-pub fn play(seeds: std::ops::Range<u64>, faults: impl Fn(&mut Simulation, i64)) -> Coverage {
+/// Simulates a run for each of the seeds; with `SOAK=20`, for twenty times as many.
+pub fn simulate_seeds(
+    seeds: std::ops::Range<u64>,
+    faults: impl Fn(&mut Simulation, i64),
+) -> Coverage {
     let mut coverage = Coverage::new();
     let soak = std::env::var("SOAK")
         .ok()
@@ -279,12 +288,12 @@
         .unwrap_or(1);
     let more = (1..soak).flat_map(|k| seeds.clone().map(move |s| s + 10_000 * k));
     for seed in seeds.clone().chain(more) {
-        add_coverage(&mut coverage, history(seed, &faults).coverage);
+        add_coverage(&mut coverage, simulate(seed, &faults).coverage);
     }
     coverage
 }
 
-/// Counts what another run reached as well.
+/// Adds the counters of another run.
 pub fn add_coverage(sum: &mut Coverage, coverage: Coverage) {
     for (what, n) in coverage {
         *sum.entry(what).or_default() += n;
@@ -295,83 +304,86 @@
     coverage.get(what).copied().unwrap_or(0)
 }
 
-/// One-task jobs at four a second for two minutes, a quarter of them called off, while controllers end.
+/// Four jobs of one task per second for two minutes, a quarter of them cancelled, while controllers crash.
 pub fn stream_of_small_jobs(seed: u64) -> Simulation {
-    log_if_chosen(seed);
-    let mut w = Simulation::sized(
+    init_logging_if_selected(seed);
+    let mut simulation = Simulation::sized(
         seed,
         Scale {
             machines: 10,
-            most: 30,
+            max_machines: 30,
             limits: [0; 10],
             ..SMALL
         },
     );
     let last = 120_000;
-    w.quiet_from = ms(last);
+    simulation.faults_end = ms(last);
     for n in 0..480 {
-        let mut spec = w.job(n);
+        let mut spec = simulation.job(n);
         (spec.kind, spec.class, spec.tasks) = (JobKind::Array, "small".into(), 1);
         (spec.task_resources, spec.image_mb) = (Resources::needed(1.0, 0.0, 1.0), 100);
         (spec.one_zone, spec.spread) = (false, false);
         let (id, at) = (spec.id.clone(), 250 * i64::from(n));
-        w.submit(ms(at), spec);
+        simulation.submit(ms(at), spec);
         if n % 4 == 0 {
-            let later = w.draw(100..9_000);
-            w.cancel(ms(at + later), id);
+            let later = simulation.draw(100..9_000);
+            simulation.cancel(ms(at + later), id);
         }
     }
     for k in 0..4 {
-        let at = 15_000 + 25_000 * k + w.draw(0..8_000);
-        let claim = ["leader", "share/0", "share/1", "share/2"][w.draw(0..4) as usize];
-        let back = ms(w.draw(100..5_500));
-        w.fault(ms(at), Fault::CrashHolder { claim, back });
+        let at = 15_000 + 25_000 * k + simulation.draw(0..8_000);
+        let claim = ["leader", "share/0", "share/1", "share/2"][simulation.draw(0..4) as usize];
+        let back = ms(simulation.draw(100..5_500));
+        simulation.fault(ms(at), Fault::CrashHolder { claim, back });
     }
-    w.run_until(ms(last + 240_000));
-    assert_eq!(w.owed(), Vec::<String>::new(), "seed {seed}");
-    w
+    simulation.run_until(ms(last + 240_000));
+    assert_eq!(simulation.unfinished(), Vec::<String>::new(), "seed {seed}");
+    simulation
 }
 
-/// Every team has more small tasks than its limit lets run, all the time; some of its jobs are called off while
-/// their machines hang or are cut off, and controllers end.
+/// All teams constantly have more small tasks than their limits allow; some jobs are cancelled while their machines
+/// hang or are cut off, and controllers crash.
 pub fn teams_at_their_limits(seed: u64) -> Simulation {
-    log_if_chosen(seed);
-    let mut w = Simulation::sized(
+    init_logging_if_selected(seed);
+    let mut simulation = Simulation::sized(
         seed,
         Scale {
             machines: 9,
-            most: 18,
+            max_machines: 18,
             limits: [6, 6, 6, 6, 0, 0, 0, 0, 0, 0],
             ..SMALL
         },
     );
-    w.quiet_from = ms(80_000);
+    simulation.faults_end = ms(80_000);
     for n in 0..44 {
-        let mut spec = w.job(n);
+        let mut spec = simulation.job(n);
         (spec.kind, spec.class, spec.tasks) = (JobKind::Array, "small".into(), 6);
         (spec.team, spec.task_resources) = (
             ["a", "b", "c", "d"][n as usize % 4].into(),
             Resources::needed(1.0, 0.0, 2.0),
         );
         (spec.zone, spec.one_zone, spec.spread) = (None, false, false);
-        let at = w.draw(500..6_000);
-        w.submit(ms(at), spec);
+        let at = simulation.draw(500..6_000);
+        simulation.submit(ms(at), spec);
     }
     for k in 0..5 {
         let at = 11_000 + 13_000 * k;
-        let (hang, lasts) = (ms(w.draw(4_000..9_000)), ms(w.draw(5_000..14_000)));
-        w.fault(ms(at - 300), Fault::CutMachines { count: 2, lasts });
-        w.fault(ms(at), Fault::CancelRunning { count: 3, hang });
+        let (hang, lasts) = (
+            ms(simulation.draw(4_000..9_000)),
+            ms(simulation.draw(5_000..14_000)),
+        );
+        simulation.fault(ms(at - 300), Fault::CutMachines { count: 2, lasts });
+        simulation.fault(ms(at), Fault::CancelRunning { count: 3, hang });
         let claim = if k % 2 == 0 {
             "leader"
         } else {
-            ["share/0", "share/1", "share/2"][w.draw(0..3) as usize]
+            ["share/0", "share/1", "share/2"][simulation.draw(0..3) as usize]
         };
-        let back = ms(w.draw(200..5_500));
-        let later = w.draw(1_500..3_500);
-        w.fault(ms(at + later), Fault::CrashHolder { claim, back });
+        let back = ms(simulation.draw(200..5_500));
+        let later = simulation.draw(1_500..3_500);
+        simulation.fault(ms(at + later), Fault::CrashHolder { claim, back });
     }
-    w.run_until(ms(320_000));
-    assert_eq!(w.owed(), Vec::<String>::new(), "seed {seed}");
-    w
+    simulation.run_until(ms(320_000));
+    assert_eq!(simulation.unfinished(), Vec::<String>::new(), "seed {seed}");
+    simulation
 }
--- a/crates/seamfront-testing/src/simulation/state_service.rs
+++ b/crates/seamfront-testing/src/simulation/store_requests.rs
@@ -1,50 +1,50 @@
-//! The way to the state service and back: delays, losses, outages, late transactions, open watches.
+//! Requests to the store: losses, outages, rate limits, late transactions and open watches.
 
 use super::{
     ms, store, CallId, Command, Event, Micros, RngExt, Simulation, StoreReply, StoreRequest, Write,
-    LARGE,
+    MEASURED_FLEET_MACHINES,
 };
 
 impl Simulation {
-    pub(super) fn state(
+    pub(super) fn handle_store_request(
         &mut self,
-        node: usize,
-        life: u64,
+        controller: usize,
+        generation: u64,
         call: CallId,
         request: StoreRequest,
         late: bool,
     ) {
-        let unknown = |w: &mut Simulation| {
+        let unknown = |simulation: &mut Simulation| {
             let command = Command::Store {
                 call,
                 reply: StoreReply::Unknown,
             };
-            w.after(
+            simulation.schedule_after(
                 ms(1_500),
-                Event::ToNode {
-                    node,
-                    life,
+                Event::DeliverCommand {
+                    controller,
+                    generation,
                     command: Box::new(command),
                 },
             );
         };
-        if self.unknown_to_old(node, &request) {
+        if self.unknown_to_old_version(controller, &request) {
             let reply = self.answer_to_unknown(&request);
-            return self.tell(node, life, Command::Store { call, reply });
+            return self.send_to_controller(controller, generation, Command::Store { call, reply });
         }
-        let n = &self.nodes[node];
-        let (until, wait) = n.cut_state;
+        let n = &self.controllers[controller];
+        let (until, wait) = n.store_cut;
         if until > self.now {
             if !late {
                 unknown(self);
             }
             if wait && !matches!(request, StoreRequest::Watch { .. }) {
                 let d = until - self.now + ms(1);
-                self.after(
+                self.schedule_after(
                     d,
-                    Event::State {
-                        node,
-                        life,
+                    Event::Store {
+                        controller,
+                        generation,
                         call,
                         request,
                         late: true,
@@ -53,18 +53,19 @@
             }
             return;
         }
-        if self.outage > self.now || n.refused > self.now {
+        if self.store_outage_until > self.now || n.store_refuses_until > self.now {
             if let (StoreRequest::Watch { wait, .. }, false) = (&request, late) {
                 if *wait > Micros::ZERO {
                     let until = self.now + *wait;
-                    self.watches.push((node, life, call, request, until));
+                    self.watches
+                        .push((controller, generation, call, request, until));
                     return;
                 }
             }
             if !late {
-                self.tell(
-                    node,
-                    life,
+                self.send_to_controller(
+                    controller,
+                    generation,
                     Command::Store {
                         call,
                         reply: StoreReply::Refused,
@@ -73,23 +74,23 @@
             }
             return;
         }
-        let second = self
-            .asked_of_store
-            .entry(self.now.0 / 1_000_000)
-            .or_default();
+        let second = self.store_load.entry(self.now.0 / 1_000_000).or_default();
         second.0 += 1;
         if let StoreRequest::CompareAndSwap { writes, .. } = &request {
             second.1 += writes.len() as u32;
-            if self.scale.machines >= LARGE {
-                self.largest.1 = self.largest.1.max(writes.iter().map(store::size_of).sum());
+            if self.scale.machines >= MEASURED_FLEET_MACHINES {
+                self.largest_bytes.1 = self
+                    .largest_bytes
+                    .1
+                    .max(writes.iter().map(store::size_of).sum());
             }
         }
-        if !self.state_takes(&request) {
+        if !self.within_store_rate(&request) {
             self.cover("the state service refused for its rate");
             if !late {
-                self.tell(
-                    node,
-                    life,
+                self.send_to_controller(
+                    controller,
+                    generation,
                     Command::Store {
                         call,
                         reply: StoreReply::Refused,
@@ -98,18 +99,18 @@
             }
             return;
         }
-        self.leases_expire();
+        self.expire_leases();
         let writes =
             matches!(&request, StoreRequest::CompareAndSwap { writes, .. } if !writes.is_empty());
         if !late && writes && self.now < self.delay_writes_until && self.rng.random_range(0..4) == 0
         {
             unknown(self);
             let d = ms(self.rng.random_range(2_000..12_000));
-            return self.after(
+            return self.schedule_after(
                 d,
-                Event::State {
-                    node,
-                    life,
+                Event::Store {
+                    controller,
+                    generation,
                     call,
                     request,
                     late: true,
@@ -122,10 +123,10 @@
             && self.rng.random_range(0..3) == 0
         {
             unknown(self);
-            let reply = self.store_executes(node, &request);
+            let reply = self.execute_in_store(controller, &request);
             if matches!(reply, Some(StoreReply::Committed { .. })) {
                 self.cover("a transaction was carried out and its answer lost");
-                if self.others_watch(node, &request) {
+                if self.others_watch(controller, &request) {
                     self.cover(
                         "others read what was written by a transaction whose answer was lost",
                     );
@@ -133,18 +134,18 @@
             }
             return self.serve_watches();
         }
-        if !late && self.lost() {
-            // Lost on the way there, or only its answer; now and then it is carried out much later.
+        if !late && self.message_lost() {
+            // Either the request is lost, or it is executed up to 40 s late, or only its answer is lost.
             unknown(self);
             match self.rng.random_range(0..3) {
                 0 => return,
                 1 => {
                     let d = ms(self.rng.random_range(100..40_000));
-                    return self.after(
+                    return self.schedule_after(
                         d,
-                        Event::State {
-                            node,
-                            life,
+                        Event::Store {
+                            controller,
+                            generation,
                             call,
                             request,
                             late: true,
@@ -152,12 +153,12 @@
                     );
                 }
                 _ => {
-                    self.store_executes(node, &request);
+                    self.execute_in_store(controller, &request);
                     return self.serve_watches();
                 }
             }
         }
-        let reply = self.store_executes(node, &request);
+        let reply = self.execute_in_store(controller, &request);
         if let (StoreRequest::CompareAndSwap { writes, .. }, Some(StoreReply::Committed { .. })) =
             (&request, &reply)
         {
@@ -169,7 +170,7 @@
             for w in writes {
                 let Write::Put { key, .. } = w else { continue };
                 if let Some(job) = key.strip_prefix("end/") {
-                    self.durable_ends.entry(job.into()).or_insert(self.now);
+                    self.ended_in_store.entry(job.into()).or_insert(self.now);
                 }
             }
         }
@@ -181,62 +182,64 @@
             }
         }
         if let (Some(StoreReply::Committed { revision }), true) = (&reply, writes) {
-            if late && self.nodes[node].wrote > 0 {
+            if late && self.controllers[controller].last_commit_revision > 0 {
                 self.cover("a late transaction was carried out after newer ones");
             }
-            self.nodes[node].wrote = *revision;
+            self.controllers[controller].last_commit_revision = *revision;
         } else if late && matches!(reply, Some(StoreReply::Conflict { .. })) {
             self.cover("a late transaction failed");
         }
         match reply {
             Some(reply) if !late => {
-                let reply = self.as_old_version_reads(node, reply);
-                self.tell(node, life, Command::Store { call, reply });
+                let reply = self.as_old_version_reads(controller, reply);
+                self.send_to_controller(controller, generation, Command::Store { call, reply });
             }
             Some(_) => {}
             None => {
                 if let StoreRequest::Watch { wait, .. } = &request {
                     let until = self.now + *wait;
-                    self.watches.push((node, life, call, request, until));
+                    self.watches
+                        .push((controller, generation, call, request, until));
                 }
             }
         }
         self.serve_watches();
     }
 
-    /// A token bucket a second deep for requests, and one for writes; what passes them is refused.
-    fn state_takes(&mut self, request: &StoreRequest) -> bool {
-        let (requests, writes, at) = self.state_tokens;
+    /// The store's rate limits: a token bucket for requests and one for writes, each with room for one second.
+    /// Requests that exceed them are refused.
+    fn within_store_rate(&mut self, request: &StoreRequest) -> bool {
+        let (requests, writes, at) = self.store_rate_budget;
         let passed = (self.now - at).0;
         let fill = |have: i64, rate: i64| (have + rate * passed / 1_000).min(rate * 1_000);
         let (requests, writes) = (
             fill(requests, self.scale.state_rps),
             fill(writes, self.scale.write_rps),
         );
-        let asked = if let StoreRequest::CompareAndSwap { writes, .. } = request {
+        let cost = if let StoreRequest::CompareAndSwap { writes, .. } = request {
             writes.len() as i64 * 1_000
         } else {
             0
         };
-        let takes = requests >= 1_000 && writes >= asked;
-        let left = if takes {
-            (requests - 1_000, writes - asked)
+        let accepted = requests >= 1_000 && writes >= cost;
+        let left = if accepted {
+            (requests - 1_000, writes - cost)
         } else {
             (requests, writes)
         };
-        self.state_tokens = (left.0, left.1, self.now);
-        takes
+        self.store_rate_budget = (left.0, left.1, self.now);
+        accepted
     }
 
-    /// Whether another controller has a watch open on a key that this transaction writes.
-    fn others_watch(&self, node: usize, request: &StoreRequest) -> bool {
+    /// Whether another controller has an open watch on a key that this transaction writes.
+    fn others_watch(&self, controller: usize, request: &StoreRequest) -> bool {
         let StoreRequest::CompareAndSwap { writes, .. } = request else {
             return false;
         };
         let written = |w: &Write, prefix: &str| match w {
             Write::Put { key, .. } | Write::Delete { key } => key.starts_with(prefix),
         };
-        let watches = self.watches.iter().filter(|w| w.0 != node);
+        let watches = self.watches.iter().filter(|w| w.0 != controller);
         watches.into_iter().any(|w| match &w.3 {
             StoreRequest::Watch { prefix, .. } => writes.iter().any(|a| written(a, prefix)),
             _ => false,
@@ -245,16 +248,18 @@
 
     pub(super) fn serve_watches(&mut self) {
         let watches = std::mem::take(&mut self.watches);
-        for (node, life, call, request, until) in watches {
-            let n = &self.nodes[node];
-            if n.life != life || n.engine.is_none() {
+        for (controller, generation, call, request, until) in watches {
+            let n = &self.controllers[controller];
+            if n.generation != generation || n.engine.is_none() {
                 continue;
             }
-            let away = self.outage > self.now || n.refused > self.now || n.cut_state.0 > self.now;
+            let store_unreachable = self.store_outage_until > self.now
+                || n.store_refuses_until > self.now
+                || n.store_cut.0 > self.now;
             let StoreRequest::Watch { prefix, after, .. } = &request else {
                 continue;
             };
-            let now_or = StoreRequest::Watch {
+            let watch = StoreRequest::Watch {
                 prefix: prefix.clone(),
                 after: *after,
                 wait: if until <= self.now {
@@ -263,24 +268,26 @@
                     ms(1)
                 },
             };
-            match if away {
+            match if store_unreachable {
                 None
             } else {
-                self.store.execute(self.now, &now_or)
+                self.store.execute(self.now, &watch)
             } {
                 Some(reply) => {
-                    let reply = self.as_old_version_reads(node, reply);
-                    self.tell(node, life, Command::Store { call, reply });
+                    let reply = self.as_old_version_reads(controller, reply);
+                    self.send_to_controller(controller, generation, Command::Store { call, reply });
                 }
-                None if until + ms(2_000) < self.now => self.tell(
-                    node,
-                    life,
+                None if until + ms(2_000) < self.now => self.send_to_controller(
+                    controller,
+                    generation,
                     Command::Store {
                         call,
                         reply: StoreReply::Unknown,
                     },
                 ),
-                None => self.watches.push((node, life, call, request, until)),
+                None => self
+                    .watches
+                    .push((controller, generation, call, request, until)),
             }
         }
     }
--- a/crates/seamfront/examples/measure_duties/main.rs
+++ b/crates/seamfront/examples/measure_duties/main.rs
@@ -97,7 +97,7 @@
 /// The same for the leader's claim, until another controller has it.
 fn leader_gap(seed: u64, members: usize) -> Option<Micros> {
     let scale = Scale {
-        nodes: members,
+        controllers: members,
         ..SMALL
     };
     let mut world = simulation::Simulation::sized(seed, scale);
@@ -107,7 +107,7 @@
     world.fault(
         world.now,
         Fault::Crash {
-            nodes: vec![holder],
+            controllers: vec![holder],
             back: ms(FAULT_MS),
         },
     );
