--- a/crates/seamfront/build.rs
+++ b/crates/seamfront/build.rs
@@ -1,4 +1,5 @@
-//! Generates the gRPC service between controllers; its messages are plain Rust types.
+//! Generates the client and the server of the gRPC service between controllers. Its messages are
+//! plain Rust types, so there is no `.proto` file.
 
 fn main() {
     let deliver = tonic_build::manual::Method::builder()
--- a/crates/seamfront/src/cloud_client.rs
+++ b/crates/seamfront/src/cloud_client.rs
@@ -1,4 +1,4 @@
-//! The client of the cloud: machine types, provisioning, termination and the list of machines.
+//! The client of the cloud API: machine types, provisioning, termination and the list of machines.
 
 use crate::http::{self, Client, Response};
 use http_types::Method;
@@ -10,11 +10,11 @@
 use tracing::{info, warn};
 
 const CALL_TIMEOUT: Duration = Duration::from_secs(5);
-/// Machines on one page of the list.
+/// Number of machines on one page of the list.
 const PAGE_SIZE: u32 = 500;
-/// Bytes of an unexpected response that are logged.
-const LOGGED_BODY_MAX: usize = 200;
-/// What the cloud responds with status 503 when it is out of machines of a kind.
+/// Number of bytes of an unexpected response that are logged.
+const LOGGED_BODY_BYTES_MAX: usize = 200;
+/// The text by which a response with status 503 says that no machines of the type are available.
 const NO_CAPACITY: &str = "no capacity";
 
 #[derive(Deserialize)]
@@ -73,7 +73,7 @@
     age_s: f64,
 }
 
-/// An order for machines; fields in the order of their names on the wire.
+/// A request to provision machines; fields in the order of their names on the wire.
 #[derive(Serialize)]
 struct WireProvisionOrder<'a> {
     count: u32,
@@ -93,7 +93,7 @@
     machines: Vec<&'a str>,
 }
 
-/// Thousandths of an amount, as the core counts.
+/// An amount in thousandths, the unit of the core.
 fn milli(amount: f64) -> i64 {
     (amount * 1e3).round().clamp(0.0, 1e15) as i64
 }
@@ -113,7 +113,8 @@
     }
 }
 
-fn listed(m: WireMachine) -> Option<ListedMachine> {
+/// A machine of the list; none if its state is unknown.
+fn listed_machine(m: WireMachine) -> Option<ListedMachine> {
     let state = match m.state.as_str() {
         "starting" => ListedState::Starting,
         "running" => ListedState::Running,
@@ -192,19 +193,19 @@
     }
 }
 
-/// Carries out a request of the engine's to the cloud.
+/// Sends a request of the engine to the cloud and returns the outcome.
 pub async fn call(client: &Client, to: SocketAddr, request: &CloudRequest) -> CloudReply {
     let CloudCall { method, path, body } = CloudCall::from(request);
     let body = body.map(String::into_bytes);
     let response = match client.call(to, method, &path, body, CALL_TIMEOUT).await {
         Ok(response) => response,
-        Err(e) => {
-            info!(?e, ?request, "no response of the cloud");
+        Err(error) => {
+            info!(%error, ?request, "no response of the cloud");
             return CloudReply::Failed;
         }
     };
-    reply(request, &response).unwrap_or_else(|| {
-        let shown = response.body.len().min(LOGGED_BODY_MAX);
+    parse_reply(request, &response).unwrap_or_else(|| {
+        let shown = response.body.len().min(LOGGED_BODY_BYTES_MAX);
         let text = String::from_utf8_lossy(&response.body[..shown]).into_owned();
         let status = response.status;
         warn!(status, text, ?request, "unexpected response of the cloud");
@@ -212,8 +213,8 @@
     })
 }
 
-/// What a response means for the request; none when it is not one of those the protocol knows.
-fn reply(request: &CloudRequest, response: &Response) -> Option<CloudReply> {
+/// Translates a response to the request; none if the protocol has no such response.
+fn parse_reply(request: &CloudRequest, response: &Response) -> Option<CloudReply> {
     let body = &response.body;
     match (request, response.status) {
         (CloudRequest::MachineTypes, 200) => {
@@ -235,7 +236,11 @@
         (CloudRequest::ListMachines { .. }, 200) => {
             let wire: WireList = serde_json::from_slice(body).ok()?;
             Some(CloudReply::Page {
-                machines: wire.machines.into_iter().filter_map(listed).collect(),
+                machines: wire
+                    .machines
+                    .into_iter()
+                    .filter_map(listed_machine)
+                    .collect(),
                 more: wire.more,
             })
         }
--- a/crates/seamfront/src/driver.rs
+++ b/crates/seamfront/src/driver.rs
@@ -135,7 +135,7 @@
         }
         if idle_checked.elapsed() > IDLE_CHECK_INTERVAL {
             idle_checked = Instant::now();
-            effects.client.close_idle();
+            effects.client.close_expired();
         }
     }
 }
--- a/crates/seamfront/src/http/client.rs
+++ b/crates/seamfront/src/http/client.rs
@@ -1,6 +1,6 @@
-//! The HTTP client: one request at a time on each connection, idle connections are kept.
+//! The HTTP client: one request at a time on each connection; idle connections are kept for reuse.
 
-use super::within;
+use super::with_timeout;
 use async_net::TcpStream;
 use http_types::{Method, Request, Url};
 use std::cell::RefCell;
@@ -10,24 +10,24 @@
 use std::time::{Duration, Instant};
 use thiserror::Error;
 
-/// Idle connections that are kept for one destination at the most.
-const IDLE_MAX: usize = 6;
+/// Maximum number of idle connections to one destination.
+const IDLE_PER_DESTINATION_MAX: usize = 6;
 /// How long an idle connection is kept.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(20);
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// How a call failed.
+/// Why a call got no response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum CallError {
-    /// No connection was made: the request can't arrive.
-    #[error("not sent")]
+    /// The request was not sent and can't arrive: no connection was made, or its URL is invalid.
+    #[error("request not sent: can't connect, or invalid URL")]
     NotSent,
-    /// It may have arrived, or may yet.
-    #[error("outcome unknown")]
+    /// The request may have arrived, or may still arrive.
+    #[error("request sent without a complete response: its outcome is unknown")]
     Unknown,
 }
 
-/// What a server responded.
+/// A server's response.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Response {
     /// HTTP status.
@@ -42,36 +42,38 @@
 }
 
 impl IdleConnection {
-    fn is_fresh(&self) -> bool {
+    fn is_reusable(&self) -> bool {
         self.since.elapsed() < IDLE_TIMEOUT
     }
 }
 
-/// Idle connections of one process, by destination.
+/// An HTTP client; clones share its idle connections.
 #[derive(Clone, Default)]
 pub struct Client {
+    /// By destination, the most recently used last.
     idle: Rc<RefCell<BTreeMap<SocketAddr, VecDeque<IdleConnection>>>>,
 }
 
 impl Client {
-    /// Sends one request and waits for its response, within a time limit.
+    /// Sends a request and waits for the response. The timeout bounds the exchange, and separately the
+    /// connection attempt, which may also take no longer than a second.
     pub async fn call(
         &self,
         to: SocketAddr,
         method: Method,
         path: &str,
         body: Option<Vec<u8>>,
-        limit: Duration,
+        timeout: Duration,
     ) -> Result<Response, CallError> {
         let stream = match self.take_idle(to) {
             Some(stream) => stream,
-            None => connect(to, limit).await?,
+            None => connect(to, timeout).await?,
         };
         let exchange = async {
-            let request = request(to, method, path, body)?;
+            let request = build_request(to, method, path, body)?;
             self.exchange(to, stream, request).await
         };
-        within(limit, exchange)
+        with_timeout(timeout, exchange)
             .await
             .unwrap_or(Err(CallError::Unknown))
     }
@@ -94,7 +96,7 @@
             .await
             .map_err(|_| CallError::Unknown)?;
         if !closing {
-            self.keep(to, stream);
+            self.put_idle(to, stream);
         }
         Ok(Response { status, body })
     }
@@ -103,7 +105,7 @@
         let mut idle = self.idle.borrow_mut();
         let connections = idle.get_mut(&to)?;
         while let Some(connection) = connections.pop_back() {
-            if connection.is_fresh() {
+            if connection.is_reusable() {
                 return Some(connection.stream);
             }
         }
@@ -111,10 +113,10 @@
         None
     }
 
-    fn keep(&self, to: SocketAddr, stream: TcpStream) {
+    fn put_idle(&self, to: SocketAddr, stream: TcpStream) {
         let mut idle = self.idle.borrow_mut();
         let connections = idle.entry(to).or_default();
-        if connections.len() < IDLE_MAX {
+        if connections.len() < IDLE_PER_DESTINATION_MAX {
             connections.push_back(IdleConnection {
                 stream,
                 since: Instant::now(),
@@ -122,18 +124,18 @@
         }
     }
 
-    /// Closes connections that have been idle for long, so that machines that are gone leave no
+    /// Closes connections that have been idle for too long, so that terminated machines leave no open
     /// sockets.
-    pub fn close_idle(&self) {
+    pub fn close_expired(&self) {
         self.idle.borrow_mut().retain(|_, connections| {
-            connections.retain(IdleConnection::is_fresh);
+            connections.retain(IdleConnection::is_reusable);
             !connections.is_empty()
         });
     }
 }
 
-async fn connect(to: SocketAddr, limit: Duration) -> Result<TcpStream, CallError> {
-    let connected = within(CONNECT_TIMEOUT.min(limit), TcpStream::connect(to)).await;
+async fn connect(to: SocketAddr, timeout: Duration) -> Result<TcpStream, CallError> {
+    let connected = with_timeout(CONNECT_TIMEOUT.min(timeout), TcpStream::connect(to)).await;
     let Some(Ok(stream)) = connected else {
         return Err(CallError::NotSent);
     };
@@ -141,7 +143,7 @@
     Ok(stream)
 }
 
-fn request(
+fn build_request(
     to: SocketAddr,
     method: Method,
     path: &str,
--- a/crates/seamfront/src/http/mod.rs
+++ b/crates/seamfront/src/http/mod.rs
@@ -1,12 +1,12 @@
-//! HTTP/1.1 in both directions, by async-h1: a server with bounded connections and bodies, and a
-//! small client that keeps connections and tells a request that was never sent from one whose
+//! HTTP/1.1 over async-h1: a server that bounds the number of connections and the size of bodies, and
+//! a client that reuses connections and distinguishes a request that was never sent from one whose
 //! outcome is unknown.
 
 mod client;
 mod server;
 
 pub use client::{CallError, Client, Response};
-pub use server::{serve, Audience, IncomingRequest, Reply, BODY_MAX};
+pub use server::{serve, ClientKind, IncomingRequest, Reply, BODY_BYTES_MAX};
 
 use async_io::Timer;
 use futures_lite::FutureExt;
@@ -14,18 +14,18 @@
 use std::future::Future;
 use std::time::Duration;
 
-/// Runs a future for at most so long; none when the time is up.
-pub async fn within<T>(limit: Duration, future: impl Future<Output = T>) -> Option<T> {
+/// Awaits a future with a timeout; none if the timeout has elapsed.
+pub async fn with_timeout<T>(timeout: Duration, future: impl Future<Output = T>) -> Option<T> {
     async { Some(future.await) }
         .or(async {
-            Timer::after(limit).await;
+            Timer::after(timeout).await;
             None
         })
         .await
 }
 
-/// The JSON text of a struct of the wire.
+/// A wire struct as JSON.
 pub(crate) fn json_text(body: &impl Serialize) -> String {
-    // Only maps with keys other than strings can't be written, and no struct of the wire has one.
+    // Fails only for maps whose keys are not strings, which no wire struct has.
     serde_json::to_string(body).unwrap_or_default()
 }
--- a/crates/seamfront/src/http/server.rs
+++ b/crates/seamfront/src/http/server.rs
@@ -1,7 +1,7 @@
-//! The HTTP server. One task accepts connections and each connection is served by a task of its
-//! own, until the client closes it, falls silent, or it is closed to make room for another.
+//! The HTTP server. One task accepts connections. Each connection is served by a task of its own until
+//! the client closes it, it times out, or it is closed in favour of a new one.
 
-use super::within;
+use super::with_timeout;
 use async_executor::LocalExecutor;
 use async_h1::server::{ConnectionStatus, Server};
 use async_io::Timer;
@@ -16,31 +16,31 @@
 use std::time::{Duration, Instant};
 use tracing::{debug, error, info};
 
-/// Bytes of a request's body at the most.
-pub const BODY_MAX: u64 = 64 * 1024;
-/// How long a client may take to send a request's body.
+/// Maximum size of a request's body in bytes.
+pub const BODY_BYTES_MAX: u64 = 64 * 1024;
+/// Time limit for receiving a request's body.
 const BODY_TIMEOUT: Duration = Duration::from_secs(5);
-/// A request or a silence on one connection may take no longer than this.
+/// Time limit for waiting for the next request on a connection and serving it.
 const CONNECTION_TIMEOUT: Duration = Duration::from_secs(75);
-/// Pause after a connection could not be accepted.
+/// Delay after a connection could not be accepted.
 const ACCEPT_RETRY: Duration = Duration::from_millis(20);
 
-/// Whose connection it is.
+/// The kind of client that uses a connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Audience {
-    /// A user's, or not known yet.
+pub enum ClientKind {
+    /// A user, or not known yet.
     User,
-    /// A worker's: it is never closed in favour of a user's.
-    Worker,
+    /// An agent. Its connection is not closed for a new one while there are users' connections.
+    Agent,
 }
 
-/// A request that came in.
+/// A request to the server.
 pub struct IncomingRequest {
     /// Its method.
     pub method: Method,
     /// Its path, without the query.
     pub path: String,
-    /// None: longer than allowed, or not received in time.
+    /// Its body; none if it is too long or was not received in time.
     pub body: Option<Vec<u8>>,
 }
 
@@ -48,12 +48,12 @@
 pub struct Reply {
     /// HTTP status.
     pub status: u16,
-    /// JSON.
+    /// Body, as JSON.
     pub body: String,
     /// Seconds after which the client is to retry.
     pub retry_after: Option<u64>,
-    /// Whom it goes to.
-    pub audience: Audience,
+    /// The kind of client that receives it.
+    pub client: ClientKind,
 }
 
 impl Reply {
@@ -63,16 +63,16 @@
             status,
             body,
             retry_after: None,
-            audience: Audience::User,
+            client: ClientKind::User,
         }
     }
 
-    /// A response that names an error.
-    pub fn error(status: u16, why: &str) -> Reply {
-        Reply::json(status, serde_json::json!({ "error": why }).to_string())
+    /// A response with an error message.
+    pub fn error(status: u16, message: &str) -> Reply {
+        Reply::json(status, serde_json::json!({ "error": message }).to_string())
     }
 
-    /// Asks the client to retry after so many seconds.
+    /// A response that asks the client to retry after a number of seconds.
     pub fn retry_later(seconds: u64) -> Reply {
         let mut reply = Reply::error(503, "come back later");
         reply.retry_after = Some(seconds.max(1));
@@ -85,29 +85,30 @@
 
 struct Connection {
     last_used: Instant,
-    audience: Audience,
+    client: ClientKind,
     stream: TcpStream,
 }
 
-/// Open connections of the server. When there are too many, the user's that has been idle longest
-/// is closed.
+/// Open connections of the server. When there are too many, the least recently used connection of a
+/// user is closed.
 #[derive(Clone, Default)]
 struct Connections {
     open: Rc<RefCell<BTreeMap<ConnectionId, Connection>>>,
 }
 
 impl Connections {
-    fn make_room(&self, max_connections: usize) {
+    /// Closes one connection if there are `max_connections`: a user's if there is any, else an agent's.
+    fn close_one_if_full(&self, max_connections: usize) {
         let open = self.open.borrow();
         if open.len() < max_connections {
             return;
         }
-        let oldest_user = open
+        let least_recent_user = open
             .values()
-            .filter(|connection| connection.audience == Audience::User)
+            .filter(|connection| connection.client == ClientKind::User)
             .min_by_key(|connection| connection.last_used);
-        let oldest = || open.values().min_by_key(|connection| connection.last_used);
-        if let Some(connection) = oldest_user.or_else(oldest) {
+        let least_recent = || open.values().min_by_key(|connection| connection.last_used);
+        if let Some(connection) = least_recent_user.or_else(least_recent) {
             let _ = connection.stream.shutdown(Shutdown::Both);
         }
     }
@@ -115,18 +116,18 @@
     fn insert(&self, id: ConnectionId, stream: TcpStream) {
         let connection = Connection {
             last_used: Instant::now(),
-            audience: Audience::User,
+            client: ClientKind::User,
             stream,
         };
         self.open.borrow_mut().insert(id, connection);
     }
 
-    /// Notes that a connection was used. Once a worker's, it stays one.
-    fn mark_used(&self, id: ConnectionId, audience: Audience) {
+    /// Records that a connection was used. Once it is an agent's, it remains one.
+    fn mark_used(&self, id: ConnectionId, client: ClientKind) {
         if let Some(connection) = self.open.borrow_mut().get_mut(&id) {
             connection.last_used = Instant::now();
-            if audience == Audience::Worker {
-                connection.audience = audience;
+            if client == ClientKind::Agent {
+                connection.client = client;
             }
         }
     }
@@ -136,7 +137,7 @@
     }
 }
 
-/// Serves at most `max_connections` connections until the listener fails.
+/// Serves at most `max_connections` connections. Returns only if it can't listen on `bind`.
 pub async fn serve<F, Fut>(
     executor: &'static LocalExecutor<'static>,
     bind: SocketAddr,
@@ -154,23 +155,24 @@
     loop {
         let stream = match listener.accept().await {
             Ok((stream, _)) => stream,
-            Err(e) => {
-                // Out of sockets, most likely: close a connection before the next attempt.
-                error!(%e, "accept failed");
-                connections.make_room(0);
+            Err(error) => {
+                // Most likely the process has no file descriptors left, so a connection is closed
+                // before the next attempt.
+                error!(%bind, %error, "accept failed");
+                connections.close_one_if_full(0);
                 Timer::after(ACCEPT_RETRY).await;
                 continue;
             }
         };
         let _ = stream.set_nodelay(true);
-        connections.make_room(max_connections);
+        connections.close_one_if_full(max_connections);
         last_id += 1;
         let id = ConnectionId(last_id);
         connections.insert(id, stream.clone());
         let (connections, handle) = (connections.clone(), handle.clone());
         let connection = async move {
-            if let Err(e) = serve_connection(stream, &connections, id, handle).await {
-                debug!(%e, "connection ended");
+            if let Err(error) = serve_connection(stream, &connections, id, handle).await {
+                debug!(%error, "connection ended");
             }
             connections.remove(id);
         };
@@ -191,30 +193,30 @@
     let endpoint = |request: Request| {
         let (connections, handle) = (connections.clone(), &handle);
         async move {
-            let incoming = receive(request).await;
+            let incoming = read_request(request).await;
             let complete = incoming.body.is_some();
             let reply = handle(incoming).await;
-            connections.mark_used(id, reply.audience);
-            Ok(response(reply, complete))
+            connections.mark_used(id, reply.client);
+            Ok(to_response(reply, complete))
         }
     };
     let mut server = Server::new(stream, endpoint);
     loop {
-        match within(CONNECTION_TIMEOUT, server.accept_one()).await {
+        match with_timeout(CONNECTION_TIMEOUT, server.accept_one()).await {
             Some(Ok(ConnectionStatus::KeepAlive)) => {}
             Some(Ok(_)) | None => return Ok(()),
-            Some(Err(e)) => return Err(e),
+            Some(Err(error)) => return Err(error),
         }
     }
 }
 
-/// Reads the body of a request as far as it is allowed to go.
-async fn receive(mut request: Request) -> IncomingRequest {
+/// Reads a request and its body, unless that is too long or late.
+async fn read_request(mut request: Request) -> IncomingRequest {
     let mut body = Vec::new();
-    // A byte more than allowed shows that the body is too long.
-    let mut limited = request.take_body().take(BODY_MAX + 1);
-    let read = within(BODY_TIMEOUT, limited.read_to_end(&mut body)).await;
-    let complete = matches!(read, Some(Ok(_))) && body.len() as u64 <= BODY_MAX;
+    // Reading one byte more than allowed tells whether the body is too long.
+    let mut limited = request.take_body().take(BODY_BYTES_MAX + 1);
+    let read = with_timeout(BODY_TIMEOUT, limited.read_to_end(&mut body)).await;
+    let complete = matches!(read, Some(Ok(_))) && body.len() as u64 <= BODY_BYTES_MAX;
     IncomingRequest {
         method: request.method(),
         path: request.url().path().to_owned(),
@@ -222,8 +224,8 @@
     }
 }
 
-/// The response on the wire. After an incomplete request the connection can't be used again.
-fn response(reply: Reply, request_complete: bool) -> Response {
+/// The HTTP response of a reply. After an incomplete request the connection can't be reused.
+fn to_response(reply: Reply, request_complete: bool) -> Response {
     let status = StatusCode::try_from(reply.status).unwrap_or(StatusCode::InternalServerError);
     let mut response = Response::new(status);
     response.insert_header("content-type", "application/json");
@@ -234,7 +236,7 @@
         response.insert_header("connection", "close");
     }
     response.set_body(reply.body);
-    // Setting the body has overwritten the type of the content.
+    // Set again, since `set_body` has overwritten it.
     response.insert_header("content-type", "application/json");
     response
 }
--- a/crates/seamfront/src/peer_transport/client.rs
+++ b/crates/seamfront/src/peer_transport/client.rs
@@ -1,8 +1,8 @@
-//! The client of the peer transport: one task per peer delivers its queue in order.
+//! The client of the peer transport: one task per peer delivers the messages of its queue in order.
 
 use super::wire::mesh_client::MeshClient;
-use super::{ConnectionExecutor, Envelope, MESSAGE_MAX, STEP_TIMEOUT};
-use crate::http::within;
+use super::{ConnectionExecutor, Envelope, MESSAGE_BYTES_MAX, STEP_TIMEOUT};
+use crate::http::with_timeout;
 use async_channel::Receiver;
 use async_executor::LocalExecutor;
 use async_io::Timer;
@@ -17,10 +17,10 @@
 use tower_service::Service;
 use tracing::{debug, info, warn};
 
-/// Pause after a peer could not be reached.
+/// Delay after a peer could not be reached.
 const RECONNECT_DELAY: Duration = Duration::from_millis(400);
 
-/// An HTTP/2 connection as the transport of a gRPC client.
+/// Adapts an HTTP/2 connection to the transport of a gRPC client.
 struct Http2Channel(hyper::client::conn::http2::SendRequest<tonic::body::Body>);
 
 impl Service<http::Request<tonic::body::Body>> for Http2Channel {
@@ -41,15 +41,17 @@
     executor: &'static LocalExecutor<'static>,
     to: SocketAddr,
 ) -> Option<MeshClient<Http2Channel>> {
-    let stream = within(STEP_TIMEOUT, TcpStream::connect(to)).await?.ok()?;
+    let stream = with_timeout(STEP_TIMEOUT, TcpStream::connect(to))
+        .await?
+        .ok()?;
     let _ = stream.set_nodelay(true);
     let handshake =
         hyper::client::conn::http2::handshake(ConnectionExecutor(executor), FuturesIo::new(stream));
-    let (sender, connection) = within(STEP_TIMEOUT, handshake).await?.ok()?;
+    let (sender, connection) = with_timeout(STEP_TIMEOUT, handshake).await?.ok()?;
     executor
         .spawn(async move {
-            if let Err(e) = connection.await {
-                debug!(%e, "connection to a peer ended");
+            if let Err(error) = connection.await {
+                debug!(%to, %error, "connection to a peer ended");
             }
         })
         .detach();
@@ -61,12 +63,12 @@
         .ok()?;
     Some(
         MeshClient::with_origin(Http2Channel(sender), origin)
-            .max_decoding_message_size(MESSAGE_MAX),
+            .max_decoding_message_size(MESSAGE_BYTES_MAX),
     )
 }
 
-/// Delivers what is queued for one peer, in order, until the queue is closed. What can't be
-/// delivered is dropped.
+/// Delivers the messages queued for one peer, in order, until the queue is closed. Messages that can't
+/// be delivered are dropped.
 pub async fn deliver(
     executor: &'static LocalExecutor<'static>,
     own_name: String,
@@ -86,6 +88,7 @@
                 reachable = false;
             }
             Timer::after(RECONNECT_DELAY).await;
+            // The messages queued meanwhile are outdated.
             while queue.try_recv().is_ok() {}
             continue;
         };
@@ -93,7 +96,7 @@
             from: own_name.clone(),
             message,
         };
-        match within(STEP_TIMEOUT, client.deliver(envelope)).await {
+        match with_timeout(STEP_TIMEOUT, client.deliver(envelope)).await {
             Some(Ok(_)) => {
                 if !reachable {
                     info!(peer, "peer reachable");
--- a/crates/seamfront/src/peer_transport/mod.rs
+++ b/crates/seamfront/src/peer_transport/mod.rs
@@ -1,5 +1,5 @@
 //! gRPC between controllers: tonic's services over hyper's HTTP/2 on async-io. Messages only save
-//! time: nothing depends on their arrival.
+//! time; correctness does not depend on their arrival.
 
 mod client;
 mod server;
@@ -19,17 +19,17 @@
 
 /// The service that `build.rs` generates.
 mod wire {
-    // Generated code: its style is the generator's, and can't be changed here.
+    // Generated code can't be changed to satisfy the lints.
     #![allow(clippy::all, clippy::pedantic)]
     include!(concat!(env!("OUT_DIR"), "/seamfront.Mesh.rs"));
 }
 
-/// How long one step of a delivery may take: to connect, to agree on HTTP/2, to send.
+/// Timeout of each step of a delivery: the connection, the HTTP/2 handshake, the call.
 const STEP_TIMEOUT: Duration = Duration::from_secs(1);
-/// Bytes of a message at the most.
-const MESSAGE_MAX: usize = 1 << 20;
+/// Maximum size of a message in bytes.
+const MESSAGE_BYTES_MAX: usize = 1 << 20;
 
-/// Lets hyper start the tasks of its connections on this process's executor.
+/// Runs hyper's connection tasks on this process's executor.
 #[derive(Clone, Copy)]
 struct ConnectionExecutor(&'static LocalExecutor<'static>);
 
@@ -42,17 +42,17 @@
 /// A message with its sender.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Envelope {
-    /// Name of the sender.
+    /// The sender's member name.
     pub from: String,
     /// The message.
     pub message: PeerMessage,
 }
 
-/// The response to a message: that it has arrived.
+/// The response to a message, which acknowledges its arrival.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Receipt {}
 
-/// gRPC leaves the encoding of messages open; these are JSON, like everything else here.
+/// Encodes gRPC messages as JSON, like the other protocols of this process.
 pub struct JsonCodec<E, D>(PhantomData<(E, D)>);
 
 impl<E, D> Default for JsonCodec<E, D> {
@@ -61,9 +61,9 @@
     }
 }
 
-/// Writes messages as JSON.
+/// Encodes messages as JSON.
 pub struct JsonEncoder<E>(PhantomData<E>);
-/// Reads messages from JSON.
+/// Decodes messages from JSON.
 pub struct JsonDecoder<D>(PhantomData<D>);
 
 impl<E: Serialize + Send + 'static, D: DeserializeOwned + Send + 'static> Codec
@@ -111,7 +111,7 @@
     }
 }
 
-/// Copies between byte buffers.
+/// Copies bytes into and out of tonic's buffers.
 mod buffer {
     use bytes::{Buf, BufMut};
 
--- a/crates/seamfront/src/peer_transport/server.rs
+++ b/crates/seamfront/src/peer_transport/server.rs
@@ -1,7 +1,7 @@
-//! The server of the peer transport: queues messages of the other controllers for the engine.
+//! The server of the peer transport: queues the messages of other controllers for the engine.
 
 use super::wire::mesh_server::{Mesh, MeshServer};
-use super::{ConnectionExecutor, Envelope, Receipt, MESSAGE_MAX};
+use super::{ConnectionExecutor, Envelope, Receipt, MESSAGE_BYTES_MAX};
 use async_channel::Sender;
 use async_executor::LocalExecutor;
 use async_io::Timer;
@@ -16,20 +16,21 @@
 use tower_service::Service;
 use tracing::debug;
 
-/// Takes messages from members only.
-struct Inbox {
+/// Implements the gRPC service. Only members may send messages.
+struct MessageHandler {
     members: Vec<String>,
     commands: Sender<Command>,
 }
 
 #[tonic::async_trait]
-impl Mesh for Inbox {
+impl Mesh for MessageHandler {
     async fn deliver(&self, request: Request<Envelope>) -> Result<Response<Receipt>, Status> {
         let Envelope { from, message } = request.into_inner();
         let Some(from) = self.members.iter().position(|member| *member == from) else {
             return Err(Status::permission_denied("not a member"));
         };
-        // A full queue means overload; the peer's next message will be more recent than this one.
+        // A full queue means overload. The message may be dropped: the peer's next one will be more
+        // recent.
         match self.commands.try_send(Command::Peer { from, message }) {
             Ok(()) => Ok(Response::new(Receipt {})),
             Err(_) => Err(Status::resource_exhausted("busy")),
@@ -37,12 +38,12 @@
     }
 }
 
-/// Connections of peers that are open at the same time at the most.
+/// Maximum number of open connections from peers.
 const CONNECTIONS_MAX: usize = 32;
-/// Pause after a connection could not be accepted.
+/// Delay after a connection could not be accepted.
 const ACCEPT_RETRY: Duration = Duration::from_millis(50);
 
-/// Receives messages of the other controllers until the listener can't be opened.
+/// Receives messages from the other controllers. Returns only if it can't listen on `bind`.
 pub async fn serve(
     executor: &'static LocalExecutor<'static>,
     bind: SocketAddr,
@@ -50,8 +51,8 @@
     commands: Sender<Command>,
 ) -> std::io::Result<()> {
     let listener = TcpListener::bind(bind).await?;
-    let inbox = Inbox { members, commands };
-    let service = MeshServer::new(inbox).max_decoding_message_size(MESSAGE_MAX);
+    let handler = MessageHandler { members, commands };
+    let service = MeshServer::new(handler).max_decoding_message_size(MESSAGE_BYTES_MAX);
     let open = Rc::new(Cell::new(0usize));
     loop {
         let Ok((stream, _)) = listener.accept().await else {
@@ -75,7 +76,7 @@
 async fn serve_connection(
     executor: &'static LocalExecutor<'static>,
     stream: TcpStream,
-    service: MeshServer<Inbox>,
+    service: MeshServer<MessageHandler>,
 ) {
     let handler = hyper::service::service_fn(move |request| {
         let mut service = service.clone();
@@ -83,7 +84,7 @@
     });
     let connection = hyper::server::conn::http2::Builder::new(ConnectionExecutor(executor))
         .serve_connection(FuturesIo::new(stream), handler);
-    if let Err(e) = connection.await {
-        debug!(%e, "connection of a peer ended");
+    if let Err(error) = connection.await {
+        debug!(%error, "connection of a peer ended");
     }
 }
--- a/crates/seamfront/src/router.rs
+++ b/crates/seamfront/src/router.rs
@@ -1,6 +1,7 @@
-//! Routes of the HTTP server: each request becomes a command to the engine, whose reply is awaited.
+//! Routes the requests of the HTTP server: each becomes a command to the engine, whose reply is
+//! awaited.
 
-use crate::http::{self, Audience, IncomingRequest, Reply};
+use crate::http::{self, ClientKind, IncomingRequest, Reply};
 use crate::{user_api, worker_api};
 use async_channel::Sender;
 use http_types::Method;
@@ -11,20 +12,20 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// How long a client waits for the engine's reply before it is asked to retry.
+/// How long a request waits for the engine's reply before the client is asked to retry.
 const REPLY_TIMEOUT: Duration = Duration::from_millis(4_500);
-/// Seconds after which a client is to retry that got no reply.
+/// Seconds after which a client is to retry if the engine did not reply.
 const RETRY_AFTER_S: u64 = 1;
 
-/// Requests of clients that the engine has not replied to yet. An entry is there only while the
-/// connection's task waits for the reply.
+/// Clients' requests that await the engine's reply. An entry exists only while the connection's task
+/// waits for it.
 #[derive(Clone, Default)]
 pub(crate) struct PendingReplies {
     senders: Rc<RefCell<BTreeMap<ClientRequestId, Sender<Reply>>>>,
 }
 
 impl PendingReplies {
-    /// Hands the engine's reply to the connection that waits for it, if it still does.
+    /// Passes the engine's reply to the connection's task, if it still waits.
     pub fn complete(&self, request: ClientRequestId, reply: Reply) {
         if let Some(sender) = self.remove(request) {
             let _ = sender.try_send(reply);
@@ -40,7 +41,7 @@
     }
 }
 
-/// What connection tasks need to hand a request to the engine; all clones share the same state.
+/// Passes requests of connections to the engine. Clones share the same state.
 #[derive(Clone)]
 pub(crate) struct RequestRouter {
     commands: Sender<Command>,
@@ -57,13 +58,13 @@
         }
     }
 
-    /// Routes a request by its path and method.
+    /// Replies to a request according to its path and method.
     pub async fn handle(&self, request: IncomingRequest) -> Reply {
         let path: Vec<&str> = request.path.trim_start_matches('/').split('/').collect();
         let post = request.method == Method::Post;
         let get = request.method == Method::Get;
         match path.as_slice() {
-            ["up"] if get => self.ask(|to| Command::Health { to }).await,
+            ["up"] if get => self.call_engine(|to| Command::Health { to }).await,
             ["hello"] if post => self.heartbeat(request.body).await,
             ["submissions"] if post => self.submit(request.body).await,
             ["submissions", id] if get => self.poll(id).await,
@@ -83,8 +84,10 @@
             Ok(heartbeat) => Box::new(heartbeat),
             Err(error) => return Reply::error(400, &error.to_string()),
         };
-        let mut reply = self.ask(|to| Command::Heartbeat { to, heartbeat }).await;
-        reply.audience = Audience::Worker;
+        let mut reply = self
+            .call_engine(|to| Command::Heartbeat { to, heartbeat })
+            .await;
+        reply.client = ClientKind::Agent;
         reply
     }
 
@@ -96,7 +99,7 @@
             Ok(spec) => Box::new(spec),
             Err(error) => return Reply::error(400, &error.to_string()),
         };
-        self.ask(|to| Command::Submit { to, spec }).await
+        self.call_engine(|to| Command::Submit { to, spec }).await
     }
 
     async fn poll(&self, id: &str) -> Reply {
@@ -104,7 +107,7 @@
             return no_such_job();
         }
         let id = JobId::from(id);
-        self.ask(|to| Command::Poll { to, id }).await
+        self.call_engine(|to| Command::Poll { to, id }).await
     }
 
     async fn cancel(&self, id: &str) -> Reply {
@@ -112,12 +115,12 @@
             return no_such_job();
         }
         let id = JobId::from(id);
-        self.ask(|to| Command::Cancel { to, id }).await
+        self.call_engine(|to| Command::Cancel { to, id }).await
     }
 
-    /// Queues a command and waits for the reply. When the queue is full the client is asked to
-    /// retry at once.
-    async fn ask(&self, command: impl FnOnce(ClientRequestId) -> Command) -> Reply {
+    /// Queues a command and waits for the engine's reply. If the queue is full, the client is
+    /// immediately asked to retry later.
+    async fn call_engine(&self, command: impl FnOnce(ClientRequestId) -> Command) -> Reply {
         let request = self.last_request.get() + 1;
         self.last_request.set(request);
         let (sender, receiver) = async_channel::bounded(1);
@@ -126,7 +129,7 @@
             self.pending.remove(request);
             return Reply::retry_later(RETRY_AFTER_S);
         }
-        let reply = http::within(REPLY_TIMEOUT, receiver.recv()).await;
+        let reply = http::with_timeout(REPLY_TIMEOUT, receiver.recv()).await;
         self.pending.remove(request);
         reply
             .and_then(Result::ok)
--- a/crates/seamfront/src/store_client.rs
+++ b/crates/seamfront/src/store_client.rs
@@ -10,11 +10,11 @@
 use tracing::warn;
 
 const CALL_TIMEOUT: Duration = Duration::from_millis(1_500);
-/// Entries on one page of a list.
+/// Number of entries on one page of a list.
 const PAGE_SIZE: u32 = 300;
-/// Bytes of an unexpected response that are logged.
-const LOGGED_BODY_MAX: usize = 300;
-/// What the store responds with status 400 to a write under a lease that expired.
+/// Number of bytes of an unexpected response that are logged.
+const LOGGED_BODY_BYTES_MAX: usize = 300;
+/// The text by which a response with status 400 says that the lease of a write has expired.
 const NO_SUCH_LEASE: &str = "no such lease";
 const MICROS_PER_MILLI: i64 = 1_000;
 
@@ -211,7 +211,7 @@
     }
 }
 
-/// Carries out a request of the engine's to the key-value store.
+/// Sends a request of the engine to the key-value store and returns the outcome.
 pub async fn call(client: &Client, to: SocketAddr, request: &StoreRequest) -> StoreReply {
     let StoreCall {
         method,
@@ -226,14 +226,15 @@
         Ok(Response {
             status: 429 | 503, ..
         }) => StoreReply::Refused,
-        Ok(response) => reply(request, &response).unwrap_or_else(|| unexpected(request, &response)),
+        Ok(response) => parse_reply(request, &response)
+            .unwrap_or_else(|| unexpected_response(request, &response)),
     }
 }
 
-/// Logs a response that the protocol does not know, and says what is known of the outcome.
-fn unexpected(request: &StoreRequest, response: &Response) -> StoreReply {
+/// Logs a response that the protocol does not have, and returns what is known of the outcome.
+fn unexpected_response(request: &StoreRequest, response: &Response) -> StoreReply {
     let status = response.status;
-    let shown = response.body.len().min(LOGGED_BODY_MAX);
+    let shown = response.body.len().min(LOGGED_BODY_BYTES_MAX);
     let text = String::from_utf8_lossy(&response.body[..shown]).into_owned();
     warn!(
         status,
@@ -241,7 +242,7 @@
         ?request,
         "unexpected response of the key-value store"
     );
-    // A request that is refused as malformed was certainly not executed.
+    // The store does not execute a request that it rejects as malformed.
     if status == 400 {
         StoreReply::Refused
     } else {
@@ -249,18 +250,18 @@
     }
 }
 
-fn read<'a, T: Deserialize<'a>>(body: &'a [u8]) -> Option<T> {
+fn parse_json<'a, T: Deserialize<'a>>(body: &'a [u8]) -> Option<T> {
     serde_json::from_slice(body).ok()
 }
 
-/// What a response means for the request; none when it is not one of those the protocol knows.
-fn reply(request: &StoreRequest, response: &Response) -> Option<StoreReply> {
+/// Translates a response to the request; none if the protocol has no such response.
+fn parse_reply(request: &StoreRequest, response: &Response) -> Option<StoreReply> {
     let body = response.body.as_slice();
     Some(match (request, response.status) {
-        (StoreRequest::Get { .. }, 200) => StoreReply::Entry(read::<WirePair>(body)?.into()),
+        (StoreRequest::Get { .. }, 200) => StoreReply::Entry(parse_json::<WirePair>(body)?.into()),
         (StoreRequest::Get { .. }, 404) => StoreReply::Missing,
         (StoreRequest::List { .. }, 200) => {
-            let page: WirePage = read(body)?;
+            let page: WirePage = parse_json(body)?;
             StoreReply::Page {
                 entries: page.pairs.into_iter().map(Entry::from).collect(),
                 more: page.more,
@@ -268,10 +269,10 @@
             }
         }
         (StoreRequest::CompareAndSwap { .. }, 200) => StoreReply::Committed {
-            revision: read::<WireRevision>(body)?.revision,
+            revision: parse_json::<WireRevision>(body)?.revision,
         },
         (StoreRequest::CompareAndSwap { .. }, 409) => StoreReply::Conflict {
-            failed: read::<WireFailed>(body)?.failed,
+            failed: parse_json::<WireFailed>(body)?.failed,
         },
         (StoreRequest::CompareAndSwap { .. }, 400)
             if String::from_utf8_lossy(body).contains(NO_SUCH_LEASE) =>
@@ -279,18 +280,19 @@
             StoreReply::NoSuchLease
         }
         (StoreRequest::GrantLease { .. }, 200) => StoreReply::Lease {
-            id: read::<WireLease>(body)?.lease,
+            id: parse_json::<WireLease>(body)?.lease,
         },
         (StoreRequest::RenewLease { .. }, 200) => StoreReply::Renewed,
         (StoreRequest::RenewLease { .. }, 404) => StoreReply::NoSuchLease,
         (StoreRequest::Watch { .. }, 410) => StoreReply::TooOld,
-        (StoreRequest::Watch { .. }, 200) => changes(read(body)?)?,
+        (StoreRequest::Watch { .. }, 200) => watch_reply(parse_json(body)?)?,
         _ => return None,
     })
 }
 
-/// The events of a watch in the order of their versions; none when one neither writes nor removes.
-fn changes(wire: WireChanges) -> Option<StoreReply> {
+/// The events of a watch in the order of their versions; none if one is neither a write nor a
+/// removal.
+fn watch_reply(wire: WireChanges) -> Option<StoreReply> {
     let mut events = Vec::new();
     for event in wire.events {
         match (event.written, event.removed) {
--- a/crates/seamfront/src/user_api.rs
+++ b/crates/seamfront/src/user_api.rs
@@ -1,4 +1,4 @@
-//! The public API: submissions are checked field by field, each response is one JSON object.
+//! The users' API: parses submissions, checking them field by field, and writes the responses.
 
 use crate::http::{self, Reply};
 use seamfront_core::port::{Answer, JobState};
@@ -8,59 +8,60 @@
 use std::collections::BTreeSet;
 use thiserror::Error;
 
-/// Tasks of a job at the most.
+/// Maximum number of tasks in a job.
 pub const TASKS_MAX: u64 = 100_000;
-/// Bytes of a name at the most.
-const NAME_MAX: usize = 200;
-/// Machine types that a job may list at the most.
+/// Maximum length of a name in bytes.
+const NAME_BYTES_MAX: usize = 200;
+/// Maximum number of machine types that a job may list.
 const TYPES_MAX: usize = 200;
+/// Largest amount of a resource or number of seconds.
 const AMOUNT_MAX: f64 = 1e9;
 const MB_PER_GB: f64 = 1e3;
 const MICROS_PER_SECOND: i64 = 1_000_000;
 
-/// Whether a text is a job id: `j-` and 1 to 30 digits.
+/// Whether `id` is a valid job id: `j-` and 1 to 30 digits.
 pub fn valid_id(id: &str) -> bool {
     id.strip_prefix("j-").is_some_and(|digits| {
         (1..=30).contains(&digits.len()) && digits.bytes().all(|b| b.is_ascii_digit())
     })
 }
 
-/// What a field of a submission has to hold.
+/// The value that a field of a submission must have.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum ExpectedValue {
-    /// A text that is neither empty nor too long.
-    #[error("must be a text of 1 to {NAME_MAX} bytes")]
+    /// A string that is neither empty nor too long.
+    #[error("must be a text of 1 to {NAME_BYTES_MAX} bytes")]
     Text,
     /// An amount or a number of seconds.
     #[error("must be a number from 0 to 1e9")]
     Amount,
-    /// A flag.
+    /// A boolean.
     #[error("must be true or false")]
     Flag,
     /// A number of tasks.
     #[error("must be a whole number from 1 to {TASKS_MAX}")]
     TaskCount,
-    /// A list of machine types, or none.
+    /// A list of machine types, or null.
     #[error("must be a list of texts or null")]
     TypeList,
-    /// A machine type within the list.
+    /// A list whose elements are machine types.
     #[error("must hold texts")]
     TypeNames,
-    /// A list of jobs, or none.
+    /// A list of job ids, or null.
     #[error("must be a list of job ids or null")]
     JobIdList,
-    /// A job within the list.
+    /// A list whose elements are job ids.
     #[error("must hold job ids")]
     JobIds,
 }
 
-/// Why a submission is refused; the text goes to the client.
+/// Why a submission is refused; the message is sent to the client.
 #[derive(Debug, Error)]
 pub enum MalformedSubmission {
     /// The body is not JSON.
     #[error("not JSON: {0}")]
     Json(#[from] serde_json::Error),
-    /// The body is JSON of another kind.
+    /// The body is JSON, but not an object.
     #[error("not an object")]
     NotAnObject,
     /// A required field is absent or null.
@@ -69,23 +70,23 @@
         /// The field's name on the wire.
         field: &'static str,
     },
-    /// A field holds something else than it has to.
+    /// A field has a value of another type or out of range.
     #[error("{field}: {expected}")]
     Invalid {
         /// The field's name on the wire.
         field: &'static str,
-        /// What it has to hold.
+        /// The value that it must have.
         expected: ExpectedValue,
     },
-    /// A field names none of the values it can have.
+    /// A field has none of the values that it may have.
     #[error("{field}: `{value}` is unknown")]
     UnknownValue {
         /// The field's name on the wire.
         field: &'static str,
-        /// What it holds.
+        /// Its value.
         value: String,
     },
-    /// The job's id is malformed.
+    /// The job's id is invalid.
     #[error("id: `{id}` is not j- and digits")]
     InvalidId {
         /// The id.
@@ -111,7 +112,9 @@
 
     fn text(&self, field: &'static str) -> Result<String, MalformedSubmission> {
         match self.required(field)? {
-            Value::String(text) if !text.is_empty() && text.len() <= NAME_MAX => Ok(text.clone()),
+            Value::String(text) if !text.is_empty() && text.len() <= NAME_BYTES_MAX => {
+                Ok(text.clone())
+            }
             _ => Err(invalid(field, ExpectedValue::Text)),
         }
     }
@@ -178,14 +181,14 @@
         let name = |value: &Value| {
             value
                 .as_str()
-                .filter(|name| name.len() <= NAME_MAX)
+                .filter(|name| name.len() <= NAME_BYTES_MAX)
                 .map(str::to_owned)
                 .ok_or(invalid(field, ExpectedValue::TypeNames))
         };
         list.iter().map(name).collect::<Result<_, _>>().map(Some)
     }
 
-    /// Jobs that have to be done first; each counts once.
+    /// The jobs that must be done first, in order and without duplicates.
     fn dependencies(
         &self,
         field: &'static str,
@@ -229,7 +232,7 @@
     ("best_effort", Priority::BestEffort),
 ];
 
-/// Reads a submission; the error names the field.
+/// Parses a submission; the error names the field.
 pub fn parse_submission(body: &[u8]) -> Result<JobSpec, MalformedSubmission> {
     let value: Value = serde_json::from_slice(body)?;
     let fields = Fields(value.as_object().ok_or(MalformedSubmission::NotAnObject)?);
@@ -237,7 +240,7 @@
     if !valid_id(&id) {
         return Err(MalformedSubmission::InvalidId { id });
     }
-    // The response names the first wrong field in this order.
+    // The response names the first invalid field in this order of checks.
     let tasks = fields.task_count("paes")?;
     let types = fields.machine_types("modelos")?;
     let task_resources = Resources::needed(
@@ -270,7 +273,7 @@
     })
 }
 
-/// A job's state as users read it; fields in the order of their names on the wire.
+/// A job's state in responses; fields in the order of their names on the wire.
 #[derive(Serialize)]
 struct WireStatus<'a> {
     done: u32,
@@ -289,7 +292,7 @@
     }
 }
 
-/// The HTTP response to a user's request.
+/// The HTTP reply to a user's request.
 pub fn reply(answer: &Answer) -> Reply {
     match answer {
         Answer::Status {
--- a/crates/seamfront/src/worker_api.rs
+++ b/crates/seamfront/src/worker_api.rs
@@ -1,6 +1,7 @@
-//! The protocol of the workers: their heartbeats, and orders to them.
+//! The protocol with the agents (the worker processes on the machines): their heartbeats, and the
+//! orders to them.
 
-use crate::http::{self, Audience, CallError, Client, Reply, Response};
+use crate::http::{self, CallError, Client, ClientKind, Reply, Response};
 use http_types::Method;
 use seamfront_core::port::{DirectOutcome, Exit, Heartbeat, Order, TaskState, TaskStatus};
 use seamfront_core::types::{Micros, TaskKey};
@@ -11,10 +12,11 @@
 use tracing::warn;
 
 const DIRECT_TIMEOUT: Duration = Duration::from_millis(2_500);
-/// Orders of one message at the most, so that it stays below 64 KiB; the rest goes with the next.
-const ORDERS_MAX: usize = 400;
+/// Maximum number of orders in one message, so that it stays below 64 KiB; the others go with the next
+/// message.
+const ORDERS_PER_MESSAGE_MAX: usize = 400;
 
-/// A heartbeat as it is on the wire.
+/// A heartbeat.
 #[derive(Deserialize)]
 struct WireHeartbeat {
     #[serde(rename = "fornalha")]
@@ -32,7 +34,7 @@
     tasks: Vec<WireTask>,
 }
 
-/// A task's status as it is on the wire.
+/// A task's status in a heartbeat.
 #[derive(Deserialize)]
 struct WireTask {
     #[serde(rename = "pao")]
@@ -47,7 +49,7 @@
     saved: Option<bool>,
 }
 
-/// An order as it is on the wire; fields in the order of their names there.
+/// An order; fields in the order of their names on the wire.
 #[derive(Serialize)]
 struct WireOrder {
     #[serde(rename = "folga_s", skip_serializing_if = "Option::is_none")]
@@ -60,7 +62,7 @@
     attempt: u64,
 }
 
-/// The response to a heartbeat.
+/// The response to a heartbeat, with orders.
 #[derive(Serialize)]
 struct WireOrders {
     #[serde(rename = "bastao")]
@@ -69,7 +71,7 @@
     orders: Vec<WireOrder>,
 }
 
-/// Orders that are sent without a heartbeat to respond to.
+/// Orders that are sent directly, not in response to a heartbeat.
 #[derive(Serialize)]
 struct WireDirectOrders {
     #[serde(flatten)]
@@ -78,14 +80,14 @@
     incarnation: u64,
 }
 
-/// The response to a heartbeat that belongs to another controller.
+/// The response to a heartbeat that should go to another controller: that member, if known.
 #[derive(Serialize)]
 struct WireRedirect<'a> {
     #[serde(rename = "mestre", skip_serializing_if = "Option::is_none")]
     member: Option<&'a str>,
 }
 
-/// Why a heartbeat is refused; the text goes to the worker.
+/// Why a heartbeat is refused; the message is sent to the agent.
 #[derive(Debug, Error)]
 pub enum MalformedHeartbeat {
     /// The body is not JSON, or a field is missing or of another type.
@@ -108,8 +110,8 @@
     PreemptionNotice,
 }
 
-/// Reads a task's name on the wire.
-pub fn task_key(name: &str) -> Option<TaskKey> {
+/// Parses a task's name, `JOB/INDEX`.
+pub fn parse_task_key(name: &str) -> Option<TaskKey> {
     let (job, index) = name.rsplit_once('/')?;
     Some(TaskKey {
         job: job.into(),
@@ -117,18 +119,18 @@
     })
 }
 
-fn task_state(task: &WireTask) -> Option<TaskState> {
+fn parse_task_state(task: &WireTask) -> Option<TaskState> {
     Some(match task.state.as_str() {
         "pulling" => TaskState::Fetching,
         "gathering" => TaskState::Waiting,
         "running" => TaskState::Running,
         "saving" => TaskState::Saving,
-        "exited" => TaskState::Exited(exit(task)?),
+        "exited" => TaskState::Exited(parse_exit(task)?),
         _ => return None,
     })
 }
 
-fn exit(task: &WireTask) -> Option<Exit> {
+fn parse_exit(task: &WireTask) -> Option<Exit> {
     Some(match task.exit.as_deref()? {
         "done" => Exit::Done,
         "halted" => Exit::Stopped {
@@ -144,11 +146,11 @@
     })
 }
 
-fn task_status(wire: &WireTask) -> Result<TaskStatus, MalformedHeartbeat> {
-    let task = task_key(&wire.task).ok_or_else(|| MalformedHeartbeat::TaskName {
+fn parse_task_status(wire: &WireTask) -> Result<TaskStatus, MalformedHeartbeat> {
+    let task = parse_task_key(&wire.task).ok_or_else(|| MalformedHeartbeat::TaskName {
         name: wire.task.clone(),
     })?;
-    let state = task_state(wire).ok_or_else(|| MalformedHeartbeat::TaskState {
+    let state = parse_task_state(wire).ok_or_else(|| MalformedHeartbeat::TaskState {
         state: wire.state.clone(),
     })?;
     Ok(TaskStatus {
@@ -158,14 +160,14 @@
     })
 }
 
-/// Reads a heartbeat. One with an unknown value anywhere is refused whole: a part of it would be
-/// false evidence.
+/// Parses a heartbeat. If any value in it is unknown the whole heartbeat is refused: without that part
+/// it would misrepresent the machine.
 pub fn parse_heartbeat(body: &[u8]) -> Result<Heartbeat, MalformedHeartbeat> {
     let wire: WireHeartbeat = serde_json::from_slice(body)?;
     let tasks = wire
         .tasks
         .iter()
-        .map(task_status)
+        .map(parse_task_status)
         .collect::<Result<_, _>>()?;
     let preemption_notice = match wire.preemption_notice_s {
         Some(seconds) if !seconds.is_finite() => return Err(MalformedHeartbeat::PreemptionNotice),
@@ -203,23 +205,28 @@
 fn wire_orders(fencing_token: u64, orders: &[Order]) -> WireOrders {
     WireOrders {
         fencing_token,
-        orders: orders.iter().take(ORDERS_MAX).map(wire_order).collect(),
+        orders: orders
+            .iter()
+            .take(ORDERS_PER_MESSAGE_MAX)
+            .map(wire_order)
+            .collect(),
     }
 }
 
-/// The response to a heartbeat, with orders.
+/// The reply to a heartbeat, with orders.
 pub fn orders_reply(fencing_token: u64, orders: &[Order]) -> Reply {
     let mut reply = Reply::json(200, http::json_text(&wire_orders(fencing_token, orders)));
-    reply.audience = Audience::Worker;
+    reply.client = ClientKind::Agent;
     reply
 }
 
-/// The response to a heartbeat that belongs to another controller.
+/// The reply to a heartbeat that should go to another controller: redirects the agent to that member,
+/// if it is known.
 pub fn elsewhere_reply(member: Option<&str>) -> Reply {
     Reply::json(421, http::json_text(&WireRedirect { member }))
 }
 
-/// Sends orders to a worker without waiting for its next heartbeat.
+/// Sends orders to an agent without waiting for its next heartbeat.
 pub async fn direct(
     client: &Client,
     addr: &str,
@@ -249,7 +256,7 @@
         Ok(Response {
             status: 200 | 409,
             body,
-        }) => settled(addr, &body),
+        }) => settled_outcome(addr, &body),
         Ok(Response { status, .. }) => {
             warn!(addr, status, "unexpected response of a worker");
             DirectOutcome::Unknown
@@ -257,7 +264,8 @@
     }
 }
 
-fn settled(addr: &str, body: &[u8]) -> DirectOutcome {
+/// The outcome of orders that an agent has responded to with its heartbeat.
+fn settled_outcome(addr: &str, body: &[u8]) -> DirectOutcome {
     match parse_heartbeat(body) {
         Ok(heartbeat) => DirectOutcome::Settled {
             heartbeat: Box::new(heartbeat),
