--- a/crates/seamfront/src/driver.rs
+++ b/crates/seamfront/src/driver.rs
@@ -1,19 +1,19 @@
-//! Runs the engine. One task owns the engine and works through a bounded queue of
-//! commands in batches; sockets and timers are small tasks of the same single-threaded executor.
+//! Runs the engine. One task owns the engine and processes a bounded queue of commands in batches;
+//! sockets and timers are separate tasks of the same single-threaded executor.
 //!
 //! | task | reads | writes | ends |
 //! | --- | --- | --- | --- |
 //! | engine | the queue of commands | effects | never |
-//! | HTTP server, peer server | sockets | the queue of commands | when its listener fails, and the process with it |
+//! | HTTP server, peer server | sockets | the queue of commands | if it can't listen, which ends the process |
 //! | each connection | a socket | the queue of commands | with the connection |
 //! | each peer | its queue of messages | a connection to the peer | never |
-//! | each request to store, cloud or worker | a socket | the queue of commands | after its outcome |
+//! | each request to the store, the cloud or an agent | a socket | the queue of commands | after its outcome |
 
 use crate::effects::EffectExecutor;
 use crate::http::{self, Client};
 use crate::peer_transport;
 use crate::router::{PendingReplies, RequestRouter};
-use crate::settings::Service;
+use crate::settings::ControllerSettings;
 use async_channel::{Receiver, Sender};
 use async_executor::LocalExecutor;
 use async_io::Timer;
@@ -21,33 +21,40 @@
 use seamfront_core::port::{Command, PeerMessage};
 use seamfront_core::types::{Micros, Settings};
 use seamfront_core::Engine;
+use std::net::SocketAddr;
 use std::rc::Rc;
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 use thiserror::Error;
 use tracing::{error, info, warn};
 
-/// Why the program cannot run.
+/// Why a controller cannot run.
 #[derive(Debug, Error)]
 pub enum RunError {
-    /// A socket cannot be opened.
-    #[error("can't listen: {0}")]
-    Listen(#[from] std::io::Error),
+    /// A listening socket cannot be opened.
+    #[error("can't listen on {address}: {source}")]
+    Listen {
+        /// The address to listen on.
+        address: SocketAddr,
+        /// Why not.
+        source: std::io::Error,
+    },
 }
 
-/// Commands that can wait for the engine.
+/// Capacity of the engine's command queue. While it is full, clients are asked to retry and messages of
+/// peers are refused.
 const COMMAND_QUEUE_MAX: usize = 8_192;
-/// Commands of one step of the engine at the most.
+/// Maximum number of commands in one step of the engine.
 const BATCH_MAX: usize = 512;
-/// The engine steps at least this often.
+/// The engine is stepped at least this often, also without commands.
 const TICK_INTERVAL: Duration = Duration::from_millis(50);
-/// Messages that can wait for one peer.
+/// Capacity of the queue of messages to one peer.
 const PEER_QUEUE_MAX: usize = 64;
-/// How often idle connections are looked through.
+/// How often idle outgoing connections are checked for expiry.
 const IDLE_CHECK_INTERVAL: Duration = Duration::from_secs(5);
 
 /// Runs a controller until its process ends.
-pub fn run(settings: Service) -> Result<(), RunError> {
-    // Lives as long as the process, which ends only by being killed.
+pub fn run(settings: ControllerSettings) -> Result<(), RunError> {
+    // Leaked, since its tasks borrow it until the process ends.
     let executor: &'static LocalExecutor<'static> = Box::leak(Box::new(LocalExecutor::new()));
     let settings = Rc::new(settings);
     log_start(&settings.core);
@@ -63,9 +70,9 @@
         start: Instant::now(),
     };
     let engine = Engine::new(settings.core.clone());
-    let listeners = listen(executor, &settings, commands, pending);
+    let servers = serve(executor, &settings, commands, pending);
     async_io::block_on(executor.run(async move {
-        listeners
+        servers
             .or(async {
                 run_engine(engine, command_queue, effects).await;
                 Ok(())
@@ -77,14 +84,19 @@
 fn log_start(core: &Settings) {
     info!(member = %core.members[core.me], verification_ttl_s = core.verification_ttl().as_secs_decimal(), "starting");
     if !core.verification_ttl_fits() {
-        warn!("cancel_s leaves no room beyond lease_s: machines that can't be reached are deleted before a cancellation falls due");
+        warn!(
+            cancel_s = core.cancel.as_secs_decimal(),
+            lease_s = core.lease.as_secs_decimal(),
+            "cancel_s leaves too little time beyond lease_s: silent machines that may run a cancelled task are terminated before its cancellation is due"
+        );
     }
 }
 
-/// Starts a task for each other member that delivers messages to it; returns their queues.
+/// Starts a task for each other member that delivers messages to it. Returns their queues by member;
+/// none for this process.
 fn start_peers(
     executor: &'static LocalExecutor<'static>,
-    settings: &Service,
+    settings: &ControllerSettings,
 ) -> Vec<Option<Sender<PeerMessage>>> {
     let core = &settings.core;
     let own_name = &core.members[core.me];
@@ -102,15 +114,15 @@
     core.members.iter().enumerate().map(start_peer).collect()
 }
 
-/// Serves clients and peers until a listener fails.
-async fn listen(
+/// Serves users, agents and peers. Returns only if one of the listening sockets can't be opened.
+async fn serve(
     executor: &'static LocalExecutor<'static>,
-    settings: &Service,
+    settings: &ControllerSettings,
     commands: Sender<Command>,
     pending: PendingReplies,
 ) -> Result<(), RunError> {
     let router = RequestRouter::new(commands.clone(), pending);
-    // The rest of the sockets is for this process's own requests.
+    // The remaining fifth is for connections to the store, the cloud, agents and peers.
     let max_connections = settings.sockets * 8 / 10;
     let clients = http::serve(executor, settings.bind, max_connections, move |request| {
         let router = router.clone();
@@ -118,29 +130,34 @@
     });
     let members = settings.core.members.clone();
     let peers = peer_transport::serve(executor, settings.mesh, members, commands);
-    async { clients.await.map_err(RunError::from) }
-        .or(async { peers.await.map_err(RunError::from) })
+    async { clients.await.map_err(listen_error(settings.bind)) }
+        .or(async { peers.await.map_err(listen_error(settings.mesh)) })
         .await
 }
 
-/// The one owner of the engine. Its time is what has passed since the process started.
+fn listen_error(address: SocketAddr) -> impl FnOnce(std::io::Error) -> RunError {
+    move |source| RunError::Listen { address, source }
+}
+
+/// Steps the engine with the queued commands and executes its effects. The engine's clock starts at
+/// zero with the process.
 async fn run_engine(mut engine: Engine, commands: Receiver<Command>, effects: EffectExecutor) {
     let start = effects.start;
-    let mut idle_checked = start;
+    let mut last_idle_check = start;
     loop {
         let batch = next_batch(&commands).await;
         let now = Micros(start.elapsed().as_micros() as i64);
         for effect in engine.step(now, wall_time(), batch) {
             effects.execute(effect);
         }
-        if idle_checked.elapsed() > IDLE_CHECK_INTERVAL {
-            idle_checked = Instant::now();
+        if last_idle_check.elapsed() > IDLE_CHECK_INTERVAL {
+            last_idle_check = Instant::now();
             effects.client.close_expired();
         }
     }
 }
 
-/// Waits for a command, for one tick at most, and takes what else is queued.
+/// Waits for a command for at most one tick, and takes the others that are queued.
 async fn next_batch(commands: &Receiver<Command>) -> Vec<Command> {
     let first = async { commands.recv().await.ok() }
         .or(async {
@@ -158,12 +175,12 @@
     batch
 }
 
-/// Time since 1970.
+/// Time since the Unix epoch.
 fn wall_time() -> Micros {
     match SystemTime::now().duration_since(UNIX_EPOCH) {
         Ok(elapsed) => Micros(elapsed.as_micros() as i64),
-        Err(e) => {
-            error!(%e, "the time of day is before 1970");
+        Err(error) => {
+            error!(%error, "system clock is set before 1970");
             Micros::ZERO
         }
     }
--- a/crates/seamfront/src/duty_admin.rs
+++ b/crates/seamfront/src/duty_admin.rs
@@ -1,8 +1,8 @@
-//! Commands by which operators see who holds which duty, and move one by hand. Everything is read from the key-value
-//! store, so they work beside controllers that run, and without any.
+//! Operators' commands on duties: show their holders, request a transfer, turn duties off. The commands only access
+//! the key-value store, so they work with or without running controllers.
 
 use crate::http::Client;
-use crate::settings::Service;
+use crate::settings::ControllerSettings;
 use crate::store_client;
 use seamfront_core::fleet_duties::{lease_settings, LEADER_CLAIM};
 use seamfront_core::port::{Entry, StoreReply, StoreRequest, Write};
@@ -16,42 +16,49 @@
 #[derive(Debug, Error)]
 pub enum DutyCommandError {
     /// The key-value store could not be read.
-    #[error("state service: not read: {0:?}")]
-    NotRead(StoreReply),
-    /// The key-value store did not take a write.
-    #[error("state service: not written: {0:?}")]
-    NotWritten(StoreReply),
-    /// A duty cannot be moved to someone who is no member.
-    #[error("move-duty: {0:?} is no member")]
+    #[error("can't read {key} from the key-value store: {reply:?}")]
+    ReadFailed {
+        /// The key or prefix.
+        key: String,
+        /// The outcome of the read.
+        reply: StoreReply,
+    },
+    /// The key-value store did not confirm a transaction.
+    #[error("can't commit the changes to the key-value store: {0:?}")]
+    CommitFailed(StoreReply),
+    /// The duty was to be transferred to a name that is not a member's.
+    #[error("move-duty: {0:?} is not a member in the settings")]
     UnknownMember(String),
     /// There is no such duty.
-    #[error("move-duty: {duty:?} is no duty; there is {}", known.join(", "))]
+    #[error("move-duty: unknown duty {duty:?}; the duties are {}", known.join(", "))]
     UnknownDuty {
-        /// What was asked for.
+        /// The name that was given.
         duty: String,
-        /// The duties that there are.
+        /// Names of the existing duties.
         known: Vec<String>,
     },
     /// A member with duties on is up, or holds a duty.
-    #[error("end-duties: {key} is there: end all controllers that have duties on first")]
+    #[error(
+        "end-duties: {key} is in the key-value store: stop all controllers with duties on first"
+    )]
     InUse {
-        /// The key in the store that shows it.
+        /// The key that shows it.
         key: String,
     },
 }
 
-/// A request to move a duty, as it is given on the command line: `DUTY=MEMBER`.
+/// A request to transfer a duty, given on the command line as `DUTY=MEMBER`.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct MoveRequest {
     /// The duty.
     pub duty: String,
-    /// Who is to hold it.
+    /// The member that is to hold it.
     pub to: String,
 }
 
-/// The argument of a move is not `DUTY=MEMBER`.
+/// The argument does not have the form `DUTY=MEMBER`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
-#[error("must be DUTY=MEMBER")]
+#[error("must have the form DUTY=MEMBER")]
 pub struct MalformedMoveRequest;
 
 impl std::str::FromStr for MoveRequest {
@@ -66,8 +73,9 @@
     }
 }
 
-/// Describes who holds which duty, who is up, and which operations are open.
-pub fn show(settings: &Service) -> Result<String, DutyCommandError> {
+/// Describes the duties with their holders and numbers of operations, the members that are up, and the
+/// requested transfers.
+pub fn show(settings: &ControllerSettings) -> Result<String, DutyCommandError> {
     async_io::block_on(async {
         let client = Client::default();
         let control = list(&client, settings, keys::CONTROL_PREFIX).await?;
@@ -76,8 +84,11 @@
     })
 }
 
-/// Asks the holder of a duty to hand it over.
-pub fn request_move(settings: &Service, request: &MoveRequest) -> Result<(), DutyCommandError> {
+/// Requests that the holder of a duty transfer it to a member.
+pub fn request_move(
+    settings: &ControllerSettings,
+    request: &MoveRequest,
+) -> Result<(), DutyCommandError> {
     if !settings.core.members.contains(&request.to) {
         return Err(DutyCommandError::UnknownMember(request.to.clone()));
     }
@@ -88,7 +99,7 @@
             known: lease.duties,
         });
     }
-    // Duties of an affinity group always have the same holder.
+    // All duties of an affinity group always have the same holder.
     let group = if lease.affinity_group.contains(&request.duty) {
         lease.affinity_group
     } else {
@@ -107,9 +118,10 @@
     async_io::block_on(commit(&Client::default(), settings, Vec::new(), writes))
 }
 
-/// The way back: removes the switch and what stands in the leader's claim, so that controllers with duties off have a
-/// leader again. Refused while a member with duties on is up or holds a duty; the same is a condition of the removal.
-pub fn end(settings: &Service) -> Result<(), DutyCommandError> {
+/// Reverts the switch to duties: deletes its record and the marker in the leader's claim, so that controllers with
+/// duties off can elect a leader again. Refused while a member with duties on is up or holds a duty; the transaction
+/// has the same condition.
+pub fn end(settings: &ControllerSettings) -> Result<(), DutyCommandError> {
     async_io::block_on(async {
         let client = Client::default();
         let control = list(&client, settings, keys::CONTROL_PREFIX).await?;
@@ -124,7 +136,7 @@
     })
 }
 
-/// Refuses while a member with duties on is up or holds a duty.
+/// Fails while a member with duties on is up or holds a duty.
 fn check_unused(control: &[Entry]) -> Result<(), DutyCommandError> {
     let in_use = |entry: &&Entry| {
         entry.key.starts_with(keys::MEMBER_PREFIX) || entry.key.starts_with(keys::CLAIM_PREFIX)
@@ -139,22 +151,25 @@
 
 async fn leader_claim(
     client: &Client,
-    settings: &Service,
+    settings: &ControllerSettings,
 ) -> Result<Option<Entry>, DutyCommandError> {
     let request = StoreRequest::Get {
         key: LEADER_CLAIM.to_owned(),
     };
-    match store_client::call(client, settings.state, &request).await {
+    match store_client::call(client, settings.store, &request).await {
         StoreReply::Entry(entry) => Ok(Some(entry)),
         StoreReply::Missing => Ok(None),
-        other => Err(DutyCommandError::NotRead(other)),
+        reply => Err(DutyCommandError::ReadFailed {
+            key: LEADER_CLAIM.to_owned(),
+            reply,
+        }),
     }
 }
 
-/// Nothing has changed since it was read: the switch, the leader's claim, no claim of a duty and no
-/// member.
+/// Conditions that nothing has changed since it was read: the switch and the leader's claim have the
+/// same versions, and there is still no claim on a duty and no member with duties on.
 fn end_conditions(
-    settings: &Service,
+    settings: &ControllerSettings,
     switch: &Entry,
     leader: Option<&Entry>,
 ) -> Vec<(String, u64)> {
@@ -166,8 +181,8 @@
     conditions
 }
 
-/// Removes the switch, the leader's claim, and what members said of their versions: the next switch
-/// waits until all have started with duties on again.
+/// Deletes the switch, the leader's claim, and the members' version keys. Without these the next
+/// switch waits until all members have started with duties on again.
 fn end_writes(control: &[Entry], leader: Option<Entry>) -> Vec<Write> {
     let mut writes = vec![Write::Delete {
         key: keys::SWITCH.to_owned(),
@@ -184,20 +199,20 @@
 
 async fn commit(
     client: &Client,
-    settings: &Service,
+    settings: &ControllerSettings,
     conditions: Vec<(String, u64)>,
     writes: Vec<Write>,
 ) -> Result<(), DutyCommandError> {
     let request = StoreRequest::CompareAndSwap { conditions, writes };
-    match store_client::call(client, settings.state, &request).await {
+    match store_client::call(client, settings.store, &request).await {
         StoreReply::Committed { .. } => Ok(()),
-        other => Err(DutyCommandError::NotWritten(other)),
+        reply => Err(DutyCommandError::CommitFailed(reply)),
     }
 }
 
 async fn list(
     client: &Client,
-    settings: &Service,
+    settings: &ControllerSettings,
     prefix: &str,
 ) -> Result<Vec<Entry>, DutyCommandError> {
     let mut all = Vec::new();
@@ -207,19 +222,25 @@
             prefix: prefix.to_owned(),
             after,
         };
-        match store_client::call(client, settings.state, &request).await {
+        match store_client::call(client, settings.store, &request).await {
             StoreReply::Page { entries, more, .. } => {
                 all.extend(entries);
                 if !more {
                     return Ok(all);
                 }
             }
-            other => return Err(DutyCommandError::NotRead(other)),
+            reply => {
+                return Err(DutyCommandError::ReadFailed {
+                    key: prefix.to_owned(),
+                    reply,
+                })
+            }
         }
     }
 }
 
-/// A line for each duty, member and request. What can't be read is said to be so.
+/// One line for each duty, member and requested transfer. A record that can't be decoded is shown with
+/// its error.
 fn describe(control: &[Entry], logs: &[Entry]) -> String {
     let logs: BTreeMap<&str, &Entry> = logs
         .iter()
--- a/crates/seamfront/src/effects.rs
+++ b/crates/seamfront/src/effects.rs
@@ -1,10 +1,10 @@
-//! Carries out the engine's effects. Replies and messages to peers are handed to the tasks that
-//! wait for them; each request to the key-value store, the cloud or a worker is a task of its own,
-//! which ends by queueing the outcome as a command.
+//! Executes the engine's effects. Replies and messages to peers are passed to the tasks that wait for
+//! them. Each request to the key-value store, the cloud or an agent runs as a task of its own, which
+//! queues the outcome as a command.
 
 use crate::http::{Client, Reply};
 use crate::router::PendingReplies;
-use crate::settings::Service;
+use crate::settings::ControllerSettings;
 use crate::{cloud_client, store_client, user_api, worker_api};
 use async_channel::Sender;
 use async_executor::LocalExecutor;
@@ -17,17 +17,17 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-/// Sends effects on their way.
+/// Executes effects through the adapters.
 pub(crate) struct EffectExecutor {
     pub executor: &'static LocalExecutor<'static>,
     pub client: Client,
-    pub settings: Rc<Service>,
+    pub settings: Rc<ControllerSettings>,
     /// The engine's queue, for the outcomes of requests.
     pub commands: Sender<Command>,
     pub pending: PendingReplies,
-    /// Queues of messages, by member; none for this process's own.
+    /// Queues of messages by member; none for this process.
     pub peers: Vec<Option<Sender<PeerMessage>>>,
-    /// When the engine's time began.
+    /// The instant at which the engine's clock is zero.
     pub start: Instant,
 }
 
@@ -79,7 +79,7 @@
 
     fn store(&self, call: CallId, request: StoreRequest) {
         let (client, commands) = (self.client.clone(), self.commands.clone());
-        let address = self.settings.state;
+        let address = self.settings.store;
         self.spawn(async move {
             let reply = store_client::call(&client, address, &request).await;
             let _ = commands.send(Command::Store { call, reply }).await;
@@ -90,8 +90,9 @@
         let (client, commands) = (self.client.clone(), self.commands.clone());
         let (address, start) = (self.settings.cloud, self.start);
         self.spawn(async move {
-            // The process may have been suspended since the engine's step, for however long.
-            let reply = if until.is_some_and(|until| start.elapsed() >= duration(until)) {
+            // The process may have been suspended for any time since the engine's step, so the
+            // deadline is checked right before the request is sent.
+            let reply = if until.is_some_and(|until| start.elapsed() >= to_duration(until)) {
                 CloudReply::Failed
             } else {
                 cloud_client::call(&client, address, &request).await
@@ -122,8 +123,8 @@
 
     fn send_to_peer(&self, to: usize, message: PeerMessage) {
         if let Some(Some(peer)) = self.peers.get(to) {
-            // The queue is full only while the peer can't be reached. The message may be lost: it
-            // would be outdated before it arrived.
+            // The queue is full only while the peer can't be reached. The message may be dropped: it
+            // would be outdated when it arrived.
             let _ = peer.try_send(message);
         }
     }
@@ -133,7 +134,7 @@
     }
 }
 
-/// Orders that don't wait for the machine's next heartbeat.
+/// Orders that are sent to an agent without waiting for its next heartbeat.
 struct DirectOrders {
     call: CallId,
     machine: MachineId,
@@ -151,6 +152,6 @@
     }
 }
 
-fn duration(time: Micros) -> Duration {
+fn to_duration(time: Micros) -> Duration {
     Duration::from_micros(time.0.max(0) as u64)
 }
--- a/crates/seamfront/src/lib.rs
+++ b/crates/seamfront/src/lib.rs
@@ -1,9 +1,11 @@
-//! The process that runs the scheduler's core: sockets, timers and settings.
+//! The controller process: it runs the engine of `seamfront-core` with real sockets, timers and
+//! settings.
 //!
-//! Each adapter owns the names of its protocol and maps them to the core's terms: [`user_api`] the
-//! public API, [`worker_api`] the machines' agents, [`store_client`] the key-value store,
-//! [`cloud_client`] the cloud, [`peer_transport`] the other controllers. The core knows none of
-//! these names. [`driver`] joins the adapters to the engine.
+//! Each adapter translates one protocol to the core's types, and only the adapter knows the names of
+//! that protocol: [`user_api`] the public API, [`worker_api`] the agents on the machines,
+//! [`store_client`] the key-value store, [`cloud_client`] the cloud API, [`peer_transport`] the other
+//! controllers. [`driver`] connects the adapters to the engine, and [`duty_admin`] implements the
+//! operators' commands on duties.
 //!
 //! ```no_run
 //! use seamfront::{driver, settings};
--- a/crates/seamfront/src/main.rs
+++ b/crates/seamfront/src/main.rs
@@ -1,6 +1,8 @@
+//! The command line: runs a controller, checks its settings, or carries out a command on duties.
 #![forbid(unsafe_code)]
 
 use clap::Parser;
+use seamfront::settings::ControllerSettings;
 use seamfront::{driver, duty_admin, settings};
 use std::io::Write;
 use std::path::PathBuf;
@@ -10,31 +12,31 @@
 use tracing_subscriber::layer::SubscriberExt;
 use tracing_subscriber::util::SubscriberInitExt;
 
-/// Cluster scheduler: runs gangs, arrays and services on rented machines.
+/// Cluster scheduler: runs gangs, job arrays and services on machines that it provisions.
 #[derive(Parser)]
 #[command(
     version,
     about,
-    after_help = "Logs go to standard error as much as LOG_LEVEL says \
-(error, warn, info, debug). Operators' own settings are read from seamfront.ini beside FILE, if it is there."
+    after_help = "Logs go to standard error; LOG_LEVEL sets the level \
+(error, warn, info, debug). Operators' settings are read from seamfront.ini in the directory of FILE, if it exists."
 )]
 struct Args {
     /// Check the settings and exit.
     #[arg(long)]
     check: bool,
-    /// Turn duties on, as `on = yes` in section `duties` of seamfront.ini does.
+    /// Turn duties on, like `on = yes` in section `duties` of seamfront.ini.
     #[arg(long)]
     duties: bool,
-    /// Print who holds which duty, and exit.
+    /// Print the holders of the duties and the members that are up, and exit.
     #[arg(long)]
     show_duties: bool,
-    /// Ask the holder of a duty to hand it over, and exit.
+    /// Ask the holder of a duty to transfer it to a member, and exit.
     #[arg(long, value_name = "DUTY=MEMBER")]
     move_duty: Option<duty_admin::MoveRequest>,
-    /// Go back to one leader's claim, once no controller has duties on any more, and exit.
+    /// Return to a single leader's claim and exit; refused while a controller has duties on.
     #[arg(long)]
     end_duties: bool,
-    /// The platform's settings (TOML).
+    /// The platform's settings file (TOML).
     #[arg(long, value_name = "FILE")]
     config: PathBuf,
 }
@@ -45,7 +47,7 @@
         .ok()
         .and_then(|level| level.parse().ok())
         .unwrap_or(tracing::Level::INFO);
-    // Libraries log each frame of each connection below info.
+    // Below info, libraries log each frame of each connection.
     let libraries = LevelFilter::from(level).min(LevelFilter::INFO);
     let filter = Targets::new()
         .with_target("seamfront", level)
@@ -71,7 +73,7 @@
         return ExitCode::SUCCESS;
     }
     if args.show_duties || args.end_duties || args.move_duty.is_some() {
-        return duty_command(&args, &settings);
+        return run_duty_commands(&args, &settings);
     }
     match driver::run(settings) {
         Ok(()) => ExitCode::SUCCESS,
@@ -82,7 +84,8 @@
     }
 }
 
-fn duty_command(args: &Args, settings: &settings::Service) -> ExitCode {
+/// Requests a transfer, ends the duties and prints their state, as far as each is asked for.
+fn run_duty_commands(args: &Args, settings: &ControllerSettings) -> ExitCode {
     let moved = args.move_duty.as_ref().map_or(Ok(()), |request| {
         duty_admin::request_move(settings, request)
     });
--- a/crates/seamfront/src/settings/mod.rs
+++ b/crates/seamfront/src/settings/mod.rs
@@ -1,21 +1,21 @@
-//! The settings of a process, from the platform's TOML and the operators' INI. Each field is checked
-//! and named when it is wrong.
+//! Reads and checks the settings of a controller from the platform's TOML file and the operators' INI
+//! file. Errors name the field.
 
 mod operator_file;
 mod platform_file;
 mod validate;
 
-use platform_file::File;
+use platform_file::PlatformFile;
 use seamfront_core::types::{Settings, Tuning};
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
 use thiserror::Error;
 
-/// What is wrong with the settings.
+/// Why settings can't be used.
 #[derive(Debug, Error)]
 pub enum SettingsError {
     /// A file cannot be read.
-    #[error("{}: {source}", path.display())]
+    #[error("can't read {}: {source}", path.display())]
     Unreadable {
         /// The file.
         path: PathBuf,
@@ -23,25 +23,25 @@
         source: std::io::Error,
     },
     /// The platform's file is not TOML, or a field is missing or of another type.
-    #[error("settings: {}", one_line(&.0.to_string()))]
+    #[error("platform's settings: {}", one_line(&.0.to_string()))]
     MalformedPlatformFile(#[source] Box<toml::de::Error>),
     /// The operators' file is not INI.
     #[error("seamfront.ini: {0}")]
     MalformedOperatorFile(#[source] ini::ParseError),
-    /// Duties can't work with these settings.
-    #[error("duties: {0}")]
+    /// Duties are on, and can't work with these settings.
+    #[error("duties can't be on with these settings: {0}")]
     Duties(#[from] seamfront_lease::settings::SettingsError),
-    /// A field has a value that it can't have.
+    /// A field has an invalid value.
     #[error("{field}: {reason}")]
     Invalid {
         /// The field.
         field: String,
-        /// What it must be.
+        /// What is wrong with it.
         reason: String,
     },
 }
 
-/// A parser's message of several lines as one line of the log.
+/// Joins the lines of a parser's message, so that it fits on one line.
 fn one_line(message: &str) -> String {
     let lines: Vec<&str> = message
         .split('\n')
@@ -57,28 +57,29 @@
     }
 }
 
-/// Everything a process needs: the core's settings and the addresses that it connects to and serves.
+/// The settings of a controller: those of the core, and the addresses that it listens on and connects
+/// to.
 #[derive(Clone, Debug)]
-pub struct Service {
+pub struct ControllerSettings {
     /// Settings of the core.
     pub core: Settings,
-    /// Where users, workers and health checks connect.
+    /// Address to listen on for users, agents and health checks.
     pub bind: SocketAddr,
-    /// Where the other controllers connect.
+    /// Address to listen on for the other controllers.
     pub mesh: SocketAddr,
-    /// By member; this node's own is its mesh address.
+    /// Addresses of the members for each other, in the order of `core.members`; this one's is `mesh`.
     pub peers: Vec<SocketAddr>,
-    /// Address of the cloud.
+    /// Address of the cloud API.
     pub cloud: SocketAddr,
     /// Address of the key-value store.
-    pub state: SocketAddr,
-    /// Sockets that the process may have open.
+    pub store: SocketAddr,
+    /// Maximum number of open sockets of the process: its limit of file descriptors.
     pub sockets: usize,
 }
 
-impl Service {
-    /// Turns duties on where they are wanted, and refuses settings with which they could not work.
-    pub fn with_duties(mut self, wanted: bool) -> Result<Service, SettingsError> {
+impl ControllerSettings {
+    /// Turns duties on if `wanted`. Refuses settings with which duties that are on can't work.
+    pub fn with_duties(mut self, wanted: bool) -> Result<ControllerSettings, SettingsError> {
         self.core.tuning.duties |= wanted;
         if self.core.tuning.duties {
             let settings = seamfront_core::fleet_duties::lease_settings(&self.core);
@@ -88,11 +89,11 @@
     }
 }
 
-/// Name of the operators' file, beside the platform's.
+/// Name of the operators' file, which is in the directory of the platform's file.
 const OPERATOR_FILE: &str = "seamfront.ini";
 
-/// Reads the platform's file, and the operators' beside it if there is one.
-pub fn load(path: &Path) -> Result<Service, SettingsError> {
+/// Reads the platform's file, and the operators' file in the same directory if it exists.
+pub fn load(path: &Path) -> Result<ControllerSettings, SettingsError> {
     let platform_text = read(path)?;
     let operator_text = match read(&path.with_file_name(OPERATOR_FILE)) {
         Ok(text) => Some(text),
@@ -113,11 +114,11 @@
     })
 }
 
-/// Reads settings from the texts of the two files.
-pub fn parse(platform: &str, operator: Option<&str>) -> Result<Service, SettingsError> {
-    let file: File =
+/// Reads settings from the contents of the two files.
+pub fn parse(platform: &str, operator: Option<&str>) -> Result<ControllerSettings, SettingsError> {
+    let file: PlatformFile =
         toml::from_str(platform).map_err(|e| SettingsError::MalformedPlatformFile(Box::new(e)))?;
-    validate::service(&file, || {
+    validate::controller_settings(&file, || {
         operator.map_or(Ok(Tuning::default()), operator_file::parse)
     })
 }
--- a/crates/seamfront/src/settings/operator_file.rs
+++ b/crates/seamfront/src/settings/operator_file.rs
@@ -1,4 +1,5 @@
-//! The operators' own INI file. Unknown sections and keys are mistakes and refused.
+//! Reads the operators' INI file. Unknown sections and keys are refused, since they are most likely
+//! misspelled.
 
 use super::{invalid, SettingsError};
 use ini::Ini;
@@ -6,7 +7,7 @@
 
 const RETRY_LIMIT_MAX: u32 = 1_000;
 
-/// Reads the operators' file; what it does not set keeps its default.
+/// Reads the operators' file. Settings that it does not contain keep their defaults.
 pub(super) fn parse(text: &str) -> Result<Tuning, SettingsError> {
     let file = Ini::load_from_str(text).map_err(SettingsError::MalformedOperatorFile)?;
     let mut tuning = Tuning::default();
@@ -22,7 +23,7 @@
     Ok(tuning)
 }
 
-/// One line of the file: `section.key` and its value.
+/// A setting in the file: `section.key` and its value.
 struct Setting<'a> {
     name: String,
     value: &'a str,
@@ -36,7 +37,7 @@
             "fleet.idle_keep_s" => tuning.idle_keep = self.seconds(0.0, 86_400.0)?,
             "gangs.retry_limit" => tuning.retry_limit = self.retry_limit()?,
             "duties.on" => tuning.duties = self.flag()?,
-            _ => return Err(self.invalid("belongs to a setting that does not exist")),
+            _ => return Err(invalid(self.field(), "unknown setting")),
         }
         Ok(())
     }
@@ -44,7 +45,7 @@
     fn seconds(&self, min: f64, max: f64) -> Result<Micros, SettingsError> {
         match self.value.trim().parse::<f64>() {
             Ok(seconds) if (min..=max).contains(&seconds) => Ok(Micros::from_secs_decimal(seconds)),
-            _ => Err(self.invalid(&format!("must be seconds from {min} to {max}"))),
+            _ => Err(self.invalid(&format!("must be a number of seconds from {min} to {max}"))),
         }
     }
 
@@ -66,9 +67,11 @@
     }
 
     fn invalid(&self, reason: &str) -> SettingsError {
-        invalid(
-            format!("seamfront.ini: {}", self.name),
-            format!("`{}` {reason}", self.value),
-        )
+        invalid(self.field(), format!("`{}` {reason}", self.value))
+    }
+
+    /// The setting as errors name it.
+    fn field(&self) -> String {
+        format!("seamfront.ini: {}", self.name)
     }
 }
--- a/crates/seamfront/src/settings/platform_file.rs
+++ b/crates/seamfront/src/settings/platform_file.rs
@@ -1,29 +1,30 @@
-//! The platform's TOML file as it is written; nothing is checked here but names and types.
+//! The structure of the platform's TOML file. Only names and types are checked here, values in
+//! `validate`.
 
 use serde::Deserialize;
 
 /// The whole file.
 #[derive(Deserialize)]
-pub(super) struct File {
+pub(super) struct PlatformFile {
     pub member: String,
     pub bind: String,
     pub mesh_addr: String,
     #[serde(default)]
-    pub members: Vec<FileMember>,
-    pub outside: FileOutside,
+    pub members: Vec<FilePeer>,
+    pub outside: FileExternalServices,
     pub params: FileParams,
 }
 
-/// Another member of the cluster.
+/// Another controller.
 #[derive(Deserialize)]
-pub(super) struct FileMember {
+pub(super) struct FilePeer {
     pub member: String,
     pub peer_addr: String,
 }
 
-/// Addresses of the services that the cluster depends on.
+/// Addresses of the external services.
 #[derive(Deserialize)]
-pub(super) struct FileOutside {
+pub(super) struct FileExternalServices {
     pub cloud: String,
     pub state: String,
 }
@@ -35,10 +36,10 @@
     pub teams: Vec<FileTeam>,
     #[serde(default)]
     pub objectives: Vec<FileObjective>,
-    pub workers: FileWorkers,
-    pub state: FileState,
-    pub cloud: FileCloud,
-    pub limits: FileLimits,
+    pub workers: FileAgentTimes,
+    pub state: FileStoreLimits,
+    pub cloud: FileCloudLimits,
+    pub limits: FileProcessLimits,
 }
 
 /// A team with its guarantee and its limit.
@@ -61,9 +62,9 @@
     pub within_s: Option<f64>,
 }
 
-/// Times of the workers.
+/// Intervals and timeouts of the agents.
 #[derive(Deserialize)]
-pub(super) struct FileWorkers {
+pub(super) struct FileAgentTimes {
     pub report_s: f64,
     pub lease_s: f64,
     pub gang_wait_s: f64,
@@ -73,30 +74,31 @@
 
 /// Limits of the key-value store.
 #[derive(Deserialize)]
-pub(super) struct FileState {
+pub(super) struct FileStoreLimits {
     pub rps: f64,
     pub write_rps: f64,
     pub value_kb: f64,
     pub txn_ops: i64,
-    /// Limits that the key-value store will have from some moment on, without notice.
+    /// Limits that the key-value store will have from an unannounced time on.
     #[serde(default)]
-    pub next: FileStateNext,
+    pub next: FileNextStoreLimits,
 }
 
-/// Limits that the key-value store will have; what is absent stays as it is.
+/// Future limits of the key-value store; an absent one does not change.
 #[derive(Default, Deserialize)]
-pub(super) struct FileStateNext {
+pub(super) struct FileNextStoreLimits {
     pub rps: Option<f64>,
     pub write_rps: Option<f64>,
     pub value_kb: Option<f64>,
     pub txn_ops: Option<i64>,
 }
 
-impl FileState {
-    /// The smaller of the present and the coming limits: these hold at any time.
-    pub fn at_any_time(&self) -> FileState {
-        let smaller = |now: f64, next: Option<f64>| next.map_or(now, |next| next.min(now));
-        FileState {
+impl FileStoreLimits {
+    /// The smaller of each present and future limit, which is safe at any time.
+    pub fn strictest(&self) -> FileStoreLimits {
+        let smaller =
+            |present: f64, next: Option<f64>| next.map_or(present, |next| next.min(present));
+        FileStoreLimits {
             rps: smaller(self.rps, self.next.rps),
             write_rps: smaller(self.write_rps, self.next.write_rps),
             value_kb: smaller(self.value_kb, self.next.value_kb),
@@ -104,20 +106,20 @@
                 .next
                 .txn_ops
                 .map_or(self.txn_ops, |next| next.min(self.txn_ops)),
-            next: FileStateNext::default(),
+            next: FileNextStoreLimits::default(),
         }
     }
 }
 
-/// Limits of the cloud.
+/// Limits of the cloud API.
 #[derive(Deserialize)]
-pub(super) struct FileCloud {
+pub(super) struct FileCloudLimits {
     pub rps: f64,
     pub list_lag_s: f64,
 }
 
 /// Limits of this process.
 #[derive(Deserialize)]
-pub(super) struct FileLimits {
+pub(super) struct FileProcessLimits {
     pub fd_limit: i64,
 }
--- a/crates/seamfront/src/settings/validate.rs
+++ b/crates/seamfront/src/settings/validate.rs
@@ -1,49 +1,54 @@
-//! Checks of the platform's settings. The first field that is wrong, in the order of the checks, is
-//! the one that the error names.
+//! Checks the platform's settings and translates them to the core's. The error names the first invalid
+//! field in the order of the checks.
 
-use super::platform_file::{File, FileObjective, FileParams, FileState, FileTeam};
-use super::{invalid, Service, SettingsError};
+use super::platform_file::{FileObjective, FileParams, FileStoreLimits, FileTeam, PlatformFile};
+use super::{invalid, ControllerSettings, SettingsError};
 use seamfront_core::types::{Micros, Milestone, Objective, Resources, Settings, Team, Tuning};
 use std::net::SocketAddr;
 
+/// Longest time in the platform's file.
 const SECONDS_MAX: f64 = 1e6;
+/// Largest rate, size or amount in the platform's file.
 const COUNT_MAX: f64 = 1e9;
 const BYTES_PER_KB: f64 = 1024.0;
+/// Bounds of the number of changes in a transaction of the key-value store.
 const TXN_OPS_MIN: i64 = 4;
 const TXN_OPS_MAX: i64 = 10_000;
-/// File descriptors that a process needs at the least.
+/// Fewest file descriptors that a controller can run with.
 const FD_LIMIT_MIN: i64 = 64;
 
-/// A member of the cluster and where the others reach it; members are ordered by name.
+/// A member and the address at which the others reach it. Members are ordered by name, so that
+/// their order is the same at all of them.
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
 struct Member {
     name: String,
     peer_address: SocketAddr,
 }
 
-/// The settings of a process, from the platform's file and the tuning that `tuning` reads.
-pub(super) fn service(
-    file: &File,
+/// The settings of a controller, from the platform's file and the operators' settings that `tuning`
+/// reads.
+pub(super) fn controller_settings(
+    file: &PlatformFile,
     tuning: impl FnOnce() -> Result<Tuning, SettingsError>,
-) -> Result<Service, SettingsError> {
+) -> Result<ControllerSettings, SettingsError> {
     if file.member.is_empty() {
-        return Err(invalid("member", "is empty"));
+        return Err(invalid("member", "must not be empty"));
     }
     let peer_address = address("mesh_addr", &file.mesh_addr)?;
     let members = members(file, peer_address)?;
     let core = core_settings(file, &members, tuning)?;
-    Ok(Service {
+    Ok(ControllerSettings {
         bind: address("bind", &file.bind)?,
         mesh: peer_address,
         peers: members.iter().map(|member| member.peer_address).collect(),
         cloud: address("outside.cloud", &file.outside.cloud)?,
-        state: address("outside.state", &file.outside.state)?,
+        store: address("outside.state", &file.outside.state)?,
         sockets: file.params.limits.fd_limit as usize,
         core,
     })
 }
 
-fn members(file: &File, peer_address: SocketAddr) -> Result<Vec<Member>, SettingsError> {
+fn members(file: &PlatformFile, peer_address: SocketAddr) -> Result<Vec<Member>, SettingsError> {
     let mut members = vec![Member {
         name: file.member.clone(),
         peer_address,
@@ -65,19 +70,19 @@
 }
 
 fn core_settings(
-    file: &File,
+    file: &PlatformFile,
     members: &[Member],
     tuning: impl FnOnce() -> Result<Tuning, SettingsError>,
 ) -> Result<Settings, SettingsError> {
     let params = &file.params;
     let teams = teams(&params.teams)?;
     let objectives = objectives(&params.objectives)?;
-    let state = params.state.at_any_time();
-    check_limits(params, &state)?;
+    let store = params.state.strictest();
+    check_limits(params, &store)?;
     let workers = &params.workers;
-    let own_name = |member: &Member| member.name == file.member;
+    let is_self = |member: &Member| member.name == file.member;
     Ok(Settings {
-        me: members.iter().position(own_name).unwrap_or(0),
+        me: members.iter().position(is_self).unwrap_or(0),
         members: members.iter().map(|member| member.name.clone()).collect(),
         teams,
         objectives,
@@ -86,20 +91,24 @@
         gang_wait: seconds("params.workers.gang_wait_s", workers.gang_wait_s)?,
         gang_peer: seconds("params.workers.gang_peer_s", workers.gang_peer_s)?,
         cancel: seconds("params.workers.cancel_s", workers.cancel_s)?,
-        state_rps: count("params.state.rps", state.rps)?,
-        write_rps: count("params.state.write_rps", state.write_rps)?,
-        value_bytes: count("params.state.value_kb", state.value_kb * BYTES_PER_KB)? as usize,
-        txn_ops: state.txn_ops as usize,
-        cloud_rps: count("params.cloud.rps", params.cloud.rps)?,
+        state_rps: count("params.state.rps", store.rps, "requests a second")?,
+        write_rps: count("params.state.write_rps", store.write_rps, "writes a second")?,
+        value_bytes: count(
+            "params.state.value_kb",
+            store.value_kb * BYTES_PER_KB,
+            "bytes",
+        )? as usize,
+        txn_ops: store.txn_ops as usize,
+        cloud_rps: count("params.cloud.rps", params.cloud.rps, "requests a second")?,
         list_lag: seconds("params.cloud.list_lag_s", params.cloud.list_lag_s)?,
         tuning: tuning()?,
     })
 }
 
-fn teams(wire: &[FileTeam]) -> Result<Vec<Team>, SettingsError> {
+fn teams(entries: &[FileTeam]) -> Result<Vec<Team>, SettingsError> {
     let mut teams: Vec<Team> = Vec::new();
-    for team in wire {
-        check_amounts(team)?;
+    for team in entries {
+        check_team_amounts(team)?;
         if teams.iter().any(|known| known.name == team.name) {
             return Err(invalid(
                 "params.teams.name",
@@ -115,7 +124,7 @@
     Ok(teams)
 }
 
-fn check_amounts(team: &FileTeam) -> Result<(), SettingsError> {
+fn check_team_amounts(team: &FileTeam) -> Result<(), SettingsError> {
     for (field, amount) in [
         ("cpus", team.cpus),
         ("cpus_max", team.cpus_max),
@@ -125,17 +134,18 @@
         if !amount.is_finite() || !(0.0..=COUNT_MAX).contains(&amount) {
             return Err(invalid(
                 format!("params.teams.{field}"),
-                format!("of `{}` must not be negative", team.name),
+                format!("of `{}` must be a number from 0 to {COUNT_MAX}", team.name),
             ));
         }
     }
     Ok(())
 }
 
-fn objectives(wire: &[FileObjective]) -> Result<Vec<Objective>, SettingsError> {
+fn objectives(entries: &[FileObjective]) -> Result<Vec<Objective>, SettingsError> {
     let mut objectives = Vec::new();
-    for objective in wire {
-        // Other kinds may come; one without a class or a time has no meaning to a scheduler.
+    for objective in entries {
+        // Unknown kinds are ignored, since the platform may add some; so are objectives without a class
+        // or a time, which mean nothing to a scheduler.
         let milestone = match objective.kind.as_str() {
             "wait" => Milestone::Started,
             "finished" => Milestone::Finished,
@@ -152,8 +162,8 @@
     Ok(objectives)
 }
 
-fn check_limits(params: &FileParams, state: &FileState) -> Result<(), SettingsError> {
-    if !(TXN_OPS_MIN..=TXN_OPS_MAX).contains(&state.txn_ops) {
+fn check_limits(params: &FileParams, store: &FileStoreLimits) -> Result<(), SettingsError> {
+    if !(TXN_OPS_MIN..=TXN_OPS_MAX).contains(&store.txn_ops) {
         return Err(invalid(
             "params.state.txn_ops",
             format!("must be from {TXN_OPS_MIN} to {TXN_OPS_MAX}"),
@@ -170,21 +180,28 @@
 
 fn address(field: &str, text: &str) -> Result<SocketAddr, SettingsError> {
     text.parse::<SocketAddr>()
-        .map_err(|_| invalid(field, format!("`{text}` is not IP:PORT")))
+        .map_err(|_| invalid(field, format!("`{text}` does not have the form IP:PORT")))
 }
 
 fn seconds(field: &str, value: f64) -> Result<Micros, SettingsError> {
     if value.is_finite() && value > 0.0 && value <= SECONDS_MAX {
         Ok(Micros::from_secs_decimal(value))
     } else {
-        Err(invalid(field, "must be a positive number of seconds"))
+        Err(invalid(
+            field,
+            format!("must be a number of seconds above 0 and up to {SECONDS_MAX}"),
+        ))
     }
 }
 
-fn count(field: &str, value: f64) -> Result<i64, SettingsError> {
+/// Checks a number of `unit`, which the error names, and rounds it down.
+fn count(field: &str, value: f64, unit: &str) -> Result<i64, SettingsError> {
     if value.is_finite() && (1.0..=COUNT_MAX).contains(&value) {
         Ok(value as i64)
     } else {
-        Err(invalid(field, "must be at least 1"))
+        Err(invalid(
+            field,
+            format!("must be from 1 to {COUNT_MAX} {unit}"),
+        ))
     }
 }
--- a/crates/seamfront/tests/forms.rs
+++ b/crates/seamfront/tests/forms.rs
@@ -772,7 +772,7 @@
         format!("{} of {} at {}", c.me, c.members.join(" "), peers.join(" ")),
         format!(
             "bind {} mesh {} cloud {} state {} sockets {}",
-            s.bind, s.mesh, s.cloud, s.state, s.sockets
+            s.bind, s.mesh, s.cloud, s.store, s.sockets
         ),
     ];
     for t in &c.teams {
