--- a/crates/seamfront/src/driver.rs
+++ b/crates/seamfront/src/driver.rs
@@ -52,7 +52,7 @@
 /// How often idle outgoing connections are checked for expiry.
 const IDLE_CHECK_INTERVAL: Duration = Duration::from_secs(5);
 
-/// Runs a controller until its process ends.
+/// Runs a controller until its process ends. Returns only if it can't listen.
 pub fn run(settings: ControllerSettings) -> Result<(), RunError> {
     // Leaked, since its tasks borrow it until the process ends.
     let executor: &'static LocalExecutor<'static> = Box::leak(Box::new(LocalExecutor::new()));
--- a/crates/seamfront/src/peer_transport/mod.rs
+++ b/crates/seamfront/src/peer_transport/mod.rs
@@ -52,7 +52,7 @@
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Receipt {}
 
-/// Encodes gRPC messages as JSON, like the other protocols of this process.
+/// Encodes messages as JSON, like the other protocols of this process; gRPC prescribes no encoding.
 pub struct JsonCodec<E, D>(PhantomData<(E, D)>);
 
 impl<E, D> Default for JsonCodec<E, D> {
