--- a/crates/seamfront-testing/src/fleet_reconciler.rs
+++ b/crates/seamfront-testing/src/fleet_reconciler.rs
@@ -115,7 +115,7 @@
     confirmed: Option<ConfirmedAbsence>,
 }
 
-/// A machine was seen in the cloud's list, and a list of records that was begun later doesn't contain it.
+/// A machine was seen in the cloud's list, and a list of records that was read later doesn't contain it.
 struct ConfirmedAbsence {
     since: Micros,
     /// Provisioning operations that were open then and still are. One of them may have provisioned the machine, and would
