--- a/crates/seamfront-core/tests/forms.rs
+++ b/crates/seamfront-core/tests/forms.rs
@@ -1,8 +1,9 @@
-//! Stored records and messages between controllers, to the letter: what this version writes, and what it reads of the
-//! version in production. A change of any text here is a change of what is stored or sent, and needs a migration.
+//! The exact texts of stored records and of messages between controllers: what this version writes, and how it reads
+//! what the version in production has written. Changing any text here changes a storage or wire format and needs a
+//! migration.
 //!
-//! The first half decodes and encodes single values. The second half runs an engine against a store and compares keys
-//! and values as they are written; then it hands the same texts to a new engine and looks at what it does with them.
+//! The first half decodes and encodes single values. The second half runs an engine with a store and compares the keys
+//! and values that it writes, then gives such texts to a new engine and checks how it continues from them.
 
 use seamfront_core::capacity::ProvisioningRecord;
 use seamfront_core::gang::Member;
@@ -21,26 +22,26 @@
 
 // ---- single values ---------------------------------------------------------------------------
 
-/// As records are stored: through a JSON value, whose fields are sorted.
-fn stored<T: Serialize>(value: &T) -> String {
+/// The text of a record as it is stored: written through a JSON value, which sorts the fields.
+fn stored_text<T: Serialize>(value: &T) -> String {
     serde_json::to_value(value).unwrap().to_string()
 }
 
-/// Reads a stored text and writes it again.
-fn kept<T: Serialize + DeserializeOwned>(text: &str) {
+/// Asserts that a stored text is read and written again unchanged.
+fn assert_round_trip<T: Serialize + DeserializeOwned>(text: &str) {
     let value: Value = serde_json::from_str(text).unwrap();
     let read: T = serde_json::from_value(value).unwrap_or_else(|e| panic!("{text}: {e}"));
-    assert_eq!(stored(&read), text);
+    assert_eq!(stored_text(&read), text);
 }
 
-/// Reads a stored text of another version, and compares what would be written instead of it.
-fn read_as<T: Serialize + DeserializeOwned>(old: &str, new: &str) {
+/// Asserts that a stored text of another version is read, and written again as `new`.
+fn assert_rewritten<T: Serialize + DeserializeOwned>(old: &str, new: &str) {
     let read: T = serde_json::from_str(old).unwrap_or_else(|e| panic!("{old}: {e}"));
-    assert_eq!(stored(&read), new);
+    assert_eq!(stored_text(&read), new);
 }
 
-/// Without this field the text must be refused.
-fn required<T: DeserializeOwned>(text: &str, fields: &[&str]) {
+/// Asserts that a text which lacks any one of these fields is rejected.
+fn assert_required<T: DeserializeOwned>(text: &str, fields: &[&str]) {
     for field in fields {
         let mut value: Value = serde_json::from_str(text).unwrap();
         assert!(
@@ -55,64 +56,69 @@
 }
 
 const JOB: &str = r#"{"checkpoint":30000000,"class":"train","deadline":900000000,"estimate":240000000,"id":"j-000412","image":"img-07","image_mb":6200,"kind":"Gang","need":{"c":8000,"g":1000,"r":64000},"needs":["j-1","j-2"],"needs_parts":3,"one_zone":true,"priority":"Urgent","save":4000000,"spot":true,"spread":false,"submitted":1700000000000017,"tasks":16,"team":"vision","types":["g8","g4"],"zone":"a"}"#;
-const JOB_LEAST: &str = r#"{"checkpoint":0,"class":"c","deadline":null,"estimate":0,"id":"j-1","image":"i","image_mb":0,"kind":"Service","need":{"c":0,"g":0,"r":0},"one_zone":false,"priority":"BestEffort","save":0,"spot":false,"spread":true,"submitted":0,"tasks":1,"team":"t","types":null,"zone":null}"#;
+const JOB_MINIMAL: &str = r#"{"checkpoint":0,"class":"c","deadline":null,"estimate":0,"id":"j-1","image":"i","image_mb":0,"kind":"Service","need":{"c":0,"g":0,"r":0},"one_zone":false,"priority":"BestEffort","save":0,"spot":false,"spread":true,"submitted":0,"tasks":1,"team":"t","types":null,"zone":null}"#;
 
 #[test]
-fn job_records() {
-    kept::<JobSpec>(JOB);
-    kept::<JobSpec>(JOB_LEAST);
+fn job_records_keep_their_stored_form() {
+    assert_round_trip::<JobSpec>(JOB);
+    assert_round_trip::<JobSpec>(JOB_MINIMAL);
     for kind in ["Array", "Gang", "Service"] {
-        kept::<JobSpec>(&JOB.replace("\"Gang\"", &format!("{kind:?}")));
+        assert_round_trip::<JobSpec>(&JOB.replace("\"Gang\"", &format!("{kind:?}")));
     }
     for priority in ["Critical", "Urgent", "Normal", "BestEffort"] {
-        kept::<JobSpec>(&JOB.replace("\"Urgent\"", &format!("{priority:?}")));
+        assert_round_trip::<JobSpec>(&JOB.replace("\"Urgent\"", &format!("{priority:?}")));
     }
     for (kind, text) in [
         (JobKind::Array, "Array"),
         (JobKind::Gang, "Gang"),
         (JobKind::Service, "Service"),
     ] {
-        assert_eq!(stored(&kind), format!("{text:?}"));
+        assert_eq!(stored_text(&kind), format!("{text:?}"));
     }
-    // Also in the order in which the version in production declares the fields, and with fields of a later version.
-    read_as::<JobSpec>(
+    // Also with the fields in the order in which the version in production declares them, and with a field of a later
+    // version.
+    assert_rewritten::<JobSpec>(
         r#"{"id":"j-1","class":"c","team":"t","kind":"Service","priority":"BestEffort","tasks":1,"need":{"c":0,"g":0,"r":0},"types":null,"zone":null,"one_zone":false,"spread":true,"spot":false,"image":"i","image_mb":0,"estimate":0,"checkpoint":0,"save":0,"deadline":null,"submitted":0,"later":{"a":[1]}}"#,
-        JOB_LEAST,
+        JOB_MINIMAL,
     );
-    // What may be null may be missing.
-    let short = JOB_LEAST
+    // Fields that may be null may be missing.
+    let short = JOB_MINIMAL
         .replace("\"deadline\":null,", "")
         .replace(",\"types\":null,\"zone\":null", "");
-    read_as::<JobSpec>(&short, JOB_LEAST);
-    let all =
+    assert_rewritten::<JobSpec>(&short, JOB_MINIMAL);
+    let required_fields =
         "checkpoint class estimate id image image_mb kind need one_zone priority save spot spread submitted tasks team";
-    required::<JobSpec>(JOB, &all.split(' ').collect::<Vec<_>>());
+    assert_required::<JobSpec>(JOB, &required_fields.split(' ').collect::<Vec<_>>());
 }
 
 const WORK: &str = r#"{"a":[[0,2],[3,1]],"d":[[0,2],[4,5]],"dr":true,"e":7,"n":12,"need":{"c":1000,"g":500,"r":2000},"p":{"i-000231":[[2,4,6],[5,6,7]],"i-000232":[[7,8,1]]},"pk":3,"team":"vision"}"#;
-const WORK_LEAST: &str =
+const WORK_MINIMAL: &str =
     r#"{"a":[],"d":[],"dr":false,"e":0,"n":1,"need":{"c":0,"g":0,"r":0},"p":{},"pk":0,"team":"t"}"#;
 
 #[test]
-fn work_records() {
-    kept::<WorkRecord>(WORK);
-    kept::<WorkRecord>(WORK_LEAST);
-    required::<WorkRecord>(WORK, &["a", "d", "dr", "e", "n", "need", "p", "pk", "team"]);
-    // As the version in production wrote it.
+fn work_records_keep_their_stored_form() {
+    assert_round_trip::<WorkRecord>(WORK);
+    assert_round_trip::<WorkRecord>(WORK_MINIMAL);
+    assert_required::<WorkRecord>(WORK, &["a", "d", "dr", "e", "n", "need", "p", "pk", "team"]);
+    // With the fields in the order in which the version in production writes them.
     let old = r#"{"team":"vision","need":{"c":1000,"g":500,"r":2000},"e":7,"dr":true,"a":[[0,2],[3,1]],"n":12,"d":[[0,2],[4,5]],"p":{"i-000231":[[2,4,6],[5,6,7]],"i-000232":[[7,8,1]]},"pk":3}"#;
-    read_as::<WorkRecord>(old, WORK);
+    assert_rewritten::<WorkRecord>(old, WORK);
 }
 
-/// Through the functions that lay a record out and put it together again.
+/// Splits a record that exceeds the size of a value with `encode`, and puts it together with `decode`.
 #[test]
-fn work_records_in_parts() {
+fn work_records_are_split_into_parts_and_read_back() {
     let whole: WorkRecord = serde_json::from_str(WORK).unwrap();
-    let one = encode(&whole, &Layout::single(2_048), &[]).unwrap();
+    let unsplit = encode(&whole, &Layout::single(2_048), &[]).unwrap();
     assert_eq!(
-        (one.head.to_string().as_str(), one.parts.len(), one.bytes),
+        (
+            unsplit.head.to_string().as_str(),
+            unsplit.parts.len(),
+            unsplit.bytes
+        ),
         (WORK, 0, WORK.len())
     );
-    assert_eq!(decode(one.head, &BTreeMap::new()).unwrap(), whole);
+    assert_eq!(decode(unsplit.head, &BTreeMap::new()).unwrap(), whole);
 
     let split = encode(
         &whole,
@@ -143,9 +149,9 @@
     let read =
         |head: &str, texts: &[&str]| decode(serde_json::from_str(head).unwrap(), &values(texts));
     assert_eq!(read(head, &parts).unwrap(), whole);
-    // A part may lack each of its lists.
-    let least = read(&head.replace("\"parts\":2", "\"parts\":1"), &["{}"]).unwrap();
-    assert!(least.attempts.is_empty() && least.placed.is_empty() && least.done.count() == 0);
+    // All lists of a part are optional.
+    let empty = read(&head.replace("\"parts\":2", "\"parts\":1"), &["{}"]).unwrap();
+    assert!(empty.attempts.is_empty() && empty.placed.is_empty() && empty.done.count() == 0);
     for field in ["dr", "e", "n", "need", "pk", "team"] {
         let mut lacking: Value = serde_json::from_str(head).unwrap();
         lacking.as_object_mut().unwrap().remove(field);
@@ -164,54 +170,57 @@
 }
 
 #[test]
-fn other_records() {
+fn other_records_and_keys_keep_their_stored_form() {
     for end in [
         r#"{"cancelled":true,"tasks":3}"#,
         r#"{"cancelled":false,"tasks":100000}"#,
     ] {
-        kept::<EndRecord>(end);
-        required::<EndRecord>(end, &["cancelled", "tasks"]);
+        assert_round_trip::<EndRecord>(end);
+        assert_required::<EndRecord>(end, &["cancelled", "tasks"]);
     }
     let machine = r#"{"kind":"g8","share":1,"spot":true,"zone":"a"}"#;
-    let returned = r#"{"kind":"g8","share":null,"spot":false,"zone":"b"}"#;
-    kept::<MachineRecord>(machine);
-    kept::<MachineRecord>(returned);
-    required::<MachineRecord>(machine, &["kind", "spot", "zone"]);
-    read_as::<MachineRecord>(r#"{"share":1,"kind":"g8","zone":"a","spot":true}"#, machine);
-    read_as::<MachineRecord>(r#"{"kind":"g8","zone":"b","spot":false}"#, returned);
-    let rent = r#"{"count":12,"kind":"g8","share":2,"spot":false,"zone":"b"}"#;
-    kept::<ProvisioningRecord>(rent);
-    required::<ProvisioningRecord>(rent, &["count", "kind", "share", "spot", "zone"]);
-    read_as::<ProvisioningRecord>(
+    let terminating = r#"{"kind":"g8","share":null,"spot":false,"zone":"b"}"#;
+    assert_round_trip::<MachineRecord>(machine);
+    assert_round_trip::<MachineRecord>(terminating);
+    assert_required::<MachineRecord>(machine, &["kind", "spot", "zone"]);
+    assert_rewritten::<MachineRecord>(r#"{"share":1,"kind":"g8","zone":"a","spot":true}"#, machine);
+    assert_rewritten::<MachineRecord>(r#"{"kind":"g8","zone":"b","spot":false}"#, terminating);
+    let provisioning = r#"{"count":12,"kind":"g8","share":2,"spot":false,"zone":"b"}"#;
+    assert_round_trip::<ProvisioningRecord>(provisioning);
+    assert_required::<ProvisioningRecord>(
+        provisioning,
+        &["count", "kind", "share", "spot", "zone"],
+    );
+    assert_rewritten::<ProvisioningRecord>(
         r#"{"share":2,"kind":"g8","zone":"b","spot":false,"count":12}"#,
-        rent,
+        provisioning,
     );
     let claim = r#"{"lease":4,"member":"n0"}"#;
-    kept::<ClaimValue>(claim);
-    required::<ClaimValue>(claim, &["lease", "member"]);
-    read_as::<ClaimValue>(r#"{"member":"n0","lease":4}"#, claim);
-    kept::<Vec<JobId>>(r#"["j-1","j-000412"]"#);
+    assert_round_trip::<ClaimValue>(claim);
+    assert_required::<ClaimValue>(claim, &["lease", "member"]);
+    assert_rewritten::<ClaimValue>(r#"{"member":"n0","lease":4}"#, claim);
+    assert_round_trip::<Vec<JobId>>(r#"["j-1","j-000412"]"#);
     assert_eq!(job_key(&"j-7".into()), "job/j-7");
     assert_eq!(end_key(&"j-7".into()), "end/j-7");
     assert_eq!(machine_key(&"i-000231".into()), "machine/i-000231");
 }
 
 #[test]
-fn plain_values() {
-    kept::<MachineType>(
+fn machine_types_and_scalar_values_keep_their_stored_form() {
+    assert_round_trip::<MachineType>(
         r#"{"boot":45000000,"cache_mb":200000,"fetch_mb_s":1000,"name":"g8","price":12000,"size":{"c":96000,"g":8000,"r":768000},"spot_price":4500,"zones":["a","b"]}"#,
     );
     let members = "Blocked Reserved Pending Running Preempting Preempted Done Failed";
     for member in members.split(' ') {
-        kept::<Member>(&format!("{member:?}"));
+        assert_round_trip::<Member>(&format!("{member:?}"));
     }
-    kept::<Micros>("-1500000");
-    assert_eq!(stored(&Micros::from_millis(250)), "250000");
+    assert_round_trip::<Micros>("-1500000");
+    assert_eq!(stored_text(&Micros::from_millis(250)), "250000");
     assert_eq!(
-        stored(&Resources::needed(1.5, 0.25, 4.0)),
+        stored_text(&Resources::needed(1.5, 0.25, 4.0)),
         r#"{"c":1500,"g":250,"r":4000}"#
     );
-    kept::<TaskNames>(r#"{"job":"j-1","machine":"i-1"}"#);
+    assert_round_trip::<TaskNames>(r#"{"job":"j-1","machine":"i-1"}"#);
 }
 
 #[derive(Serialize, serde::Deserialize)]
@@ -222,22 +231,22 @@
 
 // ---- messages between controllers ------------------------------------------------------------
 
-/// As messages are sent: in the order in which their fields are declared.
-fn sent_again(text: &str) -> String {
+/// Reads a message and writes it again as it is sent, with the fields in the order of their declaration.
+fn reencoded(text: &str) -> String {
     let message: PeerMessage = serde_json::from_str(text).unwrap_or_else(|e| panic!("{text}: {e}"));
     serde_json::to_string(&message).unwrap()
 }
 
-const NEED: &str = r#"{"job":"j-1","task":{"c":1,"g":2,"r":3},"count":2,"total":3,"together":true,"one_zone":false,"gathering":"a","spread":true,"priority":"Normal","guaranteed":false,"overdue":true,"types":["g8","g4"],"zone":"b","spot":false,"image_mb":5,"estimate":6,"waited":7,"left":8,"service":true}"#;
-const VIEW: &str = r#"{"i":"i-1","v":4,"n":true,"u":{"c":1,"g":0,"r":2},"p":{"c":1,"g":0,"r":1},"e":9,"g":true,"r":true,"b":true,"t":true,"l":"Urgent","w":3}"#;
+const REQUEST: &str = r#"{"job":"j-1","task":{"c":1,"g":2,"r":3},"count":2,"total":3,"together":true,"one_zone":false,"gathering":"a","spread":true,"priority":"Normal","guaranteed":false,"overdue":true,"types":["g8","g4"],"zone":"b","spot":false,"image_mb":5,"estimate":6,"waited":7,"left":8,"service":true}"#;
+const MACHINE_VIEW: &str = r#"{"i":"i-1","v":4,"n":true,"u":{"c":1,"g":0,"r":2},"p":{"c":1,"g":0,"r":1},"e":9,"g":true,"r":true,"b":true,"t":true,"l":"Urgent","w":3}"#;
 
-fn shard(requests: &str, machines: &str) -> String {
+fn shard_message(requests: &str, machines: &str) -> String {
     format!(r#"{{"Share":{{"share":1,"version":7,"needs":[{requests}],"machines":[{machines}]}}}}"#)
 }
 
 #[test]
-fn messages() {
-    let none = NEED
+fn peer_messages_keep_their_wire_form() {
+    let nulls = REQUEST
         .replace("\"gathering\":\"a\"", "\"gathering\":null")
         .replace("[\"g8\",\"g4\"]", "null")
         .replace("\"zone\":\"b\"", "\"zone\":null")
@@ -245,9 +254,9 @@
     let mut texts = vec![
         r#"{"Alive":{"ready":true,"claims":[["share/0",7],["leader",9]],"awaited":3}}"#.to_owned(),
         r#"{"Alive":{"ready":false,"claims":[],"awaited":0}}"#.to_owned(),
-        shard("", ""),
-        shard(NEED, VIEW),
-        shard(&none, r#"{"i":"i-2","v":5}"#),
+        shard_message("", ""),
+        shard_message(REQUEST, MACHINE_VIEW),
+        shard_message(&nulls, r#"{"i":"i-2","v":5}"#),
         r#"{"Release":{"share":1,"machines":["i-1","i-2"],"above":"Urgent"}}"#.to_owned(),
         r#"{"Release":{"share":0,"machines":[],"above":null}}"#.to_owned(),
         r#"{"Cancelled":{"job":"j-1","tasks":3}}"#.to_owned(),
@@ -255,15 +264,15 @@
         r#"{"Progress":{"jobs":[]}}"#.to_owned(),
     ];
     for priority in ["Critical", "Urgent", "Normal", "BestEffort"] {
-        texts.push(shard(
-            &NEED.replace("Normal", priority),
-            &VIEW.replace("Urgent", priority),
+        texts.push(shard_message(
+            &REQUEST.replace("Normal", priority),
+            &MACHINE_VIEW.replace("Urgent", priority),
         ));
         texts.push(format!(
             r#"{{"Release":{{"share":1,"machines":["i-1"],"above":{priority:?}}}}}"#
         ));
     }
-    // Each field of a machine's view by itself, the others left out.
+    // Each optional field of a machine view by itself; the others have their defaults and are left out.
     for field in [
         r#""n":true"#,
         r#""u":{"c":1,"g":2,"r":3}"#,
@@ -276,16 +285,19 @@
         r#""l":"Normal""#,
         r#""w":3"#,
     ] {
-        texts.push(shard("", &format!(r#"{{"i":"i-1","v":4,{field}}}"#)));
+        texts.push(shard_message(
+            "",
+            &format!(r#"{{"i":"i-1","v":4,{field}}}"#),
+        ));
     }
     for text in texts {
-        assert_eq!(sent_again(&text), text);
+        assert_eq!(reencoded(&text), text);
     }
 }
 
-/// What other versions may send: fields left out that may be, and fields that this version does not know.
+/// Other versions may leave out optional fields, and send fields that this version does not know.
 #[test]
-fn messages_of_other_versions() {
+fn peer_messages_of_other_versions_are_read() {
     for (old, new) in [
         (
             r#"{"Alive":{"ready":true,"claims":[]}}"#,
@@ -300,13 +312,13 @@
             r#"{"Cancelled":{"job":"j-1","tasks":3}}"#,
         ),
     ] {
-        assert_eq!(sent_again(old), new);
+        assert_eq!(reencoded(old), new);
     }
-    let usual =
+    let explicit_defaults =
         r#"{"i":"i-1","v":4,"n":false,"u":{"c":0,"g":0,"r":0},"e":null,"l":null,"w":0,"later":1}"#;
     assert_eq!(
-        sent_again(&shard("", usual)),
-        shard("", r#"{"i":"i-1","v":4}"#)
+        reencoded(&shard_message("", explicit_defaults)),
+        shard_message("", r#"{"i":"i-1","v":4}"#)
     );
     for bad in [
         r#"{"Later":{}}"#,
@@ -319,47 +331,50 @@
 
 // ---- an engine and its store -----------------------------------------------------------------
 
-/// Values are laid out for a store that takes no more than this.
-const VALUE: usize = 300;
+/// Largest value that the engine writes to the store. Small, so that the work record of a gang of twelve is split.
+const VALUE_BYTES: usize = 300;
 
-/// One controller, the store, and a cloud whose workers finish or fail what they are given.
-struct Site {
+/// One controller with stand-ins for the store, the cloud API and the agents, which complete the tasks they are given.
+struct TestCluster {
     now: Micros,
     engine: Engine,
     store: Store,
-    waiting: Vec<(CallId, StoreRequest)>,
-    /// Key and value of each write, in order; `gone` for removals.
+    /// Store requests that have not been replied to, open watches among them.
+    pending_requests: Vec<(CallId, StoreRequest)>,
+    /// Key and value of each committed write, in order, with `gone` as the value of a deletion.
     written: Vec<(String, String)>,
-    cloud: Vec<CloudRequest>,
+    cloud_requests: Vec<CloudRequest>,
     answers: Vec<Answer>,
-    workers: BTreeMap<MachineId, Worker>,
+    agents: BTreeMap<MachineId, Agent>,
     /// Jobs whose tasks do not end by themselves.
     endless: BTreeSet<JobId>,
     /// Commands for the next step.
-    next: Vec<Command>,
-    requests: ClientRequestId,
-    asked: BTreeMap<ClientRequestId, MachineId>,
+    next_commands: Vec<Command>,
+    last_client_request: ClientRequestId,
+    /// The machine of each heartbeat that has not been replied to.
+    unanswered_heartbeats: BTreeMap<ClientRequestId, MachineId>,
     messages: Vec<PeerMessage>,
-    cloud_answers: bool,
+    /// Whether cloud API calls succeed.
+    cloud_available: bool,
 }
 
 #[derive(Default)]
-struct Worker {
+struct Agent {
     sequence: u64,
     fencing_token: u64,
     tasks: BTreeMap<TaskKey, (u64, TaskState)>,
 }
 
-fn type_on_offer() -> MachineType {
+fn machine_type() -> MachineType {
     let text = r#"{"boot":1000000,"cache_mb":9000,"fetch_mb_s":1000,"name":"m","price":100,"size":{"c":4000,"g":0,"r":16000},"spot_price":50,"zones":["z"]}"#;
     serde_json::from_str(text).unwrap()
 }
 
-impl Site {
-    fn new(members: &[&str], entries: &[(&str, &str)]) -> Site {
+impl TestCluster {
+    fn new(members: &[&str], entries: &[(&str, &str)]) -> TestCluster {
         let mut settings = seamfront_testing::shard_harness::settings();
         settings.members = members.iter().map(|m| (*m).to_owned()).collect();
-        settings.value_bytes = VALUE;
+        settings.value_bytes = VALUE_BYTES;
         let mut store = Store::with_page_size(100);
         for (key, value) in entries {
             let value = serde_json::from_str(value).unwrap();
@@ -376,43 +391,43 @@
                 },
             );
         }
-        Site {
+        TestCluster {
             now: Micros::from_secs(100),
             engine: Engine::new(settings),
             store,
-            waiting: vec![],
+            pending_requests: vec![],
             written: vec![],
-            cloud: vec![],
+            cloud_requests: vec![],
             answers: vec![],
-            workers: BTreeMap::new(),
+            agents: BTreeMap::new(),
             endless: BTreeSet::new(),
-            next: vec![],
-            requests: 0,
-            asked: BTreeMap::new(),
+            next_commands: vec![],
+            last_client_request: 0,
+            unanswered_heartbeats: BTreeMap::new(),
             messages: vec![],
-            cloud_answers: true,
+            cloud_available: true,
         }
     }
 
-    fn request(&mut self) -> ClientRequestId {
-        self.requests += 1;
-        self.requests
+    fn next_client_request(&mut self) -> ClientRequestId {
+        self.last_client_request += 1;
+        self.last_client_request
     }
 
     fn submit(&mut self, spec: JobSpec) {
-        let to = self.request();
-        self.next.push(Command::Submit {
+        let to = self.next_client_request();
+        self.next_commands.push(Command::Submit {
             to,
             spec: Box::new(spec),
         });
     }
 
     fn poll(&mut self, id: &str) -> Answer {
-        let to = self.request();
-        self.next.push(Command::Poll { to, id: id.into() });
+        let to = self.next_client_request();
+        self.next_commands.push(Command::Poll { to, id: id.into() });
         self.answers.clear();
         self.run(1_000);
-        self.answers.pop().expect("an answer")
+        self.answers.pop().expect("the poll is answered")
     }
 
     fn run(&mut self, millis: i64) {
@@ -420,22 +435,22 @@
         while self.now < end {
             self.now += Micros::from_millis(50);
             if self.now.0 % 1_000_000 == 0 {
-                self.heartbeat();
+                self.send_heartbeats();
             }
-            let commands = std::mem::take(&mut self.next);
+            let commands = std::mem::take(&mut self.next_commands);
             for effect in self.engine.step(self.now, self.now, commands) {
-                self.carry_out(effect);
+                self.apply_effect(effect);
             }
             self.store.expire(self.now);
-            for (call, request) in std::mem::take(&mut self.waiting) {
-                self.ask_store(call, request);
+            for (call, request) in std::mem::take(&mut self.pending_requests) {
+                self.execute(call, request);
             }
         }
     }
 
-    fn ask_store(&mut self, call: CallId, request: StoreRequest) {
+    fn execute(&mut self, call: CallId, request: StoreRequest) {
         let Some(reply) = self.store.execute(self.now, &request) else {
-            return self.waiting.push((call, request));
+            return self.pending_requests.push((call, request));
         };
         if let (StoreRequest::CompareAndSwap { writes, .. }, StoreReply::Committed { .. }) =
             (&request, &reply)
@@ -445,12 +460,12 @@
                 Write::Delete { key } => (key.clone(), "gone".to_owned()),
             }));
         }
-        self.next.push(Command::Store { call, reply });
+        self.next_commands.push(Command::Store { call, reply });
     }
 
-    fn carry_out(&mut self, effect: Effect) {
+    fn apply_effect(&mut self, effect: Effect) {
         match effect {
-            Effect::Store { call, request } => self.waiting.push((call, request)),
+            Effect::Store { call, request } => self.pending_requests.push((call, request)),
             Effect::Answer { answer, .. } => self.answers.push(answer),
             Effect::SendToPeer { message, .. } => self.messages.push(message),
             Effect::HeartbeatReply {
@@ -458,8 +473,11 @@
                 fencing_token,
                 orders,
             } => {
-                let machine = self.asked.remove(&to).expect("a machine");
-                self.obey(&machine, fencing_token, orders);
+                let machine = self
+                    .unanswered_heartbeats
+                    .remove(&to)
+                    .expect("each reply belongs to a heartbeat");
+                self.apply_orders(&machine, fencing_token, orders);
             }
             Effect::SendDirect {
                 call,
@@ -468,9 +486,9 @@
                 orders,
                 ..
             } => {
-                self.obey(&machine, fencing_token, orders);
-                let heartbeat = Box::new(self.report_of(&machine));
-                self.next.push(Command::DirectResult {
+                self.apply_orders(&machine, fencing_token, orders);
+                let heartbeat = Box::new(self.heartbeat_of(&machine));
+                self.next_commands.push(Command::DirectResult {
                     call,
                     machine,
                     outcome: DirectOutcome::Settled { heartbeat },
@@ -478,19 +496,19 @@
             }
             Effect::Cloud { call, request, .. } => {
                 let reply = match &request {
-                    _ if !self.cloud_answers => CloudReply::Failed,
-                    CloudRequest::MachineTypes => CloudReply::MachineTypes(vec![type_on_offer()]),
+                    _ if !self.cloud_available => CloudReply::Failed,
+                    CloudRequest::MachineTypes => CloudReply::MachineTypes(vec![machine_type()]),
                     CloudRequest::Provision { count, .. } => {
-                        let first = self.workers.len();
+                        let first = self.agents.len();
                         let ids = (0..*count as usize)
                             .map(|k| MachineId::from(format!("i-{:06}", first + k).as_str()));
                         let ids: Vec<MachineId> = ids.collect();
-                        self.workers
-                            .extend(ids.iter().map(|id| (id.clone(), Worker::default())));
+                        self.agents
+                            .extend(ids.iter().map(|id| (id.clone(), Agent::default())));
                         CloudReply::Provisioned(ids)
                     }
                     CloudRequest::Terminate { machines } => {
-                        self.workers.retain(|id, _| !machines.contains(id));
+                        self.agents.retain(|id, _| !machines.contains(id));
                         CloudReply::Terminated
                     }
                     CloudRequest::ListMachines { .. } => {
@@ -503,48 +521,48 @@
                             age: Micros::from_secs(20),
                         };
                         CloudReply::Page {
-                            machines: self.workers.keys().map(listed).collect(),
+                            machines: self.agents.keys().map(listed).collect(),
                             more: false,
                         }
                     }
                 };
-                self.cloud.push(request);
-                self.next.push(Command::Cloud { call, reply });
+                self.cloud_requests.push(request);
+                self.next_commands.push(Command::Cloud { call, reply });
             }
             Effect::Redirect { .. } | Effect::Healthy { .. } => {}
         }
     }
 
-    fn obey(&mut self, machine: &MachineId, fencing_token: u64, orders: Vec<Order>) {
-        let Some(worker) = self.workers.get_mut(machine) else {
+    fn apply_orders(&mut self, machine: &MachineId, fencing_token: u64, orders: Vec<Order>) {
+        let Some(agent) = self.agents.get_mut(machine) else {
             return;
         };
-        worker.fencing_token = fencing_token;
+        agent.fencing_token = fencing_token;
         for order in orders {
             match order {
                 Order::Start { task, attempt } => {
-                    worker
+                    agent
                         .tasks
                         .entry(task)
                         .or_insert((attempt, TaskState::Running));
                 }
                 Order::Stop { task, attempt, .. } => {
-                    worker.tasks.insert(
+                    agent.tasks.insert(
                         task,
                         (attempt, TaskState::Exited(Exit::Stopped { saved: false })),
                     );
                 }
                 Order::Forget { task, .. } => {
-                    worker.tasks.remove(&task);
+                    agent.tasks.remove(&task);
                 }
             }
         }
     }
 
-    fn report_of(&mut self, machine: &MachineId) -> Heartbeat {
-        let worker = self.workers.entry(machine.clone()).or_default();
-        worker.sequence += 1;
-        let tasks = worker.tasks.iter();
+    fn heartbeat_of(&mut self, machine: &MachineId) -> Heartbeat {
+        let agent = self.agents.entry(machine.clone()).or_default();
+        agent.sequence += 1;
+        let tasks = agent.tasks.iter();
         let tasks = tasks.map(|(task, (attempt, state))| TaskStatus {
             task: task.clone(),
             attempt: *attempt,
@@ -554,23 +572,24 @@
             machine: machine.clone(),
             addr: "10.0.0.1:9000".into(),
             incarnation: 1,
-            sequence: worker.sequence,
-            fencing_token: worker.fencing_token,
+            sequence: agent.sequence,
+            fencing_token: agent.fencing_token,
             preemption_notice: None,
             tasks: tasks.collect(),
         }
     }
 
-    fn heartbeat(&mut self) {
-        for machine in self.workers.keys().cloned().collect::<Vec<_>>() {
-            let to = self.request();
-            let heartbeat = Box::new(self.report_of(&machine));
-            self.asked.insert(to, machine.clone());
-            self.next.push(Command::Heartbeat { to, heartbeat });
-            // What was shown running once is done the next time.
+    fn send_heartbeats(&mut self) {
+        for machine in self.agents.keys().cloned().collect::<Vec<_>>() {
+            let to = self.next_client_request();
+            let heartbeat = Box::new(self.heartbeat_of(&machine));
+            self.unanswered_heartbeats.insert(to, machine.clone());
+            self.next_commands
+                .push(Command::Heartbeat { to, heartbeat });
+            // A task that was reported as running once is done in the next heartbeat.
             let endless = &self.endless;
-            let worker = self.workers.get_mut(&machine).unwrap();
-            for (task, (_, state)) in &mut worker.tasks {
+            let agent = self.agents.get_mut(&machine).unwrap();
+            for (task, (_, state)) in &mut agent.tasks {
                 if *state == TaskState::Running && !endless.contains(&task.job) {
                     *state = TaskState::Exited(Exit::Done);
                 }
@@ -578,7 +597,8 @@
         }
     }
 
-    fn writes(&self, prefix: &str) -> Vec<String> {
+    /// The writes of all keys with this prefix, without immediate repetitions.
+    fn writes_under(&self, prefix: &str) -> Vec<String> {
         let lines = self.written.iter().filter(|w| w.0.starts_with(prefix));
         let mut lines: Vec<String> = lines.map(|(key, value)| format!("{key} {value}")).collect();
         lines.dedup();
@@ -592,7 +612,7 @@
 
 const SMALL_JOB: &str = r#"{"checkpoint":0,"class":"c","deadline":null,"estimate":10000000,"id":"j-1","image":"i","image_mb":10,"kind":"Array","need":{"c":3000,"g":0,"r":1000},"one_zone":false,"priority":"Normal","save":0,"spot":true,"spread":false,"submitted":0,"tasks":1,"team":"t","types":null,"zone":null}"#;
 
-/// The lines of a text, without the spaces before them.
+/// The lines of a text without indentation and empty lines.
 fn lines(text: &str) -> Vec<&str> {
     text.lines()
         .map(str::trim_start)
@@ -601,29 +621,29 @@
 }
 
 #[test]
-fn what_an_engine_writes() {
-    let mut site = Site::new(&["a"], &[]);
-    site.run(10_000);
-    site.submit(spec(SMALL_JOB));
-    site.endless.insert("j-2".into());
-    site.submit(spec(
+fn engine_writes_keys_and_values_in_their_stored_form() {
+    let mut cluster = TestCluster::new(&["a"], &[]);
+    cluster.run(10_000);
+    cluster.submit(spec(SMALL_JOB));
+    cluster.endless.insert("j-2".into());
+    cluster.submit(spec(
         &SMALL_JOB
             .replace("j-1", "j-2")
             .replace("Array", "Gang")
             .replace("\"tasks\":1", "\"tasks\":12"),
     ));
-    site.run(500);
-    site.submit(JobSpec {
+    cluster.run(500);
+    cluster.submit(JobSpec {
         dependencies: vec!["j-1".into(), "j-2".into()],
         ..spec(&SMALL_JOB.replace("j-1", "j-3"))
     });
-    site.run(20_000);
-    let to = site.request();
-    site.next.push(Command::Cancel {
+    cluster.run(20_000);
+    let to = cluster.next_client_request();
+    cluster.next_commands.push(Command::Cancel {
         to,
         id: "j-2".into(),
     });
-    site.run(200_000);
+    cluster.run(200_000);
     let expected = r#"
         format/a {"parts":true}
         share/0 {"lease":1,"member":"a"}
@@ -670,33 +690,33 @@
     ];
     let seen: Vec<String> = shown
         .iter()
-        .flat_map(|prefix| site.writes(prefix))
+        .flat_map(|prefix| cluster.writes_under(prefix))
         .collect();
     assert_eq!(seen, lines(expected));
-    // Nothing but the other machines' records is left out above.
-    let other = |w: &&(String, String)| !shown.iter().any(|prefix| w.0.starts_with(prefix));
-    assert!(site
+    // The lists above leave out nothing but the records of the other machines.
+    let unlisted = |w: &&(String, String)| !shown.iter().any(|prefix| w.0.starts_with(prefix));
+    assert!(cluster
         .written
         .iter()
-        .filter(other)
+        .filter(unlisted)
         .all(|w| w.0.starts_with("machine/i-0000")));
 }
 
 #[test]
-fn what_an_engine_with_duties_writes() {
+fn engine_with_duties_writes_keys_and_values_in_their_stored_form() {
     let leftovers = [
         ("part/0/j-8/00000", r#"{"a":[[0,1]]}"#),
         ("end/j-8", r#"{"cancelled":false,"tasks":1}"#),
     ];
-    let mut site = Site::new(&["a"], &leftovers);
+    let mut cluster = TestCluster::new(&["a"], &leftovers);
     let mut settings = seamfront_testing::shard_harness::settings();
     settings.members = vec!["a".into()];
     settings.value_bytes = 4_096;
     settings.tuning.duties = true;
-    site.engine = Engine::new(settings);
-    site.run(10_000);
-    site.submit(spec(SMALL_JOB));
-    site.run(200_000);
+    cluster.engine = Engine::new(settings);
+    cluster.run(10_000);
+    cluster.submit(spec(SMALL_JOB));
+    cluster.run(200_000);
     let expected = r#"
         leader {"lease":1,"member":"a"}
         leader {"lease":0,"member":""}
@@ -715,21 +735,21 @@
     let shown = ["leader", "duty/", "duty-log/", "rent/", "part/"];
     let seen: Vec<String> = shown
         .iter()
-        .flat_map(|prefix| site.writes(prefix))
+        .flat_map(|prefix| cluster.writes_under(prefix))
         .collect();
     assert_eq!(seen, lines(expected));
 }
 
-/// What the version in production has left in the store is taken up where it stands.
+/// Jobs, tasks, gangs and provisioning requests stored by the version in production are continued where they stand.
 #[test]
-fn what_an_engine_reads() {
-    let live = |id: &str, tasks: u32| {
+fn engine_continues_from_records_of_the_version_in_production() {
+    let job_text = |id: &str, tasks: u32| {
         let tail = format!("\"tasks\":{tasks},");
         SMALL_JOB.replace("j-1", id).replace("\"tasks\":1,", &tail)
     };
-    let (one, four) = (live("j-1", 3), live("j-4", 1));
-    let five = live("j-5", 1).replace("\"one_zone\"", "\"needs_parts\":1,\"one_zone\"");
-    let six = live("j-6", 3).replace("Array", "Gang");
+    let (one, four) = (job_text("j-1", 3), job_text("j-4", 1));
+    let five = job_text("j-5", 1).replace("\"one_zone\"", "\"needs_parts\":1,\"one_zone\"");
+    let six = job_text("j-6", 3).replace("Array", "Gang");
     let head =
         r#"{"dr":false,"e":5,"n":1,"need":{"c":3000,"g":0,"r":1000},"parts":2,"pk":0,"team":"t"}"#;
     let machine = r#"{"share":0,"kind":"m","zone":"z","spot":true}"#;
@@ -765,8 +785,8 @@
         "machine/i-000004",
     ];
     entries.extend(machines.map(|key| (key, machine)));
-    let mut site = Site::new(&["a"], &entries);
-    site.endless = ["j-1", "j-4", "j-5", "j-6"].map(JobId::from).into();
+    let mut cluster = TestCluster::new(&["a"], &entries);
+    cluster.endless = ["j-1", "j-4", "j-5", "j-6"].map(JobId::from).into();
     for (machine, job, index, attempt) in [
         (0, "j-1", 1, 4),
         (1, "j-1", 2, 8),
@@ -774,11 +794,11 @@
         (3, "j-6", 1, 5),
         (4, "j-6", 2, 5),
     ] {
-        let worker = site
-            .workers
+        let agent = cluster
+            .agents
             .entry(format!("i-{machine:06}").as_str().into())
             .or_default();
-        worker.tasks.insert(
+        agent.tasks.insert(
             TaskKey {
                 job: job.into(),
                 index,
@@ -786,7 +806,7 @@
             (attempt, TaskState::Running),
         );
     }
-    site.run(12_000);
+    cluster.run(12_000);
     let status = |id: &str, state, done, running| Answer::Status {
         created: false,
         id: id.into(),
@@ -802,10 +822,10 @@
         ("j-8", JobState::Done, 7, 0),
         ("j-9", JobState::Cancelled, 0, 0),
     ] {
-        assert_eq!(site.poll(id), status(id, state, done, running));
+        assert_eq!(cluster.poll(id), status(id, state, done, running));
     }
-    assert_eq!(site.poll("j-7"), Answer::NotFound);
-    let rented = CloudRequest::Provision {
+    assert_eq!(cluster.poll("j-7"), Answer::NotFound);
+    let provision = CloudRequest::Provision {
         name: "r-1-1".into(),
         kind: "m".into(),
         zone: "z".into(),
@@ -813,13 +833,15 @@
         count: 2,
     };
     assert_eq!(
-        site.cloud
+        cluster
+            .cloud_requests
             .iter()
             .find(|call| matches!(call, CloudRequest::Provision { .. })),
-        Some(&rented)
+        Some(&provision)
     );
-    assert_eq!(site.writes("format/"), Vec::<String>::new());
-    // What was rented belongs to the shard that the record names; the waiting job goes on, the one behind it waits.
+    assert_eq!(cluster.writes_under("format/"), Vec::<String>::new());
+    // The provisioned machines belong to the shard that the record names. j-4, which was queued, is placed; j-5 depends
+    // on it and stays queued.
     let expected = r#"
         share/0 {"lease":1,"member":"a"}
         leader {"lease":1,"member":"a"}
@@ -829,43 +851,43 @@
         rent/r-1-1 gone
         work/0/j-4 {"a":[],"d":[],"dr":false,"e":0,"n":2,"need":{"c":3000,"g":0,"r":1000},"p":{"i-000005":[[0,1,1]]},"pk":0,"team":"t"}
     "#;
-    assert_eq!(site.writes(""), lines(expected));
+    assert_eq!(cluster.writes_under(""), lines(expected));
 }
 
-/// Without the cloud's word, the machine types in the store tell which jobs can run.
+/// While the cloud API fails, the stored machine types decide which jobs can run at all.
 #[test]
-fn stored_machine_types_are_read() {
+fn stored_machine_types_are_used_while_the_cloud_api_fails() {
     let types = r#"[{"name":"m","size":{"c":4000,"g":0,"r":16000},"cache_mb":9000,"fetch_mb_s":1000,"price":100,"spot_price":50,"boot":1000000,"zones":["z"]}]"#;
-    let later = |answer: &Answer| matches!(answer, Answer::RetryLater { .. });
+    let retry_later = |answer: &Answer| matches!(answer, Answer::RetryLater { .. });
     for (entries, known) in [(vec![("types", types)], true), (vec![], false)] {
-        let mut site = Site::new(&["a"], &entries);
-        site.cloud_answers = false;
-        site.run(10_000);
-        site.submit(spec(&SMALL_JOB.replace("3000", "5000")));
-        site.run(3_000);
-        let impossible = Answer::Rejected(SubmissionError::NoMachineFits);
+        let mut cluster = TestCluster::new(&["a"], &entries);
+        cluster.cloud_available = false;
+        cluster.run(10_000);
+        cluster.submit(spec(&SMALL_JOB.replace("3000", "5000")));
+        cluster.run(3_000);
+        let no_machine_fits = Answer::Rejected(SubmissionError::NoMachineFits);
         assert!(
             if known {
-                site.answers == [impossible]
+                cluster.answers == [no_machine_fits]
             } else {
-                site.answers.iter().all(later)
+                cluster.answers.iter().all(retry_later)
             },
             "{:?}",
-            site.answers
+            cluster.answers
         );
     }
 }
 
-/// Claims of another member are seen for what they are, and what is held is told.
+/// The engine leaves claims of another member alone, and announces its own to the other members.
 #[test]
-fn claims_and_messages() {
+fn claims_of_other_members_are_respected_and_own_claims_announced() {
     let claim = r#"{"member":"b","lease":77}"#;
-    let mut site = Site::new(&["a", "b"], &[("share/0", claim), ("leader", claim)]);
-    site.run(20_000);
+    let mut cluster = TestCluster::new(&["a", "b"], &[("share/0", claim), ("leader", claim)]);
+    cluster.run(20_000);
     let shown = ["share/", "leader", "format/"];
     let seen: Vec<String> = shown
         .iter()
-        .flat_map(|prefix| site.writes(prefix))
+        .flat_map(|prefix| cluster.writes_under(prefix))
         .collect();
     assert_eq!(
         seen,
@@ -874,7 +896,7 @@
             r#"format/a {"parts":true}"#
         ]
     );
-    let sent: BTreeSet<String> = site
+    let messages: BTreeSet<String> = cluster
         .messages
         .iter()
         .map(|m| serde_json::to_string(m).unwrap())
@@ -884,5 +906,5 @@
         r#"{"Alive":{"ready":true,"claims":[["share/1",4]],"awaited":0}}"#,
         r#"{"Share":{"share":1,"version":4,"needs":[],"machines":[]}}"#,
     ];
-    assert_eq!(sent, expected.map(str::to_owned).into());
+    assert_eq!(messages, expected.map(str::to_owned).into());
 }
