--- a/crates/seamfront-core/tests/capacity.rs
+++ b/crates/seamfront-core/tests/capacity.rs
@@ -1,4 +1,5 @@
-//! The leader's plan: whose machines may be cleared of lesser work, and for whom.
+//! The leader's capacity plan: which machines are drained for a gang of another shard, and how observed boot times
+//! decide when a machine counts as late or failed.
 
 use seamfront_core::boot_times::BootTimes;
 use seamfront_core::capacity::{
@@ -13,12 +14,13 @@
     Micros::from_secs(n)
 }
 
-fn size() -> Resources {
+fn machine_size() -> Resources {
     Resources::offered(64.0, 8.0, 256.0)
 }
 
-/// A gang that still looks for `count` of its `total` machines of eight accelerators.
-fn gang(job: &str, count: u32, total: u32, left: i64) -> ResourceRequest {
+/// The request of a gang that still lacks `count` of its `total` machines with eight accelerators, and must start
+/// within `left` seconds.
+fn gang_request(job: &str, count: u32, total: u32, left: i64) -> ResourceRequest {
     ResourceRequest {
         job: job.into(),
         task: Resources::needed(57.0, 8.0, 200.0),
@@ -42,8 +44,8 @@
     }
 }
 
-/// A machine that a gang holds, while ordinary work uses what the gang leaves of it.
-fn held(id: &str) -> MachineView {
+/// A machine reserved for a gang, with tasks of normal priority in the capacity that the gang leaves free.
+fn reserved_machine(id: &str) -> MachineView {
     MachineView {
         id: id.into(),
         version: 7,
@@ -60,11 +62,11 @@
     }
 }
 
-/// One machine in shard 1, held for a gang there; nothing can be rented.
+/// The plan for one machine in shard 1 that is reserved for a gang there. No machine can be provisioned.
 fn plan_for(requests: &[(usize, ResourceRequest)]) -> Plan {
     let types = [MachineType {
         name: "big".into(),
-        size: size(),
+        size: machine_size(),
         cache_mb: 70_000,
         fetch_mb_s: 200,
         price: 24_000,
@@ -78,7 +80,7 @@
         zone: "x".into(),
         spot: false,
     };
-    let (id, view) = (MachineId::from("i-0"), held("i-0"));
+    let (id, view) = (MachineId::from("i-0"), reserved_machine("i-0"));
     let offer = Offer {
         kind: "big".into(),
         zone: "x".into(),
@@ -88,12 +90,12 @@
         until: s(900),
         refusals: 3,
     };
-    let refused = BTreeMap::from([(offer, refusal)]);
+    let unavailable = BTreeMap::from([(offer, refusal)]);
     let machine = Supply {
         id: &id,
         shard: 1,
         record: &record,
-        size: size(),
+        size: machine_size(),
         view: Some(&view),
         age: s(90),
     };
@@ -109,69 +111,76 @@
         machines: vec![machine],
         provisionings: vec![],
         types: &types,
-        unavailable_offers: &refused,
+        unavailable_offers: &unavailable,
         tuning: &Tuning::default(),
         boot_times: &BootTimes::default(),
         draining: &BTreeMap::new(),
     })
 }
 
-/// Two gangs of different shards each lack one of two machines. The one whose order comes first keeps what it holds,
-/// although lesser work runs beside it; if the machine went to and fro, neither would ever begin.
+/// Two gangs of different shards each still lack one machine. The gang that comes first in the scheduling order keeps
+/// its reserved machine, although tasks of lower priority run there too. If the machine moved back and forth between
+/// the shards, neither gang would ever start.
 #[test]
-fn what_a_gang_holds_is_cleared_only_for_one_that_comes_before_it() {
+fn machine_reserved_for_a_gang_is_drained_only_for_a_gang_that_precedes_it() {
     let (sooner, later) = (60, 90);
-    for (holder_left, cleared) in [(sooner, 0), (later, 1)] {
-        let holder = gang("j-1", 1, 2, holder_left);
-        let other = gang(
+    for (reserving_left, drains) in [(sooner, 0), (later, 1)] {
+        let reserving = gang_request("j-1", 1, 2, reserving_left);
+        let other = gang_request(
             "j-2",
             1,
             1,
-            if holder_left == sooner { later } else { sooner },
+            if reserving_left == sooner {
+                later
+            } else {
+                sooner
+            },
         );
-        let plan = plan_for(&[(1, holder), (2, other)]);
+        let plan = plan_for(&[(1, reserving), (2, other)]);
         assert_eq!(
             plan.drains.len(),
-            cleared,
-            "holder's time left {holder_left}: {:?}",
+            drains,
+            "the reserving gang has {reserving_left} s left: {:?}",
             plan.drains
         );
         assert!(plan.terminations.is_empty());
     }
 }
 
-/// The holder has all that it needs and only waits until lesser work there has stopped: it looks for nothing any
-/// more, and keeps what it holds.
+/// The gang has reserved all machines that it needs and waits until tasks of lower priority there have stopped. It no
+/// longer requests machines, and keeps its reservation.
 #[test]
-fn what_is_being_freed_for_a_gang_is_not_cleared_for_another() {
-    assert!(plan_for(&[(2, gang("j-2", 1, 1, 10))]).drains.is_empty());
+fn machine_being_freed_for_a_gang_is_not_drained_for_another() {
+    assert!(plan_for(&[(2, gang_request("j-2", 1, 1, 10))])
+        .drains
+        .is_empty());
 }
 
-/// Boots of machines that were rented `started` seconds ago, of which `up` have come up after so many seconds.
-fn boot_times(started: &[(&str, i64)], up: &[(&str, i64)]) -> BootTimes {
+/// Boots of machines, with the second at which each was provisioned and, in `up`, at which some of them came up.
+fn boot_times(provisioned: &[(&str, i64)], up: &[(&str, i64)]) -> BootTimes {
     let mut boot_times = BootTimes::default();
-    for (id, at) in started {
+    for (id, at) in provisioned {
         boot_times.provisioned((*id).into(), "big", s(*at));
     }
     for (id, at) in up {
-        boot_times.record_boots(s(*at), |other| other.as_str() == *id);
+        boot_times.record_boots(s(*at), |booted| booted.as_str() == *id);
     }
     boot_times
 }
 
-/// While nothing boots, or before anything is known, giving machines up would only mean to begin again.
+/// While no machine comes up, or as long as nothing is known, replacing machines would only restart their boots.
 #[test]
-fn a_machine_that_never_comes_up_is_given_up_once_a_later_one_is_up() {
+fn late_machine_is_presumed_failed_once_one_provisioned_later_is_up() {
     let late: MachineId = "i-0".into();
-    let only_earlier = boot_times(&[("i-1", 0), ("i-0", 5)], &[("i-1", 50)]);
-    let later_too = boot_times(&[("i-0", 5), ("i-1", 6)], &[("i-1", 56)]);
-    let nothing = boot_times(&[("i-0", 5), ("i-1", 6)], &[]);
+    let only_earlier_up = boot_times(&[("i-1", 0), ("i-0", 5)], &[("i-1", 50)]);
+    let later_up = boot_times(&[("i-0", 5), ("i-1", 6)], &[("i-1", 56)]);
+    let none_up = boot_times(&[("i-0", 5), ("i-1", 6)], &[]);
     for (boot_times, presumed_failed) in
-        [(only_earlier, false), (later_too, true), (nothing, false)]
+        [(only_earlier_up, false), (later_up, true), (none_up, false)]
     {
         assert!(
             !boot_times.presumed_failed(&late, s(50), s(100)),
-            "too soon"
+            "presumed failed too soon"
         );
         assert_eq!(
             boot_times.presumed_failed(&late, s(50), s(120)),
@@ -180,17 +189,17 @@
     }
 }
 
-/// Work counts on what is rented as long as boots take now, and no longer: what comes late or never is replaced, and
-/// what is slow like all others is not rented twice.
+/// The plan counts on a provisioned machine for as long as boots currently take, and no longer. A machine that comes up
+/// late or never is replaced; one that is as slow as all others is not provisioned twice.
 #[test]
-fn how_long_work_counts_on_a_rented_machine_follows_the_boots_seen() {
+fn time_until_a_machine_counts_as_late_follows_observed_boot_times() {
     let unknown = BootTimes::default().late_after("big", s(50));
     let slow = boot_times(&[("i-1", 0), ("i-2", 0)], &[("i-1", 190), ("i-2", 200)])
         .late_after("big", s(50));
     let fast = boot_times(&[("i-1", 0)], &[("i-1", 2)]).late_after("big", s(50));
-    assert!(slow > s(250), "all are slow now: {slow:?}");
+    assert!(slow > s(250), "all boots are slow: {slow:?}");
     assert!(
         fast >= s(75) && fast < unknown,
-        "the next may take as long as usual: {fast:?}"
+        "the next boot may take as long as usual: {fast:?}"
     );
 }
--- a/crates/seamfront-core/tests/gang.rs
+++ b/crates/seamfront-core/tests/gang.rs
@@ -1,90 +1,99 @@
-//! The drain state machine by itself.
+//! The state machine of a gang: drains, their verdicts and the attempts that members are charged.
 
 use seamfront_core::gang::*;
 
-fn run(g: &mut Gang) {
-    g.reserve_all();
-    for i in 0..g.members.len() as u32 {
-        g.mark_pending(i);
-        g.mark_running(i);
+fn run_all_members(gang: &mut Gang) {
+    gang.reserve_all();
+    for i in 0..gang.members.len() as u32 {
+        gang.mark_pending(i);
+        gang.mark_running(i);
     }
 }
 
-fn drain(g: &mut Gang, trigger: Option<u32>) -> Verdict {
-    assert!(g.drain(trigger));
-    assert_eq!(g.complete(3), None, "verdict while members may run");
-    for i in 0..g.members.len() as u32 {
-        g.mark_preempted(i);
+fn drain_completely(gang: &mut Gang, trigger: Option<u32>) -> Verdict {
+    assert!(gang.drain(trigger));
+    assert_eq!(
+        gang.complete(3),
+        None,
+        "verdict while members may still run"
+    );
+    for i in 0..gang.members.len() as u32 {
+        gang.mark_preempted(i);
     }
-    g.complete(3).expect("all are gone")
+    gang.complete(3).expect("all members are gone")
 }
 
-/// The post's own trace: refunding everybody would retry for ever, refunding at the end too.
+/// The example of the article "Gang Preemption in Workron". The gang would be retried forever if the triggering member
+/// got its attempt back too, or if attempts were given back only at the end of the drain.
 #[test]
 fn three_failures_of_one_member_fail_the_gang() {
-    let mut g = Gang::new(3);
+    let mut gang = Gang::new(3);
     for (round, attempts) in [(0, [1, 0, 0]), (1, [2, 0, 0])] {
-        run(&mut g);
-        assert_eq!(drain(&mut g, Some(0)), Verdict::Blocked, "round {round}");
-        assert_eq!(g.attempts, attempts);
+        run_all_members(&mut gang);
+        assert_eq!(
+            drain_completely(&mut gang, Some(0)),
+            Verdict::Blocked,
+            "round {round}"
+        );
+        assert_eq!(gang.attempts, attempts);
     }
-    run(&mut g);
-    assert_eq!(drain(&mut g, Some(0)), Verdict::Failed);
-    g.readmit();
-    assert!(g.admissible());
+    run_all_members(&mut gang);
+    assert_eq!(drain_completely(&mut gang, Some(0)), Verdict::Failed);
+    gang.readmit();
+    assert!(gang.admissible());
 }
 
 #[test]
-fn preemption_charges_nobody_however_often() {
-    let mut g = Gang::new(2);
+fn preemption_never_uses_up_attempts() {
+    let mut gang = Gang::new(2);
     for n in 1..20 {
-        assert_eq!(g.epoch, n, "one epoch a round");
-        run(&mut g);
-        assert_eq!(drain(&mut g, None), Verdict::Blocked);
-        assert_eq!(g.attempts, [0, 0]);
+        assert_eq!(gang.epoch, n, "each drain raises the epoch by one");
+        run_all_members(&mut gang);
+        assert_eq!(drain_completely(&mut gang, None), Verdict::Blocked);
+        assert_eq!(gang.attempts, [0, 0]);
     }
 }
 
-/// Failures spread over members do not add up: only one member's own count decides.
+/// Failures of different members do not add up.
 #[test]
-fn alternating_triggers_reach_the_limit_on_their_own_count() {
-    let mut g = Gang::new(2);
+fn retry_limit_applies_to_each_member_separately() {
+    let mut gang = Gang::new(2);
     for k in 0..4 {
-        run(&mut g);
-        assert_eq!(drain(&mut g, Some(k % 2)), Verdict::Blocked);
+        run_all_members(&mut gang);
+        assert_eq!(drain_completely(&mut gang, Some(k % 2)), Verdict::Blocked);
     }
-    run(&mut g);
-    assert_eq!(drain(&mut g, Some(0)), Verdict::Failed);
+    run_all_members(&mut gang);
+    assert_eq!(drain_completely(&mut gang, Some(0)), Verdict::Failed);
 }
 
 #[test]
-fn reserved_members_have_nothing_to_stop_but_pending_ones_may() {
-    let mut g = Gang::new(3);
-    g.reserve_all();
-    g.mark_pending(1);
-    g.mark_pending(2);
-    g.mark_running(2);
-    g.drain(Some(2));
+fn drain_stops_pending_and_running_members_but_not_reserved_ones() {
+    let mut gang = Gang::new(3);
+    gang.reserve_all();
+    gang.mark_pending(1);
+    gang.mark_pending(2);
+    gang.mark_running(2);
+    gang.drain(Some(2));
     assert_eq!(
-        g.members,
+        gang.members,
         [Member::Blocked, Member::Preempting, Member::Preempting]
     );
     assert!(
-        !g.drain(Some(1)),
-        "a second failure joins the drain under way"
+        !gang.drain(Some(1)),
+        "a second failure joins the drain in progress"
     );
-    g.mark_preempted(2);
-    assert_eq!(g.complete(3), None);
-    g.mark_preempted(1);
-    assert_eq!(g.complete(3), Some(Verdict::Blocked));
+    gang.mark_preempted(2);
+    assert_eq!(gang.complete(3), None);
+    gang.mark_preempted(1);
+    assert_eq!(gang.complete(3), Some(Verdict::Blocked));
 }
 
 #[test]
-fn a_failed_member_decides_even_with_tries_left() {
-    let mut g = Gang::new(2);
-    run(&mut g);
-    g.drain(None);
-    g.mark_preempted(0);
-    g.members[1] = Member::Failed;
-    assert_eq!(g.complete(3), Some(Verdict::Failed));
+fn failed_member_fails_the_gang_despite_remaining_attempts() {
+    let mut gang = Gang::new(2);
+    run_all_members(&mut gang);
+    gang.drain(None);
+    gang.mark_preempted(0);
+    gang.members[1] = Member::Failed;
+    assert_eq!(gang.complete(3), Some(Verdict::Failed));
 }
--- a/crates/seamfront-core/tests/machines.rs
+++ b/crates/seamfront-core/tests/machines.rs
@@ -1,4 +1,4 @@
-//! A machine's pace and its lease, by themselves.
+//! Detection of slow machines, and when a machine's lease has certainly expired.
 
 use seamfront_core::machine::{Machine, MachineRecord, PACE_TASKS};
 use seamfront_core::types::*;
@@ -20,23 +20,23 @@
 }
 
 #[test]
-fn a_machine_much_slower_than_its_jobs_elsewhere_is_suspected() {
-    let (mut slow, mut fair) = (machine(), machine());
+fn machine_much_slower_than_its_jobs_elsewhere_is_marked_slow() {
+    let (mut slow, mut ordinary) = (machine(), machine());
     for k in 0..PACE_TASKS {
         slow.health
             .record_run(Micros::from_secs(20), Micros::from_secs(10));
-        // One long task among ordinary ones tells nothing about the machine.
-        fair.health.record_run(
+        // A single long task does not make a machine slow.
+        ordinary.health.record_run(
             Micros::from_secs(if k == 0 { 35 } else { 11 }),
             Micros::from_secs(10),
         );
     }
-    assert!(slow.health.slow && !fair.health.slow);
+    assert!(slow.health.slow && !ordinary.health.slow);
 }
 
-/// Until the worker has shown the present token, a former holder may have kept its lease alive.
+/// Until the agent has shown the current fencing token, a former holder may still have renewed its lease.
 #[test]
-fn a_lease_is_over_only_when_no_former_holder_can_have_renewed_it() {
+fn lease_expires_only_when_no_former_holder_can_have_renewed_it() {
     let (lease, lease_valid) = (Micros::from_secs(10), Micros::from_secs(20));
     let mut m = machine();
     m.lifecycle.owned_since = Micros::from_secs(100);
@@ -44,6 +44,6 @@
     m.agent.last_reply = Some(Micros::from_secs(101));
     assert!(m.lease_expiry(9, lease, lease_valid) >= Micros::from_secs(130));
     m.fencing.highest_seen_token = 9;
-    let over = m.lease_expiry(9, lease, lease_valid);
-    assert!(over >= Micros::from_secs(111) && over < Micros::from_secs(112));
+    let expiry = m.lease_expiry(9, lease, lease_valid);
+    assert!(expiry >= Micros::from_secs(111) && expiry < Micros::from_secs(112));
 }
--- a/crates/seamfront-core/tests/placement.rs
+++ b/crates/seamfront-core/tests/placement.rs
@@ -1,4 +1,4 @@
-//! Properties of placement and quota, on seeded random machines and jobs.
+//! Properties of placement and quota, checked on random machines and jobs from fixed seeds.
 
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
@@ -41,7 +41,7 @@
 }
 
 #[test]
-fn choices_keep_every_placement_rule_and_never_overfill() {
+fn chosen_machines_meet_all_constraints_and_are_never_overfilled() {
     let mut rng = StdRng::seed_from_u64(7);
     let mut placed = 0;
     for _ in 0..3_000 {
@@ -71,7 +71,7 @@
             require_cached_image: false,
         };
         let partial = rng.random_range(0..2) == 0;
-        let got = placement.choose(
+        let chosen = placement.choose(
             &machines,
             &capacity,
             Availability::Now,
@@ -83,13 +83,13 @@
                 FillPolicy::AllOrNothing
             },
         );
-        assert!(got.len() as u32 <= job.tasks);
+        assert!(chosen.len() as u32 <= job.tasks);
         assert!(
-            partial || got.is_empty() || got.len() as u32 == job.tasks,
-            "all or none"
+            partial || chosen.is_empty() || chosen.len() as u32 == job.tasks,
+            "a partial placement was chosen"
         );
         let mut zones: BTreeMap<&str, u32> = BTreeMap::new();
-        for k in &got {
+        for k in &chosen {
             let m = &machines[&capacity.machines[*k].id];
             assert!(
                 job.allows(&m.record.kind, &m.record.zone, m.record.spot) && m.id.as_str() != "m-0"
@@ -98,41 +98,49 @@
         }
         assert!(!job.one_zone || zones.len() <= 1);
         assert!(zones.values().all(|n| *n <= job.zone_cap()));
-        for (k, spot) in capacity.machines.iter().enumerate() {
-            let taken = got.iter().filter(|g| **g == k).count() as i64;
-            assert!(taken <= spot.free.fits(job.task_resources), "overfilled");
+        for (k, machine) in capacity.machines.iter().enumerate() {
+            let taken = chosen.iter().filter(|g| **g == k).count() as i64;
+            assert!(
+                taken <= machine.free.fits(job.task_resources),
+                "machine {k} is overfilled"
+            );
         }
-        if !partial && !job.spread && got.is_empty() {
-            // All or none, and none: then there is indeed no room for all where all must be.
-            let fits = |z: Option<&str>| {
-                let may = |m: &&Machine| {
+        if !partial && !job.spread && chosen.is_empty() {
+            // If nothing was chosen, the machines that the job may use must indeed lack room for all its tasks.
+            let room_in = |z: Option<&str>| {
+                let allowed = |m: &&Machine| {
                     job.allows(&m.record.kind, &m.record.zone, m.record.spot)
                         && m.id.as_str() != "m-0"
                 };
-                let here = machines
+                let candidates = machines
                     .values()
-                    .filter(may)
+                    .filter(allowed)
                     .filter(|m| z.is_none_or(|z| z == m.record.zone));
-                here.map(|m| m.free().fits(job.task_resources)).sum::<i64>()
+                candidates
+                    .map(|m| m.free().fits(job.task_resources))
+                    .sum::<i64>()
             };
-            let most = if job.one_zone {
-                fits(Some("x")).max(fits(Some("y")))
+            let room = if job.one_zone {
+                room_in(Some("x")).max(room_in(Some("y")))
             } else {
-                fits(None)
+                room_in(None)
             };
             assert!(
-                most < i64::from(job.tasks),
-                "{most} found nothing for {}",
+                room < i64::from(job.tasks),
+                "nothing was chosen for {} tasks although {room} fit",
                 job.tasks
             );
         }
-        placed += got.len();
+        placed += chosen.len();
     }
-    assert!(placed > 2_000, "the run proves nothing: {placed}");
+    assert!(
+        placed > 2_000,
+        "too few tasks were placed for a meaningful test: {placed}"
+    );
 }
 
 #[test]
-fn quota_room_never_lets_a_team_over_its_limit() {
+fn quota_headroom_never_lets_a_team_exceed_its_limit() {
     let mut rng = StdRng::seed_from_u64(8);
     let limit = Resources::offered(20.0, 0.0, 0.0);
     let team = Team {
@@ -141,29 +149,32 @@
         limit,
     };
     let mut quota = Quota::default();
-    let mut held: Vec<Resources> = Vec::new();
+    let mut charged: Vec<Resources> = Vec::new();
     for _ in 0..5_000 {
         let task_resources = Resources::needed(f64::from(rng.random_range(1..50)) / 10.0, 1.0, 1.0);
         if quota.headroom(&team, task_resources, Resources::default()) > 0
             && rng.random_range(0..3) > 0
         {
             quota.charge("t", task_resources);
-            held.push(task_resources);
-        } else if !held.is_empty() {
-            let k = rng.random_range(0..held.len());
-            quota.release("t", held.swap_remove(k));
+            charged.push(task_resources);
+        } else if !charged.is_empty() {
+            let k = rng.random_range(0..charged.len());
+            quota.release("t", charged.swap_remove(k));
         }
         let used = quota.used("t");
         assert!(used.cpus <= limit.cpus && used.cpus >= 0);
-        assert_eq!(used.cpus, held.iter().map(|h| h.cpus).sum::<i64>());
+        assert_eq!(used.cpus, charged.iter().map(|task| task.cpus).sum::<i64>());
     }
     let mut job = spec(&mut rng);
     job.task_resources = Resources::needed(6.0, 0.0, 1.0);
     job.tasks = 4;
     assert!(
         within_limit(&team, &job),
-        "an array needs room for one task only"
+        "the limit needs to fit only one task of an array"
     );
     job.kind = JobKind::Gang;
-    assert!(!within_limit(&team, &job), "a gang for all");
+    assert!(
+        !within_limit(&team, &job),
+        "the limit needs to fit all tasks of a gang"
+    );
 }
--- a/crates/seamfront-core/tests/ranges.rs
+++ b/crates/seamfront-core/tests/ranges.rs
@@ -1,16 +1,16 @@
-//! Sets of task numbers.
+//! Compares `Ranges`, the compact set of task numbers, with an ordinary set.
 
 use seamfront_core::ranges::Ranges;
 use std::collections::BTreeSet;
 
 #[test]
-fn behaves_like_a_set() {
+fn ranges_behave_like_a_set_of_numbers() {
     let mut ranges = Ranges::default();
     let mut set = BTreeSet::new();
-    let mut x = 7u32;
+    let mut random = 7u32;
     for _ in 0..2_000 {
-        x = x.wrapping_mul(1_103_515_245).wrapping_add(12_345);
-        let v = (x >> 16) % 300;
+        random = random.wrapping_mul(1_103_515_245).wrapping_add(12_345);
+        let v = (random >> 16) % 300;
         assert_eq!(ranges.insert(v), set.insert(v));
         assert_eq!(ranges.count() as usize, set.len());
     }
