--- a/crates/seamfront-core/tests/size.rs
+++ b/crates/seamfront-core/tests/size.rs
@@ -1,6 +1,6 @@
-//! A large fleet without the bench: what is asked of the store, how large messages get and how much is
-//! looked at, through a burst, a restart of all controllers and the loss of a tenth of the machines.
-//! Counted, never timed.
+//! Large fleets in the simulation: the load on the store, the sizes of messages and transactions, and the work per
+//! step, through a burst of submissions, a restart of all controllers and the loss of a tenth of the machines.
+//! Everything is counted and nothing is timed, so the results do not depend on the speed of the computer.
 
 use seamfront_core::types::*;
 use seamfront_testing::simulation::recording::scenario;
@@ -21,8 +21,8 @@
     }
 }
 
-/// Two hundred jobs, a third of them at once.
-fn jobs(w: &mut Simulation) {
+/// Submits two hundred jobs, a third of them within two seconds.
+fn submit_jobs(w: &mut Simulation) {
     for n in 0..200 {
         let mut spec = w.job(n);
         spec.team = ["d", "e", "f", "g", "h", "i", "j"][n as usize % 7].into();
@@ -40,10 +40,10 @@
     }
 }
 
-fn day(seed: u64, scale: Scale) {
+fn check_load_and_sizes(seed: u64, scale: Scale) {
     let mut w = Simulation::sized(seed, scale);
     w.quiet_from = ms(40_000);
-    jobs(&mut w);
+    submit_jobs(&mut w);
     w.fault(
         ms(15_000),
         Fault::Crash {
@@ -60,18 +60,18 @@
     w.run_until(ms(120_000));
     assert!(
         w.truth.started > 10_000,
-        "the run proves nothing: {} tasks started",
+        "too few tasks were started for a meaningful test: {}",
         w.truth.started
     );
     assert_eq!(w.not_served(), Vec::<String>::new());
     let seconds: Vec<(u32, u32)> = (0..120)
         .map(|s| w.asked_of_store.get(&s).copied().unwrap_or_default())
         .collect();
-    for five in seconds.windows(5) {
-        let (requests, writes) = five
+    for five_seconds in seconds.windows(5) {
+        let (requests, writes) = five_seconds
             .iter()
             .fold((0, 0), |sum, s| (sum.0 + s.0, sum.1 + s.1));
-        // One second's worth may come as a burst on top.
+        // The store's rate limits allow a burst of one second's worth on top.
         assert!(
             i64::from(requests) <= 6 * scale.state_rps,
             "{requests} requests in five seconds: {seconds:?}"
@@ -92,50 +92,50 @@
 #[test]
 fn two_thousand_machines_and_seven_controllers() {
     scenario("size.two_thousand_machines_and_seven_controllers");
-    day(900, fleet(7, 2_000, 350, 100));
+    check_load_and_sizes(900, fleet(7, 2_000, 350, 100));
 }
 
 #[test]
 fn two_thousand_machines_and_three_controllers() {
     scenario("size.two_thousand_machines_and_three_controllers");
-    day(901, fleet(3, 2_000, 1_000, 400));
+    check_load_and_sizes(901, fleet(3, 2_000, 1_000, 400));
 }
 
-/// As large as the operators' fleets and a quarter more, also as three controllers hold it.
+/// A quarter more machines than the largest fleet in production, here with seven controllers and below with three.
 #[test]
 fn five_thousand_machines_and_seven_controllers() {
     scenario("size.five_thousand_machines_and_seven_controllers");
-    day(903, fleet(7, 5_000, 875, 250));
+    check_load_and_sizes(903, fleet(7, 5_000, 875, 250));
 }
 
 #[test]
 fn five_thousand_machines_and_three_controllers() {
     scenario("size.five_thousand_machines_and_three_controllers");
-    day(904, fleet(3, 5_000, 2_500, 1_000));
+    check_load_and_sizes(904, fleet(3, 5_000, 2_500, 1_000));
 }
 
-/// Work follows what changes, not how many machines there are: with twice as many and the same jobs, a
-/// step looks at hardly more. (There are more steps, since each report is one.) A walk over a shard's machines
-/// in each step fails this.
+/// The work of a step depends on what has changed, not on the number of machines: with twice as many machines and the
+/// same jobs, the items examined per step hardly increase. (There are more steps, since each heartbeat causes one.) A
+/// step that iterates over all machines of a shard fails this test.
 #[test]
-fn a_step_looks_at_no_more_in_a_fleet_twice_as_large() {
+fn work_per_step_does_not_grow_with_the_number_of_machines() {
     scenario("size.a_step_looks_at_no_more_in_a_fleet_twice_as_large");
-    let work_done = |machines: usize| {
+    let items_per_step = |machines: usize| {
         let mut w = Simulation::sized(902, fleet(3, machines, 1_000, 400));
         w.quiet_from = ms(1_000);
-        jobs(&mut w);
+        submit_jobs(&mut w);
         w.run_until(ms(60_000));
         assert!(
             w.truth.started > 5_000,
-            "the run proves nothing: {} tasks started",
+            "too few tasks were started for a meaningful test: {}",
             w.truth.started
         );
-        let (steps, work_done) = w.steps;
-        work_done as f64 / steps as f64
+        let (steps, items) = w.steps;
+        items as f64 / steps as f64
     };
-    let (small, large) = (work_done(1_000), work_done(2_000));
+    let (small, large) = (items_per_step(1_000), items_per_step(2_000));
     assert!(
         large < 1.3 * small,
-        "{small:.0} items in a step, and {large:.0} with twice as many machines"
+        "{small:.0} items per step, and {large:.0} with twice as many machines"
     );
 }
