--- a/crates/seamfront-core/src/capacity/demand.rs
+++ b/crates/seamfront-core/src/capacity/demand.rs
@@ -3,7 +3,7 @@
 
 use super::{ClusterSnapshot, ShardRequest, Supply};
 use crate::port::ResourceRequest;
-use crate::types::{suits, MachineType, Resources};
+use crate::types::{accelerators_allowed, MachineType, Resources};
 
 /// A resource request with its progress in the plan, and the zone that it is bound to.
 pub(super) struct Demand<'a> {
@@ -24,7 +24,7 @@
     ) -> Demand<'a> {
         let zone = request.zone.as_deref().or(request.reserved_zone.as_deref());
         if request.zone.is_none() && zone.is_some_and(|z| !snapshot.can_provision(request, z)) {
-            let unplaced = if request.together {
+            let unplaced = if request.all_or_nothing {
                 request.total
             } else {
                 request.count
@@ -58,16 +58,16 @@
     /// Whether the type and the zone of a machine allow it to serve the request.
     pub(super) fn allows_machine(&self, machine: &Supply) -> bool {
         self.allows(
-            &machine.record.kind,
+            &machine.record.machine_type,
             &machine.record.zone,
             machine.record.spot,
         )
     }
 
-    /// Whether the request may use machines of this size as far as accelerators go, see [`suits`].
-    pub(super) fn suits(&self, size: Resources, types: &[MachineType]) -> bool {
-        suits(
-            self.request.task,
+    /// Whether the request may use machines of this size as far as accelerators go, see [`accelerators_allowed`].
+    pub(super) fn accelerators_allowed(&self, size: Resources, types: &[MachineType]) -> bool {
+        accelerators_allowed(
+            self.request.task_resources,
             self.request.types.as_deref(),
             size,
             types,
@@ -76,7 +76,9 @@
 
     /// Places as many of the unplaced tasks as fit into `free`. Returns their number.
     pub(super) fn place(&mut self, free: Resources) -> i64 {
-        let placed = free.fits(self.request.task).min(i64::from(self.unplaced));
+        let placed = free
+            .fits(self.request.task_resources)
+            .min(i64::from(self.unplaced));
         self.unplaced -= placed as u32;
         placed
     }
--- a/crates/seamfront-core/src/capacity/mod.rs
+++ b/crates/seamfront-core/src/capacity/mod.rs
@@ -20,7 +20,8 @@
     #[serde(rename = "share")]
     pub shard: usize,
     /// Machine type.
-    pub kind: String,
+    #[serde(rename = "kind")]
+    pub machine_type: String,
     /// Zone.
     pub zone: String,
     /// Whether spot machines are requested.
@@ -33,7 +34,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Offer {
     /// Machine type.
-    pub kind: String,
+    pub machine_type: String,
     /// Zone.
     pub zone: String,
     /// Whether the machines are spot machines.
@@ -84,14 +85,15 @@
 }
 
 impl Supply<'_> {
-    /// Whether it is up, and neither to be replaced nor about to be taken back by the cloud.
+    /// Whether it is reachable, and neither to be replaced nor about to be taken back by the cloud.
     fn usable(&self) -> bool {
-        self.view.is_some_and(|v| v.up && !v.bad && !v.leaving)
+        self.view
+            .is_some_and(|v| v.reachable && !v.condemned && !v.preemption_notice)
     }
 
     /// Whether it is to be replaced.
-    fn bad(&self) -> bool {
-        self.view.is_some_and(|v| v.bad)
+    fn condemned(&self) -> bool {
+        self.view.is_some_and(|v| v.condemned)
     }
 
     /// Whether a pending gang has capacity reserved on it.
--- a/crates/seamfront-core/src/capacity/planner.rs
+++ b/crates/seamfront-core/src/capacity/planner.rs
@@ -26,8 +26,8 @@
         (
             queue_rank(request.priority, request.starving),
             !request.guaranteed,
-            request.left.unwrap_or(Micros::MAX),
-            Micros::ZERO - request.waited,
+            request.time_until_start_by.unwrap_or(Micros::MAX),
+            Micros::ZERO - request.waiting_time,
         )
     });
     requests
@@ -78,7 +78,8 @@
             })
             .copied()
             .collect();
-        preemptible.sort_by_key(|machine| (machine.view.map(|view| view.loss), machine.id));
+        preemptible
+            .sort_by_key(|machine| (machine.view.map(|view| view.eviction_loss), machine.id));
         let mut idle: Vec<&Supply> = available
             .into_iter()
             .filter(|machine| machine.idle().is_some())
@@ -88,7 +89,7 @@
         for gang in snapshot
             .requests
             .iter()
-            .filter(|shard_request| shard_request.request.together)
+            .filter(|shard_request| shard_request.request.all_or_nothing)
         {
             *unserved_gangs.entry(gang.shard).or_default() += 1;
         }
@@ -128,14 +129,14 @@
                 .snapshot
                 .types
                 .iter()
-                .find(|machine_type| machine_type.name == record.kind)
+                .find(|machine_type| machine_type.name == record.machine_type)
             else {
                 continue;
             };
             for _ in 0..record.count {
                 self.incoming.push(IncomingMachine {
                     shard: record.shard,
-                    kind: &record.kind,
+                    kind: &record.machine_type,
                     zone: &record.zone,
                     spot: record.spot,
                     free: machine_type.size,
@@ -151,7 +152,7 @@
         let record = machine.record;
         let incoming = |shard: usize| IncomingMachine {
             shard,
-            kind: record.kind.as_str(),
+            kind: record.machine_type.as_str(),
             zone: record.zone.as_str(),
             spot: record.spot,
             free: machine.size,
@@ -169,16 +170,17 @@
         let boot = snapshot
             .types
             .iter()
-            .find(|machine_type| machine_type.name == record.kind)
+            .find(|machine_type| machine_type.name == record.machine_type)
             .map_or(UNLISTED_TYPE_BOOT_TIME, |machine_type| machine_type.boot);
-        let not_up = machine.view.is_none_or(|view| !view.up) && !machine.bad();
-        if machine.view.is_some_and(|view| !view.up)
+        let not_up = machine.view.is_none_or(|view| !view.reachable) && !machine.condemned();
+        if machine.view.is_some_and(|view| !view.reachable)
             && snapshot
                 .boot_times
                 .presumed_failed(machine.id, boot, snapshot.now)
         {
             self.plan.terminations.push(machine.id.clone());
-        } else if not_up && machine.age < snapshot.boot_times.late_after(&record.kind, boot) {
+        } else if not_up && machine.age < snapshot.boot_times.late_after(&record.machine_type, boot)
+        {
             self.incoming.push(incoming(machine.shard));
         }
     }
@@ -189,7 +191,7 @@
         if let Some(gangs) = self
             .unserved_gangs
             .get_mut(&shard)
-            .filter(|_| request.together)
+            .filter(|_| request.all_or_nothing)
         {
             *gangs -= 1;
         }
@@ -216,7 +218,7 @@
     /// all of them need, they would deadlock.
     fn keep_reserved(&mut self, demand: &Demand) {
         let request = demand.request;
-        let mut reserved_tasks = if request.together {
+        let mut reserved_tasks = if request.all_or_nothing {
             request.total.saturating_sub(request.count)
         } else {
             0
@@ -227,13 +229,13 @@
             .filter(|machine| machine.shard == demand.shard)
         {
             if reserved_tasks > 0
-                && machine.size.fits(request.task) > 0
+                && machine.size.fits(request.task_resources) > 0
                 && demand.allows_machine(machine)
             {
                 self.allocated.insert(machine.id);
                 let fit = machine
                     .size
-                    .fits(request.task)
+                    .fits(request.task_resources)
                     .min(i64::from(reserved_tasks));
                 reserved_tasks = reserved_tasks.saturating_sub(fit as u32);
             }
@@ -252,8 +254,8 @@
             {
                 continue;
             }
-            let fits = machine.size.fits(request.task) > 0
-                && demand.suits(machine.size, self.snapshot.types);
+            let fits = machine.size.fits(request.task_resources) > 0
+                && demand.accelerators_allowed(machine.size, self.snapshot.types);
             if !fits || !demand.allows_machine(machine) {
                 continue;
             }
@@ -278,13 +280,16 @@
             .iter_mut()
             .filter(|incoming| incoming.shard == shard)
         {
-            let suits = demand.suits(incoming.free, self.snapshot.types);
+            let accelerators_allowed =
+                demand.accelerators_allowed(incoming.free, self.snapshot.types);
             if demand.unplaced > 0
-                && suits
+                && accelerators_allowed
                 && demand.allows(incoming.kind, incoming.zone, incoming.spot)
             {
                 let placed = demand.place(incoming.free);
-                incoming.free.sub(demand.request.task.times(placed));
+                incoming
+                    .free
+                    .sub(demand.request.task_resources.times(placed));
             }
         }
     }
@@ -313,9 +318,9 @@
                     view.highest_priority
                         .is_some_and(|priority| priority > request.priority)
                 })
-                && machine.size.fits(request.task) > 0
+                && machine.size.fits(request.task_resources) > 0
                 && demand.allows_machine(machine)
-                && demand.suits(machine.size, self.snapshot.types);
+                && demand.accelerators_allowed(machine.size, self.snapshot.types);
             if !eligible || self.drained.contains(machine.id) || self.allocated_to_earlier(machine)
             {
                 continue;
@@ -335,7 +340,11 @@
     pub(super) fn scale_in_idle(&mut self) {
         let snapshot = self.snapshot;
         for machine in &self.idle {
-            let price = hourly_price(snapshot.types, &machine.record.kind, machine.record.spot);
+            let price = hourly_price(
+                snapshot.types,
+                &machine.record.machine_type,
+                machine.record.spot,
+            );
             let factor = if is_cheap(snapshot.types, price) {
                 CHEAP_IDLE_FACTOR
             } else {
@@ -360,5 +369,5 @@
     } else {
         PREEMPTION_DELAY
     };
-    request.service || (nothing_to_provision && request.waited > delay)
+    request.service || (nothing_to_provision && request.waiting_time > delay)
 }
--- a/crates/seamfront-core/src/capacity/provisioning.rs
+++ b/crates/seamfront-core/src/capacity/provisioning.rs
@@ -28,7 +28,7 @@
     record: &'a MachineRecord,
     size: Resources,
     /// Resources that services use on each machine.
-    pinned: Resources,
+    used_by_services: Resources,
     /// Number of machines.
     count: i64,
     /// CPUs that batch work uses on all of them together, in thousandths.
@@ -38,32 +38,36 @@
 /// Groups the machines into pools, without those that are to be replaced.
 fn pools<'a>(snapshot: &ClusterSnapshot<'a>) -> Vec<MachinePool<'a>> {
     let mut found: BTreeMap<_, MachinePool> = BTreeMap::new();
-    for machine in snapshot.machines.iter().filter(|machine| !machine.bad()) {
-        let pinned = machine
+    for machine in snapshot
+        .machines
+        .iter()
+        .filter(|machine| !machine.condemned())
+    {
+        let used_by_services = machine
             .view
-            .map_or(Resources::default(), |view| view.pinned);
+            .map_or(Resources::default(), |view| view.used_by_services);
         let record = machine.record;
         let key = (
             machine.shard,
-            record.kind.as_str(),
+            record.machine_type.as_str(),
             record.zone.as_str(),
             record.spot,
-            pinned.cpus,
-            pinned.gpus,
-            pinned.ram,
+            used_by_services.cpus,
+            used_by_services.gpus,
+            used_by_services.ram,
         );
         let pool = found.entry(key).or_insert(MachinePool {
             shard: machine.shard,
             record,
             size: machine.size,
-            pinned,
+            used_by_services,
             count: 0,
             busy: 0,
         });
         pool.count += 1;
         pool.busy += machine
             .view
-            .map_or(0, |view| view.used.cpus - view.pinned.cpus);
+            .map_or(0, |view| view.used.cpus - view.used_by_services.cpus);
     }
     found.into_values().collect()
 }
@@ -102,7 +106,7 @@
     /// Whether the cloud has recently refused to provision such a machine.
     fn recently_refused(&self, kind: &str, zone: &str, spot: bool) -> bool {
         let offer = Offer {
-            kind: kind.to_owned(),
+            machine_type: kind.to_owned(),
             zone: zone.to_owned(),
             spot,
         };
@@ -120,7 +124,9 @@
                 .is_none_or(|names| names.contains(&t.name))
         };
         let offered = |t: &MachineType| {
-            t.size.fits(request.task) > 0 && allowed(t) && t.zones.iter().any(|z| z == zone)
+            t.size.fits(request.task_resources) > 0
+                && allowed(t)
+                && t.zones.iter().any(|z| z == zone)
         };
         let spot_options: &[bool] = if request.spot {
             &[true, false]
@@ -164,12 +170,12 @@
             .filter(|pool| pool.shard == demand.shard)
         {
             let mut size = pool.size;
-            size.sub(pool.pinned);
-            let fit = size.fits(demand.request.task);
+            size.sub(pool.used_by_services);
+            let fit = size.fits(demand.request.task_resources);
             let record = pool.record;
             if fit > 0
-                && demand.suits(pool.size, self.snapshot.types)
-                && demand.allows(&record.kind, &record.zone, record.spot)
+                && demand.accelerators_allowed(pool.size, self.snapshot.types)
+                && demand.allows(&record.machine_type, &record.zone, record.spot)
             {
                 slots.busy += pool.busy;
                 slots.total += fit * pool.count;
@@ -183,11 +189,11 @@
     /// [`Self::backlog_time`]. Adds the request to the backlog.
     fn missing_slots(&mut self, demand: &Demand, slots: &TaskSlots) -> i64 {
         let request = demand.request;
-        let cpus_per_task = request.task.cpus.max(1);
+        let cpus_per_task = request.task_resources.cpus.max(1);
         let estimate_ms = request.estimate.max(MIN_ESTIMATE).0 / 1_000;
         let key = BacklogKey {
             shard: demand.shard,
-            needs_gpus: request.task.gpus > 0,
+            needs_gpus: request.task_resources.gpus > 0,
         };
         let backlog = self.summary.backlog.entry(key).or_default();
         *backlog += i64::from(request.count) * estimate_ms * cpus_per_task / 1_000;
@@ -203,12 +209,17 @@
     fn backlog_time(&self, demand: &Demand) -> Micros {
         let request = demand.request;
         let types = self.snapshot.types;
-        let time = request.left.map_or(NO_DEADLINE_BACKLOG_TIME, |left| {
-            left.clamp(MIN_BACKLOG_TIME, MAX_BACKLOG_TIME)
-        });
+        let time = request
+            .time_until_start_by
+            .map_or(NO_DEADLINE_BACKLOG_TIME, |left| {
+                left.clamp(MIN_BACKLOG_TIME, MAX_BACKLOG_TIME)
+            });
         let lowest_price = types
             .iter()
-            .filter(|t| t.size.fits(request.task) > 0 && demand.suits(t.size, types))
+            .filter(|t| {
+                t.size.fits(request.task_resources) > 0
+                    && demand.accelerators_allowed(t.size, types)
+            })
             .map(|t| t.price)
             .min();
         if lowest_price.is_some_and(|price| is_cheap(types, price)) {
@@ -227,7 +238,7 @@
         let shortfall = self
             .missing_slots(demand, &slots)
             .min(i64::from(demand.unplaced)) as u32;
-        if !request.together {
+        if !request.all_or_nothing {
             return if slots.total == 0 {
                 shortfall.max(1)
             } else {
@@ -261,8 +272,8 @@
         let snapshot = self.snapshot;
         let mut candidates = Vec::new();
         for machine_type in snapshot.types {
-            let fit = machine_type.size.fits(demand.request.task);
-            if fit <= 0 || !demand.suits(machine_type.size, snapshot.types) {
+            let fit = machine_type.size.fits(demand.request.task_resources);
+            if fit <= 0 || !demand.accelerators_allowed(machine_type.size, snapshot.types) {
                 continue;
             }
             for zone in &machine_type.zones {
@@ -300,7 +311,7 @@
                 return;
             };
             let same_offer = |record: &ProvisioningRecord| {
-                record.kind == candidate.machine_type.name
+                record.machine_type == candidate.machine_type.name
                     && record.zone == candidate.zone
                     && record.spot == candidate.spot
             };
@@ -317,7 +328,7 @@
                 (((i64::from(tasks) + candidate.fit - 1) / candidate.fit) as u32).min(max_count);
             self.plan.provisionings.push(ProvisioningRecord {
                 shard: demand.shard,
-                kind: candidate.machine_type.name.clone(),
+                machine_type: candidate.machine_type.name.clone(),
                 zone: candidate.zone.to_owned(),
                 spot: candidate.spot,
                 count,
--- a/crates/seamfront-core/src/engine/fleet.rs
+++ b/crates/seamfront-core/src/engine/fleet.rs
@@ -67,7 +67,7 @@
             permits,
             write_rate,
             write_pacer: &mut self.write_pacer,
-            work_done: &mut self.leader_work_done,
+            items_examined: &mut self.leader_items_examined,
         };
         let mut outbox = LeaderOutbox::new();
         let result = call(leader, &mut context, &mut outbox);
@@ -99,7 +99,7 @@
             return;
         }
         let leader_claim = self.leader.as_ref().and_then(Leader::claim_version);
-        let leader_claim = leader_claim.filter(|_| self.lease_valid(ClaimId::Leader));
+        let leader_claim = leader_claim.filter(|_| self.claim_verified(ClaimId::Leader));
         self.duty_step(vec![DutyCommand::FormerClaim(leader_claim)]);
         self.retire_leader_claim();
         self.garbage_collection_tick();
@@ -228,8 +228,8 @@
         if self.leader.as_ref()?.claim_version().is_none() {
             return self.duties.effect_permit(duty);
         }
-        let lease_valid = self.lease_valid(ClaimId::Leader);
-        lease_valid.then_some(EffectPermit { until: None })
+        let claim_verified = self.claim_verified(ClaimId::Leader);
+        claim_verified.then_some(EffectPermit { until: None })
     }
 
     /// Handles a transaction that failed on its fence, which shows that the duty is no longer held here.
--- a/crates/seamfront-core/src/engine/machines.rs
+++ b/crates/seamfront-core/src/engine/machines.rs
@@ -47,7 +47,7 @@
     }
 
     pub(super) fn machine_changed(&mut self, id: MachineId, record: MachineRecord, version: u64) {
-        let size = self.machine_type_size(&record.kind);
+        let size = self.machine_type_size(&record.machine_type);
         let before = self.machines.get(&id);
         let assigned_at = before
             .filter(|before| before.record.shard == record.shard)
@@ -140,9 +140,9 @@
         let now = self.now;
         self.with_shard(shard, |s, context| {
             let machine = s.machines.get(&heartbeat.machine)?;
-            let stale = machine.ignores_replies()
+            let stale = machine.misses_replies()
                 && heartbeat.fencing_token != machine.fencing_token(s.version);
-            if !context.lease_valid || stale {
+            if !context.claim_verified || stale {
                 return None;
             }
             let ready = s.phase == ShardPhase::Ready;
--- a/crates/seamfront-core/src/engine/mod.rs
+++ b/crates/seamfront-core/src/engine/mod.rs
@@ -62,7 +62,7 @@
     inbound_partition: InboundPartition,
     periodic_messages: PeriodicMessages,
     write_pacer: WritePacer,
-    leader_work_done: i64,
+    leader_items_examined: i64,
 }
 
 impl Engine {
@@ -89,7 +89,7 @@
             inbound_partition: InboundPartition::default(),
             periodic_messages: PeriodicMessages::default(),
             write_pacer: WritePacer::default(),
-            leader_work_done: 0,
+            leader_items_examined: 0,
             settings: Rc::new(settings),
         }
     }
@@ -122,18 +122,18 @@
                 call,
                 machine,
                 outcome,
-            } => self.direct_result(call, &machine, outcome),
+            } => self.apply_direct_outcome(call, &machine, outcome),
             Command::Store { call, reply } => self.store_reply(call, reply),
             Command::Cloud { call, reply } => self.cloud_reply(call, reply),
             Command::Peer { from, message } => self.peer_message(from, message),
             Command::Health { to } => {
-                let yes = self.healthy();
-                self.effects.push(Effect::Healthy { to, yes });
+                let ready = self.healthy();
+                self.effects.push(Effect::HealthReply { to, ready });
             }
         }
     }
 
-    fn direct_result(&mut self, call: CallId, machine: &MachineId, outcome: DirectOutcome) {
+    fn apply_direct_outcome(&mut self, call: CallId, machine: &MachineId, outcome: DirectOutcome) {
         let holds_machine = |shard: &Option<Shard>| {
             shard
                 .as_ref()
@@ -141,7 +141,7 @@
         };
         if let Some(shard) = self.shards.iter().position(holds_machine) {
             self.with_shard(shard, |s, context| {
-                s.direct_result(context, call, machine, outcome);
+                s.apply_direct_outcome(context, call, machine, outcome);
             });
         }
     }
@@ -171,13 +171,13 @@
 
     /// Number of items examined since the start by the leader and by the shards that are held now. It determines the
     /// cost of steps and, unlike time, is the same on every computer.
-    pub fn work_done(&self) -> i64 {
-        self.leader_work_done
+    pub fn items_examined(&self) -> i64 {
+        self.leader_items_examined
             + self
                 .shards
                 .iter()
                 .flatten()
-                .map(|s| s.work_done.get())
+                .map(|s| s.items_examined.get())
                 .sum::<i64>()
     }
 
@@ -187,7 +187,7 @@
         shard: usize,
         call: impl FnOnce(&mut Shard, &mut Context) -> R,
     ) -> Option<R> {
-        let lease_valid = self.lease_valid(ClaimId::Shard(shard));
+        let claim_verified = self.claim_verified(ClaimId::Shard(shard));
         let layout = self.layout();
         let settings = self.settings.clone();
         let shard = self.shards.get_mut(shard)?.as_mut()?;
@@ -197,8 +197,8 @@
             wall_time: self.wall_time,
             types: self.machine_types.all(),
             effects: &mut self.effects,
-            calls: &mut self.next_call,
-            lease_valid,
+            next_call: &mut self.next_call,
+            claim_verified,
             layout,
         };
         Some(call(shard, &mut context))
--- a/crates/seamfront-core/src/engine/session.rs
+++ b/crates/seamfront-core/src/engine/session.rs
@@ -19,7 +19,7 @@
 
 impl Engine {
     /// Whether a claim was verified recently enough to act under it.
-    pub(super) fn lease_valid(&self, claim: ClaimId) -> bool {
+    pub(super) fn claim_verified(&self, claim: ClaimId) -> bool {
         self.store
             .last_verified(claim)
             .is_some_and(|sent| self.now - sent < self.settings.verification_ttl())
@@ -113,7 +113,7 @@
                 for (id, machine) in &self.machines {
                     let record = &machine.record;
                     if record.shard == Some(index) {
-                        let size = self.machine_type_size(&record.kind);
+                        let size = self.machine_type_size(&record.machine_type);
                         let version = machine.version;
                         shard.add_machine(id.clone(), record.clone(), version, size, self.now);
                     }
@@ -173,7 +173,7 @@
                 continue;
             };
             let (record, version) = (machine.record.clone(), machine.version);
-            let size = self.machine_type_size(&record.kind);
+            let size = self.machine_type_size(&record.machine_type);
             if let Some(shard) = self.shards[index].as_mut() {
                 shard.add_machine(id, record, version, size, now);
             }
--- a/crates/seamfront-core/src/engine/transactions.rs
+++ b/crates/seamfront-core/src/engine/transactions.rs
@@ -65,11 +65,11 @@
         (_, StoreReply::Committed { revision }) => WriteOutcome::Done(*revision),
         (_, StoreReply::Refused) => WriteOutcome::Refused,
         // One failed condition fails the whole transaction; writes whose own conditions held are repeated.
-        (ShardWrite::End { .. }, StoreReply::Conflict { .. }) => WriteOutcome::Unclear,
+        (ShardWrite::End { .. }, StoreReply::Conflict { .. }) => WriteOutcome::Unknown,
         (_, StoreReply::Conflict { failed }) if !failed.iter().any(|k| k == key) => {
             WriteOutcome::Refused
         }
-        _ => WriteOutcome::Unclear,
+        _ => WriteOutcome::Unknown,
     }
 }
 
--- a/crates/seamfront-core/src/engine/writes.rs
+++ b/crates/seamfront-core/src/engine/writes.rs
@@ -98,7 +98,7 @@
     /// The writes of a shard that may be sent now, and the version of the shard's claim.
     fn due_shard_writes(&mut self, shard: usize) -> Option<(u64, Vec<ShardWrite>)> {
         let available = self.write_pacer.available_writes();
-        if available == 0 || !self.lease_valid(ClaimId::Shard(shard)) {
+        if available == 0 || !self.claim_verified(ClaimId::Shard(shard)) {
             return None;
         }
         let max_writes =
@@ -160,7 +160,9 @@
             if let (ShardWrite::End { job, tasks, .. }, WriteOutcome::Done(_)) = (write, outcome) {
                 self.job_completed(job, *tasks);
             }
-            self.with_shard(shard, |s, context| s.written(context, write, outcome));
+            self.with_shard(shard, |s, context| {
+                s.apply_write_outcome(context, write, outcome)
+            });
         }
     }
 }
--- a/crates/seamfront-core/src/gang.rs
+++ b/crates/seamfront-core/src/gang.rs
@@ -5,7 +5,7 @@
 //! that may have a process become `Preempting` and get stop orders until they are known to be gone. The epoch rises
 //! with each drain. It is also the attempt number, so that messages about an older attempt can't be mistaken for the
 //! new one. A member whose failure triggered the drain is charged an attempt; the others get theirs back when the drain
-//! starts. Once no member runs, the gang either may be admitted again or has failed, see [`Verdict`].
+//! starts. Once no member runs, the gang either may be admitted again or has failed, see [`DrainOutcome`].
 
 use serde::{Deserialize, Serialize};
 
@@ -33,7 +33,7 @@
 
 /// Result of a completed drain.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Verdict {
+pub enum DrainOutcome {
     /// The gang may be admitted again.
     Blocked,
     /// The gang has failed: a member has used up its attempts, or has ended.
@@ -139,7 +139,7 @@
 
     /// Completes the drain, unless a member may still run. The gang has failed if any member has used up `retry_limit`
     /// attempts or has ended. Returns `None` if no drain was completed.
-    pub fn complete(&mut self, retry_limit: u32) -> Option<Verdict> {
+    pub fn complete(&mut self, retry_limit: u32) -> Option<DrainOutcome> {
         let may_run =
             |m: &Member| matches!(m, Member::Running | Member::Pending | Member::Preempting);
         if !self.draining || self.members.iter().any(may_run) {
@@ -153,10 +153,10 @@
             .any(|m| matches!(m, Member::Done | Member::Failed));
         if exhausted || ended {
             self.members.fill(Member::Failed);
-            return Some(Verdict::Failed);
+            return Some(DrainOutcome::Failed);
         }
         self.members.fill(Member::Blocked);
-        Some(Verdict::Blocked)
+        Some(DrainOutcome::Blocked)
     }
 
     /// Makes a failed gang admissible again, with all attempts restored, because every accepted job must run.
--- a/crates/seamfront-core/src/job.rs
+++ b/crates/seamfront-core/src/job.rs
@@ -43,7 +43,7 @@
 
 /// Why a task is being stopped.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Cause {
+pub enum StopReason {
     /// Its job was cancelled.
     Cancelled,
     /// Preempted by work that takes precedence.
@@ -60,7 +60,7 @@
 #[derive(Clone, Copy, Debug)]
 pub struct Stop {
     /// Why the task is stopped.
-    pub cause: Cause,
+    pub cause: StopReason,
     /// Time that the task has to save its progress.
     pub grace: Micros,
     /// When the task was first to be stopped.
@@ -69,7 +69,7 @@
 
 impl Stop {
     /// An order to stop a task without time to save.
-    pub fn immediate(cause: Cause, now: Micros) -> Stop {
+    pub fn immediate(cause: StopReason, now: Micros) -> Stop {
         Stop {
             cause,
             grace: Micros::ZERO,
@@ -154,13 +154,13 @@
     /// Incremented with each change that must be recorded.
     pub generation: u64,
     /// The generation that is stored.
-    pub written: u64,
+    pub written_generation: u64,
     /// Whether a write or read of the record is in flight.
     pub in_flight: bool,
     /// The generation that contains the latest placements: their tasks start only once it is stored.
-    pub placing: u64,
+    pub placement_generation: u64,
     /// When the last write or read was sent.
-    pub asked_at: Micros,
+    pub last_request_at: Micros,
     /// The parts as they are stored, None if that is unknown.
     pub parts: Option<Vec<Value>>,
     /// No part with this number or a higher one is stored.
@@ -171,19 +171,19 @@
 
 impl RecordState {
     /// Registers a change that must be recorded. Returns the generation that will contain it.
-    pub fn touch(&mut self) -> u64 {
+    pub fn mark_changed(&mut self) -> u64 {
         self.generation += 1;
         self.generation
     }
 
     /// Whether tasks can't be started until the record is written.
     pub fn blocks_starts(&self) -> bool {
-        self.placing > self.written
+        self.placement_generation > self.written_generation
     }
 
     /// Whether there are changes that are not stored yet.
     pub fn dirty(&self) -> bool {
-        self.generation > self.written
+        self.generation > self.written_generation
     }
 }
 
@@ -225,7 +225,7 @@
     /// How often its gang has backed off.
     pub backoffs: u32,
     /// No task of the job is placed before this time.
-    pub paused_until: Micros,
+    pub backoff_until: Micros,
     /// Machines that the job avoids, each until a time.
     pub avoided_machines: BTreeMap<MachineId, Micros>,
     /// Consecutive errors, each on another machine, without a completed task between them.
@@ -255,7 +255,7 @@
             tasks: BTreeMap::new(),
             gang,
             backoffs: 0,
-            paused_until: Micros::ZERO,
+            backoff_until: Micros::ZERO,
             avoided_machines: BTreeMap::new(),
             consecutive_errors: 0,
             completed_runs: CompletedRuns::default(),
@@ -274,7 +274,7 @@
     pub fn starving(&self, wall_time: Micros, types: &[MachineType]) -> bool {
         let last_third = START_DEADLINE.over(3);
         let extra_fetch =
-            (self.spec.fetch_at_best(types) - last_third.over(2)).clamp(Micros::ZERO, last_third);
+            (self.spec.min_fetch_time(types) - last_third.over(2)).clamp(Micros::ZERO, last_third);
         let waited = wall_time - self.spec.submitted;
         self.tasks.is_empty()
             && self.done.count() == 0
@@ -303,7 +303,7 @@
 
     /// How many more of its tasks may be placed. Only a few tasks of a failing job are tried at a time; a gang is a
     /// single attempt as a whole and has no such limit.
-    pub fn concurrent_attempts(&self) -> u32 {
+    pub fn remaining_attempts(&self) -> u32 {
         match self.spec.kind {
             JobKind::Gang => u32::MAX,
             _ if !self.failing() => u32::MAX,
@@ -331,7 +331,7 @@
     }
 
     /// Returns an attempt number that was never used before.
-    pub fn take_attempt(&mut self) -> u64 {
+    pub fn next_attempt_number(&mut self) -> u64 {
         let attempt = self.next_attempt;
         self.next_attempt += 1;
         attempt
@@ -384,7 +384,7 @@
     }
 
     /// Number of its tasks in each zone.
-    pub fn zones<'a>(
+    pub fn tasks_by_zone<'a>(
         &self,
         zone_of: impl Fn(&MachineId) -> Option<&'a str>,
     ) -> BTreeMap<String, u32> {
--- a/crates/seamfront-core/src/leader/adoption.rs
+++ b/crates/seamfront-core/src/leader/adoption.rs
@@ -23,7 +23,7 @@
 
 fn offer_of(record: &MachineRecord) -> Offer {
     Offer {
-        kind: record.kind.clone(),
+        machine_type: record.machine_type.clone(),
         zone: record.zone.clone(),
         spot: record.spot,
     }
@@ -86,7 +86,7 @@
                 continue;
             }
             let offer = Offer {
-                kind: machine.kind.clone(),
+                machine_type: machine.kind.clone(),
                 zone: machine.zone.clone(),
                 spot: machine.spot,
             };
@@ -94,14 +94,14 @@
                 .filter(|_| machine.state != ListedState::Failed);
             let record = MachineRecord {
                 shard,
-                kind: machine.kind.clone(),
+                machine_type: machine.kind.clone(),
                 zone: machine.zone.clone(),
                 spot: machine.spot,
             };
             if let Some(shard) = shard {
                 *by_shard[shard].entry(offer).or_default() += 1;
             }
-            let price = hourly_price(context.machine_types, &record.kind, record.spot);
+            let price = hourly_price(context.machine_types, &record.machine_type, record.spot);
             let key = AdoptionKey {
                 hourly_price: Reverse(price),
                 id: machine.id.clone(),
--- a/crates/seamfront-core/src/leader/context.rs
+++ b/crates/seamfront-core/src/leader/context.rs
@@ -24,8 +24,8 @@
     pub(crate) write_rate: i64,
     /// Limits the rate of this controller's writes.
     pub(crate) write_pacer: &'a mut WritePacer,
-    /// Number of items examined; see [`crate::Engine::work_done`].
-    pub(crate) work_done: &'a mut i64,
+    /// Number of items examined; see [`crate::Engine::items_examined`].
+    pub(crate) items_examined: &'a mut i64,
 }
 
 impl LeaderContext<'_> {
--- a/crates/seamfront-core/src/leader/mod.rs
+++ b/crates/seamfront-core/src/leader/mod.rs
@@ -166,8 +166,9 @@
             .into_iter()
             .map(|machine| (machine.id.clone(), machine))
             .collect();
-        self.boot_times
-            .record_boots(now, |id| machines.get(id).is_some_and(|machine| machine.up));
+        self.boot_times.record_boots(now, |id| {
+            machines.get(id).is_some_and(|machine| machine.reachable)
+        });
         *view = Some(ShardView {
             received_at: now,
             requests,
--- a/crates/seamfront-core/src/leader/planning.rs
+++ b/crates/seamfront-core/src/leader/planning.rs
@@ -13,7 +13,7 @@
 const VIEW_TTL: Micros = Micros::from_secs(4);
 /// A drain that has not ended after this time is abandoned.
 const DRAIN_TIMEOUT: Micros = Micros::from_secs(20);
-/// Approximate number of times that each machine is examined while a plan is made; counted as work done.
+/// Approximate number of times that each machine is examined while a plan is made; counted as items examined.
 const EXAMINATIONS_PER_MACHINE: usize = 4;
 
 /// Machines that are being moved between shards.
@@ -85,7 +85,7 @@
 
     fn make_plan(&self, context: &mut LeaderContext) -> PlanWithReleases {
         let snapshot = self.snapshot(context);
-        let work_done =
+        let items_examined =
             snapshot.machines.len() * EXAMINATIONS_PER_MACHINE + snapshot.requests.len();
         let plan = capacity::plan(&snapshot);
         let released = snapshot
@@ -94,7 +94,7 @@
             .filter(|machine| machine.view.is_some_and(|view| view.released))
             .map(|machine| machine.id.clone())
             .collect();
-        *context.work_done += work_done as i64;
+        *context.items_examined += items_examined as i64;
         PlanWithReleases { plan, released }
     }
 
@@ -150,7 +150,7 @@
                 id,
                 shard,
                 record,
-                size: context.machine_size(&record.kind),
+                size: context.machine_size(&record.machine_type),
                 view,
                 age: context.now - machine.assigned_at,
             });
--- a/crates/seamfront-core/src/leader/provisioning.rs
+++ b/crates/seamfront-core/src/leader/provisioning.rs
@@ -182,7 +182,7 @@
             "r-{}-{}",
             fence.fencing_token, self.provisioning.last_request_number
         );
-        info!(name, kind = %record.kind, zone = %record.zone, spot = record.spot, count = record.count, shard = record.shard, "provisioning machines");
+        info!(name, kind = %record.machine_type, zone = %record.zone, spot = record.spot, count = record.count, shard = record.shard, "provisioning machines");
         let key = record_key(&name);
         let write = Write::Put {
             key: key.clone(),
@@ -264,7 +264,7 @@
         info!(name, machines = ?ids.iter().map(|id| id.as_str()).collect::<Vec<_>>(), "machines provisioned");
         for id in &ids {
             self.boot_times
-                .provisioned(id.clone(), &provisioning.record.kind, now);
+                .provisioned(id.clone(), &provisioning.record.machine_type, now);
         }
         let complete = ids.len() as u32 >= provisioning.record.count;
         provisioning.machines = ids;
--- a/crates/seamfront-core/src/leader/provisioning_state.rs
+++ b/crates/seamfront-core/src/leader/provisioning_state.rs
@@ -71,7 +71,7 @@
 
     pub(super) fn offer(&self) -> Offer {
         Offer {
-            kind: self.record.kind.clone(),
+            machine_type: self.record.machine_type.clone(),
             zone: self.record.zone.clone(),
             spot: self.record.spot,
         }
@@ -86,7 +86,7 @@
         let young_enough = requested_at
             .is_some_and(|requested_at| machine.age <= now - requested_at + LISTED_AGE_SLACK);
         young_enough
-            && machine.kind == record.kind
+            && machine.kind == record.machine_type
             && machine.zone == record.zone
             && machine.spot == record.spot
     }
@@ -94,7 +94,7 @@
     pub(super) fn cloud_request(&self, name: &str) -> CloudRequest {
         CloudRequest::Provision {
             name: name.to_owned(),
-            kind: self.record.kind.clone(),
+            kind: self.record.machine_type.clone(),
             zone: self.record.zone.clone(),
             spot: self.record.spot,
             count: self.record.count,
@@ -104,7 +104,7 @@
     pub(super) fn machine_record(&self) -> MachineRecord {
         MachineRecord {
             shard: Some(self.record.shard),
-            kind: self.record.kind.clone(),
+            machine_type: self.record.machine_type.clone(),
             zone: self.record.zone.clone(),
             spot: self.record.spot,
         }
@@ -187,7 +187,7 @@
         let refusals = self.unavailable_offers.get(&offer).map_or(1, |previous| {
             (previous.refusals + 1).min(MAX_COUNTED_REFUSALS)
         });
-        info!(name, kind = %offer.kind, zone = %offer.zone, spot = offer.spot, times = refusals, "no capacity");
+        info!(name, kind = %offer.machine_type, zone = %offer.zone, spot = offer.spot, times = refusals, "no capacity");
         let until = now + REFUSED_OFFER_BACKOFF.times(i64::from(refusals));
         self.unavailable_offers
             .insert(offer, UnavailableOffer { until, refusals });
--- a/crates/seamfront-core/src/machine/mod.rs
+++ b/crates/seamfront-core/src/machine/mod.rs
@@ -31,7 +31,8 @@
     #[serde(rename = "share")]
     pub shard: Option<usize>,
     /// Machine type.
-    pub kind: String,
+    #[serde(rename = "kind")]
+    pub machine_type: String,
     /// Zone.
     pub zone: String,
     /// Whether it is a spot machine.
@@ -156,7 +157,7 @@
 
     /// Whether its heartbeats arrive and our replies apparently do not. While such a machine may hold tasks it gets no
     /// more replies: they might renew its lease, which must expire for sure.
-    pub fn ignores_replies(&self) -> bool {
+    pub fn misses_replies(&self) -> bool {
         self.agent.misses_replies() && !self.tasks.is_empty()
     }
 
--- a/crates/seamfront-core/src/placement.rs
+++ b/crates/seamfront-core/src/placement.rs
@@ -13,7 +13,7 @@
 /// Machines of the same type, zone and size that are all spot machines or all not. Whether a job may use them is
 /// decided once for the whole group.
 struct MachineGroup {
-    kind: String,
+    machine_type: String,
     zone: String,
     spot: bool,
     size: Resources,
@@ -70,12 +70,15 @@
         for m in machines {
             let r = &m.record;
             let same = |g: &MachineGroup| {
-                g.kind == r.kind && g.zone == r.zone && g.spot == r.spot && g.size == m.size
+                g.machine_type == r.machine_type
+                    && g.zone == r.zone
+                    && g.spot == r.spot
+                    && g.size == m.size
             };
             let group = capacity.groups.iter().position(same).unwrap_or_else(|| {
-                let (kind, zone) = (r.kind.clone(), r.zone.clone());
+                let (machine_type, zone) = (r.machine_type.clone(), r.zone.clone());
                 capacity.groups.push(MachineGroup {
-                    kind,
+                    machine_type,
                     zone,
                     spot: r.spot,
                     size: m.size,
@@ -144,9 +147,9 @@
     pub now: Micros,
     /// Machine types on offer.
     pub types: &'a [MachineType],
-    /// If set, tasks that need no accelerators may also use machines with accelerators, which do not suit them by
-    /// [`JobSpec::suits`]. The value is the idle time after which such a machine is terminated: one that may soon be
-    /// terminated is not used, see [`Machine::accepts_cpu_only_work`].
+    /// If set, tasks that need no accelerators may also use machines with accelerators, which
+    /// [`JobSpec::accelerators_allowed`] rules out. The value is the idle time after which such a machine is terminated:
+    /// one that may soon be terminated is not used, see [`Machine::accepts_cpu_only_work`].
     pub accelerator_idle_keep: Option<Micros>,
     /// Whether only machines that have the job's image cached may be used.
     pub require_cached_image: bool,
@@ -202,16 +205,18 @@
     /// that does not suit them, only machines that accept work without accelerators may be used.
     fn group_suitability(&self, capacity: &FreeCapacity) -> Vec<Option<bool>> {
         let suitability = |g: &MachineGroup| {
-            let allowed = self.spec.allows(&g.kind, &g.zone, g.spot);
-            let suits = self.spec.suits(g.size, self.types);
-            (allowed && (suits || self.accelerator_idle_keep.is_some())).then_some(suits)
+            let allowed = self.spec.allows(&g.machine_type, &g.zone, g.spot);
+            let accelerators_allowed = self.spec.accelerators_allowed(g.size, self.types);
+            (allowed && (accelerators_allowed || self.accelerator_idle_keep.is_some()))
+                .then_some(accelerators_allowed)
         };
         capacity.groups.iter().map(suitability).collect()
     }
 
-    /// Whether the job may use a machine of a group that it may use; `suits` is the suitability of that group.
-    fn allowed(&self, m: &Machine, suits: bool) -> bool {
-        (suits
+    /// Whether the job may use a machine of a group that it may use; `accelerators_allowed` is the result of
+    /// [`JobSpec::accelerators_allowed`] for that group.
+    fn allowed(&self, m: &Machine, accelerators_allowed: bool) -> bool {
+        (accelerators_allowed
             || self
                 .accelerator_idle_keep
                 .is_some_and(|keep| m.accepts_cpu_only_work(self.now, keep)))
@@ -238,7 +243,7 @@
         let mut lookups = 0;
         let found = found
             .inspect(|_| lookups += 1)
-            .filter(|(_, m, suits)| self.allowed(m, *suits));
+            .filter(|(_, m, accelerators_allowed)| self.allowed(m, *accelerators_allowed));
         let found = found.map(|(index, m, _)| (index, m)).collect();
         capacity.count_work(capacity.machines.len(), lookups);
         found
@@ -264,7 +269,7 @@
     /// may use spot machines, those with checkpoints prefer them, since they lose little if the cloud preempts the
     /// machine. The others prefer ordinary machines: they would have to start again and be late.
     pub fn spot_mismatch_ms(&self, m: &Machine) -> i64 {
-        let mismatch = self.spec.spot && m.record.spot != self.spec.saves();
+        let mismatch = self.spec.spot && m.record.spot != self.spec.supports_checkpoints();
         if mismatch {
             SPOT_MISMATCH_MS
         } else {
@@ -277,7 +282,7 @@
         let rate = self
             .types
             .iter()
-            .find(|t| t.name == m.record.kind)
+            .find(|t| t.name == m.record.machine_type)
             .map_or(DEFAULT_FETCH_MB_S, |t| t.fetch_mb_s);
         m.image_cache
             .to_fetch_mb(&self.spec.image, self.spec.image_mb)
@@ -364,11 +369,13 @@
         wanted: u32,
         policy: FillPolicy,
     ) -> Vec<usize> {
-        let zone_cap = self.spec.zone_cap();
+        let max_tasks_per_zone = self.spec.max_tasks_per_zone();
         let mut zones = candidates_by_zone(capacity, found, tasks_by_zone);
         let mut chosen = Vec::new();
         while (chosen.len() as u32) < wanted {
-            let open = zones.iter_mut().filter(|zone| zone.tasks < zone_cap);
+            let open = zones
+                .iter_mut()
+                .filter(|zone| zone.tasks < max_tasks_per_zone);
             let open = open.filter_map(|zone| {
                 let position = zone.open.last()?.position;
                 let tasks = if self.spec.spread { zone.tasks } else { 0 };
--- a/crates/seamfront-core/src/port/agents.rs
+++ b/crates/seamfront-core/src/port/agents.rs
@@ -28,15 +28,15 @@
         saved: bool,
     },
     /// Another task of its gang was lost.
-    Peers,
+    PeerLost,
     /// The other tasks of its gang did not start in time.
-    Alone,
+    GangIncomplete,
     /// Failed.
     Error,
     /// Refused: the machine lacks free capacity.
     NoRoom,
     /// Refused: the task is on the machine under another attempt.
-    Busy,
+    OtherAttemptPresent,
     /// Refused: the agent knows no such task.
     Unknown,
 }
--- a/crates/seamfront-core/src/port/mod.rs
+++ b/crates/seamfront-core/src/port/mod.rs
@@ -117,11 +117,11 @@
         member: Option<usize>,
     },
     /// Answer a health check of the load balancer.
-    Healthy {
+    HealthReply {
         /// The request.
         to: ClientRequestId,
         /// Whether this controller can take requests.
-        yes: bool,
+        ready: bool,
     },
     /// Send orders directly to an agent.
     SendDirect {
--- a/crates/seamfront-core/src/port/peers.rs
+++ b/crates/seamfront-core/src/port/peers.rs
@@ -10,13 +10,15 @@
     /// The waiting job.
     pub job: JobId,
     /// Resources that each task needs.
-    pub task: Resources,
+    #[serde(rename = "task")]
+    pub task_resources: Resources,
     /// Number of tasks without free capacity.
     pub count: u32,
     /// Total number of the job's tasks.
     pub total: u32,
     /// Whether all tasks must start together, as in a gang; otherwise each starts as soon as there is a machine for it.
-    pub together: bool,
+    #[serde(rename = "together")]
+    pub all_or_nothing: bool,
     /// Whether all tasks must be in one zone.
     pub one_zone: bool,
     /// The zone in which some of the tasks are already placed or have reserved capacity, if all must be in one zone.
@@ -42,9 +44,11 @@
     /// The user's estimate of a task's run time.
     pub estimate: Micros,
     /// How long the job has been waiting.
-    pub waited: Micros,
+    #[serde(rename = "waited")]
+    pub waiting_time: Micros,
     /// Time left until the job must start; see [`Settings::start_by`](crate::types::Settings::start_by).
-    pub left: Option<Micros>,
+    #[serde(rename = "left")]
+    pub time_until_start_by: Option<Micros>,
     /// Whether the job is a service.
     pub service: bool,
 }
@@ -61,13 +65,13 @@
     pub version: u64,
     /// Whether its agent's heartbeats arrive, and the shard holder's replies reach the agent.
     #[serde(rename = "n", default, skip_serializing_if = "is_default")]
-    pub up: bool,
+    pub reachable: bool,
     /// Resources of the tasks placed on it.
     #[serde(rename = "u", default, skip_serializing_if = "is_default")]
     pub used: Resources,
     /// The part of `used` that belongs to services, which do not end by themselves.
     #[serde(rename = "p", default, skip_serializing_if = "is_default")]
-    pub pinned: Resources,
+    pub used_by_services: Resources,
     /// How long it has had no tasks and nothing unsettled. Only then does its shard release it without a drain.
     #[serde(rename = "e", default, skip_serializing_if = "is_default")]
     pub idle: Option<Micros>,
@@ -81,16 +85,16 @@
     pub released: bool,
     /// Whether it is to be replaced: its agent is silent, tasks fail on it, or the cloud is about to preempt it.
     #[serde(rename = "b", default, skip_serializing_if = "is_default")]
-    pub bad: bool,
+    pub condemned: bool,
     /// Whether the cloud has given notice that it will preempt the machine.
     #[serde(rename = "t", default, skip_serializing_if = "is_default")]
-    pub leaving: bool,
+    pub preemption_notice: bool,
     /// The most important priority among its tasks; `None` without tasks.
     #[serde(rename = "l", default, skip_serializing_if = "is_default")]
     pub highest_priority: Option<Priority>,
     /// Work that would be lost by evicting all of its tasks.
     #[serde(rename = "w", default, skip_serializing_if = "is_default")]
-    pub loss: Micros,
+    pub eviction_loss: Micros,
 }
 
 fn is_default<T: Default + PartialEq>(value: &T) -> bool {
--- a/crates/seamfront-core/src/scheduling/admission.rs
+++ b/crates/seamfront-core/src/scheduling/admission.rs
@@ -152,7 +152,7 @@
             .unplaced()
             .min(quota)
             .min(job.record_headroom(&context.layout))
-            .min(job.concurrent_attempts());
+            .min(job.remaining_attempts());
         // A starving array gets its raised rank for one task only. The others are queued by the array's own priority.
         if starving && spec.kind == JobKind::Array {
             wanted.min(1)
@@ -249,7 +249,8 @@
         };
         let preemption_time =
             context.settings.heartbeat_interval.times(5).over(4) + PREEMPTION_MARGIN;
-        if !is_live_service(&job.spec) || job.spec.fetch_at_best(context.types) <= preemption_time {
+        if !is_live_service(&job.spec) || job.spec.min_fetch_time(context.types) <= preemption_time
+        {
             return 0;
         }
         let mut placement = PlacementRequest::of(job, context.now, context.types);
@@ -276,7 +277,7 @@
 
     /// Number of a job's tasks in each zone.
     pub(super) fn tasks_by_zone(&self, job: &Job) -> BTreeMap<String, u32> {
-        job.zones(|machine| {
+        job.tasks_by_zone(|machine| {
             let m = self.machines.get(machine);
             m.map(|m| m.record.zone.as_str())
         })
@@ -327,10 +328,10 @@
         let start_by = context.settings.start_by(spec, context.wall_time);
         ResourceRequest {
             job: spec.id.clone(),
-            task: spec.task_resources,
+            task_resources: spec.task_resources,
             count,
             total: spec.tasks,
-            together: job.gang.is_some(),
+            all_or_nothing: job.gang.is_some(),
             one_zone: spec.one_zone,
             reserved_zone,
             spread: spec.spread,
@@ -342,8 +343,8 @@
             spot: spec.spot,
             image_mb: spec.image_mb,
             estimate: spec.estimate,
-            waited: context.now - job.waiting_since,
-            left: start_by.map(|t| t - context.wall_time),
+            waiting_time: context.now - job.waiting_since,
+            time_until_start_by: start_by.map(|t| t - context.wall_time),
             service: spec.kind == JobKind::Service,
         }
     }
--- a/crates/seamfront-core/src/scheduling/assignment.rs
+++ b/crates/seamfront-core/src/scheduling/assignment.rs
@@ -26,14 +26,14 @@
         };
         let spec = job.spec.clone();
         let is_gang = job.gang.is_some();
-        let generation = job.record.touch();
-        job.record.placing = generation;
+        let generation = job.record.mark_changed();
+        job.record.placement_generation = generation;
         let attempt = match &mut job.gang {
             Some(gang) => {
                 gang.reserve_all();
                 gang.epoch
             }
-            None => job.take_attempt(),
+            None => job.next_attempt_number(),
         };
         let promoted = job.starving(context.wall_time, context.types);
         let slowest_ms = plan.iter().map(|p| p.fetch_ms).max().unwrap_or(0);
--- a/crates/seamfront-core/src/scheduling/cycle.rs
+++ b/crates/seamfront-core/src/scheduling/cycle.rs
@@ -188,7 +188,16 @@
         && a.task_resources.ram >= b.task_resources.ram;
     // A gang is placed as a whole: a smaller one might still fit.
     let demands_more = demands_more && (a.kind != JobKind::Gang || a.tasks >= b.tasks);
-    let constraints = |s: &JobSpec| (s.kind, s.priority, s.spot, s.one_zone, s.spread, s.saves());
+    let constraints = |s: &JobSpec| {
+        (
+            s.kind,
+            s.priority,
+            s.spot,
+            s.one_zone,
+            s.spread,
+            s.supports_checkpoints(),
+        )
+    };
     demands_more
         && constraints(a) == constraints(b)
         && a.types == b.types
--- a/crates/seamfront-core/src/scheduling/mod.rs
+++ b/crates/seamfront-core/src/scheduling/mod.rs
@@ -27,7 +27,7 @@
     /// Runs a scheduling cycle if one is due: places pending jobs, and preempts other work for jobs that may do so.
     pub fn run_scheduling_cycle(&mut self, context: &mut Context) {
         if self.phase != ShardPhase::Ready
-            || !context.lease_valid
+            || !context.claim_verified
             || context.now - self.last_cycle < self.cycle_interval()
         {
             return;
--- a/crates/seamfront-core/src/scheduling/preemption.rs
+++ b/crates/seamfront-core/src/scheduling/preemption.rs
@@ -1,7 +1,7 @@
 //! Preemption: chooses and evicts less important work to free capacity for more important work.
 
 use super::cycle::{PreemptibleWork, SchedulingCycle};
-use crate::job::{Cause, Job};
+use crate::job::{Job, StopReason};
 use crate::machine::Machine;
 use crate::placement::{Availability, FreeCapacity, PlacementRequest};
 use crate::shard::{Context, Shard};
@@ -136,9 +136,9 @@
 
     fn preempt(&mut self, context: &mut Context, victim: &TaskKey, mode: EvictionMode) {
         match mode {
-            EvictionMode::Graceful => self.evict(context, victim, Cause::Preempted),
+            EvictionMode::Graceful => self.evict(context, victim, StopReason::Preempted),
             EvictionMode::Immediate => {
-                self.evict_with(context, victim, Cause::Preempted, Micros::ZERO);
+                self.evict_with(context, victim, StopReason::Preempted, Micros::ZERO);
             }
         }
     }
@@ -234,7 +234,9 @@
         if !job.live() || p.stop.is_some() {
             return None;
         }
-        if mode == EvictionMode::Immediate && (job.gang.is_some() || !job.spec.saves()) {
+        if mode == EvictionMode::Immediate
+            && (job.gang.is_some() || !job.spec.supports_checkpoints())
+        {
             return None;
         }
         let priority = job.effective_priority(p);
@@ -254,7 +256,7 @@
             .map_or(0, |since| (context.now - since).0 / 1_000);
         Some(Victim {
             priority,
-            loss: if job.spec.saves() {
+            loss: if job.spec.supports_checkpoints() {
                 CHECKPOINTED_LOSS_MS
             } else {
                 RESTART_LOSS_MS + ran_ms
@@ -317,7 +319,7 @@
             continue;
         }
         let in_zone = counts.entry(slot_zone).or_insert(0);
-        if *in_zone < spec.zone_cap() && (chosen.len() as u32) < wanted {
+        if *in_zone < spec.max_tasks_per_zone() && (chosen.len() as u32) < wanted {
             *in_zone += 1;
             chosen.push(slot);
         }
--- a/crates/seamfront-core/src/scheduling/queue.rs
+++ b/crates/seamfront-core/src/scheduling/queue.rs
@@ -36,7 +36,7 @@
     ) -> Vec<JobId> {
         let pending = |job: &&Job| {
             job.unplaced() > 0
-                && job.paused_until <= context.now
+                && job.backoff_until <= context.now
                 && job.gang.as_ref().is_none_or(|gang| gang.admissible())
         };
         let pending: Vec<&Job> = self.jobs.values().filter(pending).collect();
--- a/crates/seamfront-core/src/scheduling/reservation.rs
+++ b/crates/seamfront-core/src/scheduling/reservation.rs
@@ -173,7 +173,8 @@
 /// least the number of tasks of the largest service.
 fn expected_tasks(context: &Context, services: &[&Job], largest: &JobSpec) -> u32 {
     let fits = |t: &&MachineType| {
-        t.size.fits(largest.task_resources) > 0 && largest.suits(t.size, context.types)
+        t.size.fits(largest.task_resources) > 0
+            && largest.accelerators_allowed(t.size, context.types)
     };
     let boot_time = context.types.iter().filter(fits).map(|t| t.boot).min();
     let lead_time = boot_time.unwrap_or(Micros::ZERO).times(3).over(2);
--- a/crates/seamfront-core/src/shard/direct_commands.rs
+++ b/crates/seamfront-core/src/shard/direct_commands.rs
@@ -17,7 +17,7 @@
     /// Sends direct commands to machines on which start orders are due: at most one outstanding command per agent, and
     /// only to agents that have shown our token and send heartbeats.
     pub fn send_direct_commands(&mut self, context: &mut Context) {
-        if !context.lease_valid || self.phase != ShardPhase::Ready {
+        if !context.claim_verified || self.phase != ShardPhase::Ready {
             return;
         }
         self.count_work(self.direct_start_candidates.len());
@@ -31,7 +31,7 @@
 
     /// Applies the outcome of a direct command. An outcome settles only the command of its own call: if the machine or
     /// its shard left this holder and came back, an earlier call proves nothing about the current command.
-    pub fn direct_result(
+    pub fn apply_direct_outcome(
         &mut self,
         context: &mut Context,
         call: CallId,
@@ -89,8 +89,8 @@
     let fencing_token = m.fencing_token(claim_version);
     let incarnation = m.agent.incarnation;
     debug!(machine = %m.id, fencing_token, orders = orders.len(), "starting tasks directly");
-    let call = *context.calls;
-    *context.calls += 1;
+    let call = *context.next_call;
+    *context.next_call += 1;
     m.fencing.direct_command = Some(DirectCommand {
         call,
         fencing_token,
--- a/crates/seamfront-core/src/shard/drain.rs
+++ b/crates/seamfront-core/src/shard/drain.rs
@@ -1,15 +1,15 @@
 //! Coordinated drains of gangs, and evictions of tasks.
 
 use super::{
-    info, warn, Cause, Context, Job, JobId, JobSpec, Member, Micros, Phase, Placement, Removal,
-    Shard, Stop, TaskKey, Verdict,
+    info, warn, Context, DrainOutcome, Job, JobId, JobSpec, Member, Micros, Phase, Placement,
+    Removal, Shard, Stop, StopReason, TaskKey,
 };
 
 /// First backoff of a gang after one of its members has used up its attempts, in seconds.
 const INITIAL_GANG_BACKOFF_S: i64 = 5;
 /// The backoff doubles at most this many times.
 const MAX_GANG_BACKOFF_DOUBLINGS: u32 = 3;
-/// Added to the grace period of a task that saves checkpoints, besides a fifth of its save time.
+/// Added to the grace period of a task that saves checkpoints, besides a fifth of its checkpoint time.
 const SAVE_MARGIN: Micros = Micros::from_millis(500);
 
 impl Shard {
@@ -20,7 +20,7 @@
         context: &mut Context,
         id: &JobId,
         trigger: Option<u32>,
-        cause: Cause,
+        cause: StopReason,
         grace: Micros,
     ) {
         let Some(job) = self.jobs.get_mut(id) else {
@@ -50,7 +50,7 @@
                 });
             }
         }
-        job.record.touch();
+        job.record.mark_changed();
         for task in never_sent {
             self.remove_task(context, &task, Removal::Lost);
         }
@@ -90,25 +90,25 @@
             return;
         };
         info!(gang = %id, epoch = g.epoch, ?verdict, "gang drain completed");
-        if verdict == Verdict::Failed {
+        if verdict == DrainOutcome::Failed {
             back_off(job, context.now);
         }
         job.waiting_since = context.now;
-        job.record.touch();
+        job.record.mark_changed();
         self.dirty = true;
     }
 
     /// Grace period in which a task may save before it is stopped; zero if its job has no checkpoints.
     pub(super) fn grace(spec: &JobSpec) -> Micros {
-        if spec.saves() {
-            spec.save + spec.save.over(5) + SAVE_MARGIN
+        if spec.supports_checkpoints() {
+            spec.checkpoint_time + spec.checkpoint_time.over(5) + SAVE_MARGIN
         } else {
             Micros::ZERO
         }
     }
 
     /// Evicts a task, or its whole gang, with the grace period that its job needs to save.
-    pub fn evict(&mut self, context: &mut Context, task: &TaskKey, cause: Cause) {
+    pub fn evict(&mut self, context: &mut Context, task: &TaskKey, cause: StopReason) {
         let grace = self
             .jobs
             .get(&task.job)
@@ -121,7 +121,7 @@
         &mut self,
         context: &mut Context,
         task: &TaskKey,
-        cause: Cause,
+        cause: StopReason,
         grace: Micros,
     ) {
         let Some(job) = self.jobs.get_mut(&task.job) else {
@@ -152,7 +152,7 @@
 /// state for jobs, and every accepted job must run. The backoff is short enough for several attempts before the job's
 /// start deadline.
 fn back_off(job: &mut Job, now: Micros) {
-    job.paused_until = now
+    job.backoff_until = now
         + Micros::from_secs(INITIAL_GANG_BACKOFF_S << job.backoffs.min(MAX_GANG_BACKOFF_DOUBLINGS));
     job.backoffs += 1;
     if let Some(gang) = &mut job.gang {
--- a/crates/seamfront-core/src/shard/failure_detection.rs
+++ b/crates/seamfront-core/src/shard/failure_detection.rs
@@ -1,6 +1,6 @@
 //! Failure detection: decides which machines are condemned, that is, to be terminated whatever may run on them.
 
-use super::{warn, BTreeMap, Cause, Context, Job, JobId, Micros, Shard};
+use super::{warn, BTreeMap, Context, Job, JobId, Micros, Shard, StopReason};
 use crate::machine::Machine;
 
 /// Boot time assumed for a machine whose type is not known.
@@ -80,7 +80,7 @@
         let mass = self.mass_failures(context, &limits);
         for m in self.machines.values_mut() {
             let failure = failure_of(context, m, &self.jobs, &limits, &mass);
-            let condemned = context.lease_valid && failure.any();
+            let condemned = context.claim_verified && failure.any();
             if condemned && !m.lifecycle.condemned {
                 log_condemned(context, m, &failure);
             }
@@ -142,7 +142,10 @@
 ) -> bool {
     let silent = m.silent_for(context.now);
     if !was_up(m) {
-        let machine_type = context.types.iter().find(|t| t.name == m.record.kind);
+        let machine_type = context
+            .types
+            .iter()
+            .find(|t| t.name == m.record.machine_type);
         let boot = machine_type.map_or(DEFAULT_BOOT_TIME, |t| t.boot);
         return silent > boot.times(4) + BOOT_MARGIN;
     }
@@ -160,7 +163,7 @@
         .iter()
         .filter_map(|task| jobs.get(&task.job)?.tasks.get(&task.index)?.stop)
         .any(|stop| {
-            stop.cause == Cause::Cancelled
+            stop.cause == StopReason::Cancelled
                 && context.now - stop.since > context.settings.cancel.over(2)
         })
 }
--- a/crates/seamfront-core/src/shard/heartbeats.rs
+++ b/crates/seamfront-core/src/shard/heartbeats.rs
@@ -1,8 +1,8 @@
 //! Heartbeats of agents: the evidence of which tasks are on a machine.
 
 use super::{
-    debug, info, warn, BTreeMap, Cause, Context, Exit, Heartbeat, JobKind, MachineId, Phase,
-    Removal, Shard, TaskKey, TaskState, TaskStatus,
+    debug, info, warn, BTreeMap, Context, Exit, Heartbeat, JobKind, MachineId, Phase, Removal,
+    Shard, StopReason, TaskKey, TaskState, TaskStatus,
 };
 use crate::machine::Machine;
 use crate::types::MachineType;
@@ -121,7 +121,7 @@
             p.incarnation = m.agent.incarnation;
             if phase > Phase::Fetching && p.phase <= Phase::Fetching {
                 m.image_cache.fetches_changed = true;
-                let cache_mb = image_cache_mb(context.types, &m.record.kind);
+                let cache_mb = image_cache_mb(context.types, &m.record.machine_type);
                 m.image_cache
                     .use_image(&spec.image, spec.image_mb, cache_mb);
             }
@@ -201,9 +201,9 @@
             let Some(job) = self.jobs.get(&task.job) else {
                 continue;
             };
-            let movable = job.spec.saves() || job.spec.kind != JobKind::Array;
+            let movable = job.spec.supports_checkpoints() || job.spec.kind != JobKind::Array;
             if movable {
-                self.evict(context, &task, Cause::Moving);
+                self.evict(context, &task, StopReason::Moving);
             }
         }
     }
--- a/crates/seamfront-core/src/shard/inspection.rs
+++ b/crates/seamfront-core/src/shard/inspection.rs
@@ -9,7 +9,7 @@
 /// How long the drain of a machine for another shard may take before it is aborted.
 const DRAIN_TIMEOUT: Micros = Micros::from_secs(30);
 
-/// Cost of inspecting one machine, in units of [`Shard::work_done`].
+/// Cost of inspecting one machine, in units of [`Shard::items_examined`].
 const INSPECTION_COST: usize = 4;
 
 impl Shard {
--- a/crates/seamfront-core/src/shard/jobs.rs
+++ b/crates/seamfront-core/src/shard/jobs.rs
@@ -1,8 +1,8 @@
 //! Jobs of a shard: how they are added, adopted from a former holder's records, and ended.
 
 use super::{
-    info, spec_of_ended_job, stop_remaining_tasks, task_removal, BTreeSet, Cause, Context, Ending,
-    Job, JobId, JobSpec, MachineId, Micros, Phase, Rc, Removal, Shard, ShardPhase, Stop,
+    info, spec_of_ended_job, stop_remaining_tasks, task_removal, BTreeSet, Context, Ending, Job,
+    JobId, JobSpec, MachineId, Micros, Phase, Rc, Removal, Shard, ShardPhase, Stop, StopReason,
     StoredRecord, TaskKey,
 };
 
@@ -55,7 +55,7 @@
         let mut job = Job::new(spec, job_version, now);
         job.adopt(record, version, parts_end, now);
         if job.failing() {
-            job.paused_until = now + task_removal::failure_backoff(job.consecutive_errors);
+            job.backoff_until = now + task_removal::failure_backoff(job.consecutive_errors);
         }
         if ended {
             job.ending = Some(Ending::Cancelled);
@@ -65,7 +65,7 @@
         for (i, p) in &mut job.tasks {
             self.quota.charge(&job.spec.team, job.spec.task_resources);
             if ended {
-                p.stop = Some(Stop::immediate(Cause::Cancelled, now));
+                p.stop = Some(Stop::immediate(StopReason::Cancelled, now));
             }
             if let Some(m) = self.machines.get_mut(&p.machine) {
                 m.used.add(job.spec.task_resources);
@@ -85,9 +85,9 @@
     /// stopped.
     pub fn pause_unreadable_job(&mut self, id: &JobId, until: Micros) {
         if let Some(job) = self.jobs.get_mut(id) {
-            job.paused_until = until;
+            job.backoff_until = until;
             job.record.version = None;
-            job.record.touch();
+            job.record.mark_changed();
         }
     }
 
@@ -157,7 +157,7 @@
                             index: *i,
                         });
                     }
-                    p.stop = Some(Stop::immediate(Cause::Cancelled, context.now));
+                    p.stop = Some(Stop::immediate(StopReason::Cancelled, context.now));
                 }
                 for task in never_sent {
                     self.remove_task(context, &task, Removal::Lost);
--- a/crates/seamfront-core/src/shard/machine_views.rs
+++ b/crates/seamfront-core/src/shard/machine_views.rs
@@ -1,8 +1,8 @@
 //! The leader's view of a shard's machines, and the release of machines to the leader.
 
 use super::{
-    debug, info, Cause, Context, JobId, JobKind, MachineId, Member, Micros, Priority, Resources,
-    Shard, ShardPhase, TaskKey,
+    debug, info, Context, JobId, JobKind, MachineId, Member, Micros, Priority, Resources, Shard,
+    ShardPhase, StopReason, TaskKey,
 };
 use crate::job::Job;
 use crate::machine::Machine;
@@ -14,9 +14,9 @@
     /// Highest priority of the tasks.
     highest_priority: Option<Priority>,
     /// Work that would be lost by evicting all tasks.
-    loss: Micros,
+    eviction_loss: Micros,
     /// Resources of services, which do not end by themselves.
-    pinned: Resources,
+    used_by_services: Resources,
 }
 
 impl Shard {
@@ -36,29 +36,29 @@
         let idle_since = m.usage.idle_since.filter(|_| m.empty());
         MachineView {
             highest_priority: occupancy.highest_priority,
-            loss: occupancy.loss,
-            pinned: occupancy.pinned,
+            eviction_loss: occupancy.eviction_loss,
+            used_by_services: occupancy.used_by_services,
             id: m.id.clone(),
             version: m.version,
-            // A machine that was assigned to this shard counts as up only once it has shown our token. Until then it is
-            // not idle, and the leader expects it to take pending jobs here.
-            up: m.fencing.highest_seen_token == m.fencing_token(self.version)
+            // A machine that was assigned to this shard counts as reachable only once it has shown our token. Until then
+            // it is not idle, and the leader expects it to take pending jobs here.
+            reachable: m.fencing.highest_seen_token == m.fencing_token(self.version)
                 && m.agent.last_heartbeat.is_some()
                 && m.silent_for(context.now) < silent_limit,
             used: m.used,
             idle: idle_since.map(|t| context.now - t),
             reserved_for_gang: m.usage.reserved_for_gang,
             released: m.lifecycle.released_since.is_some() && m.empty(),
-            bad: m.lifecycle.condemned,
-            leaving: m.lifecycle.preemption_deadline.is_some(),
+            condemned: m.lifecycle.condemned,
+            preemption_notice: m.lifecycle.preemption_deadline.is_some(),
         }
     }
 
     fn occupancy(&self, context: &Context, m: &Machine) -> Occupancy {
         let mut occupancy = Occupancy {
             highest_priority: None,
-            loss: Micros::ZERO,
-            pinned: Resources::default(),
+            eviction_loss: Micros::ZERO,
+            used_by_services: Resources::default(),
         };
         for task in &m.tasks {
             let Some(job) = self.jobs.get(&task.job) else {
@@ -68,13 +68,13 @@
                 continue;
             };
             if job.spec.kind == JobKind::Service {
-                occupancy.pinned.add(job.spec.task_resources);
+                occupancy.used_by_services.add(job.spec.task_resources);
             }
             let priority = job.effective_priority(p);
             let highest = occupancy.highest_priority;
             occupancy.highest_priority = Some(highest.map_or(priority, |h| h.min(priority)));
-            occupancy.loss += if job.spec.saves() {
-                job.spec.save
+            occupancy.eviction_loss += if job.spec.supports_checkpoints() {
+                job.spec.checkpoint_time
             } else {
                 p.running_since
                     .map_or(Micros::ZERO, |since| context.now - since)
@@ -121,7 +121,7 @@
         info!(machine = %id, tasks = tasks.len(), ?above, "draining machine for another shard");
         m.lifecycle.draining_since = Some(context.now);
         for task in tasks {
-            self.evict(context, &task, Cause::Preempted);
+            self.evict(context, &task, StopReason::Preempted);
         }
     }
 
--- a/crates/seamfront-core/src/shard/mod.rs
+++ b/crates/seamfront-core/src/shard/mod.rs
@@ -4,8 +4,8 @@
 //! it. When the agent's status shows that the task has exited, the result is recorded, and only then is the agent
 //! ordered to forget it.
 
-use crate::gang::{Member, Verdict};
-use crate::job::{Cause, Ending, Job, Phase, Placement, Stop};
+use crate::gang::{DrainOutcome, Member};
+use crate::job::{Ending, Job, Phase, Placement, Stop, StopReason};
 use crate::machine::{machine_key, DirectCommand, Machine, MachineRecord};
 use crate::port::{
     CallId, DirectOutcome, Effect, Exit, Heartbeat, Order, ResourceRequest, TaskState, TaskStatus,
@@ -61,9 +61,9 @@
     /// Collects the effects of this step.
     pub effects: &'a mut Vec<Effect>,
     /// The id of the next call.
-    pub calls: &'a mut CallId,
+    pub next_call: &'a mut CallId,
     /// The claim was verified recently enough to reply to heartbeats and to send commands.
-    pub lease_valid: bool,
+    pub claim_verified: bool,
     /// The current layout of records.
     pub layout: Layout,
 }
@@ -113,7 +113,7 @@
     /// Cost of the last scheduling cycle in machines visited; the time until the next cycle grows in proportion.
     pub last_cycle_cost: i64,
     /// Total number of machines, tasks and list entries visited, for tests that bound the cost.
-    pub work_done: Cell<i64>,
+    pub items_examined: Cell<i64>,
     /// Machines with room reserved for gangs in the last scheduling cycle.
     pub(crate) gang_reservations: BTreeSet<MachineId>,
     /// When the next inspection of the machines is due.
@@ -158,7 +158,7 @@
             dirty: true,
             last_cycle: Micros::ZERO,
             last_cycle_cost: 0,
-            work_done: Cell::new(0),
+            items_examined: Cell::new(0),
             gang_reservations: BTreeSet::new(),
             inspection_next: Micros::ZERO,
             direct_start_candidates: BTreeSet::new(),
@@ -167,6 +167,7 @@
     }
 
     pub(crate) fn count_work(&self, items: usize) {
-        self.work_done.set(self.work_done.get() + items as i64);
+        self.items_examined
+            .set(self.items_examined.get() + items as i64);
     }
 }
--- a/crates/seamfront-core/src/shard/orders.rs
+++ b/crates/seamfront-core/src/shard/orders.rs
@@ -66,7 +66,7 @@
     job.is_none_or(|job| {
         matches!(job.ending, Some(Ending::Done | Ending::Cancelled))
             || exit != Exit::Done
-            || (job.live() && job.record.written >= job.done_generation)
+            || (job.live() && job.record.written_generation >= job.done_generation)
     })
 }
 
--- a/crates/seamfront-core/src/shard/records.rs
+++ b/crates/seamfront-core/src/shard/records.rs
@@ -1,9 +1,9 @@
 //! A shard's writes to the key-value store, and the effects of their outcomes.
 
 use super::{
-    info, machine_key, Cause, Context, Ending, Job, JobId, JobKind, JobSpec, Layout, MachineId,
-    MachineRecord, Micros, Phase, Priority, Shard, Stop, WorkRecord, Write, INSPECTION_INTERVAL,
-    RELEASE_TIMEOUT, RESULTS_INTERVAL,
+    info, machine_key, Context, Ending, Job, JobId, JobKind, JobSpec, Layout, MachineId,
+    MachineRecord, Micros, Phase, Priority, Shard, Stop, StopReason, WorkRecord, Write,
+    INSPECTION_INTERVAL, RELEASE_TIMEOUT, RESULTS_INTERVAL,
 };
 use crate::record::{encode, EncodedRecord};
 use serde_json::Value;
@@ -72,7 +72,7 @@
     /// Not applied, and never will be.
     Refused,
     /// Unknown: it may still be applied, or the stored version was not the expected one.
-    Unclear,
+    Unknown,
 }
 
 impl Shard {
@@ -87,7 +87,7 @@
     /// Up to `budget` writes that are due now. Writes of machine records come first; those of jobs follow, with the
     /// ones on which task starts or the end of a job depend before the others, then by priority and by the time since
     /// the job's last write. The engine makes them under this shard's claim and passes their outcomes to
-    /// [`Shard::written`].
+    /// [`Shard::apply_write_outcome`].
     pub fn due_writes(&mut self, now: Micros, budget: usize, layout: &Layout) -> Vec<ShardWrite> {
         let mut writes = Vec::new();
         self.machine_writes(now, budget.div_ceil(2), &mut writes);
@@ -99,7 +99,7 @@
                 continue;
             };
             job.record.in_flight = true;
-            job.record.asked_at = now;
+            job.record.last_request_at = now;
             match next_write(job, layout) {
                 Some(write) => writes.push(write),
                 // The record does not fit, since a former holder wrote it for a store that accepted more. No task of
@@ -162,7 +162,7 @@
             .map(|(id, job)| DueRecord {
                 blocks_nothing: !blocks_progress(job),
                 priority: job.spec.priority,
-                asked_at: job.record.asked_at,
+                last_request_at: job.record.last_request_at,
                 id: id.clone(),
             })
             .collect();
@@ -180,9 +180,9 @@
             return;
         };
         m.lifecycle.write_in_flight = false;
-        // An unclear decommissioning may be applied late, when the machine is long back in use: rewriting the record
-        // makes that fail.
-        m.fencing.token_raise_due |= record.shard.is_none() && outcome == WriteOutcome::Unclear;
+        // A decommissioning with an unknown outcome may be applied late, when the machine is long back in use:
+        // rewriting the record makes that fail.
+        m.fencing.token_raise_due |= record.shard.is_none() && outcome == WriteOutcome::Unknown;
         m.lifecycle.decommission_pending &=
             outcome != WriteOutcome::Refused || m.fencing.token_raise_due;
         if let WriteOutcome::Done(v) = outcome {
@@ -196,7 +196,12 @@
     }
 
     /// Applies the outcome of a write.
-    pub fn written(&mut self, context: &mut Context, write: &ShardWrite, outcome: WriteOutcome) {
+    pub fn apply_write_outcome(
+        &mut self,
+        context: &mut Context,
+        write: &ShardWrite,
+        outcome: WriteOutcome,
+    ) {
         let id = match write {
             ShardWrite::Machine {
                 machine, record, ..
@@ -212,7 +217,7 @@
         job.record.in_flight = false;
         match outcome {
             WriteOutcome::Refused => {}
-            WriteOutcome::Unclear => write_unclear(job, write),
+            WriteOutcome::Unknown => write_outcome_unknown(job, write),
             WriteOutcome::Done(version) => {
                 let ordered = write_applied(job, write, version, context.now);
                 self.direct_start_candidates.extend(ordered);
@@ -228,7 +233,7 @@
     /// Neither task starts nor the end of the job depends on this write.
     blocks_nothing: bool,
     priority: Priority,
-    asked_at: Micros,
+    last_request_at: Micros,
     id: JobId,
 }
 
@@ -247,14 +252,14 @@
         Some(Ending::Completing) => true,
         Some(_) => job.tasks.is_empty() && job.record.version != Some(0),
         None => {
-            let interval_passed = now - job.record.asked_at >= RESULTS_INTERVAL;
+            let interval_passed = now - job.record.last_request_at >= RESULTS_INTERVAL;
             job.record.dirty() && (job.record.blocks_starts() || interval_passed)
         }
     }
 }
 
-/// Handles an unclear outcome: the stored version must be read before the next write.
-fn write_unclear(job: &mut Job, write: &ShardWrite) {
+/// Handles an unknown outcome: the stored version must be read before the next write.
+fn write_outcome_unknown(job: &mut Job, write: &ShardWrite) {
     job.record.version = None;
     job.record.parts = None;
     if let ShardWrite::Record { record, .. } = write {
@@ -275,7 +280,7 @@
             job.record.parts = Some(record.parts.clone());
             job.record.parts_end = *parts_end;
             job.record.boundaries.clone_from(&record.boundaries);
-            job.record.written = job.record.written.max(*generation);
+            job.record.written_generation = job.record.written_generation.max(*generation);
             return order_recorded_tasks(job, *generation, now);
         }
         ShardWrite::End { .. } => {
@@ -366,7 +371,7 @@
 /// together.
 pub(super) fn stop_remaining_tasks(job: &mut Job, now: Micros) {
     for p in job.tasks.values_mut() {
-        p.stop = Some(Stop::immediate(Cause::Cancelled, now));
+        p.stop = Some(Stop::immediate(StopReason::Cancelled, now));
     }
 }
 
@@ -395,8 +400,8 @@
         image: String::new(),
         image_mb: 0,
         estimate: Micros::ZERO,
-        checkpoint: Micros::ZERO,
-        save: Micros::ZERO,
+        checkpoint_interval: Micros::ZERO,
+        checkpoint_time: Micros::ZERO,
         deadline: None,
         submitted: Micros::ZERO,
         dependencies: Vec::new(),
--- a/crates/seamfront-core/src/shard/task_removal.rs
+++ b/crates/seamfront-core/src/shard/task_removal.rs
@@ -1,8 +1,8 @@
 //! Removal of tasks that are known to be on no machine any more, and its effects on their jobs, gangs and machines.
 
 use super::{
-    debug, info, warn, Cause, Context, Ending, Exit, JobId, JobKind, MachineId, Micros, Phase,
-    Placement, Removal, Shard, TaskKey,
+    debug, info, warn, Context, Ending, Exit, JobId, JobKind, MachineId, Micros, Phase, Placement,
+    Removal, Shard, StopReason, TaskKey,
 };
 use crate::job::FAILING_AFTER_ERRORS;
 
@@ -54,7 +54,7 @@
                     m.health.full_until = context.now + PAUSE_AFTER_NO_ROOM;
                 }
             }
-            Removal::Exited(Exit::Busy | Exit::Unknown) => {
+            Removal::Exited(Exit::OtherAttemptPresent | Exit::Unknown) => {
                 self.avoid_after_refusal(context, task, machine);
             }
             _ => {}
@@ -83,7 +83,7 @@
             m.image_cache.fetches_changed = true;
         }
         debug!(task = %task, machine = %p.machine, epoch = p.attempt, ?why, stop = ?p.stop.map(|s| s.cause), "task removed");
-        job.record.touch();
+        job.record.mark_changed();
         self.dirty = true;
         if job.waiting_since == Micros::ZERO || job.tasks.is_empty() {
             job.waiting_since = context.now;
@@ -101,7 +101,7 @@
         };
         job.avoided_machines
             .insert(machine.clone(), context.now + AVOID_AFTER_REFUSAL);
-        job.paused_until = job.paused_until.max(context.now + PAUSE_AFTER_REFUSAL);
+        job.backoff_until = job.backoff_until.max(context.now + PAUSE_AFTER_REFUSAL);
     }
 
     /// Records the failure of a task: its job avoids the machine, and a machine on which different jobs fail is
@@ -117,13 +117,13 @@
             .avoided_machines
             .insert(machine.clone(), context.now + AVOID_AFTER_ERROR)
             .is_none();
-        if on_new_machine && job.paused_until <= context.now {
+        if on_new_machine && job.backoff_until <= context.now {
             job.consecutive_errors += 1;
         }
         warn!(job = %task.job, machine = %machine, errors = job.consecutive_errors, "task failed");
         if job.failing() {
-            job.paused_until = job
-                .paused_until
+            job.backoff_until = job
+                .backoff_until
                 .max(context.now + failure_backoff(job.consecutive_errors));
             return self.clear_failures_on_machines(&task.job);
         }
@@ -155,7 +155,7 @@
         };
         if job.failing() {
             info!(job = %task.job, errors = job.consecutive_errors, "task completed; its job no longer counts as failing");
-            job.paused_until = context.now;
+            job.backoff_until = context.now;
         }
         job.consecutive_errors = 0;
         let ran = p
@@ -198,13 +198,13 @@
         let trigger = match (why, p.stop) {
             (_, Some(_)) => None,
             // Ended because another member is gone: the one that failed is the one whose machine is silent.
-            (Removal::Exited(Exit::Peers), _) => self.first_silent_member(context, &task.job),
-            (Removal::Exited(Exit::Error | Exit::Alone), _) => Some(task.index),
+            (Removal::Exited(Exit::PeerLost), _) => self.first_silent_member(context, &task.job),
+            (Removal::Exited(Exit::Error | Exit::GangIncomplete), _) => Some(task.index),
             // A reserved member that was never ordered to start did not fail.
             (Removal::Lost, _) if p.phase > Phase::Recording && silent => Some(task.index),
             _ => None,
         };
-        self.drain_gang(context, &task.job, trigger, Cause::Peers, Micros::ZERO);
+        self.drain_gang(context, &task.job, trigger, StopReason::Peers, Micros::ZERO);
         if let Some(g) = self.jobs.get_mut(&task.job).and_then(|j| j.gang.as_mut()) {
             g.mark_preempted(task.index);
         }
@@ -225,7 +225,7 @@
         } else if task.index < job.spec.tasks {
             job.done.insert(task.index);
         }
-        job.done_generation = job.record.touch();
+        job.done_generation = job.record.mark_changed();
         if job.done.count() == job.spec.tasks {
             info!(job = %task.job, "all tasks done");
             job.ending = Some(Ending::Completing);
--- a/crates/seamfront-core/src/types/job_spec.rs
+++ b/crates/seamfront-core/src/types/job_spec.rs
@@ -1,6 +1,6 @@
 //! Job specifications: what a user submits, with the kind, the priority and the placement constraints of the job.
 
-use super::{suits, JobId, MachineType, Micros, Priority, Resources};
+use super::{accelerators_allowed, JobId, MachineType, Micros, Priority, Resources};
 use serde::{Deserialize, Serialize};
 
 /// Kind of a job.
@@ -49,9 +49,11 @@
     /// The user's estimate of a task's run time.
     pub estimate: Micros,
     /// Run time after which a running task saves a checkpoint by itself; zero if its tasks save none.
-    pub checkpoint: Micros,
+    #[serde(rename = "checkpoint")]
+    pub checkpoint_interval: Micros,
     /// Time that a task needs to save a checkpoint when it is stopped.
-    pub save: Micros,
+    #[serde(rename = "save")]
+    pub checkpoint_time: Micros,
     /// Time from submission within which it should be complete.
     pub deadline: Option<Micros>,
     /// Wall-clock time at which it was first accepted, so that queue order and deadlines survive a failover.
@@ -70,7 +72,7 @@
 
 impl JobSpec {
     /// Maximum number of tasks in one zone: half of them, rounded up, if the job is to be spread over zones.
-    pub fn zone_cap(&self) -> u32 {
+    pub fn max_tasks_per_zone(&self) -> u32 {
         if self.spread {
             self.tasks.div_ceil(2)
         } else {
@@ -80,14 +82,15 @@
 
     /// Whether its tasks may use machines of this size, judged by accelerators alone. Machines with accelerators are
     /// few and cost many times as much, so jobs that need no accelerator use them only if no other type fits.
-    pub fn suits(&self, size: Resources, types: &[MachineType]) -> bool {
-        suits(self.task_resources, self.types.as_deref(), size, types)
+    pub fn accelerators_allowed(&self, size: Resources, types: &[MachineType]) -> bool {
+        accelerators_allowed(self.task_resources, self.types.as_deref(), size, types)
     }
 
     /// The time that the fastest machine type which may run its tasks takes to fetch the image.
-    pub fn fetch_at_best(&self, types: &[MachineType]) -> Micros {
-        let fits =
-            |t: &&MachineType| t.size.fits(self.task_resources) > 0 && self.suits(t.size, types);
+    pub fn min_fetch_time(&self, types: &[MachineType]) -> Micros {
+        let fits = |t: &&MachineType| {
+            t.size.fits(self.task_resources) > 0 && self.accelerators_allowed(t.size, types)
+        };
         let rate = types.iter().filter(fits).map(|t| t.fetch_mb_s).max();
         rate.map_or(Micros::ZERO, |rate| {
             Micros::from_millis(self.image_mb * 1_000 / rate.max(1))
@@ -95,8 +98,8 @@
     }
 
     /// Whether its tasks save checkpoints.
-    pub fn saves(&self) -> bool {
-        self.checkpoint > Micros::ZERO
+    pub fn supports_checkpoints(&self) -> bool {
+        self.checkpoint_interval > Micros::ZERO
     }
 
     /// Whether its constraints allow a machine of this type, in this zone, spot or not.
--- a/crates/seamfront-core/src/types/machine_type.rs
+++ b/crates/seamfront-core/src/types/machine_type.rs
@@ -36,8 +36,9 @@
 }
 
 /// Whether tasks of this size may use machines of `size`, judged by accelerators alone: see
-/// [`JobSpec::suits`](super::JobSpec::suits). `allowed` lists the job's machine types; `None` allows all.
-pub fn suits(
+/// [`JobSpec::accelerators_allowed`](super::JobSpec::accelerators_allowed). `allowed` lists the job's machine types;
+/// `None` allows all.
+pub fn accelerators_allowed(
     task_resources: Resources,
     allowed: Option<&[String]>,
     size: Resources,
--- a/crates/seamfront-core/src/types/mod.rs
+++ b/crates/seamfront-core/src/types/mod.rs
@@ -10,7 +10,7 @@
 
 pub use identifiers::{JobId, MachineId, TaskKey};
 pub use job_spec::{JobKind, JobSpec};
-pub use machine_type::{suits, MachineType};
+pub use machine_type::{accelerators_allowed, MachineType};
 pub use objective::{Milestone, Objective, START_DEADLINE};
 pub use priority::{queue_rank, Priority};
 pub use resources::Resources;
--- a/crates/seamfront-core/tests/capacity.rs
+++ b/crates/seamfront-core/tests/capacity.rs
@@ -21,10 +21,10 @@
 fn gang(job: &str, count: u32, total: u32, left: i64) -> ResourceRequest {
     ResourceRequest {
         job: job.into(),
-        task: Resources::needed(57.0, 8.0, 200.0),
+        task_resources: Resources::needed(57.0, 8.0, 200.0),
         count,
         total,
-        together: true,
+        all_or_nothing: true,
         one_zone: true,
         reserved_zone: None,
         spread: false,
@@ -36,8 +36,8 @@
         spot: false,
         image_mb: 7_000,
         estimate: s(200),
-        waited: s(20),
-        left: Some(s(left)),
+        waiting_time: s(20),
+        time_until_start_by: Some(s(left)),
         service: false,
     }
 }
@@ -47,16 +47,16 @@
     MachineView {
         id: id.into(),
         version: 7,
-        up: true,
+        reachable: true,
         used: Resources::needed(7.0, 0.0, 14.0),
-        pinned: Resources::default(),
+        used_by_services: Resources::default(),
         idle: None,
         reserved_for_gang: true,
         released: false,
-        bad: false,
-        leaving: false,
+        condemned: false,
+        preemption_notice: false,
         highest_priority: Some(Priority::Normal),
-        loss: s(9),
+        eviction_loss: s(9),
     }
 }
 
@@ -74,13 +74,13 @@
     }];
     let record = MachineRecord {
         shard: Some(1),
-        kind: "big".into(),
+        machine_type: "big".into(),
         zone: "x".into(),
         spot: false,
     };
     let (id, view) = (MachineId::from("i-0"), held("i-0"));
     let offer = Offer {
-        kind: "big".into(),
+        machine_type: "big".into(),
         zone: "x".into(),
         spot: false,
     };
--- a/crates/seamfront-core/tests/failing_jobs.rs
+++ b/crates/seamfront-core/tests/failing_jobs.rs
@@ -186,5 +186,5 @@
     let mut next = Job::new(job("j-0", 4), 5, s(100));
     next.adopt(former.to_record(), 9, 0, s(100));
     assert_eq!(next.consecutive_errors, 6);
-    assert!(next.failing() && next.concurrent_attempts() == 2);
+    assert!(next.failing() && next.remaining_attempts() == 2);
 }
--- a/crates/seamfront-core/tests/forms.rs
+++ b/crates/seamfront-core/tests/forms.rs
@@ -511,7 +511,7 @@
                 self.cloud.push(request);
                 self.next.push(Command::Cloud { call, reply });
             }
-            Effect::Redirect { .. } | Effect::Healthy { .. } => {}
+            Effect::Redirect { .. } | Effect::HealthReply { .. } => {}
         }
     }
 
--- a/crates/seamfront-core/tests/gang.rs
+++ b/crates/seamfront-core/tests/gang.rs
@@ -10,7 +10,7 @@
     }
 }
 
-fn drain(g: &mut Gang, trigger: Option<u32>) -> Verdict {
+fn drain(g: &mut Gang, trigger: Option<u32>) -> DrainOutcome {
     assert!(g.drain(trigger));
     assert_eq!(g.complete(3), None, "verdict while members may run");
     for i in 0..g.members.len() as u32 {
@@ -25,11 +25,15 @@
     let mut g = Gang::new(3);
     for (round, attempts) in [(0, [1, 0, 0]), (1, [2, 0, 0])] {
         run(&mut g);
-        assert_eq!(drain(&mut g, Some(0)), Verdict::Blocked, "round {round}");
+        assert_eq!(
+            drain(&mut g, Some(0)),
+            DrainOutcome::Blocked,
+            "round {round}"
+        );
         assert_eq!(g.attempts, attempts);
     }
     run(&mut g);
-    assert_eq!(drain(&mut g, Some(0)), Verdict::Failed);
+    assert_eq!(drain(&mut g, Some(0)), DrainOutcome::Failed);
     g.readmit();
     assert!(g.admissible());
 }
@@ -40,7 +44,7 @@
     for n in 1..20 {
         assert_eq!(g.epoch, n, "one epoch a round");
         run(&mut g);
-        assert_eq!(drain(&mut g, None), Verdict::Blocked);
+        assert_eq!(drain(&mut g, None), DrainOutcome::Blocked);
         assert_eq!(g.attempts, [0, 0]);
     }
 }
@@ -51,10 +55,10 @@
     let mut g = Gang::new(2);
     for k in 0..4 {
         run(&mut g);
-        assert_eq!(drain(&mut g, Some(k % 2)), Verdict::Blocked);
+        assert_eq!(drain(&mut g, Some(k % 2)), DrainOutcome::Blocked);
     }
     run(&mut g);
-    assert_eq!(drain(&mut g, Some(0)), Verdict::Failed);
+    assert_eq!(drain(&mut g, Some(0)), DrainOutcome::Failed);
 }
 
 #[test]
@@ -76,7 +80,7 @@
     g.mark_preempted(2);
     assert_eq!(g.complete(3), None);
     g.mark_preempted(1);
-    assert_eq!(g.complete(3), Some(Verdict::Blocked));
+    assert_eq!(g.complete(3), Some(DrainOutcome::Blocked));
 }
 
 #[test]
@@ -86,5 +90,5 @@
     g.drain(None);
     g.mark_preempted(0);
     g.members[1] = Member::Failed;
-    assert_eq!(g.complete(3), Some(Verdict::Failed));
+    assert_eq!(g.complete(3), Some(DrainOutcome::Failed));
 }
--- a/crates/seamfront-core/tests/machines.rs
+++ b/crates/seamfront-core/tests/machines.rs
@@ -6,7 +6,7 @@
 fn machine() -> Machine {
     let record = MachineRecord {
         shard: Some(0),
-        kind: "m".into(),
+        machine_type: "m".into(),
         zone: "z".into(),
         spot: false,
     };
--- a/crates/seamfront-core/tests/operational_faults.rs
+++ b/crates/seamfront-core/tests/operational_faults.rs
@@ -347,7 +347,8 @@
         (sweep.tasks, sweep.task_resources, sweep.image_mb) =
             (TASKS, Resources::needed(0.25, 0.0, 0.25), 100);
         (sweep.zone, sweep.one_zone, sweep.spread, sweep.spot) = (None, false, false, true);
-        (sweep.deadline, sweep.checkpoint, sweep.estimate) = (None, Micros::ZERO, ms(4_000));
+        (sweep.deadline, sweep.checkpoint_interval, sweep.estimate) =
+            (None, Micros::ZERO, ms(4_000));
         w.submit(ms(15_000), sweep);
         w.fault(
             ms(40_000),
--- a/crates/seamfront-core/tests/placement.rs
+++ b/crates/seamfront-core/tests/placement.rs
@@ -31,8 +31,8 @@
         image: "i".into(),
         image_mb: 100,
         estimate: Micros::ZERO,
-        checkpoint: Micros::ZERO,
-        save: Micros::ZERO,
+        checkpoint_interval: Micros::ZERO,
+        checkpoint_time: Micros::ZERO,
         deadline: None,
         submitted: Micros::ZERO,
         dependencies: vec![],
@@ -51,7 +51,7 @@
                 let pick = |rng: &mut StdRng, of: [&str; 2]| of[rng.random_range(0..2)].to_owned();
                 let record = MachineRecord {
                     shard: Some(0),
-                    kind: pick(&mut rng, ["a", "b"]),
+                    machine_type: pick(&mut rng, ["a", "b"]),
                     zone: pick(&mut rng, ["x", "y"]),
                     spot: rng.random_range(0..2) == 0,
                 };
@@ -92,12 +92,13 @@
         for k in &got {
             let m = &machines[&capacity.machines[*k].id];
             assert!(
-                job.allows(&m.record.kind, &m.record.zone, m.record.spot) && m.id.as_str() != "m-0"
+                job.allows(&m.record.machine_type, &m.record.zone, m.record.spot)
+                    && m.id.as_str() != "m-0"
             );
             *zones.entry(&m.record.zone).or_default() += 1;
         }
         assert!(!job.one_zone || zones.len() <= 1);
-        assert!(zones.values().all(|n| *n <= job.zone_cap()));
+        assert!(zones.values().all(|n| *n <= job.max_tasks_per_zone()));
         for (k, spot) in capacity.machines.iter().enumerate() {
             let taken = got.iter().filter(|g| **g == k).count() as i64;
             assert!(taken <= spot.free.fits(job.task_resources), "overfilled");
@@ -106,7 +107,7 @@
             // All or none, and none: then there is indeed no room for all where all must be.
             let fits = |z: Option<&str>| {
                 let may = |m: &&Machine| {
-                    job.allows(&m.record.kind, &m.record.zone, m.record.spot)
+                    job.allows(&m.record.machine_type, &m.record.zone, m.record.spot)
                         && m.id.as_str() != "m-0"
                 };
                 let here = machines
--- a/crates/seamfront-core/tests/reconciliation.rs
+++ b/crates/seamfront-core/tests/reconciliation.rs
@@ -18,7 +18,7 @@
 #[test]
 fn a_copy_from_before_the_takeover_shows_neither_exits_nor_omissions() {
     for shown in [
-        vec![("j-0", 3, TaskState::Exited(Exit::Peers))],
+        vec![("j-0", 3, TaskState::Exited(Exit::PeerLost))],
         vec![("j-0", 3, TaskState::Exited(Exit::Done))],
         vec![],
     ] {
@@ -43,7 +43,7 @@
             1,
             89,
             CLAIM,
-            &[("j-0", 3, TaskState::Exited(Exit::Peers))],
+            &[("j-0", 3, TaskState::Exited(Exit::PeerLost))],
         ),
     );
     assert!(!h.placed("j-0"));
@@ -90,7 +90,7 @@
             ),
         );
     }
-    assert!(h.shard.machines[&MachineId::from("i-0")].ignores_replies());
+    assert!(h.shard.machines[&MachineId::from("i-0")].misses_replies());
     h.with(s(150), seamfront_core::shard::Shard::tick);
     assert_eq!(h.machine_writes(s(150), 60), [("i-0".to_owned(), false)]);
 }
@@ -146,8 +146,8 @@
     for (outcomes, usable) in [
         (vec![], false),
         (vec![Refused], true),
-        (vec![Unclear], false),
-        (vec![Unclear, Done(60)], true),
+        (vec![Unknown], false),
+        (vec![Unknown, Done(60)], true),
     ] {
         let mut h = ShardHarness::new(8, 0);
         for t in (101..140).step_by(2) {
@@ -164,7 +164,9 @@
         h.with(s(141), seamfront_core::shard::Shard::tick);
         for outcome in outcomes {
             for w in &writes {
-                h.with(s(142), |s, context| s.written(context, w, outcome));
+                h.with(s(142), |s, context| {
+                    s.apply_write_outcome(context, w, outcome)
+                });
             }
             if let Done(version) = outcome {
                 fencing_token = version;
@@ -224,7 +226,7 @@
     // The store refused: it is ours as before.
     for w in &writes {
         h.with(silent, |s, context| {
-            s.written(context, w, seamfront_core::shard::WriteOutcome::Refused);
+            s.apply_write_outcome(context, w, seamfront_core::shard::WriteOutcome::Refused);
         });
     }
     // Judged anew once it has been heard.
@@ -304,7 +306,7 @@
 fn machine_of(shard: Option<usize>) -> MachineRecord {
     MachineRecord {
         shard,
-        kind: "m".into(),
+        machine_type: "m".into(),
         zone: "z".into(),
         spot: false,
     }
@@ -641,7 +643,9 @@
         let outcome = DirectOutcome::Settled {
             heartbeat: Box::new(heartbeat("i-0", incarnation, sequence, CLAIM, &[])),
         };
-        h.with(now, |s, context| s.direct_result(context, 7, &id, outcome));
+        h.with(now, |s, context| {
+            s.apply_direct_outcome(context, 7, &id, outcome)
+        });
     };
     for (n, t) in (102..113).enumerate() {
         direct(&mut h, s(t), 1, 89 + n as u64);
@@ -675,11 +679,11 @@
         unknown: false,
     });
     h.with(s(101), |s, context| {
-        s.direct_result(context, 8, &id, DirectOutcome::NotSent);
+        s.apply_direct_outcome(context, 8, &id, DirectOutcome::NotSent);
     });
     assert!(h.shard.machines[&id].fencing.direct_command.is_some());
     h.with(s(101), |s, context| {
-        s.direct_result(context, 9, &id, DirectOutcome::NotSent);
+        s.apply_direct_outcome(context, 9, &id, DirectOutcome::NotSent);
     });
     assert!(h.shard.machines[&id].fencing.direct_command.is_none());
 }
@@ -815,7 +819,12 @@
         },
         s(100),
     );
-    h.shard.jobs.get_mut(&spec.id).unwrap().record.touch();
+    h.shard
+        .jobs
+        .get_mut(&spec.id)
+        .unwrap()
+        .record
+        .mark_changed();
     assert_eq!(
         h.shard.jobs[&spec.id].record_headroom(&Layout::single(2_048)),
         0
--- a/crates/seamfront-core/tests/rules.rs
+++ b/crates/seamfront-core/tests/rules.rs
@@ -70,7 +70,7 @@
 /// - a placement is ordered only after its record is written (`Phase::Recording`): `ran_twice`
 /// - omissions count only in a report that shows the present token, with no command unsettled
 ///   (`Shard::apply_heartbeat`): quota
-/// - an unanswered command stays unsettled (`Shard::direct_result`): quota, jobs never done
+/// - an unanswered command stays unsettled (`Shard::apply_direct_outcome`): quota, jobs never done
 /// - the time of `Machine::lease_expiry`: `ran_twice`
 /// - orders for an earlier session only are void in a later one (`Shard::apply_heartbeat`): `ran_twice`
 /// - the limit of acting without proof (`Settings::verification_ttl`): `ran_cancelled`
--- a/crates/seamfront-core/tests/size.rs
+++ b/crates/seamfront-core/tests/size.rs
@@ -120,7 +120,7 @@
 #[test]
 fn a_step_looks_at_no_more_in_a_fleet_twice_as_large() {
     scenario("size.a_step_looks_at_no_more_in_a_fleet_twice_as_large");
-    let work_done = |machines: usize| {
+    let items_examined = |machines: usize| {
         let mut w = Simulation::sized(902, fleet(3, machines, 1_000, 400));
         w.quiet_from = ms(1_000);
         jobs(&mut w);
@@ -130,10 +130,10 @@
             "the run proves nothing: {} tasks started",
             w.truth.started
         );
-        let (steps, work_done) = w.steps;
-        work_done as f64 / steps as f64
+        let (steps, items_examined) = w.steps;
+        items_examined as f64 / steps as f64
     };
-    let (small, large) = (work_done(1_000), work_done(2_000));
+    let (small, large) = (items_examined(1_000), items_examined(2_000));
     assert!(
         large < 1.3 * small,
         "{small:.0} items in a step, and {large:.0} with twice as many machines"
--- a/crates/seamfront-testing/src/shard_harness.rs
+++ b/crates/seamfront-testing/src/shard_harness.rs
@@ -67,8 +67,8 @@
         image: "img".into(),
         image_mb: 100,
         estimate: s(10),
-        checkpoint: Micros::ZERO,
-        save: Micros::ZERO,
+        checkpoint_interval: Micros::ZERO,
+        checkpoint_time: Micros::ZERO,
         deadline: None,
         submitted: Micros::ZERO,
         dependencies: vec![],
@@ -110,7 +110,7 @@
     /// Everything that the shard has asked for so far.
     pub effects: Vec<Effect>,
     /// Counter that the ids of store requests are taken from.
-    pub calls: CallId,
+    pub next_call: CallId,
 }
 
 impl ShardHarness {
@@ -122,7 +122,7 @@
         for k in 0..machines {
             let record = MachineRecord {
                 shard: Some(0),
-                kind: "m".into(),
+                machine_type: "m".into(),
                 zone: "z".into(),
                 spot: false,
             };
@@ -148,7 +148,7 @@
             settings: settings(),
             shard,
             effects: Vec::new(),
-            calls: 1,
+            next_call: 1,
         };
         harness.with(s(100), seamfront_core::shard::Shard::finish_loading);
         harness
@@ -156,7 +156,7 @@
 
     /// Runs a function on the shard with a context of this time.
     pub fn with<R>(&mut self, now: Micros, f: impl FnOnce(&mut Shard, &mut Context) -> R) -> R {
-        let (effects, calls) = (&mut self.effects, &mut self.calls);
+        let (effects, next_call) = (&mut self.effects, &mut self.next_call);
         let layout = Layout::single(self.settings.value_bytes);
         let mut context = Context {
             settings: &self.settings,
@@ -164,8 +164,8 @@
             wall_time: now,
             types: &[],
             effects,
-            calls,
-            lease_valid: true,
+            next_call,
+            claim_verified: true,
             layout,
         };
         f(&mut self.shard, &mut context)
@@ -208,7 +208,7 @@
             {
                 written.push((machine.to_string(), record.shard.is_some()));
                 self.with(now, |shard, context| {
-                    shard.written(context, &write, WriteOutcome::Done(version));
+                    shard.apply_write_outcome(context, &write, WriteOutcome::Done(version));
                 });
             }
         }
--- a/crates/seamfront-testing/src/simulation/mod.rs
+++ b/crates/seamfront-testing/src/simulation/mod.rs
@@ -735,12 +735,12 @@
         let Some(engine) = n.engine.as_mut() else {
             return;
         };
-        let before = engine.work_done();
+        let before = engine.items_examined();
         let effects = engine.step(own, wall_time, commands);
         // A shard that is dropped takes its count along.
         self.steps = (
             self.steps.0 + 1,
-            self.steps.1 + (engine.work_done() - before).max(0),
+            self.steps.1 + (engine.items_examined() - before).max(0),
         );
         let life = n.life;
         for f in effects {
@@ -851,7 +851,7 @@
             Effect::Redirect { to, member } => {
                 self.report_answered(node, life, to, ReportAnswer::Elsewhere(member));
             }
-            Effect::Healthy { .. } => {}
+            Effect::HealthReply { .. } => {}
             Effect::Answer { to, answer } => {
                 if let Some((asked, at)) = self.asked.remove(&(node, life, to)) {
                     if let Answer::Status {
--- a/crates/seamfront-testing/src/simulation/recording.rs
+++ b/crates/seamfront-testing/src/simulation/recording.rs
@@ -281,7 +281,7 @@
                 let owner = member.map_or("unknown", |m| self.settings.members[m].as_str());
                 format!("answer to {}: owner {owner}", asked(to))
             }
-            Effect::Healthy { to, yes } => format!("answer to a health check: {to} {yes}"),
+            Effect::HealthReply { to, ready } => format!("answer to a health check: {to} {ready}"),
             Effect::Answer { to, answer } => {
                 format!("answer to {}: {}", asked(to), answer_text(answer))
             }
--- a/crates/seamfront-testing/src/simulation/workers.rs
+++ b/crates/seamfront-testing/src/simulation/workers.rs
@@ -173,14 +173,15 @@
                         continue;
                     };
                     let spec = &self.jobs[&task.job];
-                    let saves =
-                        t.state == TaskState::Running && spec.saves() && *grace >= spec.save;
+                    let saves = t.state == TaskState::Running
+                        && spec.supports_checkpoints()
+                        && *grace >= spec.checkpoint_time;
                     match t.state {
                         TaskState::Exited(_) => {}
                         TaskState::Saving if *grace > Micros::ZERO => {}
                         _ if saves => {
                             t.state = TaskState::Saving;
-                            t.until = now + spec.save;
+                            t.until = now + spec.checkpoint_time;
                             t.stopped = Some(now);
                         }
                         _ => t.state = TaskState::Exited(Exit::Stopped { saved: false }),
@@ -239,7 +240,7 @@
             ));
         }
         let same = others.iter().filter(|o| o.0 == w.zone).count() as u32 + 1;
-        if same > spec.zone_cap() {
+        if same > spec.max_tasks_per_zone() {
             bad.push(format!("wrong_place: {key} makes {same} in one zone"));
         }
         if let Some(confirmed) = self.cancelled.get(&key.job) {
@@ -354,7 +355,7 @@
                         t.state = TaskState::Exited(Exit::Stopped { saved: true });
                     }
                     TaskState::Waiting if now - t.waiting_since > self.gang_wait => {
-                        t.state = TaskState::Exited(Exit::Alone);
+                        t.state = TaskState::Exited(Exit::GangIncomplete);
                     }
                     _ => {}
                 }
@@ -471,7 +472,7 @@
                         .unwrap();
                     match t.stopped {
                         None => t.stopped = Some(now),
-                        Some(s) if now - s > peer => t.state = TaskState::Exited(Exit::Peers),
+                        Some(s) if now - s > peer => t.state = TaskState::Exited(Exit::PeerLost),
                         _ => {}
                     }
                 }
--- a/crates/seamfront/src/effects.rs
+++ b/crates/seamfront/src/effects.rs
@@ -42,7 +42,7 @@
                 orders,
             } => self.reply(to, worker_api::orders_reply(fencing_token, &orders)),
             Effect::Redirect { to, member } => self.redirect(to, member),
-            Effect::Healthy { to, yes } => self.reply(to, health_reply(yes)),
+            Effect::HealthReply { to, ready } => self.reply(to, health_reply(ready)),
             Effect::Store { call, request } => self.store(call, request),
             Effect::Cloud {
                 call,
--- a/crates/seamfront/src/worker_api.rs
+++ b/crates/seamfront/src/worker_api.rs
@@ -134,11 +134,11 @@
         "halted" => Exit::Stopped {
             saved: task.saved.unwrap_or(false),
         },
-        "peers" => Exit::Peers,
-        "alone" => Exit::Alone,
+        "peers" => Exit::PeerLost,
+        "alone" => Exit::GangIncomplete,
         "error" => Exit::Error,
         "no_room" => Exit::NoRoom,
-        "in_use" => Exit::Busy,
+        "in_use" => Exit::OtherAttemptPresent,
         "unknown" => Exit::Unknown,
         _ => return None,
     })
--- a/crates/seamfront/tests/forms.rs
+++ b/crates/seamfront/tests/forms.rs
@@ -215,11 +215,11 @@
         ),
         (
             r#""ponto":"exited","motivo":"peers""#,
-            TaskState::Exited(Exit::Peers),
+            TaskState::Exited(Exit::PeerLost),
         ),
         (
             r#""ponto":"exited","motivo":"alone""#,
-            TaskState::Exited(Exit::Alone),
+            TaskState::Exited(Exit::GangIncomplete),
         ),
         (
             r#""ponto":"exited","motivo":"error""#,
@@ -231,7 +231,7 @@
         ),
         (
             r#""ponto":"exited","motivo":"in_use""#,
-            TaskState::Exited(Exit::Busy),
+            TaskState::Exited(Exit::OtherAttemptPresent),
         ),
         (
             r#""ponto":"exited","motivo":"unknown""#,
--- a/crates/seamfront/tests/parsing.rs
+++ b/crates/seamfront/tests/parsing.rs
@@ -22,7 +22,7 @@
         (job.tasks, job.task_resources.cpus, job.task_resources.gpus),
         (16, 8_000, 1_000)
     );
-    assert_eq!(job.save.0, 4_000_000);
+    assert_eq!(job.checkpoint_time.0, 4_000_000);
     let mut v = submission();
     for optional in ["modelos", "praca", "entrega_s"] {
         v.as_object_mut().unwrap().remove(optional);
