--- a/crates/seamfront-core/src/capacity/mod.rs
+++ b/crates/seamfront-core/src/capacity/mod.rs
@@ -131,7 +131,7 @@
 
 /// A planned move of an idle or drained machine to another shard.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Move {
+pub struct MachineMove {
     /// The machine.
     pub machine: MachineId,
     /// The shard that gets the machine.
@@ -153,7 +153,7 @@
 #[derive(Debug, Default)]
 pub struct Plan {
     /// Machines to move to another shard.
-    pub moves: Vec<Move>,
+    pub moves: Vec<MachineMove>,
     /// Machines to terminate.
     pub terminations: Vec<MachineId>,
     /// Machines to drain.
--- a/crates/seamfront-core/src/capacity/planner.rs
+++ b/crates/seamfront-core/src/capacity/planner.rs
@@ -4,7 +4,7 @@
 use super::demand::Demand;
 use super::provisioning::PoolSummary;
 use super::{
-    hourly_price, is_cheap, ClusterSnapshot, Drain, Move, Plan, ShardRequest, Supply,
+    hourly_price, is_cheap, ClusterSnapshot, Drain, MachineMove, Plan, ShardRequest, Supply,
     CHEAP_IDLE_FACTOR,
 };
 use crate::port::ResourceRequest;
@@ -160,7 +160,7 @@
         if let Some(draining) = snapshot.draining.get(machine.id) {
             self.incoming.push(incoming(draining.shard));
             if machine.view.is_some_and(|view| view.released) {
-                self.plan.moves.push(Move {
+                self.plan.moves.push(MachineMove {
                     machine: machine.id.clone(),
                     to: draining.shard,
                 });
@@ -264,7 +264,7 @@
             }
             chosen_zone = Some(&machine.record.zone);
             self.allocated.insert(machine.id);
-            self.plan.moves.push(Move {
+            self.plan.moves.push(MachineMove {
                 machine: machine.id.clone(),
                 to: demand.shard,
             });
@@ -350,7 +350,7 @@
             } else {
                 1
             };
-            let keep = snapshot.tuning.idle_keep.times(factor);
+            let keep = snapshot.tuning.idle_timeout.times(factor);
             let surplus = machine.idle().is_some_and(|idle| idle > keep)
                 && !machine.reserved_for_gang()
                 && !self.allocated.contains(machine.id);
--- a/crates/seamfront-core/src/engine/fleet.rs
+++ b/crates/seamfront-core/src/engine/fleet.rs
@@ -112,7 +112,7 @@
             .leader
             .as_ref()
             .is_some_and(|leader| leader.claim_version().is_some());
-        if !holds_leader_claim || !self.duties.in_force() {
+        if !holds_leader_claim || !self.duties.claims_active() {
             return;
         }
         self.drop_claim(ClaimId::Leader, "duties have claims of their own");
@@ -140,9 +140,9 @@
             }
             DutyEffect::Active { duty, .. } => self.duty_acquired(&duty),
             DutyEffect::Lost { duty, .. } => self.duty_lost(&duty),
-            DutyEffect::Committed { request, outcome } => self.removal_done(request, &outcome),
+            DutyEffect::Committed { request, outcome } => self.removal_reply(request, &outcome),
             DutyEffect::Rejected { request, .. } => {
-                self.removal_done(request, &CommitOutcome::Refused);
+                self.removal_reply(request, &CommitOutcome::Refused);
             }
             _ => {}
         }
@@ -160,12 +160,12 @@
     /// Passes a reply of the store to the garbage collector.
     pub(super) fn collection_reply(&mut self, request: CollectionRequest, reply: StoreReply) {
         match request {
-            CollectionRequest::OrphanedRecords => {
+            CollectionRequest::ListRecords => {
                 let jobs = &self.jobs;
                 self.garbage_collector
                     .page_reply(self.now, reply, |job| jobs.contains_key(job));
             }
-            CollectionRequest::OwnerEnd => {
+            CollectionRequest::ReadEndRecord => {
                 let removal =
                     self.garbage_collector
                         .owner_end_reply(&self.settings, self.now, reply);
@@ -176,15 +176,15 @@
         }
     }
 
-    fn removal_done(&mut self, request: RequestId, outcome: &CommitOutcome) {
+    fn removal_reply(&mut self, request: RequestId, outcome: &CommitOutcome) {
         self.garbage_collector
-            .removal_done(&self.settings, self.now, request, outcome);
+            .removal_reply(&self.settings, self.now, request, outcome);
     }
 
     fn duty_acquired(&mut self, duty: &str) {
         let now = self.now;
         if duty == GARBAGE_COLLECTION {
-            return self.garbage_collector.stop(now);
+            return self.garbage_collector.reset(now);
         }
         let members = self.settings.members.len();
         let leader = self
@@ -194,14 +194,14 @@
             .into_iter()
             .find(|fleet_duty| fleet_duty.name() == duty);
         if let Some(fleet_duty) = fleet_duty {
-            leader.duty_begins(fleet_duty);
+            leader.duty_acquired(fleet_duty);
         }
     }
 
     fn duty_lost(&mut self, duty: &str) {
         if duty == GARBAGE_COLLECTION {
             let now = self.now;
-            return self.garbage_collector.stop(now);
+            return self.garbage_collector.reset(now);
         }
         let fenced_by_duties = self
             .leader
@@ -249,7 +249,7 @@
 
     /// Members that hold the leader's claim or, once duties are in force, any of the fleet's duties.
     pub(super) fn fleet_holders(&self) -> Vec<usize> {
-        if !self.duties.in_force() {
+        if !self.duties.claims_active() {
             let claim = self.store.claim(ClaimId::Leader);
             return claim.map(|claim| claim.member).into_iter().collect();
         }
--- a/crates/seamfront-core/src/engine/jobs.rs
+++ b/crates/seamfront-core/src/engine/jobs.rs
@@ -48,7 +48,7 @@
         let shards = KnownShards {
             shards: &self.shards,
             session: &self.store,
-            me: self.settings.me,
+            me: self.settings.member_index,
         };
         let context = JobContext {
             settings: &self.settings,
@@ -72,10 +72,10 @@
         let shards = KnownShards {
             shards: &self.shards,
             session: &self.store,
-            me: self.settings.me,
+            me: self.settings.member_index,
         };
         let mut context = UserContext {
-            base: JobContext {
+            job_context: JobContext {
                 settings: &self.settings,
                 now: self.now,
                 wall_time: self.wall_time,
@@ -128,12 +128,12 @@
 
     /// Handles a live job that was added or changed in the view.
     pub(super) fn job_changed(&mut self, spec: Rc<JobSpec>, version: u64) {
-        self.with_jobs(|jobs, context| jobs.appeared(context, spec, version));
+        self.with_jobs(|jobs, context| jobs.job_changed(context, spec, version));
     }
 
     /// Handles the removal of a job from the view.
     pub(super) fn job_removed(&mut self, id: &JobId) {
-        self.with_jobs(|jobs, context| jobs.vanished(context, id));
+        self.with_jobs(|jobs, context| jobs.job_removed(context, id));
     }
 
     /// Handles an end record of a job that is known to be in the store.
--- a/crates/seamfront-core/src/engine/machines.rs
+++ b/crates/seamfront-core/src/engine/machines.rs
@@ -146,7 +146,7 @@
                 return None;
             }
             let ready = s.phase == ShardPhase::Ready;
-            if !s.apply_heartbeat(context, heartbeat, StatusSource::WorkerHeartbeat) {
+            if !s.apply_heartbeat(context, heartbeat, StatusSource::AgentHeartbeat) {
                 return None;
             }
             let orders = if ready {
--- a/crates/seamfront-core/src/engine/messages.rs
+++ b/crates/seamfront-core/src/engine/messages.rs
@@ -132,10 +132,10 @@
         let Some(message) = self.shard_update(shard) else {
             return;
         };
-        let me = self.settings.me;
+        let me = self.settings.member_index;
         if self.leader.is_some() {
             self.peer_message(me, message.clone());
-            if !self.duties.in_force() {
+            if !self.duties.claims_active() {
                 return;
             }
         }
@@ -184,7 +184,7 @@
 
     /// Sends a message to the holder of a shard, or handles it here if that is this controller.
     pub(super) fn notify_holder(&mut self, shard: usize, message: PeerMessage) {
-        let me = self.settings.me;
+        let me = self.settings.member_index;
         if self.shards[shard].is_some() {
             self.peer_message(me, message);
         } else if let Some(to) = self.other_holder(shard) {
@@ -195,7 +195,7 @@
     /// The holder of a shard as last seen, unless it is this controller.
     pub(super) fn other_holder(&self, shard: usize) -> Option<usize> {
         let claim = self.store.claim(ClaimId::Shard(shard))?;
-        Some(claim.member).filter(|member| *member != self.settings.me)
+        Some(claim.member).filter(|member| *member != self.settings.member_index)
     }
 
     /// Handles a message from another controller, or from this one to itself.
@@ -241,7 +241,7 @@
             }
             PeerMessage::Progress { jobs } => {
                 for job in jobs {
-                    self.jobs.progress_reported(job);
+                    self.jobs.store_progress(job);
                 }
             }
         }
--- a/crates/seamfront-core/src/engine/mod.rs
+++ b/crates/seamfront-core/src/engine/mod.rs
@@ -85,7 +85,7 @@
             duties: Duties::new(&settings),
             garbage_collector: GarbageCollector::default(),
             machine_types: MachineTypes::default(),
-            peers: Peers::new(settings.me, members),
+            peers: Peers::new(settings.member_index, members),
             inbound_partition: InboundPartition::default(),
             periodic_messages: PeriodicMessages::default(),
             write_pacer: WritePacer::default(),
@@ -207,7 +207,7 @@
     /// The layout that new work records may use now.
     fn layout(&self) -> Layout {
         if self.format_versions.all_read_parts(&self.settings) {
-            return Layout::in_parts(self.settings.value_bytes, self.settings.txn_ops);
+            return Layout::in_parts(self.settings.value_bytes, self.settings.max_txn_changes);
         }
         Layout::single(self.settings.value_bytes)
     }
--- a/crates/seamfront-core/src/engine/session.rs
+++ b/crates/seamfront-core/src/engine/session.rs
@@ -39,7 +39,7 @@
 
     pub(super) fn store_session_tick(&mut self) {
         let inputs = TickInputs {
-            duties_in_force: self.duties.in_force(),
+            duties_in_force: self.duties.claims_active(),
             inbound_partitioned: self.inbound_partition.detected(),
             any_peer_ready: self.peers.any_ready(self.now),
             home_ready: self.peers.ready_for_transfer(self.now),
--- a/crates/seamfront-core/src/engine/writes.rs
+++ b/crates/seamfront-core/src/engine/writes.rs
@@ -53,7 +53,7 @@
     /// Sends the due writes of all shards held here, as far as the write budget allows.
     pub(super) fn flush_writes(&mut self) {
         // Writes that become due within this interval are batched.
-        let interval = self.settings.ask_every().over(2);
+        let interval = self.settings.min_request_interval().over(2);
         let Some(flush) = self.write_pacer.start_flush(self.now, interval) else {
             return;
         };
@@ -102,7 +102,7 @@
             return None;
         }
         let max_writes =
-            (self.settings.txn_ops / OPERATIONS_PER_WRITE).clamp(1, MAX_WRITES_PER_FLUSH);
+            (self.settings.max_txn_changes / OPERATIONS_PER_WRITE).clamp(1, MAX_WRITES_PER_FLUSH);
         let (now, layout) = (self.now, self.layout());
         self.with_shard(shard, |s, _| {
             let writes = match s.phase {
@@ -124,7 +124,7 @@
     }
 
     fn send_shard_writes(&mut self, shard: usize, version: u64, shard_writes: Vec<ShardWrite>) {
-        let mut transaction = ShardTransaction::new(shard, version, self.settings.txn_ops);
+        let mut transaction = ShardTransaction::new(shard, version, self.settings.max_txn_changes);
         for write in &shard_writes {
             transaction.add(write);
         }
--- a/crates/seamfront-core/src/fleet_duties.rs
+++ b/crates/seamfront-core/src/fleet_duties.rs
@@ -100,13 +100,17 @@
     let members: Vec<&str> = settings.members.iter().map(String::as_str).collect();
     let limits = StoreLimits {
         value_bytes: settings.value_bytes,
-        transaction_changes: settings.txn_ops,
+        transaction_changes: settings.max_txn_changes,
         changes_per_second: (settings.write_rps / WRITE_RATE_DIVISOR).max(1),
     };
     let fleet = FleetDuty::ALL.map(FleetDuty::name);
     let duties: Vec<&str> = [GARBAGE_COLLECTION].into_iter().chain(fleet).collect();
-    let mut lease_settings =
-        LeaseSettings::new(&settings.members[settings.me], &members, &duties, limits);
+    let mut lease_settings = LeaseSettings::new(
+        &settings.members[settings.member_index],
+        &members,
+        &duties,
+        limits,
+    );
     lease_settings.lease = settings.tuning.claim_ttl;
     lease_settings.store_answer = STORE_REPLY_TIMEOUT;
     lease_settings.affinity_group = fleet.map(str::to_owned).to_vec();
@@ -134,7 +138,7 @@
     }
 
     /// Whether the duties have claims of their own, in place of the leader's claim.
-    pub(crate) fn in_force(&self) -> bool {
+    pub(crate) fn claims_active(&self) -> bool {
         self.manager
             .as_ref()
             .is_some_and(DutyManager::duties_in_force)
--- a/crates/seamfront-core/src/format_versions.rs
+++ b/crates/seamfront-core/src/format_versions.rs
@@ -112,7 +112,7 @@
         if self.all_read_parts(settings) {
             info!("all controllers read records in parts");
         }
-        let own = &settings.members[settings.me];
+        let own = &settings.members[settings.member_index];
         if !self.parts_readers.contains(own) {
             self.write_own_record(own, outbox);
         }
--- a/crates/seamfront-core/src/garbage_collector.rs
+++ b/crates/seamfront-core/src/garbage_collector.rs
@@ -102,14 +102,14 @@
 /// An outstanding read request of the garbage collector.
 pub(crate) enum CollectionRequest {
     /// A page of keys.
-    OrphanedRecords,
+    ListRecords,
     /// The end record of the job that owns the records examined.
-    OwnerEnd,
+    ReadEndRecord,
 }
 
 impl GarbageCollector {
     /// Stops the pass; the next one starts at `next` at the earliest.
-    pub(crate) fn stop(&mut self, next: Micros) {
+    pub(crate) fn reset(&mut self, next: Micros) {
         self.pass = Pass::Idle;
         self.request_in_flight = false;
         self.next_request_at = next;
@@ -133,7 +133,7 @@
                 if self.removed > 0 {
                     info!(removed = self.removed, "records of ended jobs removed");
                 }
-                self.stop(now + PASS_INTERVAL);
+                self.reset(now + PASS_INTERVAL);
             }
         }
     }
@@ -162,14 +162,14 @@
             let request = StoreRequest::Get {
                 key: end_key(&records.owner.job),
             };
-            return PassStep::Request(request, CollectionRequest::OwnerEnd);
+            return PassStep::Request(request, CollectionRequest::ReadEndRecord);
         }
         if *more {
             let request = StoreRequest::List {
                 prefix: PREFIXES[*prefix].to_owned(),
                 after: after.clone(),
             };
-            return PassStep::Request(request, CollectionRequest::OrphanedRecords);
+            return PassStep::Request(request, CollectionRequest::ListRecords);
         }
         if *prefix + 1 < PREFIXES.len() {
             *prefix += 1;
@@ -194,7 +194,7 @@
             ..
         } = reply
         else {
-            return self.stop(now + RETRY_DELAY);
+            return self.reset(now + RETRY_DELAY);
         };
         let Pass::Reading {
             after,
@@ -243,14 +243,14 @@
                 None
             }
             _ => {
-                self.stop(now + RETRY_DELAY);
+                self.reset(now + RETRY_DELAY);
                 None
             }
         }
     }
 
     /// Handles the outcome of a removal.
-    pub(crate) fn removal_done(
+    pub(crate) fn removal_reply(
         &mut self,
         settings: &Settings,
         now: Micros,
@@ -280,14 +280,17 @@
             CommitOutcome::Conflict(_) => {
                 candidates.pop();
             }
-            _ => self.stop(now + RETRY_DELAY),
+            _ => self.reset(now + RETRY_DELAY),
         }
     }
 }
 
 /// Maximum number of records that one transaction removes.
 fn records_per_removal(settings: &Settings) -> usize {
-    settings.txn_ops.saturating_sub(RESERVED_OPERATIONS).max(1)
+    settings
+        .max_txn_changes
+        .saturating_sub(RESERVED_OPERATIONS)
+        .max(1)
 }
 
 /// The records of a page that belong to no live job, grouped by owner.
--- a/crates/seamfront-core/src/job.rs
+++ b/crates/seamfront-core/src/job.rs
@@ -1,8 +1,8 @@
 //! A job as the holder of its shard runs it, and its conversion to and from the one record that a successor reads.
 
 use crate::gang::{Gang, Member};
-use crate::ranges::Ranges;
-use crate::record::{Layout, Position, Runs, TaskRun, WorkRecord};
+use crate::ranges::RangeSet;
+use crate::record::{Layout, Position, TaskRun, TaskRuns, WorkRecord};
 use crate::types::{
     queue_rank, JobKind, JobSpec, MachineId, MachineType, Micros, Priority, START_DEADLINE,
 };
@@ -215,7 +215,7 @@
     /// The next attempt number. No attempt number is used twice within a job; gangs use their epoch instead.
     pub next_attempt: u64,
     /// Tasks that are done.
-    pub done: Ranges,
+    pub done: RangeSet,
     /// Generation of the record that contains the latest change of `done`.
     pub done_generation: u64,
     /// Tasks that are, or may be, on a machine, by task number.
@@ -250,7 +250,7 @@
                 ..Default::default()
             },
             next_attempt: 1,
-            done: Ranges::default(),
+            done: RangeSet::default(),
             done_generation: 0,
             tasks: BTreeMap::new(),
             gang,
@@ -399,7 +399,7 @@
 
     /// The record to be stored.
     pub fn to_record(&self) -> WorkRecord {
-        let mut placed: BTreeMap<MachineId, Runs> = BTreeMap::new();
+        let mut placed: BTreeMap<MachineId, TaskRuns> = BTreeMap::new();
         for (i, p) in &self.tasks {
             let runs = placed.entry(p.machine.clone()).or_default();
             match runs.last_mut() {
--- a/crates/seamfront-core/src/jobs/cascade.rs
+++ b/crates/seamfront-core/src/jobs/cascade.rs
@@ -51,7 +51,8 @@
         outbox: &mut Outbox<DependencyRequest>,
     ) {
         // The end of a job takes two writes.
-        let batch_size = (context.settings.txn_ops / 2).clamp(1, MAX_CANCELLATIONS_PER_BATCH);
+        let batch_size =
+            (context.settings.max_txn_changes / 2).clamp(1, MAX_CANCELLATIONS_PER_BATCH);
         let mut batched = Vec::new();
         let mut batches: Vec<Vec<JobId>> = Vec::new();
         let due = self
--- a/crates/seamfront-core/src/jobs/mod.rs
+++ b/crates/seamfront-core/src/jobs/mod.rs
@@ -131,7 +131,7 @@
     }
 
     /// Stores the progress that the holder of a shard has reported for a job.
-    pub(crate) fn progress_reported(&mut self, reported: JobProgress) {
+    pub(crate) fn store_progress(&mut self, reported: JobProgress) {
         if self.live.contains_key(&reported.id) {
             self.reported_progress
                 .insert(reported.id, reported.progress);
@@ -144,7 +144,7 @@
     }
 
     /// Adds a job that the store has shown to be live at this version.
-    pub(crate) fn appeared(&mut self, context: JobContext, spec: Rc<JobSpec>, version: u64) {
+    pub(crate) fn job_changed(&mut self, context: JobContext, spec: Rc<JobSpec>, version: u64) {
         let Some(shard) = context.settings.shard_of(&spec.team) else {
             return;
         };
@@ -169,7 +169,7 @@
     }
 
     /// Removes a job whose record is gone from the store, or whose end is known.
-    pub(crate) fn vanished(&mut self, context: JobContext, id: &JobId) {
+    pub(crate) fn job_removed(&mut self, context: JobContext, id: &JobId) {
         if let Some(job) = self.remove_live(context, id) {
             let (shard, id) = (job.shard, id.clone());
             self.events.push(JobEvent::Ended { shard, id });
@@ -180,7 +180,7 @@
     /// shows: users who are told of the end may rely on it.
     pub(crate) fn end_confirmed(&mut self, context: JobContext, id: &JobId, end: EndRecord) {
         self.ended.insert(id, end);
-        self.vanished(context, id);
+        self.job_removed(context, id);
     }
 
     /// Records that all tasks of a job are done. The job's shard, held here, has stored this itself and needs no event.
--- a/crates/seamfront-core/src/leader/adoption.rs
+++ b/crates/seamfront-core/src/leader/adoption.rs
@@ -148,7 +148,7 @@
     pub(super) fn adoption_tick(&mut self, context: &mut LeaderContext, outbox: &mut LeaderOutbox) {
         let max_records = context
             .available_leader_writes()
-            .min(context.settings.txn_ops / 2);
+            .min(context.settings.max_txn_changes / 2);
         if self.adoptions.is_empty() || max_records == 0 {
             return;
         }
--- a/crates/seamfront-core/src/leader/mod.rs
+++ b/crates/seamfront-core/src/leader/mod.rs
@@ -94,7 +94,7 @@
 
     /// Resets the state of a duty that this controller has acquired under a new fencing token. Replies to requests sent
     /// under another token are ignored from now on.
-    pub(crate) fn duty_begins(&mut self, duty: FleetDuty) {
+    pub(crate) fn duty_acquired(&mut self, duty: FleetDuty) {
         self.writes_in_flight.clear();
         match duty {
             FleetDuty::ScaleOut => {
--- a/crates/seamfront-core/src/leader/planning.rs
+++ b/crates/seamfront-core/src/leader/planning.rs
@@ -2,7 +2,8 @@
 
 use super::{Assignment, Leader, LeaderContext, LeaderOutbox, ShardView};
 use crate::capacity::{
-    self, ClusterSnapshot, Drain, Draining, Move, Plan, ProvisioningRecord, ShardRequest, Supply,
+    self, ClusterSnapshot, Drain, Draining, MachineMove, Plan, ProvisioningRecord, ShardRequest,
+    Supply,
 };
 use crate::fleet_duties::FleetDuty;
 use crate::port::PeerMessage;
@@ -78,7 +79,10 @@
         self.start_drains(context, outbox, plan.drains);
         self.rebalancing.pending_assignments = assignable.len();
         // Assignments beyond this limit are planned again.
-        let max_assignments = context.settings.txn_ops.min(context.available_writes());
+        let max_assignments = context
+            .settings
+            .max_txn_changes
+            .min(context.available_writes());
         assignable.truncate(max_assignments);
         self.assign(context, outbox, assignable);
     }
@@ -190,7 +194,8 @@
             }
         }
         if !by_shard.is_empty() {
-            self.rebalancing.next_release_at = context.now + context.settings.tuning.move_every;
+            self.rebalancing.next_release_at =
+                context.now + context.settings.tuning.release_request_interval;
         }
         for (shard, machines) in by_shard {
             let message = PeerMessage::Release {
@@ -231,7 +236,10 @@
 }
 
 /// The assignments for a plan's moves and terminations, in that order.
-fn assignments(moves: Vec<Move>, terminations: Vec<MachineId>) -> impl Iterator<Item = Assignment> {
+fn assignments(
+    moves: Vec<MachineMove>,
+    terminations: Vec<MachineId>,
+) -> impl Iterator<Item = Assignment> {
     let moves = moves.into_iter().map(|planned| Assignment {
         machine: planned.machine,
         shard: Some(planned.to),
--- a/crates/seamfront-core/src/leader/provisioning.rs
+++ b/crates/seamfront-core/src/leader/provisioning.rs
@@ -150,7 +150,7 @@
             .filter(|id| !context.machines.contains_key(id))
             .cloned()
             .collect();
-        let max_records = context.settings.txn_ops.saturating_sub(1).max(1);
+        let max_records = context.settings.max_txn_changes.saturating_sub(1).max(1);
         let last = ids.len() <= max_records;
         ids.truncate(max_records);
         let record = provisioning.machine_record();
--- a/crates/seamfront-core/src/leader/termination.rs
+++ b/crates/seamfront-core/src/leader/termination.rs
@@ -94,7 +94,7 @@
         .max(MIN_MACHINES_PER_REQUEST);
     context
         .settings
-        .txn_ops
+        .max_txn_changes
         .min(MAX_MACHINES_PER_REQUEST)
         .min(allowed_by_writes)
 }
--- a/crates/seamfront-core/src/machine/health.rs
+++ b/crates/seamfront-core/src/machine/health.rs
@@ -6,7 +6,7 @@
 /// A machine is quarantined once this many different jobs have failed on it.
 const FAILED_JOBS_LIMIT: usize = 2;
 /// Number of completed tasks in one sample of a machine's pace.
-pub const PACE_TASKS: i64 = 10;
+pub const PACE_SAMPLE_TASKS: i64 = 10;
 /// A machine counts as slow if its tasks' run times exceed this percentage of their jobs' means, on average over a
 /// sample.
 const PACE_SLOW_PERCENT: i64 = 190;
@@ -54,7 +54,7 @@
         let percent = 100 * ran.0 / mean.0.max(1);
         self.pace.tasks += 1;
         self.pace.percent_sum += percent.min(PACE_MAX_PERCENT);
-        if self.pace.tasks < PACE_TASKS {
+        if self.pace.tasks < PACE_SAMPLE_TASKS {
             return;
         }
         if self.pace.percent_sum > PACE_SLOW_PERCENT * self.pace.tasks {
--- a/crates/seamfront-core/src/machine/mod.rs
+++ b/crates/seamfront-core/src/machine/mod.rs
@@ -9,7 +9,7 @@
 
 pub use agent::{Agent, UnacknowledgedReplies};
 pub use fencing::{DirectCommand, Fencing};
-pub use health::{Health, PaceSample, PACE_TASKS};
+pub use health::{Health, PaceSample, PACE_SAMPLE_TASKS};
 pub use image_cache::{CachedImage, ImageCache};
 pub use lifecycle::Lifecycle;
 pub use usage::Usage;
--- a/crates/seamfront-core/src/ranges.rs
+++ b/crates/seamfront-core/src/ranges.rs
@@ -6,17 +6,17 @@
 /// A set of numbers, as sorted, disjoint, non-adjacent half-open ranges.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(transparent)]
-pub struct Ranges(Vec<(u32, u32)>);
+pub struct RangeSet(Vec<(u32, u32)>);
 
-impl Ranges {
+impl RangeSet {
     /// The set of all numbers below `n`.
-    pub fn full(n: u32) -> Ranges {
-        Ranges(vec![(0, n)])
+    pub fn full(n: u32) -> RangeSet {
+        RangeSet(vec![(0, n)])
     }
 
     /// A set made of these half-open ranges, which must be sorted, disjoint and non-adjacent.
-    pub fn from_ranges(ranges: Vec<(u32, u32)>) -> Ranges {
-        Ranges(ranges)
+    pub fn from_ranges(ranges: Vec<(u32, u32)>) -> RangeSet {
+        RangeSet(ranges)
     }
 
     /// The half-open ranges of the set, in order.
--- a/crates/seamfront-core/src/record.rs
+++ b/crates/seamfront-core/src/record.rs
@@ -4,7 +4,7 @@
 //! under the same key and as parts under `part/<shard>/<job>/<number>`. Head and parts are always written in one
 //! transaction, so a reader that holds the shard's claim finds either all of them or none.
 
-use crate::ranges::Ranges;
+use crate::ranges::RangeSet;
 use crate::types::{JobId, MachineId, Resources};
 use serde::{Deserialize, Serialize};
 use serde_json::Value;
@@ -46,7 +46,7 @@
 }
 
 /// Runs of consecutive tasks on one machine.
-pub type Runs = Vec<TaskRun>;
+pub type TaskRuns = Vec<TaskRun>;
 
 /// The stored state of a job of any kind. The tasks of job arrays and services are alike and recorded together, as a
 /// class; what only gangs have is 0, false or empty for them.
@@ -71,10 +71,10 @@
     pub next_attempt: u64,
     /// Tasks that are done.
     #[serde(rename = "d")]
-    pub done: Ranges,
+    pub done: RangeSet,
     /// Placements by machine.
     #[serde(rename = "p")]
-    pub placed: BTreeMap<MachineId, Runs>,
+    pub placed: BTreeMap<MachineId, TaskRuns>,
     /// Failure count that determines the backoff: for a gang how often it has backed off, for other jobs consecutive
     /// errors.
     #[serde(rename = "pk")]
@@ -106,7 +106,7 @@
     #[serde(rename = "d", default, skip_serializing_if = "Vec::is_empty")]
     done: Vec<(u32, u32)>,
     #[serde(rename = "p", default, skip_serializing_if = "BTreeMap::is_empty")]
-    placed: BTreeMap<MachineId, Runs>,
+    placed: BTreeMap<MachineId, TaskRuns>,
 }
 
 /// Limits within which a record must be laid out.
@@ -140,8 +140,8 @@
     }
 
     /// Records with as many parts as one transaction can write and delete.
-    pub fn in_parts(value_bytes: usize, txn_ops: usize) -> Layout {
-        let parts = txn_ops
+    pub fn in_parts(value_bytes: usize, max_txn_changes: usize) -> Layout {
+        let parts = max_txn_changes
             .saturating_sub(NON_PART_OPERATIONS)
             .min(MAX_PARTS_BYTES / value_bytes.max(1));
         Layout { value_bytes, parts }
@@ -169,7 +169,7 @@
 enum Item {
     Attempts((u32, u32)),
     Done((u32, u32)),
-    Placed(MachineId, Runs),
+    Placed(MachineId, TaskRuns),
 }
 
 impl Item {
@@ -329,7 +329,7 @@
         draining: head.draining,
         attempts,
         next_attempt: head.next_attempt,
-        done: Ranges::from_ranges(done),
+        done: RangeSet::from_ranges(done),
         placed,
         failures: head.failures,
     })
--- a/crates/seamfront-core/src/scheduling/admission.rs
+++ b/crates/seamfront-core/src/scheduling/admission.rs
@@ -197,17 +197,17 @@
         };
         // A job that can still start in time may use a machine with accelerators even if that keeps the machine from
         // being terminated; other jobs may not.
-        let idle_keep = if pending.conditions.in_time {
+        let idle_timeout = if pending.conditions.in_time {
             Micros::MAX
         } else {
-            context.settings.tuning.idle_keep
+            context.settings.tuning.idle_timeout
         };
         // The second pass lets jobs that need no accelerators use machines that have some. Services are excluded: they
         // would stay there for good, so they preempt work on other machines instead. Tasks of arrays end soon, and
         // tasks with checkpoints can be moved at little loss.
         let mut passes = vec![None];
         if spec.kind != JobKind::Service && spec.task_resources.gpus <= 0 {
-            passes.push(Some(idle_keep));
+            passes.push(Some(idle_timeout));
         }
         let mut rest = missing;
         for accelerator_idle_keep in passes {
--- a/crates/seamfront-core/src/scheduling/queue.rs
+++ b/crates/seamfront-core/src/scheduling/queue.rs
@@ -85,7 +85,13 @@
         .unwrap_or(Micros::MAX);
     let size_class = match spec.kind {
         JobKind::Gang if !quota_limited.contains(spec.team.as_str()) => 0,
-        JobKind::Gang if context.settings.late(spec, context.wall_time) => u32::MAX,
+        JobKind::Gang
+            if context
+                .settings
+                .start_deadline_missed(spec, context.wall_time) =>
+        {
+            u32::MAX
+        }
         JobKind::Gang => spec.tasks.ilog2(),
         JobKind::Array | JobKind::Service => 0,
     };
--- a/crates/seamfront-core/src/shard/drain.rs
+++ b/crates/seamfront-core/src/shard/drain.rs
@@ -86,7 +86,7 @@
                 }
             }
         }
-        let Some(verdict) = g.complete(context.settings.tuning.retry_limit) else {
+        let Some(verdict) = g.complete(context.settings.tuning.gang_retry_limit) else {
             return;
         };
         info!(gang = %id, epoch = g.epoch, ?verdict, "gang drain completed");
--- a/crates/seamfront-core/src/shard/failure_detection.rs
+++ b/crates/seamfront-core/src/shard/failure_detection.rs
@@ -164,7 +164,7 @@
         .filter_map(|task| jobs.get(&task.job)?.tasks.get(&task.index)?.stop)
         .any(|stop| {
             stop.cause == StopReason::Cancelled
-                && context.now - stop.since > context.settings.cancel.over(2)
+                && context.now - stop.since > context.settings.cancellation_time.over(2)
         })
 }
 
--- a/crates/seamfront-core/src/shard/heartbeats.rs
+++ b/crates/seamfront-core/src/shard/heartbeats.rs
@@ -11,7 +11,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum StatusSource {
     /// In a heartbeat that the agent sent by itself.
-    WorkerHeartbeat,
+    AgentHeartbeat,
     /// In the agent's reply to a direct command. It renews no lease: an agent that reaches no controller may reply to
     /// commands until its lease expires, and after that in a new incarnation, and must not be taken for one that sends
     /// heartbeats. It may also overtake orders in an earlier heartbeat reply, so a task missing from it proves nothing.
@@ -220,7 +220,7 @@
     update_incarnation(m, context, heartbeat);
     m.fencing.highest_seen_token = m.fencing.highest_seen_token.max(heartbeat.fencing_token);
     let fresh = heartbeat.fencing_token == m.fencing_token(claim_version);
-    if source == StatusSource::WorkerHeartbeat {
+    if source == StatusSource::AgentHeartbeat {
         m.agent.address = Some(heartbeat.addr.clone());
         m.agent.last_heartbeat = Some(context.now);
         if fresh {
@@ -236,7 +236,7 @@
     settle_direct_command(m, heartbeat);
     Evidence {
         fresh,
-        omission_proves_absence: source == StatusSource::WorkerHeartbeat
+        omission_proves_absence: source == StatusSource::AgentHeartbeat
             && m.fencing.direct_command.is_none(),
         first_preemption_notice: !had_notice && m.lifecycle.preemption_deadline.is_some(),
     }
--- a/crates/seamfront-core/src/shard/orders.rs
+++ b/crates/seamfront-core/src/shard/orders.rs
@@ -104,7 +104,7 @@
 /// The grace period of a stop order; zero once the task should have ended long ago.
 fn effective_grace(context: &Context, stop: Stop) -> Micros {
     let waited = context.now - stop.since;
-    if waited > stop.grace + context.settings.gang_peer + GRACE_MARGIN {
+    if waited > stop.grace + context.settings.gang_loss_detection + GRACE_MARGIN {
         Micros::ZERO
     } else {
         stop.grace
--- a/crates/seamfront-core/src/shard/task_removal.rs
+++ b/crates/seamfront-core/src/shard/task_removal.rs
@@ -221,7 +221,7 @@
         if let Some(g) = &mut job.gang {
             // The members of a gang complete together: when one is done, all are.
             g.mark_all_done();
-            job.done = crate::ranges::Ranges::full(job.spec.tasks);
+            job.done = crate::ranges::RangeSet::full(job.spec.tasks);
         } else if task.index < job.spec.tasks {
             job.done.insert(task.index);
         }
--- a/crates/seamfront-core/src/store_session/claims.rs
+++ b/crates/seamfront-core/src/store_session/claims.rs
@@ -38,9 +38,9 @@
         if state.seen_newer_than(version) {
             return;
         }
-        let ours = seen
-            .as_ref()
-            .is_some_and(|seen| seen.member == context.settings.me && Some(seen.lease) == lease);
+        let ours = seen.as_ref().is_some_and(|seen| {
+            seen.member == context.settings.member_index && Some(seen.lease) == lease
+        });
         if state
             .token()
             .is_some_and(|token| token < version || (token == version && !ours))
@@ -120,7 +120,7 @@
         claim: ClaimId,
         lease: u64,
     ) -> NextStep {
-        let me = context.settings.me;
+        let me = context.settings.member_index;
         let state = self.state_mut(claim);
         if state.request_in_flight || state.held.is_some() {
             return NextStep::Wait;
@@ -172,7 +172,7 @@
         self.state_mut(claim).request_in_flight = true;
         let key = claim.to_string();
         let value = ClaimValue {
-            member: context.settings.members[context.settings.me].clone(),
+            member: context.settings.members[context.settings.member_index].clone(),
             lease,
         };
         let value = serde_json::to_value(value).unwrap_or_default();
@@ -203,7 +203,7 @@
                 if !state.seen_newer_than(revision) && state.held.is_none() {
                     state.seen = Some(Claim {
                         version: revision,
-                        member: context.settings.me,
+                        member: context.settings.member_index,
                         lease,
                     });
                     self.claim_acquired(context, claim, revision);
@@ -242,7 +242,7 @@
         ClaimId::Shard(shard) => shard,
         ClaimId::Leader => 0,
     };
-    let rank = (context.settings.me + members - home) % members;
+    let rank = (context.settings.member_index + members - home) % members;
     let partition_delay = if inputs.inbound_partitioned {
         INBOUND_PARTITION_DELAY
     } else {
--- a/crates/seamfront-core/src/store_session/transfer.rs
+++ b/crates/seamfront-core/src/store_session/transfer.rs
@@ -16,7 +16,7 @@
     pub(super) fn transfer_shards(&mut self, context: &mut SessionContext, inputs: &TickInputs) {
         let evacuate = inputs.inbound_partitioned && inputs.any_peer_ready;
         for shard in 0..self.shard_claims.len() {
-            if shard == context.settings.me && !evacuate {
+            if shard == context.settings.member_index && !evacuate {
                 continue;
             }
             let state = &self.shard_claims[shard];
--- a/crates/seamfront-core/src/store_session/watches.rs
+++ b/crates/seamfront-core/src/store_session/watches.rs
@@ -112,7 +112,7 @@
         reply: StoreReply,
     ) {
         let now = context.now;
-        let pause = context.settings.ask_every();
+        let pause = context.settings.min_request_interval();
         let watch = self.watch_mut(view_id);
         watch.request_in_flight = false;
         let update = watch.view.handle_reply(reply);
--- a/crates/seamfront-core/src/types/objective.rs
+++ b/crates/seamfront-core/src/types/objective.rs
@@ -33,7 +33,7 @@
     }
 
     /// Whether the job can no longer start in time for its deadline or for one of the objectives of its class.
-    pub fn late(&self, spec: &JobSpec, wall_time: Micros) -> bool {
+    pub fn start_deadline_missed(&self, spec: &JobSpec, wall_time: Micros) -> bool {
         self.start_deadlines(spec).any(|t| t <= wall_time)
     }
 
--- a/crates/seamfront-core/src/types/resources.rs
+++ b/crates/seamfront-core/src/types/resources.rs
@@ -18,7 +18,7 @@
 
 impl Resources {
     /// Converts what a task needs, rounding up: a task must never be counted smaller than it is.
-    pub fn needed(cpus: f64, gpus: f64, ram: f64) -> Resources {
+    pub fn rounded_up(cpus: f64, gpus: f64, ram: f64) -> Resources {
         let up = |x: f64| (x * 1e3 - 1e-6).ceil() as i64;
         Resources {
             cpus: up(cpus),
@@ -28,7 +28,7 @@
     }
 
     /// Converts what a machine or a quota offers, rounding down: neither must ever be counted larger than it is.
-    pub fn offered(cpus: f64, gpus: f64, ram: f64) -> Resources {
+    pub fn rounded_down(cpus: f64, gpus: f64, ram: f64) -> Resources {
         let down = |x: f64| (x * 1e3 + 1e-6).floor() as i64;
         Resources {
             cpus: down(cpus),
--- a/crates/seamfront-core/src/types/settings.rs
+++ b/crates/seamfront-core/src/types/settings.rs
@@ -19,7 +19,7 @@
     /// Names of all members in order, this controller included.
     pub members: Vec<String>,
     /// Index of this controller in `members`.
-    pub me: usize,
+    pub member_index: usize,
     /// All teams.
     pub teams: Vec<Team>,
     /// Service-level objectives of the classes of jobs.
@@ -31,17 +31,17 @@
     /// How long a task of a gang waits for the others.
     pub gang_wait: Micros,
     /// Time within which the tasks of a gang notice that one of them is missing.
-    pub gang_peer: Micros,
+    pub gang_loss_detection: Micros,
     /// Time from a job's cancellation after which none of its tasks may be left on any machine.
-    pub cancel: Micros,
+    pub cancellation_time: Micros,
     /// Requests per second that the key-value store accepts.
-    pub state_rps: i64,
+    pub store_rps: i64,
     /// Writes per second that the key-value store accepts.
     pub write_rps: i64,
     /// Maximum size of a value in the key-value store, in bytes.
     pub value_bytes: usize,
     /// Maximum number of changes in a transaction of the key-value store.
-    pub txn_ops: usize,
+    pub max_txn_changes: usize,
     /// Requests per second that the cloud API accepts.
     pub cloud_rps: i64,
     /// How far the cloud's list of machines may lag behind.
@@ -56,11 +56,11 @@
     /// Duration of the lease of a claim.
     pub claim_ttl: Micros,
     /// Minimum interval between requests to shards to release machines.
-    pub move_every: Micros,
+    pub release_request_interval: Micros,
     /// How long an idle machine is kept.
-    pub idle_keep: Micros,
+    pub idle_timeout: Micros,
     /// Attempts of a gang's member after which the gang backs off.
-    pub retry_limit: u32,
+    pub gang_retry_limit: u32,
     /// Whether duties with leases of their own are enabled.
     pub duties: bool,
 }
@@ -69,9 +69,9 @@
     fn default() -> Self {
         Tuning {
             claim_ttl: Micros::from_millis(4_000),
-            move_every: Micros::from_secs(2),
-            idle_keep: Micros::from_secs(40),
-            retry_limit: 3,
+            release_request_interval: Micros::from_secs(2),
+            idle_timeout: Micros::from_secs(40),
+            gang_retry_limit: 3,
             duties: false,
         }
     }
@@ -82,20 +82,20 @@
     /// holder does not learn must still take effect in time, by the expiry of the agents' leases.
     pub fn verification_ttl(&self) -> Micros {
         let margin = Micros::from_millis(3_500);
-        let ttl = self.cancel - self.lease.with_drift() - margin;
+        let ttl = self.cancellation_time - self.lease.with_drift() - margin;
         ttl.max(Micros::from_secs(2))
     }
 
-    /// Whether [`Settings::cancel`] leaves room for the agents' lease, the margin and the minimum of
+    /// Whether [`Settings::cancellation_time`] leaves room for the agents' lease, the margin and the minimum of
     /// [`Settings::verification_ttl`].
     pub fn verification_ttl_fits(&self) -> bool {
-        self.cancel - self.lease.with_drift() >= Micros::from_millis(5_500)
+        self.cancellation_time - self.lease.with_drift() >= Micros::from_millis(5_500)
     }
 
     /// Minimum interval between two requests of one controller to the store for the same purpose, so that all
     /// controllers together use a fifth of the store's request rate. It is never longer than 200 ms.
-    pub fn ask_every(&self) -> Micros {
-        let every = Micros(5_000_000 * self.members.len() as i64 / self.state_rps.max(1));
+    pub fn min_request_interval(&self) -> Micros {
+        let every = Micros(5_000_000 * self.members.len() as i64 / self.store_rps.max(1));
         every.min(Micros::from_millis(200))
     }
 
--- a/crates/seamfront-core/src/user_api/cancellation.rs
+++ b/crates/seamfront-core/src/user_api/cancellation.rs
@@ -63,7 +63,7 @@
             StoreReply::Committed { .. } => {
                 info!(job = %id, "cancelled by its user");
                 notify_holder(context, &id, end);
-                context.jobs.end_confirmed(context.base, &id, end);
+                context.jobs.end_confirmed(context.job_context, &id, end);
                 context.answer_end(request, &id, end);
             }
             StoreReply::Conflict { .. } => {
@@ -79,7 +79,7 @@
     let Some(job) = context.jobs.get(id) else {
         return;
     };
-    let shards = context.base.shards;
+    let shards = context.job_context.shards;
     if shards.held_here(job.shard) {
         return;
     }
--- a/crates/seamfront-core/src/user_api/dependency_check.rs
+++ b/crates/seamfront-core/src/user_api/dependency_check.rs
@@ -80,7 +80,7 @@
             (StoreReply::Entry(entry), JobRecordKind::End) => {
                 match serde_json::from_value::<EndRecord>(entry.value) {
                     Ok(end) => {
-                        context.jobs.end_confirmed(context.base, &id, end);
+                        context.jobs.end_confirmed(context.job_context, &id, end);
                         self.check_next(context, check);
                     }
                     Err(_) => context.reject_with_retry_after(request),
@@ -111,7 +111,7 @@
             info!(job = %spec.id, %dependency, "accepted and cancelled: a dependency is cancelled");
             return self.submit_cancelled(context, submission);
         }
-        let parts = split_dependencies(context.base.settings, spec);
+        let parts = split_dependencies(context.job_context.settings, spec);
         if parts.len() > 1 {
             let write = PartsWrite {
                 submission,
@@ -170,7 +170,11 @@
         if write.next >= write.parts.len() {
             return self.enqueue_submission(write.into_submission());
         }
-        let batch = context.base.settings.txn_ops.min(MAX_PARTS_PER_TRANSACTION);
+        let batch = context
+            .job_context
+            .settings
+            .max_txn_changes
+            .min(MAX_PARTS_PER_TRANSACTION);
         let until = write.parts.len().min(write.next + batch);
         let id = &write.submission.spec.id;
         let put = |part: usize| Write::Put {
--- a/crates/seamfront-core/src/user_api/lookup.rs
+++ b/crates/seamfront-core/src/user_api/lookup.rs
@@ -98,7 +98,7 @@
 ) {
     match serde_json::from_value::<EndRecord>(entry.value) {
         Ok(end) => {
-            context.jobs.end_confirmed(context.base, id, end);
+            context.jobs.end_confirmed(context.job_context, id, end);
             context.answer_end(request, id, end);
         }
         Err(_) => context.reject_with_retry_after(request),
--- a/crates/seamfront-core/src/user_api/mod.rs
+++ b/crates/seamfront-core/src/user_api/mod.rs
@@ -113,7 +113,7 @@
 /// What the user API can access of the rest of the controller during a call.
 pub(crate) struct UserContext<'a> {
     /// Settings, times and shards.
-    pub(crate) base: JobContext<'a>,
+    pub(crate) job_context: JobContext<'a>,
     pub(crate) jobs: &'a mut JobRegistry,
     pub(crate) jobs_view: JobsView,
     pub(crate) machine_types: &'a [MachineType],
--- a/crates/seamfront-core/src/user_api/status.rs
+++ b/crates/seamfront-core/src/user_api/status.rs
@@ -21,7 +21,7 @@
         }
         let job = self.jobs.get(&query.id);
         let progress = job
-            .and_then(|job| self.base.shards.progress(job.shard, &query.id))
+            .and_then(|job| self.job_context.shards.progress(job.shard, &query.id))
             .unwrap_or_else(|| self.jobs.reported_progress(&query.id));
         let state = if progress.running > 0 {
             JobState::Running
@@ -59,11 +59,11 @@
     /// Confirms the collected queries, at most once per interval, so that queries in quick succession are confirmed
     /// together.
     pub(super) fn confirm_queries(&mut self, context: &mut UserContext) {
-        let now = context.base.now;
+        let now = context.job_context.now;
         if now < self.next_confirmation || self.queries.is_empty() {
             return;
         }
-        self.next_confirmation = now + context.base.settings.ask_every();
+        self.next_confirmation = now + context.job_context.settings.min_request_interval();
         while !self.queries.is_empty() {
             self.send_confirmation(context);
         }
@@ -81,7 +81,7 @@
                 }
                 None => self.look_up(context, query.request, query.id, LookupPurpose::Status),
             }
-            if queries.len() >= context.base.settings.txn_ops * 2 {
+            if queries.len() >= context.job_context.settings.max_txn_changes * 2 {
                 break;
             }
         }
@@ -173,7 +173,7 @@
             let pending = UserRequest::RefreshView { queries, revision };
             return context.outbox.store(refresh, pending);
         }
-        let answer_by = context.base.now + UNDETERMINED_TIMEOUT;
+        let answer_by = context.job_context.now + UNDETERMINED_TIMEOUT;
         for query in queries {
             self.answer_if_determined(context, UndeterminedQuery { query, answer_by });
         }
@@ -211,7 +211,7 @@
         let id = &undetermined.query.id;
         if context.jobs.end_of(id).is_some() || context.jobs.no_dependency_cancelled(id) {
             context.answer_live(&undetermined.query);
-        } else if undetermined.answer_by <= context.base.now {
+        } else if undetermined.answer_by <= context.job_context.now {
             context.reject_with_retry_after(undetermined.query.request);
         } else {
             self.undetermined.push(undetermined);
--- a/crates/seamfront-core/src/user_api/submission.rs
+++ b/crates/seamfront-core/src/user_api/submission.rs
@@ -20,7 +20,7 @@
 impl UserContext<'_> {
     /// Checks whether a job can ever run: some machine type fits a task, and the team's limit allows it.
     fn check_feasible(&self, spec: &JobSpec) -> Result<(), SubmissionError> {
-        let team = self.base.settings.team(&spec.team);
+        let team = self.job_context.settings.team(&spec.team);
         let team = team.ok_or(SubmissionError::UnknownTeam)?;
         let fits = |t: &MachineType| {
             t.size.fits(spec.task_resources) > 0
@@ -57,7 +57,7 @@
         if context.machine_types.is_empty() {
             return context.reject_with_retry_after(request);
         }
-        spec.submitted = context.base.wall_time;
+        spec.submitted = context.job_context.wall_time;
         let feasible = context.check_feasible(&spec);
         let submission = Submission {
             request,
@@ -82,7 +82,7 @@
     }
 
     fn next_batch(&mut self, context: &mut UserContext) -> Vec<Submission> {
-        let max_jobs = MAX_SUBMISSIONS_PER_BATCH.min(context.base.settings.txn_ops);
+        let max_jobs = MAX_SUBMISSIONS_PER_BATCH.min(context.job_context.settings.max_txn_changes);
         let mut batch: Vec<Submission> = Vec::new();
         let mut bytes = 0;
         while let Some(submission) = self.submissions.pop_front() {
@@ -156,7 +156,9 @@
             let id = spec.id.clone();
             // A view that has reached this revision is more recent and may already have shown the job's end.
             if context.jobs_view.seen < revision {
-                context.jobs.appeared(context.base, spec, revision);
+                context
+                    .jobs
+                    .job_changed(context.job_context, spec, revision);
             }
             created.push(StatusQuery {
                 request,
--- a/crates/seamfront-core/tests/capacity.rs
+++ b/crates/seamfront-core/tests/capacity.rs
@@ -14,14 +14,14 @@
 }
 
 fn size() -> Resources {
-    Resources::offered(64.0, 8.0, 256.0)
+    Resources::rounded_down(64.0, 8.0, 256.0)
 }
 
 /// A gang that still looks for `count` of its `total` machines of eight accelerators.
 fn gang(job: &str, count: u32, total: u32, left: i64) -> ResourceRequest {
     ResourceRequest {
         job: job.into(),
-        task_resources: Resources::needed(57.0, 8.0, 200.0),
+        task_resources: Resources::rounded_up(57.0, 8.0, 200.0),
         count,
         total,
         all_or_nothing: true,
@@ -48,7 +48,7 @@
         id: id.into(),
         version: 7,
         reachable: true,
-        used: Resources::needed(7.0, 0.0, 14.0),
+        used: Resources::rounded_up(7.0, 0.0, 14.0),
         used_by_services: Resources::default(),
         idle: None,
         reserved_for_gang: true,
--- a/crates/seamfront-core/tests/dependencies.rs
+++ b/crates/seamfront-core/tests/dependencies.rs
@@ -198,7 +198,7 @@
             (spec.kind, spec.class, spec.team, spec.tasks) =
                 (JobKind::Array, "small".into(), "d".into(), 1);
             (spec.task_resources, spec.zone, spec.spot) =
-                (Resources::needed(1.0, 0.0, 1.0), None, true);
+                (Resources::rounded_up(1.0, 0.0, 1.0), None, true);
             small.push(spec.id.clone());
             w.submit(ms(500 + 100 * i64::from(n)), spec);
         }
@@ -210,7 +210,7 @@
         let mut large = w.job(2);
         (large.kind, large.class, large.team, large.tasks) =
             (JobKind::Array, "large".into(), "d".into(), 400);
-        (large.task_resources, large.zone) = (Resources::needed(1.0, 0.0, 1.0), None);
+        (large.task_resources, large.zone) = (Resources::rounded_up(1.0, 0.0, 1.0), None);
         w.submit(ms(2_000), large);
         for k in 0..4 {
             w.fault(
--- a/crates/seamfront-core/tests/fault_combinations.rs
+++ b/crates/seamfront-core/tests/fault_combinations.rs
@@ -483,7 +483,7 @@
             let at = w.draw(500..80_000);
             submit(w, n, at, |s| {
                 (s.team, s.kind, s.tasks) = ("b".into(), JobKind::Array, 3);
-                s.task_resources = Resources::needed(2.0, 0.0, 4.0);
+                s.task_resources = Resources::rounded_up(2.0, 0.0, 4.0);
             });
         }
         for k in 0..4 {
--- a/crates/seamfront-core/tests/forms.rs
+++ b/crates/seamfront-core/tests/forms.rs
@@ -208,7 +208,7 @@
     kept::<Micros>("-1500000");
     assert_eq!(stored(&Micros::from_millis(250)), "250000");
     assert_eq!(
-        stored(&Resources::needed(1.5, 0.25, 4.0)),
+        stored(&Resources::rounded_up(1.5, 0.25, 4.0)),
         r#"{"c":1500,"g":250,"r":4000}"#
     );
     kept::<TaskNames>(r#"{"job":"j-1","machine":"i-1"}"#);
--- a/crates/seamfront-core/tests/machines.rs
+++ b/crates/seamfront-core/tests/machines.rs
@@ -1,6 +1,6 @@
 //! A machine's pace and its lease, by themselves.
 
-use seamfront_core::machine::{Machine, MachineRecord, PACE_TASKS};
+use seamfront_core::machine::{Machine, MachineRecord, PACE_SAMPLE_TASKS};
 use seamfront_core::types::*;
 
 fn machine() -> Machine {
@@ -14,7 +14,7 @@
         "i-1".into(),
         record,
         7,
-        Resources::offered(4.0, 0.0, 16.0),
+        Resources::rounded_down(4.0, 0.0, 16.0),
         Micros::ZERO,
     )
 }
@@ -22,7 +22,7 @@
 #[test]
 fn a_machine_much_slower_than_its_jobs_elsewhere_is_suspected() {
     let (mut slow, mut fair) = (machine(), machine());
-    for k in 0..PACE_TASKS {
+    for k in 0..PACE_SAMPLE_TASKS {
         slow.health
             .record_run(Micros::from_secs(20), Micros::from_secs(10));
         // One long task among ordinary ones tells nothing about the machine.
--- a/crates/seamfront-core/tests/operational_faults.rs
+++ b/crates/seamfront-core/tests/operational_faults.rs
@@ -345,7 +345,7 @@
             Priority::BestEffort,
         );
         (sweep.tasks, sweep.task_resources, sweep.image_mb) =
-            (TASKS, Resources::needed(0.25, 0.0, 0.25), 100);
+            (TASKS, Resources::rounded_up(0.25, 0.0, 0.25), 100);
         (sweep.zone, sweep.one_zone, sweep.spread, sweep.spot) = (None, false, false, true);
         (sweep.deadline, sweep.checkpoint_interval, sweep.estimate) =
             (None, Micros::ZERO, ms(4_000));
--- a/crates/seamfront-core/tests/placement.rs
+++ b/crates/seamfront-core/tests/placement.rs
@@ -18,7 +18,7 @@
         kind: JobKind::Array,
         priority: Priority::Normal,
         tasks: rng.random_range(1..9),
-        task_resources: Resources::needed(
+        task_resources: Resources::rounded_up(
             f64::from(rng.random_range(1..4)),
             0.0,
             f64::from(rng.random_range(1..9)),
@@ -55,7 +55,7 @@
                     zone: pick(&mut rng, ["x", "y"]),
                     spot: rng.random_range(0..2) == 0,
                 };
-                let size = Resources::offered(f64::from(rng.random_range(1..9)), 0.0, 16.0);
+                let size = Resources::rounded_down(f64::from(rng.random_range(1..9)), 0.0, 16.0);
                 let id = MachineId::from(format!("m-{k}").as_str());
                 (id.clone(), Machine::new(id, record, 1, size, Micros::ZERO))
             })
@@ -135,7 +135,7 @@
 #[test]
 fn quota_room_never_lets_a_team_over_its_limit() {
     let mut rng = StdRng::seed_from_u64(8);
-    let limit = Resources::offered(20.0, 0.0, 0.0);
+    let limit = Resources::rounded_down(20.0, 0.0, 0.0);
     let team = Team {
         name: "t".into(),
         guarantee: Resources::default(),
@@ -144,7 +144,8 @@
     let mut quota = Quota::default();
     let mut held: Vec<Resources> = Vec::new();
     for _ in 0..5_000 {
-        let task_resources = Resources::needed(f64::from(rng.random_range(1..50)) / 10.0, 1.0, 1.0);
+        let task_resources =
+            Resources::rounded_up(f64::from(rng.random_range(1..50)) / 10.0, 1.0, 1.0);
         if quota.headroom(&team, task_resources, Resources::default()) > 0
             && rng.random_range(0..3) > 0
         {
@@ -159,7 +160,7 @@
         assert_eq!(used.cpus, held.iter().map(|h| h.cpus).sum::<i64>());
     }
     let mut job = spec(&mut rng);
-    job.task_resources = Resources::needed(6.0, 0.0, 1.0);
+    job.task_resources = Resources::rounded_up(6.0, 0.0, 1.0);
     job.tasks = 4;
     assert!(
         within_limit(&team, &job),
--- a/crates/seamfront-core/tests/ranges.rs
+++ b/crates/seamfront-core/tests/ranges.rs
@@ -1,11 +1,11 @@
 //! Sets of task numbers.
 
-use seamfront_core::ranges::Ranges;
+use seamfront_core::ranges::RangeSet;
 use std::collections::BTreeSet;
 
 #[test]
 fn behaves_like_a_set() {
-    let mut ranges = Ranges::default();
+    let mut ranges = RangeSet::default();
     let mut set = BTreeSet::new();
     let mut x = 7u32;
     for _ in 0..2_000 {
--- a/crates/seamfront-core/tests/reconciliation.rs
+++ b/crates/seamfront-core/tests/reconciliation.rs
@@ -178,7 +178,7 @@
             "i-0".into(),
             machine_of(Some(0)),
             7,
-            Resources::offered(8.0, 0.0, 32.0),
+            Resources::rounded_down(8.0, 0.0, 32.0),
             s(144),
         );
         let m = &h.shard.machines[&MachineId::from("i-0")];
@@ -277,7 +277,7 @@
             assert!(!s.apply_heartbeat(
                 context,
                 &heartbeat("i-0", incarnation, sequence, CLAIM, &[]),
-                StatusSource::WorkerHeartbeat
+                StatusSource::AgentHeartbeat
             ));
         });
         assert_eq!(newest(&h), before);
@@ -334,7 +334,7 @@
         let mut store = Store::with_page_size(100);
         let kind = MachineType {
             name: "m".into(),
-            size: Resources::offered(8.0, 0.0, 32.0),
+            size: Resources::rounded_down(8.0, 0.0, 32.0),
             cache_mb: 1_000,
             fetch_mb_s: 100,
             price: 1_000,
@@ -717,7 +717,7 @@
     );
     let drift = |t: Micros| Micros(t.0 + t.0 / 2_000);
     assert!(
-        drift(last - proven) + drift(settings.lease) < settings.cancel,
+        drift(last - proven) + drift(settings.lease) < settings.cancellation_time,
         "answered until {last:?}"
     );
 }
@@ -755,7 +755,7 @@
         for room in 6..60 {
             let settings = Settings {
                 lease: s(lease),
-                cancel: s(lease + room),
+                cancellation_time: s(lease + room),
                 ..settings()
             };
             if !settings.verification_ttl_fits() {
@@ -763,7 +763,8 @@
             }
             let slow = |t: Micros| Micros(t.0 + t.0 / 2_000);
             assert!(
-                slow(settings.verification_ttl()) + slow(settings.lease) + s(3) <= settings.cancel,
+                slow(settings.verification_ttl()) + slow(settings.lease) + s(3)
+                    <= settings.cancellation_time,
                 "{lease} {room}"
             );
         }
--- a/crates/seamfront-core/tests/records.rs
+++ b/crates/seamfront-core/tests/records.rs
@@ -1,6 +1,6 @@
 //! Work records that take several keys, alone and in the seeded world, also beside the version in production.
 
-use seamfront_core::ranges::Ranges;
+use seamfront_core::ranges::RangeSet;
 use seamfront_core::record::{
     decode, encode, parse_part_key, part_key, EncodedRecord, Layout, TaskRun, WorkRecord,
 };
@@ -23,13 +23,13 @@
 
 /// A record of a gang with one member on each machine.
 fn record(members: u32) -> WorkRecord {
-    let mut done = Ranges::default();
+    let mut done = RangeSet::default();
     for index in (0..members).step_by(5) {
         done.insert(index);
     }
     WorkRecord {
         team: "t".into(),
-        task_resources: Resources::needed(1.0, 0.0, 2.0),
+        task_resources: Resources::rounded_up(1.0, 0.0, 2.0),
         epoch: 7,
         draining: true,
         attempts: (0..members).map(|index| (index, 2)).collect(),
@@ -167,7 +167,7 @@
     (spec.kind, spec.class, spec.team, spec.tasks) =
         (JobKind::Gang, "large".into(), "a".into(), members);
     // One member on a machine.
-    (spec.task_resources, spec.priority) = (Resources::needed(3.0, 0.0, 1.0), Priority::Urgent);
+    (spec.task_resources, spec.priority) = (Resources::rounded_up(3.0, 0.0, 1.0), Priority::Urgent);
     (spec.zone, spec.one_zone, spec.spread, spec.spot) = (None, false, false, true);
     spec.image_mb = 100;
     let id = spec.id.clone();
@@ -253,7 +253,7 @@
             let mut large = w.job(n);
             (large.kind, large.class, large.team, large.tasks) =
                 (JobKind::Array, "large".into(), "a".into(), 300);
-            (large.task_resources, large.zone) = (Resources::needed(3.0, 0.0, 1.0), None);
+            (large.task_resources, large.zone) = (Resources::rounded_up(3.0, 0.0, 1.0), None);
             (large.one_zone, large.spread) = (false, false);
             w.submit(ms(at), large);
         }
--- a/crates/seamfront-core/tests/rules.rs
+++ b/crates/seamfront-core/tests/rules.rs
@@ -377,7 +377,7 @@
         let mut gang = w.job(0);
         (gang.kind, gang.class, gang.team, gang.priority) =
             (JobKind::Gang, "gang".into(), "b".into(), Priority::Urgent);
-        (gang.tasks, gang.task_resources) = (3, Resources::needed(3.0, 0.0, 4.0));
+        (gang.tasks, gang.task_resources) = (3, Resources::rounded_up(3.0, 0.0, 4.0));
         (gang.one_zone, gang.spread, gang.zone, gang.spot) = (false, false, None, true);
         for n in 1..85 {
             let mut small = gang.clone();
--- a/crates/seamfront-core/tests/starvation.rs
+++ b/crates/seamfront-core/tests/starvation.rs
@@ -63,7 +63,7 @@
             ..array("j-0", 8, Priority::Normal, s(100))
         };
         let mut h = ShardHarness::new(1, 0);
-        h.settings.teams[0].limit = Resources::offered(limit, 0.0, 0.0);
+        h.settings.teams[0].limit = Resources::rounded_down(limit, 0.0, 0.0);
         for spec in [large, small] {
             h.shard.add_job(Rc::new(spec), 5, s(120));
         }
@@ -82,7 +82,7 @@
 fn what_began_by_its_turn_is_not_stopped_by_what_comes_after_it() {
     let now = s(400);
     let mut old = array("j-0", 1, Priority::Normal, now - START_DEADLINE);
-    old.task_resources = Resources::needed(8.0, 0.0, 1.0);
+    old.task_resources = Resources::rounded_up(8.0, 0.0, 1.0);
     let urgent = JobSpec {
         id: "j-1".into(),
         priority: Priority::Urgent,
@@ -109,11 +109,11 @@
     let gang = |id: &str, team: &str, submitted| JobSpec {
         kind: JobKind::Gang,
         team: team.into(),
-        task_resources: Resources::needed(8.0, 0.0, 1.0),
+        task_resources: Resources::rounded_up(8.0, 0.0, 1.0),
         ..array(id, 1, Priority::Urgent, submitted)
     };
     let mut h = ShardHarness::new(1, 0);
-    let guarantee = Resources::offered(16.0, 0.0, 0.0);
+    let guarantee = Resources::rounded_down(16.0, 0.0, 0.0);
     h.settings.teams.push(Team {
         name: "u".into(),
         guarantee,
@@ -179,7 +179,7 @@
     use seamfront_core::quota::guaranteed;
     let team = Team {
         name: "t".into(),
-        guarantee: Resources::offered(4.0, 0.0, 0.0),
+        guarantee: Resources::rounded_down(4.0, 0.0, 0.0),
         limit: Resources {
             cpus: 0,
             gpus: 0,
@@ -210,11 +210,11 @@
     let whole = |id: &str, team: &str, kind, priority| JobSpec {
         kind,
         team: team.into(),
-        task_resources: Resources::needed(8.0, 0.0, 1.0),
+        task_resources: Resources::rounded_up(8.0, 0.0, 1.0),
         ..array(id, 1, priority, now)
     };
     let mut h = ShardHarness::new(4, 0);
-    h.settings.teams[0].limit = Resources::offered(8.0, 0.0, 0.0);
+    h.settings.teams[0].limit = Resources::rounded_down(8.0, 0.0, 0.0);
     h.settings.teams.push(Team {
         name: "u".into(),
         guarantee: Resources::default(),
@@ -253,14 +253,14 @@
     now: Micros,
 ) -> (ShardHarness, impl Fn(&str, u32, Micros) -> JobSpec) {
     let mut h = ShardHarness::new(machines, 0);
-    h.settings.teams[0].limit = Resources::offered(16.0, 0.0, 0.0);
+    h.settings.teams[0].limit = Resources::rounded_down(16.0, 0.0, 0.0);
     h.settings.teams.push(Team {
         name: "u".into(),
         guarantee: Resources::default(),
         limit: Resources::default(),
     });
     for id in busy {
-        let task_resources = Resources::needed(8.0, 0.0, 1.0);
+        let task_resources = Resources::rounded_up(8.0, 0.0, 1.0);
         let lesser = JobSpec {
             team: "u".into(),
             task_resources,
@@ -272,7 +272,7 @@
     order_all(&mut h);
     let gang = |id: &str, tasks, submitted| JobSpec {
         kind: JobKind::Gang,
-        task_resources: Resources::needed(8.0, 0.0, 1.0),
+        task_resources: Resources::rounded_up(8.0, 0.0, 1.0),
         ..array(id, tasks, Priority::Urgent, submitted)
     };
     (h, gang)
--- a/crates/seamfront-testing/src/shard_harness.rs
+++ b/crates/seamfront-testing/src/shard_harness.rs
@@ -31,18 +31,18 @@
     };
     Settings {
         members: vec!["a".into(), "b".into(), "c".into()],
-        me: 0,
+        member_index: 0,
         teams: vec![team],
         objectives: vec![],
         heartbeat_interval: s(2),
         lease: s(12),
         gang_wait: s(15),
-        gang_peer: s(4),
-        cancel: s(30),
-        state_rps: 250,
+        gang_loss_detection: s(4),
+        cancellation_time: s(30),
+        store_rps: 250,
         write_rps: 100,
         value_bytes: 32 * 1024,
-        txn_ops: 48,
+        max_txn_changes: 48,
         cloud_rps: 5,
         list_lag: s(5),
         tuning: Tuning::default(),
@@ -58,7 +58,7 @@
         kind: JobKind::Array,
         priority: Priority::Normal,
         tasks,
-        task_resources: Resources::needed(1.0, 0.0, 1.0),
+        task_resources: Resources::rounded_up(1.0, 0.0, 1.0),
         types: None,
         zone: None,
         one_zone: false,
@@ -118,7 +118,7 @@
     /// of its own job is recorded, in attempt 3.
     pub fn new(machines: usize, placed: usize) -> ShardHarness {
         let mut shard = Shard::new(0, CLAIM, s(100));
-        let size = Resources::offered(8.0, 0.0, 32.0);
+        let size = Resources::rounded_down(8.0, 0.0, 32.0);
         for k in 0..machines {
             let record = MachineRecord {
                 shard: Some(0),
@@ -174,7 +174,7 @@
     /// Applies a heartbeat and returns the orders of the reply, which counts as delivered, as after an HTTP status 200.
     pub fn heartbeat(&mut self, now: Micros, heartbeat: &Heartbeat) -> Vec<Order> {
         let orders = self.with(now, |shard, context| {
-            if shard.apply_heartbeat(context, heartbeat, StatusSource::WorkerHeartbeat) {
+            if shard.apply_heartbeat(context, heartbeat, StatusSource::AgentHeartbeat) {
                 shard.orders(context, heartbeat)
             } else {
                 vec![]
--- a/crates/seamfront-testing/src/simulation/mod.rs
+++ b/crates/seamfront-testing/src/simulation/mod.rs
@@ -296,12 +296,12 @@
 fn settings(scale: Scale, me: usize) -> Settings {
     let team = |name: &str, limit: i64| Team {
         name: name.into(),
-        guarantee: Resources::offered(8.0, 0.0, 0.0),
-        limit: Resources::offered(limit as f64, 0.0, 0.0),
+        guarantee: Resources::rounded_down(8.0, 0.0, 0.0),
+        limit: Resources::rounded_down(limit as f64, 0.0, 0.0),
     };
     Settings {
         members: (0..scale.nodes).map(|k| format!("n{k}")).collect(),
-        me,
+        member_index: me,
         teams: ["a", "b", "c", "d", "e", "f", "g", "h", "i", "j"]
             .into_iter()
             .zip(scale.limits)
@@ -312,17 +312,17 @@
         heartbeat_interval: ms(1_000 * scale.times.0),
         lease: ms(1_000 * scale.times.1),
         gang_wait: ms(15_000),
-        gang_peer: ms(4_000),
-        cancel: ms(1_000 * scale.times.2),
-        state_rps: scale.state_rps,
+        gang_loss_detection: ms(4_000),
+        cancellation_time: ms(1_000 * scale.times.2),
+        store_rps: scale.state_rps,
         write_rps: scale.write_rps,
         value_bytes: scale.value_bytes,
-        txn_ops: scale.txn_ops,
+        max_txn_changes: scale.txn_ops,
         cloud_rps: 5,
         list_lag: ms(5_000),
         tuning: Tuning {
-            idle_keep: ms(20_000),
-            move_every: ms(3_000),
+            idle_timeout: ms(20_000),
+            release_request_interval: ms(3_000),
             duties: scale.duties,
             ..Tuning::default()
         },
@@ -332,7 +332,7 @@
 fn machine_types() -> Vec<MachineType> {
     let one = |name: &str, cpus: f64, price: i64| MachineType {
         name: name.into(),
-        size: Resources::offered(cpus, 0.0, 32.0),
+        size: Resources::rounded_down(cpus, 0.0, 32.0),
         cache_mb: 50_000,
         fetch_mb_s: 500,
         price,
@@ -384,9 +384,9 @@
             failing: BTreeSet::new(),
             failures: 0,
             cancelled: BTreeMap::new(),
-            cancel: settings.cancel,
+            cancel: settings.cancellation_time,
             gang_wait: settings.gang_wait,
-            gang_peer: settings.gang_peer,
+            gang_peer: settings.gang_loss_detection,
             lease: settings.lease,
             broken: Vec::new(),
             started: 0,
--- a/crates/seamfront-testing/src/simulation/network.rs
+++ b/crates/seamfront-testing/src/simulation/network.rs
@@ -379,7 +379,7 @@
             self.cover("a lease ended under running tasks");
         }
         let now = self.now;
-        let smallest = Resources::needed(1.0, 0.0, 4.0);
+        let smallest = Resources::rounded_up(1.0, 0.0, 4.0);
         let room = |w: &Worker| w.free(&self.truth.jobs).fits(smallest) > 0;
         if !self
             .truth
--- a/crates/seamfront-testing/src/simulation/scenarios.rs
+++ b/crates/seamfront-testing/src/simulation/scenarios.rs
@@ -44,7 +44,7 @@
                 priorities[self.rng.random_range(1..4)]
             },
             tasks,
-            task_resources: Resources::needed(f64::from(self.rng.random_range(1..4)), 0.0, 4.0),
+            task_resources: Resources::rounded_up(f64::from(self.rng.random_range(1..4)), 0.0, 4.0),
             types: None,
             zone: (self.rng.random_range(0..6) == 0).then(|| "x".into()),
             one_zone: kind == JobKind::Gang && self.rng.random_range(0..2) == 0,
@@ -312,7 +312,7 @@
     for n in 0..480 {
         let mut spec = w.job(n);
         (spec.kind, spec.class, spec.tasks) = (JobKind::Array, "small".into(), 1);
-        (spec.task_resources, spec.image_mb) = (Resources::needed(1.0, 0.0, 1.0), 100);
+        (spec.task_resources, spec.image_mb) = (Resources::rounded_up(1.0, 0.0, 1.0), 100);
         (spec.one_zone, spec.spread) = (false, false);
         let (id, at) = (spec.id.clone(), 250 * i64::from(n));
         w.submit(ms(at), spec);
@@ -351,7 +351,7 @@
         (spec.kind, spec.class, spec.tasks) = (JobKind::Array, "small".into(), 6);
         (spec.team, spec.task_resources) = (
             ["a", "b", "c", "d"][n as usize % 4].into(),
-            Resources::needed(1.0, 0.0, 2.0),
+            Resources::rounded_up(1.0, 0.0, 2.0),
         );
         (spec.zone, spec.one_zone, spec.spread) = (None, false, false);
         let at = w.draw(500..6_000);
--- a/crates/seamfront-testing/src/simulation/users.rs
+++ b/crates/seamfront-testing/src/simulation/users.rs
@@ -155,7 +155,7 @@
         let n = self.rng.random_range(500_000..999_999);
         let mut spec = self.job(n);
         match self.rng.random_range(0..3) {
-            0 => spec.task_resources = Resources::needed(900.0, 0.0, 1.0),
+            0 => spec.task_resources = Resources::rounded_up(900.0, 0.0, 1.0),
             1 => spec.team = "nobody".into(),
             _ => spec.types = Some(vec!["none".into()]),
         }
@@ -204,7 +204,9 @@
                 }
                 let done = self.truth.completed.get(&job).map_or(0, |c| c.len() as u32);
                 if let Some(since) = self.truth.called_off(&job) {
-                    if state != JobState::Cancelled && asked_at > since + self.settings.cancel {
+                    if state != JobState::Cancelled
+                        && asked_at > since + self.settings.cancellation_time
+                    {
                         bad.push(format!("orphaned: {job} is called {state:?}"));
                     }
                     if state == JobState::Cancelled {
--- a/crates/seamfront/src/cloud_client.rs
+++ b/crates/seamfront/src/cloud_client.rs
@@ -102,7 +102,7 @@
     fn from(t: WireType) -> MachineType {
         MachineType {
             name: t.name,
-            size: Resources::offered(t.cores, t.accelerators, t.ram_gb),
+            size: Resources::rounded_down(t.cores, t.accelerators, t.ram_gb),
             cache_mb: milli(t.cache_gb),
             fetch_mb_s: milli(t.fetch_gb_per_s),
             price: milli(t.hourly),
--- a/crates/seamfront/src/driver.rs
+++ b/crates/seamfront/src/driver.rs
@@ -75,7 +75,7 @@
 }
 
 fn log_start(core: &Settings) {
-    info!(member = %core.members[core.me], verification_ttl_s = core.verification_ttl().as_secs_decimal(), "starting");
+    info!(member = %core.members[core.member_index], verification_ttl_s = core.verification_ttl().as_secs_decimal(), "starting");
     if !core.verification_ttl_fits() {
         warn!("cancel_s leaves no room beyond lease_s: machines that can't be reached are deleted before a cancellation falls due");
     }
@@ -87,9 +87,9 @@
     settings: &Service,
 ) -> Vec<Option<Sender<PeerMessage>>> {
     let core = &settings.core;
-    let own_name = &core.members[core.me];
+    let own_name = &core.members[core.member_index];
     let start_peer = |(member, name): (usize, &String)| {
-        if member == core.me {
+        if member == core.member_index {
             return None;
         }
         let (sender, queue) = async_channel::bounded(PEER_QUEUE_MAX);
--- a/crates/seamfront/src/settings/operator_file.rs
+++ b/crates/seamfront/src/settings/operator_file.rs
@@ -32,9 +32,9 @@
     fn apply(&self, tuning: &mut Tuning) -> Result<(), SettingsError> {
         match self.name.as_str() {
             "claims.ttl_s" => tuning.claim_ttl = self.seconds(1.0, 60.0)?,
-            "shares.move_every_s" => tuning.move_every = self.seconds(0.25, 600.0)?,
-            "fleet.idle_keep_s" => tuning.idle_keep = self.seconds(0.0, 86_400.0)?,
-            "gangs.retry_limit" => tuning.retry_limit = self.retry_limit()?,
+            "shares.move_every_s" => tuning.release_request_interval = self.seconds(0.25, 600.0)?,
+            "fleet.idle_keep_s" => tuning.idle_timeout = self.seconds(0.0, 86_400.0)?,
+            "gangs.retry_limit" => tuning.gang_retry_limit = self.retry_limit()?,
             "duties.on" => tuning.duties = self.flag()?,
             _ => return Err(self.invalid("belongs to a setting that does not exist")),
         }
--- a/crates/seamfront/src/settings/validate.rs
+++ b/crates/seamfront/src/settings/validate.rs
@@ -77,19 +77,19 @@
     let workers = &params.workers;
     let own_name = |member: &Member| member.name == file.member;
     Ok(Settings {
-        me: members.iter().position(own_name).unwrap_or(0),
+        member_index: members.iter().position(own_name).unwrap_or(0),
         members: members.iter().map(|member| member.name.clone()).collect(),
         teams,
         objectives,
         heartbeat_interval: seconds("params.workers.report_s", workers.report_s)?,
         lease: seconds("params.workers.lease_s", workers.lease_s)?,
         gang_wait: seconds("params.workers.gang_wait_s", workers.gang_wait_s)?,
-        gang_peer: seconds("params.workers.gang_peer_s", workers.gang_peer_s)?,
-        cancel: seconds("params.workers.cancel_s", workers.cancel_s)?,
-        state_rps: count("params.state.rps", state.rps)?,
+        gang_loss_detection: seconds("params.workers.gang_peer_s", workers.gang_peer_s)?,
+        cancellation_time: seconds("params.workers.cancel_s", workers.cancel_s)?,
+        store_rps: count("params.state.rps", state.rps)?,
         write_rps: count("params.state.write_rps", state.write_rps)?,
         value_bytes: count("params.state.value_kb", state.value_kb * BYTES_PER_KB)? as usize,
-        txn_ops: state.txn_ops as usize,
+        max_txn_changes: state.txn_ops as usize,
         cloud_rps: count("params.cloud.rps", params.cloud.rps)?,
         list_lag: seconds("params.cloud.list_lag_s", params.cloud.list_lag_s)?,
         tuning: tuning()?,
@@ -108,8 +108,8 @@
         }
         teams.push(Team {
             name: team.name.clone(),
-            guarantee: Resources::offered(team.cpus, team.gpus, 0.0),
-            limit: Resources::offered(team.cpus_max, team.gpus_max, 0.0),
+            guarantee: Resources::rounded_down(team.cpus, team.gpus, 0.0),
+            limit: Resources::rounded_down(team.cpus_max, team.gpus_max, 0.0),
         });
     }
     Ok(teams)
--- a/crates/seamfront/src/user_api.rs
+++ b/crates/seamfront/src/user_api.rs
@@ -240,7 +240,7 @@
     // The response names the first wrong field in this order.
     let tasks = fields.task_count("paes")?;
     let types = fields.machine_types("modelos")?;
-    let task_resources = Resources::needed(
+    let task_resources = Resources::rounded_up(
         fields.amount("cores")?,
         fields.amount("accelerators")?,
         fields.amount("ram_gb")?,
--- a/crates/seamfront/tests/forms.rs
+++ b/crates/seamfront/tests/forms.rs
@@ -769,7 +769,12 @@
     let peers: Vec<String> = s.peers.iter().map(SocketAddr::to_string).collect();
     let c = &s.core;
     let mut lines = vec![
-        format!("{} of {} at {}", c.me, c.members.join(" "), peers.join(" ")),
+        format!(
+            "{} of {} at {}",
+            c.member_index,
+            c.members.join(" "),
+            peers.join(" ")
+        ),
         format!(
             "bind {} mesh {} cloud {} state {} sockets {}",
             s.bind, s.mesh, s.cloud, s.state, s.sockets
@@ -794,21 +799,21 @@
         c.heartbeat_interval,
         c.lease,
         c.gang_wait,
-        c.gang_peer,
-        c.cancel,
+        c.gang_loss_detection,
+        c.cancellation_time,
     ]
     .map(|t| t.0);
     lines.push(format!("workers {workers:?}"));
     lines.push(format!(
         "state {} {} {} {}",
-        c.state_rps, c.write_rps, c.value_bytes, c.txn_ops
+        c.store_rps, c.write_rps, c.value_bytes, c.max_txn_changes
     ));
     lines.push(format!("cloud {} {}", c.cloud_rps, c.list_lag.0));
     let t = &c.tuning;
-    let times = [t.claim_ttl, t.move_every, t.idle_keep].map(|t| t.0);
+    let times = [t.claim_ttl, t.release_request_interval, t.idle_timeout].map(|t| t.0);
     lines.push(format!(
         "operators {times:?} {} {}",
-        t.retry_limit, t.duties
+        t.gang_retry_limit, t.duties
     ));
     lines.join("\n")
 }
--- a/crates/seamfront/tests/parsing.rs
+++ b/crates/seamfront/tests/parsing.rs
@@ -153,8 +153,8 @@
     let s = settings::parse(good, Some(ini)).expect("the examples are valid");
     assert_eq!(s.core.members, ["alpha", "beta"]);
     assert_eq!(
-        s.core.tuning.idle_keep,
-        seamfront_core::types::Tuning::default().idle_keep
+        s.core.tuning.idle_timeout,
+        seamfront_core::types::Tuning::default().idle_timeout
     );
     assert!(settings::parse(&good.replace("ram_mb", "unknown_field"), None).is_ok());
     for (from, to, field) in [
@@ -237,15 +237,15 @@
         .unwrap()
         .core;
     assert_eq!(
-        (s.write_rps, s.value_bytes, s.txn_ops, s.state_rps),
-        (20, 2_048, 16, now.state_rps)
+        (s.write_rps, s.value_bytes, s.max_txn_changes, s.store_rps),
+        (20, 2_048, 16, now.store_rps)
     );
     let s = with("[params.state.next]\nwrite_rps = 9000.0\nvalue_kb = 900.0\n")
         .unwrap()
         .core;
     assert_eq!(
-        (s.write_rps, s.value_bytes, s.txn_ops),
-        (now.write_rps, now.value_bytes, now.txn_ops)
+        (s.write_rps, s.value_bytes, s.max_txn_changes),
+        (now.write_rps, now.value_bytes, now.max_txn_changes)
     );
     assert!(with("[params.state.next]\ntxn_ops = 0\n").is_err());
 }
