--- a/crates/seamfront-core/src/engine/writes.rs
+++ b/crates/seamfront-core/src/engine/writes.rs
@@ -161,7 +161,7 @@
                 self.job_completed(job, *tasks);
             }
             self.with_shard(shard, |s, context| {
-                s.apply_write_outcome(context, write, outcome)
+                s.apply_write_outcome(context, write, outcome);
             });
         }
     }
--- a/crates/seamfront-core/tests/reconciliation.rs
+++ b/crates/seamfront-core/tests/reconciliation.rs
@@ -165,7 +165,7 @@
         for outcome in outcomes {
             for w in &writes {
                 h.with(s(142), |s, context| {
-                    s.apply_write_outcome(context, w, outcome)
+                    s.apply_write_outcome(context, w, outcome);
                 });
             }
             if let Done(version) = outcome {
@@ -644,7 +644,7 @@
             heartbeat: Box::new(heartbeat("i-0", incarnation, sequence, CLAIM, &[])),
         };
         h.with(now, |s, context| {
-            s.apply_direct_outcome(context, 7, &id, outcome)
+            s.apply_direct_outcome(context, 7, &id, outcome);
         });
     };
     for (n, t) in (102..113).enumerate() {
