--- a/crates/seamfront-core/src/engine/writes.rs
+++ b/crates/seamfront-core/src/engine/writes.rs
@@ -53,7 +53,7 @@
     /// Sends the due writes of all shards held here, as far as the write budget allows.
     pub(super) fn flush_writes(&mut self) {
         // Writes that become due within this interval are batched.
-        let interval = self.settings.ask_every().over(2);
+        let interval = self.settings.min_request_interval().over(2);
         let Some(flush) = self.write_pacer.start_flush(self.now, interval) else {
             return;
         };
@@ -98,11 +98,11 @@
     /// The writes of a shard that may be sent now, and the version of the shard's claim.
     fn due_shard_writes(&mut self, shard: usize) -> Option<(u64, Vec<ShardWrite>)> {
         let available = self.write_pacer.available_writes();
-        if available == 0 || !self.lease_valid(ClaimId::Shard(shard)) {
+        if available == 0 || !self.claim_verified(ClaimId::Shard(shard)) {
             return None;
         }
         let max_writes =
-            (self.settings.txn_ops / OPERATIONS_PER_WRITE).clamp(1, MAX_WRITES_PER_FLUSH);
+            (self.settings.max_txn_changes / OPERATIONS_PER_WRITE).clamp(1, MAX_WRITES_PER_FLUSH);
         let (now, layout) = (self.now, self.layout());
         self.with_shard(shard, |s, _| {
             let writes = match s.phase {
@@ -124,7 +124,7 @@
     }
 
     fn send_shard_writes(&mut self, shard: usize, version: u64, shard_writes: Vec<ShardWrite>) {
-        let mut transaction = ShardTransaction::new(shard, version, self.settings.txn_ops);
+        let mut transaction = ShardTransaction::new(shard, version, self.settings.max_txn_changes);
         for write in &shard_writes {
             transaction.add(write);
         }
@@ -160,7 +160,9 @@
             if let (ShardWrite::End { job, tasks, .. }, WriteOutcome::Done(_)) = (write, outcome) {
                 self.job_completed(job, *tasks);
             }
-            self.with_shard(shard, |s, context| s.written(context, write, outcome));
+            self.with_shard(shard, |s, context| {
+                s.apply_write_outcome(context, write, outcome);
+            });
         }
     }
 }
--- a/crates/seamfront-core/src/leader/mod.rs
+++ b/crates/seamfront-core/src/leader/mod.rs
@@ -94,7 +94,7 @@
 
     /// Resets the state of a duty that this controller has acquired under a new fencing token. Replies to requests sent
     /// under another token are ignored from now on.
-    pub(crate) fn duty_begins(&mut self, duty: FleetDuty) {
+    pub(crate) fn duty_acquired(&mut self, duty: FleetDuty) {
         self.writes_in_flight.clear();
         match duty {
             FleetDuty::ScaleOut => {
@@ -166,8 +166,9 @@
             .into_iter()
             .map(|machine| (machine.id.clone(), machine))
             .collect();
-        self.boot_times
-            .record_boots(now, |id| machines.get(id).is_some_and(|machine| machine.up));
+        self.boot_times.record_boots(now, |id| {
+            machines.get(id).is_some_and(|machine| machine.reachable)
+        });
         *view = Some(ShardView {
             received_at: now,
             requests,
--- a/crates/seamfront-core/src/leader/planning.rs
+++ b/crates/seamfront-core/src/leader/planning.rs
@@ -2,7 +2,8 @@
 
 use super::{Assignment, Leader, LeaderContext, LeaderOutbox, ShardView};
 use crate::capacity::{
-    self, ClusterSnapshot, Drain, Draining, Move, Plan, ProvisioningRecord, ShardRequest, Supply,
+    self, ClusterSnapshot, Drain, Draining, MachineMove, Plan, ProvisioningRecord, ShardRequest,
+    Supply,
 };
 use crate::fleet_duties::FleetDuty;
 use crate::port::PeerMessage;
@@ -13,7 +14,7 @@
 const VIEW_TTL: Micros = Micros::from_secs(4);
 /// A drain that has not ended after this time is abandoned.
 const DRAIN_TIMEOUT: Micros = Micros::from_secs(20);
-/// Approximate number of times that each machine is examined while a plan is made; counted as work done.
+/// Approximate number of times that each machine is examined while a plan is made; counted as items examined.
 const EXAMINATIONS_PER_MACHINE: usize = 4;
 
 /// Machines that are being moved between shards.
@@ -78,14 +79,17 @@
         self.start_drains(context, outbox, plan.drains);
         self.rebalancing.pending_assignments = assignable.len();
         // Assignments beyond this limit are planned again.
-        let max_assignments = context.settings.txn_ops.min(context.available_writes());
+        let max_assignments = context
+            .settings
+            .max_txn_changes
+            .min(context.available_writes());
         assignable.truncate(max_assignments);
         self.assign(context, outbox, assignable);
     }
 
     fn make_plan(&self, context: &mut LeaderContext) -> PlanWithReleases {
         let snapshot = self.snapshot(context);
-        let work_done =
+        let items_examined =
             snapshot.machines.len() * EXAMINATIONS_PER_MACHINE + snapshot.requests.len();
         let plan = capacity::plan(&snapshot);
         let released = snapshot
@@ -94,7 +98,7 @@
             .filter(|machine| machine.view.is_some_and(|view| view.released))
             .map(|machine| machine.id.clone())
             .collect();
-        *context.work_done += work_done as i64;
+        *context.items_examined += items_examined as i64;
         PlanWithReleases { plan, released }
     }
 
@@ -150,7 +154,7 @@
                 id,
                 shard,
                 record,
-                size: context.machine_size(&record.kind),
+                size: context.machine_size(&record.machine_type),
                 view,
                 age: context.now - machine.assigned_at,
             });
@@ -190,7 +194,8 @@
             }
         }
         if !by_shard.is_empty() {
-            self.rebalancing.next_release_at = context.now + context.settings.tuning.move_every;
+            self.rebalancing.next_release_at =
+                context.now + context.settings.tuning.release_request_interval;
         }
         for (shard, machines) in by_shard {
             let message = PeerMessage::Release {
@@ -231,7 +236,10 @@
 }
 
 /// The assignments for a plan's moves and terminations, in that order.
-fn assignments(moves: Vec<Move>, terminations: Vec<MachineId>) -> impl Iterator<Item = Assignment> {
+fn assignments(
+    moves: Vec<MachineMove>,
+    terminations: Vec<MachineId>,
+) -> impl Iterator<Item = Assignment> {
     let moves = moves.into_iter().map(|planned| Assignment {
         machine: planned.machine,
         shard: Some(planned.to),
--- a/crates/seamfront-core/tests/capacity.rs
+++ b/crates/seamfront-core/tests/capacity.rs
@@ -15,7 +15,7 @@
 }
 
 fn machine_size() -> Resources {
-    Resources::offered(64.0, 8.0, 256.0)
+    Resources::rounded_down(64.0, 8.0, 256.0)
 }
 
 /// The request of a gang that still lacks `count` of its `total` machines with eight accelerators, and must start
@@ -23,10 +23,10 @@
 fn gang_request(job: &str, count: u32, total: u32, left: i64) -> ResourceRequest {
     ResourceRequest {
         job: job.into(),
-        task: Resources::needed(57.0, 8.0, 200.0),
+        task_resources: Resources::rounded_up(57.0, 8.0, 200.0),
         count,
         total,
-        together: true,
+        all_or_nothing: true,
         one_zone: true,
         reserved_zone: None,
         spread: false,
@@ -38,8 +38,8 @@
         spot: false,
         image_mb: 7_000,
         estimate: s(200),
-        waited: s(20),
-        left: Some(s(left)),
+        waiting_time: s(20),
+        time_until_start_by: Some(s(left)),
         service: false,
     }
 }
@@ -49,16 +49,16 @@
     MachineView {
         id: id.into(),
         version: 7,
-        up: true,
-        used: Resources::needed(7.0, 0.0, 14.0),
-        pinned: Resources::default(),
+        reachable: true,
+        used: Resources::rounded_up(7.0, 0.0, 14.0),
+        used_by_services: Resources::default(),
         idle: None,
         reserved_for_gang: true,
         released: false,
-        bad: false,
-        leaving: false,
+        condemned: false,
+        preemption_notice: false,
         highest_priority: Some(Priority::Normal),
-        loss: s(9),
+        eviction_loss: s(9),
     }
 }
 
@@ -76,13 +76,13 @@
     }];
     let record = MachineRecord {
         shard: Some(1),
-        kind: "big".into(),
+        machine_type: "big".into(),
         zone: "x".into(),
         spot: false,
     };
     let (id, view) = (MachineId::from("i-0"), reserved_machine("i-0"));
     let offer = Offer {
-        kind: "big".into(),
+        machine_type: "big".into(),
         zone: "x".into(),
         spot: false,
     };
--- a/crates/seamfront-core/tests/failing_jobs.rs
+++ b/crates/seamfront-core/tests/failing_jobs.rs
@@ -197,5 +197,5 @@
     let mut adopted = Job::new(job("j-0", 4), 5, s(100));
     adopted.adopt(former.to_record(), 9, 0, s(100));
     assert_eq!(adopted.consecutive_errors, 6);
-    assert!(adopted.failing() && adopted.concurrent_attempts() == 2);
+    assert!(adopted.failing() && adopted.remaining_attempts() == 2);
 }
--- a/crates/seamfront-core/tests/forms.rs
+++ b/crates/seamfront-core/tests/forms.rs
@@ -217,7 +217,7 @@
     assert_round_trip::<Micros>("-1500000");
     assert_eq!(stored_text(&Micros::from_millis(250)), "250000");
     assert_eq!(
-        stored_text(&Resources::needed(1.5, 0.25, 4.0)),
+        stored_text(&Resources::rounded_up(1.5, 0.25, 4.0)),
         r#"{"c":1500,"g":250,"r":4000}"#
     );
     assert_round_trip::<TaskNames>(r#"{"job":"j-1","machine":"i-1"}"#);
@@ -529,7 +529,7 @@
                 self.cloud_requests.push(request);
                 self.next_commands.push(Command::Cloud { call, reply });
             }
-            Effect::Redirect { .. } | Effect::Healthy { .. } => {}
+            Effect::Redirect { .. } | Effect::HealthReply { .. } => {}
         }
     }
 
--- a/crates/seamfront-core/tests/gang.rs
+++ b/crates/seamfront-core/tests/gang.rs
@@ -10,7 +10,7 @@
     }
 }
 
-fn drain_completely(gang: &mut Gang, trigger: Option<u32>) -> Verdict {
+fn drain_completely(gang: &mut Gang, trigger: Option<u32>) -> DrainOutcome {
     assert!(gang.drain(trigger));
     assert_eq!(
         gang.complete(3),
@@ -32,13 +32,13 @@
         run_all_members(&mut gang);
         assert_eq!(
             drain_completely(&mut gang, Some(0)),
-            Verdict::Blocked,
+            DrainOutcome::Blocked,
             "round {round}"
         );
         assert_eq!(gang.attempts, attempts);
     }
     run_all_members(&mut gang);
-    assert_eq!(drain_completely(&mut gang, Some(0)), Verdict::Failed);
+    assert_eq!(drain_completely(&mut gang, Some(0)), DrainOutcome::Failed);
     gang.readmit();
     assert!(gang.admissible());
 }
@@ -49,7 +49,7 @@
     for n in 1..20 {
         assert_eq!(gang.epoch, n, "each drain raises the epoch by one");
         run_all_members(&mut gang);
-        assert_eq!(drain_completely(&mut gang, None), Verdict::Blocked);
+        assert_eq!(drain_completely(&mut gang, None), DrainOutcome::Blocked);
         assert_eq!(gang.attempts, [0, 0]);
     }
 }
@@ -60,10 +60,13 @@
     let mut gang = Gang::new(2);
     for k in 0..4 {
         run_all_members(&mut gang);
-        assert_eq!(drain_completely(&mut gang, Some(k % 2)), Verdict::Blocked);
+        assert_eq!(
+            drain_completely(&mut gang, Some(k % 2)),
+            DrainOutcome::Blocked
+        );
     }
     run_all_members(&mut gang);
-    assert_eq!(drain_completely(&mut gang, Some(0)), Verdict::Failed);
+    assert_eq!(drain_completely(&mut gang, Some(0)), DrainOutcome::Failed);
 }
 
 #[test]
@@ -85,7 +88,7 @@
     gang.mark_preempted(2);
     assert_eq!(gang.complete(3), None);
     gang.mark_preempted(1);
-    assert_eq!(gang.complete(3), Some(Verdict::Blocked));
+    assert_eq!(gang.complete(3), Some(DrainOutcome::Blocked));
 }
 
 #[test]
@@ -95,5 +98,5 @@
     gang.drain(None);
     gang.mark_preempted(0);
     gang.members[1] = Member::Failed;
-    assert_eq!(gang.complete(3), Some(Verdict::Failed));
+    assert_eq!(gang.complete(3), Some(DrainOutcome::Failed));
 }
--- a/crates/seamfront-core/tests/machines.rs
+++ b/crates/seamfront-core/tests/machines.rs
@@ -1,12 +1,12 @@
 //! Detection of slow machines, and when a machine's lease has certainly expired.
 
-use seamfront_core::machine::{Machine, MachineRecord, PACE_TASKS};
+use seamfront_core::machine::{Machine, MachineRecord, PACE_SAMPLE_TASKS};
 use seamfront_core::types::*;
 
 fn machine() -> Machine {
     let record = MachineRecord {
         shard: Some(0),
-        kind: "m".into(),
+        machine_type: "m".into(),
         zone: "z".into(),
         spot: false,
     };
@@ -14,7 +14,7 @@
         "i-1".into(),
         record,
         7,
-        Resources::offered(4.0, 0.0, 16.0),
+        Resources::rounded_down(4.0, 0.0, 16.0),
         Micros::ZERO,
     )
 }
@@ -22,7 +22,7 @@
 #[test]
 fn machine_much_slower_than_its_jobs_elsewhere_is_marked_slow() {
     let (mut slow, mut ordinary) = (machine(), machine());
-    for k in 0..PACE_TASKS {
+    for k in 0..PACE_SAMPLE_TASKS {
         slow.health
             .record_run(Micros::from_secs(20), Micros::from_secs(10));
         // A single long task does not make a machine slow.
--- a/crates/seamfront-core/tests/placement.rs
+++ b/crates/seamfront-core/tests/placement.rs
@@ -18,7 +18,7 @@
         kind: JobKind::Array,
         priority: Priority::Normal,
         tasks: rng.random_range(1..9),
-        task_resources: Resources::needed(
+        task_resources: Resources::rounded_up(
             f64::from(rng.random_range(1..4)),
             0.0,
             f64::from(rng.random_range(1..9)),
@@ -31,8 +31,8 @@
         image: "i".into(),
         image_mb: 100,
         estimate: Micros::ZERO,
-        checkpoint: Micros::ZERO,
-        save: Micros::ZERO,
+        checkpoint_interval: Micros::ZERO,
+        checkpoint_time: Micros::ZERO,
         deadline: None,
         submitted: Micros::ZERO,
         dependencies: vec![],
@@ -51,11 +51,11 @@
                 let pick = |rng: &mut StdRng, of: [&str; 2]| of[rng.random_range(0..2)].to_owned();
                 let record = MachineRecord {
                     shard: Some(0),
-                    kind: pick(&mut rng, ["a", "b"]),
+                    machine_type: pick(&mut rng, ["a", "b"]),
                     zone: pick(&mut rng, ["x", "y"]),
                     spot: rng.random_range(0..2) == 0,
                 };
-                let size = Resources::offered(f64::from(rng.random_range(1..9)), 0.0, 16.0);
+                let size = Resources::rounded_down(f64::from(rng.random_range(1..9)), 0.0, 16.0);
                 let id = MachineId::from(format!("m-{k}").as_str());
                 (id.clone(), Machine::new(id, record, 1, size, Micros::ZERO))
             })
@@ -92,12 +92,13 @@
         for k in &chosen {
             let m = &machines[&capacity.machines[*k].id];
             assert!(
-                job.allows(&m.record.kind, &m.record.zone, m.record.spot) && m.id.as_str() != "m-0"
+                job.allows(&m.record.machine_type, &m.record.zone, m.record.spot)
+                    && m.id.as_str() != "m-0"
             );
             *zones.entry(&m.record.zone).or_default() += 1;
         }
         assert!(!job.one_zone || zones.len() <= 1);
-        assert!(zones.values().all(|n| *n <= job.zone_cap()));
+        assert!(zones.values().all(|n| *n <= job.max_tasks_per_zone()));
         for (k, machine) in capacity.machines.iter().enumerate() {
             let taken = chosen.iter().filter(|g| **g == k).count() as i64;
             assert!(
@@ -109,7 +110,7 @@
             // If nothing was chosen, the machines that the job may use must indeed lack room for all its tasks.
             let room_in = |z: Option<&str>| {
                 let allowed = |m: &&Machine| {
-                    job.allows(&m.record.kind, &m.record.zone, m.record.spot)
+                    job.allows(&m.record.machine_type, &m.record.zone, m.record.spot)
                         && m.id.as_str() != "m-0"
                 };
                 let candidates = machines
@@ -142,7 +143,7 @@
 #[test]
 fn quota_headroom_never_lets_a_team_exceed_its_limit() {
     let mut rng = StdRng::seed_from_u64(8);
-    let limit = Resources::offered(20.0, 0.0, 0.0);
+    let limit = Resources::rounded_down(20.0, 0.0, 0.0);
     let team = Team {
         name: "t".into(),
         guarantee: Resources::default(),
@@ -151,7 +152,8 @@
     let mut quota = Quota::default();
     let mut charged: Vec<Resources> = Vec::new();
     for _ in 0..5_000 {
-        let task_resources = Resources::needed(f64::from(rng.random_range(1..50)) / 10.0, 1.0, 1.0);
+        let task_resources =
+            Resources::rounded_up(f64::from(rng.random_range(1..50)) / 10.0, 1.0, 1.0);
         if quota.headroom(&team, task_resources, Resources::default()) > 0
             && rng.random_range(0..3) > 0
         {
@@ -166,7 +168,7 @@
         assert_eq!(used.cpus, charged.iter().map(|task| task.cpus).sum::<i64>());
     }
     let mut job = spec(&mut rng);
-    job.task_resources = Resources::needed(6.0, 0.0, 1.0);
+    job.task_resources = Resources::rounded_up(6.0, 0.0, 1.0);
     job.tasks = 4;
     assert!(
         within_limit(&team, &job),
--- a/crates/seamfront-core/tests/ranges.rs
+++ b/crates/seamfront-core/tests/ranges.rs
@@ -1,11 +1,11 @@
 //! Compares `Ranges`, the compact set of task numbers, with an ordinary set.
 
-use seamfront_core::ranges::Ranges;
+use seamfront_core::ranges::RangeSet;
 use std::collections::BTreeSet;
 
 #[test]
 fn ranges_behave_like_a_set_of_numbers() {
-    let mut ranges = Ranges::default();
+    let mut ranges = RangeSet::default();
     let mut set = BTreeSet::new();
     let mut random = 7u32;
     for _ in 0..2_000 {
--- a/crates/seamfront-core/tests/reconciliation.rs
+++ b/crates/seamfront-core/tests/reconciliation.rs
@@ -17,7 +17,7 @@
 #[test]
 fn heartbeat_with_a_former_token_proves_neither_exited_nor_missing_tasks() {
     for statuses in [
-        vec![("j-0", 3, TaskState::Exited(Exit::Peers))],
+        vec![("j-0", 3, TaskState::Exited(Exit::PeerLost))],
         vec![("j-0", 3, TaskState::Exited(Exit::Done))],
         vec![],
     ] {
@@ -43,7 +43,7 @@
             1,
             89,
             CLAIM,
-            &[("j-0", 3, TaskState::Exited(Exit::Peers))],
+            &[("j-0", 3, TaskState::Exited(Exit::PeerLost))],
         ),
     );
     assert!(!harness.placed("j-0"));
@@ -91,7 +91,7 @@
             ),
         );
     }
-    assert!(harness.shard.machines[&MachineId::from("i-0")].ignores_replies());
+    assert!(harness.shard.machines[&MachineId::from("i-0")].misses_replies());
     harness.with(s(150), seamfront_core::shard::Shard::tick);
     assert_eq!(
         harness.machine_writes(s(150), 60),
@@ -152,8 +152,8 @@
     for (outcomes, usable) in [
         (vec![], false),
         (vec![Refused], true),
-        (vec![Unclear], false),
-        (vec![Unclear, Done(60)], true),
+        (vec![Unknown], false),
+        (vec![Unknown, Done(60)], true),
     ] {
         let mut harness = ShardHarness::new(8, 0);
         for t in (101..140).step_by(2) {
@@ -172,7 +172,9 @@
         harness.with(s(141), seamfront_core::shard::Shard::tick);
         for outcome in outcomes {
             for w in &writes {
-                harness.with(s(142), |shard, context| shard.written(context, w, outcome));
+                harness.with(s(142), |shard, context| {
+                    shard.apply_write_outcome(context, w, outcome)
+                });
             }
             if let Done(version) = outcome {
                 fencing_token = version;
@@ -186,7 +188,7 @@
             "i-0".into(),
             machine_record(Some(0)),
             7,
-            Resources::offered(8.0, 0.0, 32.0),
+            Resources::rounded_down(8.0, 0.0, 32.0),
             s(144),
         );
         let m = &harness.shard.machines[&MachineId::from("i-0")];
@@ -236,7 +238,7 @@
     // The store refuses the write, so the machine stays in the shard.
     for w in &writes {
         harness.with(silent, |shard, context| {
-            shard.written(context, w, seamfront_core::shard::WriteOutcome::Refused);
+            shard.apply_write_outcome(context, w, seamfront_core::shard::WriteOutcome::Refused);
         });
     }
     // The next tick after a heartbeat finds the machine healthy again.
@@ -294,7 +296,7 @@
             assert!(!shard.apply_heartbeat(
                 context,
                 &heartbeat("i-0", incarnation, sequence, CLAIM, &[]),
-                StatusSource::WorkerHeartbeat
+                StatusSource::AgentHeartbeat
             ));
         });
         assert_eq!(agent_state(&harness), before);
@@ -323,7 +325,7 @@
 fn machine_record(shard: Option<usize>) -> MachineRecord {
     MachineRecord {
         shard,
-        kind: "m".into(),
+        machine_type: "m".into(),
         zone: "z".into(),
         spot: false,
     }
@@ -351,7 +353,7 @@
         let mut store = Store::with_page_size(100);
         let kind = MachineType {
             name: "m".into(),
-            size: Resources::offered(8.0, 0.0, 32.0),
+            size: Resources::rounded_down(8.0, 0.0, 32.0),
             cache_mb: 1_000,
             fetch_mb_s: 100,
             price: 1_000,
@@ -684,7 +686,7 @@
             heartbeat: Box::new(heartbeat("i-0", incarnation, sequence, CLAIM, &[])),
         };
         harness.with(now, |shard, context| {
-            shard.direct_result(context, 7, &id, outcome);
+            shard.apply_direct_outcome(context, 7, &id, outcome);
         });
     };
     for (n, t) in (102..113).enumerate() {
@@ -721,11 +723,11 @@
         unknown: false,
     });
     harness.with(s(101), |shard, context| {
-        shard.direct_result(context, 8, &id, DirectOutcome::NotSent);
+        shard.apply_direct_outcome(context, 8, &id, DirectOutcome::NotSent);
     });
     assert!(harness.shard.machines[&id].fencing.direct_command.is_some());
     harness.with(s(101), |shard, context| {
-        shard.direct_result(context, 9, &id, DirectOutcome::NotSent);
+        shard.apply_direct_outcome(context, 9, &id, DirectOutcome::NotSent);
     });
     assert!(harness.shard.machines[&id].fencing.direct_command.is_none());
 }
@@ -759,7 +761,7 @@
     );
     let with_drift = |t: Micros| Micros(t.0 + t.0 / 2_000);
     assert!(
-        with_drift(last - verified) + with_drift(settings.lease) < settings.cancel,
+        with_drift(last - verified) + with_drift(settings.lease) < settings.cancellation_time,
         "the last reply was sent at {last:?}"
     );
 }
@@ -798,7 +800,7 @@
         for extra in 6..60 {
             let settings = Settings {
                 lease: s(lease),
-                cancel: s(lease + extra),
+                cancellation_time: s(lease + extra),
                 ..settings()
             };
             if !settings.verification_ttl_fits() {
@@ -807,7 +809,7 @@
             let with_drift = |t: Micros| Micros(t.0 + t.0 / 2_000);
             assert!(
                 with_drift(settings.verification_ttl()) + with_drift(settings.lease) + s(3)
-                    <= settings.cancel,
+                    <= settings.cancellation_time,
                 "lease of {lease} s, cancellation time of {} s",
                 lease + extra
             );
@@ -865,7 +867,13 @@
         },
         s(100),
     );
-    harness.shard.jobs.get_mut(&spec.id).unwrap().record.touch();
+    harness
+        .shard
+        .jobs
+        .get_mut(&spec.id)
+        .unwrap()
+        .record
+        .mark_changed();
     assert_eq!(
         harness.shard.jobs[&spec.id].record_headroom(&Layout::single(2_048)),
         0
--- a/crates/seamfront-core/tests/rules.rs
+++ b/crates/seamfront-core/tests/rules.rs
@@ -78,7 +78,7 @@
 /// - a placement is ordered only after its record is written (`Phase::Recording`): `ran_twice`
 /// - omissions count only in a report that shows the present token, with no command unsettled
 ///   (`Shard::apply_heartbeat`): quota
-/// - an unanswered command stays unsettled (`Shard::direct_result`): quota, jobs never done
+/// - an unanswered command stays unsettled (`Shard::apply_direct_outcome`): quota, jobs never done
 /// - the time of `Machine::lease_expiry`: `ran_twice`
 /// - orders for an earlier session only are void in a later one (`Shard::apply_heartbeat`): `ran_twice`
 /// - the limit of acting without proof (`Settings::verification_ttl`): `ran_cancelled`
@@ -385,7 +385,7 @@
         let mut gang = w.job(0);
         (gang.kind, gang.class, gang.team, gang.priority) =
             (JobKind::Gang, "gang".into(), "b".into(), Priority::Urgent);
-        (gang.tasks, gang.task_resources) = (3, Resources::needed(3.0, 0.0, 4.0));
+        (gang.tasks, gang.task_resources) = (3, Resources::rounded_up(3.0, 0.0, 4.0));
         (gang.one_zone, gang.spread, gang.zone, gang.spot) = (false, false, None, true);
         for n in 1..85 {
             let mut small = gang.clone();
--- a/crates/seamfront-testing/src/shard_harness.rs
+++ b/crates/seamfront-testing/src/shard_harness.rs
@@ -31,18 +31,18 @@
     };
     Settings {
         members: vec!["a".into(), "b".into(), "c".into()],
-        me: 0,
+        member_index: 0,
         teams: vec![team],
         objectives: vec![],
         heartbeat_interval: s(2),
         lease: s(12),
         gang_wait: s(15),
-        gang_peer: s(4),
-        cancel: s(30),
-        state_rps: 250,
+        gang_loss_detection: s(4),
+        cancellation_time: s(30),
+        store_rps: 250,
         write_rps: 100,
         value_bytes: 32 * 1024,
-        txn_ops: 48,
+        max_txn_changes: 48,
         cloud_rps: 5,
         list_lag: s(5),
         tuning: Tuning::default(),
@@ -58,7 +58,7 @@
         kind: JobKind::Array,
         priority: Priority::Normal,
         tasks,
-        task_resources: Resources::needed(1.0, 0.0, 1.0),
+        task_resources: Resources::rounded_up(1.0, 0.0, 1.0),
         types: None,
         zone: None,
         one_zone: false,
@@ -67,8 +67,8 @@
         image: "img".into(),
         image_mb: 100,
         estimate: s(10),
-        checkpoint: Micros::ZERO,
-        save: Micros::ZERO,
+        checkpoint_interval: Micros::ZERO,
+        checkpoint_time: Micros::ZERO,
         deadline: None,
         submitted: Micros::ZERO,
         dependencies: vec![],
@@ -110,7 +110,7 @@
     /// Everything that the shard has asked for so far.
     pub effects: Vec<Effect>,
     /// Counter that the ids of store requests are taken from.
-    pub calls: CallId,
+    pub next_call: CallId,
 }
 
 impl ShardHarness {
@@ -118,11 +118,11 @@
     /// of its own job is recorded, in attempt 3.
     pub fn new(machines: usize, placed: usize) -> ShardHarness {
         let mut shard = Shard::new(0, CLAIM, s(100));
-        let size = Resources::offered(8.0, 0.0, 32.0);
+        let size = Resources::rounded_down(8.0, 0.0, 32.0);
         for k in 0..machines {
             let record = MachineRecord {
                 shard: Some(0),
-                kind: "m".into(),
+                machine_type: "m".into(),
                 zone: "z".into(),
                 spot: false,
             };
@@ -148,7 +148,7 @@
             settings: settings(),
             shard,
             effects: Vec::new(),
-            calls: 1,
+            next_call: 1,
         };
         harness.with(s(100), seamfront_core::shard::Shard::finish_loading);
         harness
@@ -156,7 +156,7 @@
 
     /// Runs a function on the shard with a context of this time.
     pub fn with<R>(&mut self, now: Micros, f: impl FnOnce(&mut Shard, &mut Context) -> R) -> R {
-        let (effects, calls) = (&mut self.effects, &mut self.calls);
+        let (effects, next_call) = (&mut self.effects, &mut self.next_call);
         let layout = Layout::single(self.settings.value_bytes);
         let mut context = Context {
             settings: &self.settings,
@@ -164,8 +164,8 @@
             wall_time: now,
             types: &[],
             effects,
-            calls,
-            lease_valid: true,
+            next_call,
+            claim_verified: true,
             layout,
         };
         f(&mut self.shard, &mut context)
@@ -174,7 +174,7 @@
     /// Applies a heartbeat and returns the orders of the reply, which counts as delivered, as after an HTTP status 200.
     pub fn heartbeat(&mut self, now: Micros, heartbeat: &Heartbeat) -> Vec<Order> {
         let orders = self.with(now, |shard, context| {
-            if shard.apply_heartbeat(context, heartbeat, StatusSource::WorkerHeartbeat) {
+            if shard.apply_heartbeat(context, heartbeat, StatusSource::AgentHeartbeat) {
                 shard.orders(context, heartbeat)
             } else {
                 vec![]
@@ -208,7 +208,7 @@
             {
                 written.push((machine.to_string(), record.shard.is_some()));
                 self.with(now, |shard, context| {
-                    shard.written(context, &write, WriteOutcome::Done(version));
+                    shard.apply_write_outcome(context, &write, WriteOutcome::Done(version));
                 });
             }
         }
--- a/crates/seamfront-testing/src/simulation/recording.rs
+++ b/crates/seamfront-testing/src/simulation/recording.rs
@@ -285,7 +285,7 @@
                 let owner = member.map_or("unknown", |m| self.settings.members[m].as_str());
                 format!("answer to {}: owner {owner}", request_of(to))
             }
-            Effect::Healthy { to, yes } => format!("answer to a health check: {to} {yes}"),
+            Effect::HealthReply { to, ready } => format!("answer to a health check: {to} {ready}"),
             Effect::Answer { to, answer } => {
                 format!("answer to {}: {}", request_of(to), answer_text(answer))
             }
--- a/crates/seamfront-testing/src/simulation/users.rs
+++ b/crates/seamfront-testing/src/simulation/users.rs
@@ -175,7 +175,7 @@
         let n = self.rng.random_range(500_000..999_999);
         let mut spec = self.job(n);
         match self.rng.random_range(0..3) {
-            0 => spec.task_resources = Resources::needed(900.0, 0.0, 1.0),
+            0 => spec.task_resources = Resources::rounded_up(900.0, 0.0, 1.0),
             1 => spec.team = "nobody".into(),
             _ => spec.types = Some(vec!["none".into()]),
         }
@@ -234,7 +234,9 @@
                     .get(&job)
                     .map_or(0, |c| c.len() as u32);
                 if let Some(since) = self.ground_truth.dependency_cancelled_at(&job) {
-                    if state != JobState::Cancelled && requested_at > since + self.settings.cancel {
+                    if state != JobState::Cancelled
+                        && requested_at > since + self.settings.cancellation_time
+                    {
                         violations.push(format!(
                             "orphaned: {job} reported as {state:?} after a dependency was cancelled"
                         ));
--- a/crates/seamfront/src/driver.rs
+++ b/crates/seamfront/src/driver.rs
@@ -82,10 +82,10 @@
 }
 
 fn log_start(core: &Settings) {
-    info!(member = %core.members[core.me], verification_ttl_s = core.verification_ttl().as_secs_decimal(), "starting");
+    info!(member = %core.members[core.member_index], verification_ttl_s = core.verification_ttl().as_secs_decimal(), "starting");
     if !core.verification_ttl_fits() {
         warn!(
-            cancel_s = core.cancel.as_secs_decimal(),
+            cancel_s = core.cancellation_time.as_secs_decimal(),
             lease_s = core.lease.as_secs_decimal(),
             "cancel_s leaves too little time beyond lease_s: silent machines that may run a cancelled task are terminated before its cancellation is due"
         );
@@ -99,9 +99,9 @@
     settings: &ControllerSettings,
 ) -> Vec<Option<Sender<PeerMessage>>> {
     let core = &settings.core;
-    let own_name = &core.members[core.me];
+    let own_name = &core.members[core.member_index];
     let start_peer = |(member, name): (usize, &String)| {
-        if member == core.me {
+        if member == core.member_index {
             return None;
         }
         let (sender, queue) = async_channel::bounded(PEER_QUEUE_MAX);
--- a/crates/seamfront/src/settings/validate.rs
+++ b/crates/seamfront/src/settings/validate.rs
@@ -82,23 +82,23 @@
     let workers = &params.workers;
     let is_self = |member: &Member| member.name == file.member;
     Ok(Settings {
-        me: members.iter().position(is_self).unwrap_or(0),
+        member_index: members.iter().position(is_self).unwrap_or(0),
         members: members.iter().map(|member| member.name.clone()).collect(),
         teams,
         objectives,
         heartbeat_interval: seconds("params.workers.report_s", workers.report_s)?,
         lease: seconds("params.workers.lease_s", workers.lease_s)?,
         gang_wait: seconds("params.workers.gang_wait_s", workers.gang_wait_s)?,
-        gang_peer: seconds("params.workers.gang_peer_s", workers.gang_peer_s)?,
-        cancel: seconds("params.workers.cancel_s", workers.cancel_s)?,
-        state_rps: count("params.state.rps", store.rps, "requests a second")?,
+        gang_loss_detection: seconds("params.workers.gang_peer_s", workers.gang_peer_s)?,
+        cancellation_time: seconds("params.workers.cancel_s", workers.cancel_s)?,
+        store_rps: count("params.state.rps", store.rps, "requests a second")?,
         write_rps: count("params.state.write_rps", store.write_rps, "writes a second")?,
         value_bytes: count(
             "params.state.value_kb",
             store.value_kb * BYTES_PER_KB,
             "bytes",
         )? as usize,
-        txn_ops: store.txn_ops as usize,
+        max_txn_changes: store.txn_ops as usize,
         cloud_rps: count("params.cloud.rps", params.cloud.rps, "requests a second")?,
         list_lag: seconds("params.cloud.list_lag_s", params.cloud.list_lag_s)?,
         tuning: tuning()?,
@@ -117,8 +117,8 @@
         }
         teams.push(Team {
             name: team.name.clone(),
-            guarantee: Resources::offered(team.cpus, team.gpus, 0.0),
-            limit: Resources::offered(team.cpus_max, team.gpus_max, 0.0),
+            guarantee: Resources::rounded_down(team.cpus, team.gpus, 0.0),
+            limit: Resources::rounded_down(team.cpus_max, team.gpus_max, 0.0),
         });
     }
     Ok(teams)
--- a/crates/seamfront/src/user_api.rs
+++ b/crates/seamfront/src/user_api.rs
@@ -243,7 +243,7 @@
     // The response names the first invalid field in this order of checks.
     let tasks = fields.task_count("paes")?;
     let types = fields.machine_types("modelos")?;
-    let task_resources = Resources::needed(
+    let task_resources = Resources::rounded_up(
         fields.amount("cores")?,
         fields.amount("accelerators")?,
         fields.amount("ram_gb")?,
@@ -264,8 +264,8 @@
         image: fields.text("receita")?,
         image_mb: (fields.amount("pull_gb")? * MB_PER_GB).ceil() as i64,
         estimate: fields.duration("assa_s")?,
-        checkpoint: fields.duration("vira_s")?,
-        save: fields.duration("guarda_s")?,
+        checkpoint_interval: fields.duration("vira_s")?,
+        checkpoint_time: fields.duration("guarda_s")?,
         deadline: fields.optional_duration("entrega_s")?,
         submitted: Micros::ZERO,
         dependencies: fields.dependencies("espera", &id)?,
