--- a/crates/seamfront-core/tests/records.rs
+++ b/crates/seamfront-core/tests/records.rs
@@ -1,4 +1,5 @@
-//! Work records that take several keys, alone and in the seeded world, also beside the version in production.
+//! Work records that are split over several keys: their encoding, and simulated runs with small values, also with
+//! controllers of the version in production side by side.
 
 use seamfront_core::ranges::Ranges;
 use seamfront_core::record::{
@@ -13,16 +14,17 @@
 use serde_json::{json, Value};
 use std::collections::BTreeMap;
 
-/// The limits that the state service comes to have.
-const VALUE: usize = 2_048;
-const CHANGES: usize = 16;
+/// The largest value that the store is going to accept, in bytes.
+const VALUE_BYTES: usize = 2_048;
+/// The largest number of changes in a transaction that the store is going to accept.
+const TRANSACTION_CHANGES: usize = 16;
 
 fn small_layout() -> Layout {
-    Layout::in_parts(VALUE, CHANGES)
+    Layout::in_parts(VALUE_BYTES, TRANSACTION_CHANGES)
 }
 
-/// A record of a gang with one member on each machine.
-fn record(members: u32) -> WorkRecord {
+/// The record of a gang with one member per machine.
+fn gang_record(members: u32) -> WorkRecord {
     let mut done = Ranges::default();
     for index in (0..members).step_by(5) {
         done.insert(index);
@@ -47,7 +49,7 @@
     }
 }
 
-fn parts_of(encoded: &EncodedRecord) -> BTreeMap<u32, Value> {
+fn numbered_parts(encoded: &EncodedRecord) -> BTreeMap<u32, Value> {
     encoded
         .parts
         .iter()
@@ -58,39 +60,39 @@
 }
 
 #[test]
-fn what_fits_is_written_whole_and_the_rest_in_parts_that_fit() {
+fn records_that_exceed_one_value_are_split_into_parts_that_fit() {
     for members in [1, 10, 60, 200, 300] {
-        let record = record(members);
+        let record = gang_record(members);
         let encoded = encode(&record, &small_layout(), &[]).expect("there is room");
         assert!(encoded
             .parts
             .iter()
             .chain([&encoded.head])
-            .all(|v| v.to_string().len() <= VALUE));
+            .all(|v| v.to_string().len() <= VALUE_BYTES));
         assert_eq!(
             encoded.parts.is_empty(),
             encoded.head == serde_json::to_value(&record).unwrap()
         );
         assert!(
-            encoded.parts.len() + 4 <= CHANGES,
+            encoded.parts.len() + 4 <= TRANSACTION_CHANGES,
             "{members}: {} parts",
             encoded.parts.len()
         );
         assert_eq!(
-            decode(encoded.head.clone(), &parts_of(&encoded)).unwrap(),
+            decode(encoded.head.clone(), &numbered_parts(&encoded)).unwrap(),
             record
         );
     }
     assert!(
-        encode(&record(200), &Layout::single(VALUE), &[]).is_none(),
-        "no parts while an old version may read"
+        encode(&gang_record(200), &Layout::single(VALUE_BYTES), &[]).is_none(),
+        "a record must not be split while an old version may read it"
     );
-    assert!(encode(&record(5_000), &small_layout(), &[]).is_none());
+    assert!(encode(&gang_record(5_000), &small_layout(), &[]).is_none());
 }
 
 #[test]
-fn most_parts_stay_as_they_are_when_a_machine_changes() {
-    let mut record = record(200);
+fn replacing_a_machine_changes_one_part_only() {
+    let mut record = gang_record(200);
     let before = encode(&record, &small_layout(), &[]).unwrap();
     record.placed.remove(&MachineId::from("i-000100"));
     record
@@ -107,20 +109,20 @@
 }
 
 #[test]
-fn a_set_that_lacks_a_part_is_not_read() {
-    let encoded = encode(&record(200), &small_layout(), &[]).unwrap();
-    let mut parts = parts_of(&encoded);
+fn a_record_with_a_missing_part_is_not_decoded() {
+    let encoded = encode(&gang_record(200), &small_layout(), &[]).unwrap();
+    let mut parts = numbered_parts(&encoded);
     parts.remove(&1);
     assert!(decode(encoded.head.clone(), &parts).is_err());
-    // Parts that a smaller record left behind mean nothing.
-    let mut parts = parts_of(&encoded);
+    // Parts beyond the record's count, left over from when it was larger, are ignored.
+    let mut parts = numbered_parts(&encoded);
     parts.insert(99, json!({"p": {"i-9": [[0, 1, 1]]}}));
-    assert_eq!(decode(encoded.head, &parts).unwrap(), record(200));
+    assert_eq!(decode(encoded.head, &parts).unwrap(), gang_record(200));
 }
 
-/// To the letter, since later versions must read what this one stored.
+/// The stored format is fixed literally, since later versions must read what this one has stored.
 #[test]
-fn the_stored_form_of_a_record_in_parts() {
+fn stored_format_of_a_record_in_parts() {
     let head = json!({"team": "t", "need": {"c": 1000, "g": 0, "r": 2000}, "e": 7, "dr": true, "n": 12, "pk": 1, "parts": 2});
     let parts = BTreeMap::from([
         (
@@ -141,7 +143,7 @@
         record.placed[&MachineId::from("i-1")],
         [TaskRun::new(1, 3, 7), TaskRun::new(5, 6, 8)]
     );
-    // The version in production cannot take the head for a whole record.
+    // The version in production cannot mistake the head for a whole record.
     assert!(serde_json::from_value::<WorkRecord>(head).is_err());
     assert_eq!(part_key(2, &"j-7".into(), 3), "part/2/j-7/00003");
     assert_eq!(
@@ -150,10 +152,10 @@
     );
 }
 
-fn small_values(machines: usize) -> Scale {
+fn scale_with_small_values(machines: usize) -> Scale {
     Scale {
-        value_bytes: VALUE,
-        txn_ops: CHANGES,
+        value_bytes: VALUE_BYTES,
+        txn_ops: TRANSACTION_CHANGES,
         machines,
         max_machines: machines + 12,
         limits: [0; 10],
@@ -162,57 +164,57 @@
     }
 }
 
-fn large_gang(w: &mut Simulation, n: u32, members: u32) -> JobId {
-    let mut spec = w.job(n);
+fn submit_large_gang(simulation: &mut Simulation, n: u32, members: u32) -> JobId {
+    let mut spec = simulation.job(n);
     (spec.kind, spec.class, spec.team, spec.tasks) =
         (JobKind::Gang, "large".into(), "a".into(), members);
-    // One member on a machine.
+    // At most one member fits on a machine.
     (spec.task_resources, spec.priority) = (Resources::needed(3.0, 0.0, 1.0), Priority::Urgent);
     (spec.zone, spec.one_zone, spec.spread, spec.spot) = (None, false, false, true);
     spec.image_mb = 100;
     let id = spec.id.clone();
-    w.submit(ms(15_000), spec);
+    simulation.submit(ms(15_000), spec);
     id
 }
 
-/// A gang of 200 members is placed, drained when a machine fails, adopted after its holder's end, and done; another is
-/// called off while it runs.
+/// A gang of 200 members is placed, drained when a machine fails, adopted by a successor when its holder crashes, and
+/// done. Another gang is cancelled while it runs.
 #[test]
-fn a_gang_of_two_hundred_members_runs_with_small_values() {
+fn a_gang_whose_record_is_split_is_done_while_holders_crash_and_a_machine_fails() {
     scenario("records.a_gang_of_two_hundred_members_runs_with_small_values");
     let mut coverage = Coverage::new();
     for seed in 3_000..3_003 {
         init_logging_if_selected(seed);
-        let mut w = Simulation::sized(seed, small_values(210));
-        w.faults_end = ms(90_000);
-        let first = large_gang(&mut w, 1, 200);
-        let shard = w.shard_claim(&first);
-        w.fault(
+        let mut simulation = Simulation::sized(seed, scale_with_small_values(210));
+        simulation.faults_end = ms(90_000);
+        let first = submit_large_gang(&mut simulation, 1, 200);
+        let shard = simulation.shard_claim(&first);
+        simulation.fault(
             ms(24_000),
             Fault::CrashHolder {
                 claim: shard,
                 back: ms(5_000),
             },
         );
-        w.fault(ms(40_000), Fault::KillMachines { count: 1 });
-        w.fault(ms(44_000), Fault::DelayWrites { until: ms(60_000) });
-        w.fault(
+        simulation.fault(ms(40_000), Fault::KillMachines { count: 1 });
+        simulation.fault(ms(44_000), Fault::DelayWrites { until: ms(60_000) });
+        simulation.fault(
             ms(50_000),
             Fault::CrashHolder {
                 claim: shard,
                 back: ms(300),
             },
         );
-        let second = large_gang(&mut w, 2, 180);
-        w.cancel(ms(70_000), second);
-        w.run_until(ms(400_000));
-        assert_eq!(w.unfinished(), Vec::<String>::new(), "seed {seed}");
+        let second = submit_large_gang(&mut simulation, 2, 180);
+        simulation.cancel(ms(70_000), second);
+        simulation.run_until(ms(400_000));
+        assert_eq!(simulation.unfinished(), Vec::<String>::new(), "seed {seed}");
         assert_eq!(
-            w.count_keys("part/"),
+            simulation.count_keys("part/"),
             0,
-            "seed {seed}: parts are removed with their record"
+            "seed {seed}: parts were not removed with their record"
         );
-        add_coverage(&mut coverage, w.coverage);
+        add_coverage(&mut coverage, simulation.coverage);
     }
     assert!(
         count(&coverage, "a record was written in parts") > 20,
@@ -224,59 +226,59 @@
     );
 }
 
-/// The version in production and this one side by side, upgraded one by one among all troubles; then chains and a
-/// gang whose record takes parts.
+/// Controllers of the version in production and of this one run side by side and are upgraded one by one under faults
+/// of all kinds. Afterwards a pipeline of dependent jobs and a job whose record is split into parts are submitted.
 #[test]
-fn old_and_new_versions_run_side_by_side() {
+fn all_jobs_end_while_controllers_are_upgraded_one_by_one_under_faults() {
     scenario("records.old_and_new_versions_run_side_by_side");
     let mut coverage = Coverage::new();
     for seed in 3_100..3_116 {
         init_logging_if_selected(seed);
-        let mut w = Simulation::sized(seed, small_values(110));
-        w.faults_end = ms(150_000);
-        w.start_with_old_version();
+        let mut simulation = Simulation::sized(seed, scale_with_small_values(110));
+        simulation.faults_end = ms(150_000);
+        simulation.start_with_old_version();
         for n in 0..40 {
-            let spec = w.job(n);
+            let spec = simulation.job(n);
             let (at, id, service) = (
-                w.draw(500..110_000),
+                simulation.draw(500..110_000),
                 spec.id.clone(),
                 spec.kind == JobKind::Service,
             );
-            w.submit(ms(at), spec);
-            if service || w.draw(0..4) == 0 {
-                let later = w.draw(2_000..30_000);
-                w.cancel(ms(at + later), id);
+            simulation.submit(ms(at), spec);
+            if service || simulation.draw(0..4) == 0 {
+                let cancel_delay = simulation.draw(2_000..30_000);
+                simulation.cancel(ms(at + cancel_delay), id);
             }
         }
-        // More members than one value records, while the old version still reads and after.
+        // Jobs with more tasks than a record in one value holds: one while the old version still reads, one afterwards.
         for (n, at) in [(90, 4_000), (91, 110_000)] {
-            let mut large = w.job(n);
+            let mut large = simulation.job(n);
             (large.kind, large.class, large.team, large.tasks) =
                 (JobKind::Array, "large".into(), "a".into(), 300);
             (large.task_resources, large.zone) = (Resources::needed(3.0, 0.0, 1.0), None);
             (large.one_zone, large.spread) = (false, false);
-            w.submit(ms(at), large);
+            simulation.submit(ms(at), large);
         }
-        fault_pairs_of_all_kinds(&mut w, 90_000);
-        w.fault(ms(5_000), Fault::DelayWrites { until: ms(100_000) });
+        fault_pairs_of_all_kinds(&mut simulation, 90_000);
+        simulation.fault(ms(5_000), Fault::DelayWrites { until: ms(100_000) });
         for controller in 0..CONTROLLERS {
-            let at = 20_000 + 25_000 * controller as i64 + w.draw(0..8_000);
-            let back = ms(w.draw(300..5_000));
-            // One that dies before its turn comes back old.
-            w.fault(
+            let at = 20_000 + 25_000 * controller as i64 + simulation.draw(0..8_000);
+            let back = ms(simulation.draw(300..5_000));
+            // A controller that crashes before its upgrade restarts with the old version.
+            simulation.fault(
                 ms(at - 9_000),
                 Fault::Crash {
                     controllers: vec![controller],
                     back: ms(1_000),
                 },
             );
-            w.fault(ms(at), Fault::Upgrade { controller, back });
+            simulation.fault(ms(at), Fault::Upgrade { controller, back });
         }
-        let at = w.draw(95_000..105_000);
-        w.pipeline(200, at);
-        w.run_until(ms(480_000));
-        assert_eq!(w.unfinished(), Vec::<String>::new(), "seed {seed}");
-        add_coverage(&mut coverage, w.coverage);
+        let at = simulation.draw(95_000..105_000);
+        simulation.pipeline(200, at);
+        simulation.run_until(ms(480_000));
+        assert_eq!(simulation.unfinished(), Vec::<String>::new(), "seed {seed}");
+        add_coverage(&mut coverage, simulation.coverage);
     }
     assert!(
         count(&coverage, "a controller was upgraded while others had been") > 20,
--- a/crates/seamfront-core/tests/starvation.rs
+++ b/crates/seamfront-core/tests/starvation.rs
@@ -1,13 +1,12 @@
-//! Who gets room in a round, and who keeps it. One share in the hand.
-
-// Reports are sent elsewhere.
+//! Which jobs get capacity in a scheduling cycle, and which keep it: starving jobs, quota, reservations and preemption.
+//! The tests drive a single shard without an engine.
 
 use seamfront_core::types::*;
 use seamfront_testing::shard_harness::{heartbeat, job, s, ShardHarness, CLAIM};
 use std::rc::Rc;
 
-/// An array of tasks that take one of a machine's eight processors each.
-fn array(id: &str, tasks: u32, priority: Priority, submitted: Micros) -> JobSpec {
+/// A job array whose tasks need one of a machine's eight CPUs each.
+fn job_array(id: &str, tasks: u32, priority: Priority, submitted: Micros) -> JobSpec {
     JobSpec {
         priority,
         submitted,
@@ -15,38 +14,40 @@
     }
 }
 
-/// Machines that have shown our token, and jobs that wait; then one round.
-fn after_a_round(machines: usize, now: Micros, jobs: Vec<JobSpec>) -> ShardHarness {
-    let mut h = ShardHarness::new(machines, 0);
+/// A shard whose machines have shown its fencing token, after one scheduling cycle with these jobs pending.
+fn harness_after_one_cycle(machines: usize, now: Micros, jobs: Vec<JobSpec>) -> ShardHarness {
+    let mut harness = ShardHarness::new(machines, 0);
     for spec in jobs {
-        h.shard.add_job(Rc::new(spec), 5, now);
+        harness.shard.add_job(Rc::new(spec), 5, now);
     }
-    rounds(&mut h, now, 1);
-    h
+    run_cycles(&mut harness, now, 1);
+    harness
 }
 
-fn rounds(h: &mut ShardHarness, now: Micros, n: i64) {
+/// Runs `n` scheduling cycles, each after a heartbeat of every machine.
+fn run_cycles(harness: &mut ShardHarness, now: Micros, n: i64) {
     for k in 0..n {
         let now = now + Micros::from_millis(600).times(k);
-        for m in 0..h.shard.machines.len() {
-            h.heartbeat(
+        for m in 0..harness.shard.machines.len() {
+            harness.heartbeat(
                 now,
                 &heartbeat(&format!("i-{m}"), 1, 100 + now.0 as u64, CLAIM, &[]),
             );
         }
-        h.with(now, seamfront_core::shard::Shard::run_scheduling_cycle);
+        harness.with(now, seamfront_core::shard::Shard::run_scheduling_cycle);
     }
 }
 
-fn placed(h: &ShardHarness, id: &str) -> usize {
-    h.shard.jobs[&JobId::from(id)].tasks.len()
+/// Number of the job's tasks that are placed on machines.
+fn placed_tasks(harness: &ShardHarness, id: &str) -> usize {
+    harness.shard.jobs[&JobId::from(id)].tasks.len()
 }
 
-/// By age alone all that ask for more than their team's limit leaves would be late together. Arrays take
-/// what there is, and gangs that lack machines hold what they find: these go by time.
+/// Ordered by age alone, all gangs that need more than their team's limit leaves would be late together. Arrays take
+/// what the limit leaves, and gangs that lack only machines reserve those they find, so these are ordered by age.
 #[test]
-fn of_gangs_over_their_teams_limit_the_smallest_goes_first() {
-    for (kind, limit, late, expected) in [
+fn the_smallest_gang_goes_first_among_those_over_their_teams_limit() {
+    for (kind, limit, deadline_missed, expected) in [
         (JobKind::Gang, 8.0, false, (0, 2)),
         (JobKind::Gang, 8.0, true, (8, 0)),
         (JobKind::Gang, 0.0, false, (8, 0)),
@@ -54,67 +55,70 @@
     ] {
         let mut small = JobSpec {
             kind,
-            ..array("j-1", 2, Priority::Normal, s(110))
+            ..job_array("j-1", 2, Priority::Normal, s(110))
         };
-        // The time by which it should have been done has passed: it waits for what can be in time.
-        small.deadline = late.then(|| s(5));
+        // A job that has missed its deadline waits for those that can still meet theirs.
+        small.deadline = deadline_missed.then(|| s(5));
         let large = JobSpec {
             kind,
-            ..array("j-0", 8, Priority::Normal, s(100))
+            ..job_array("j-0", 8, Priority::Normal, s(100))
         };
-        let mut h = ShardHarness::new(1, 0);
-        h.settings.teams[0].limit = Resources::offered(limit, 0.0, 0.0);
+        let mut harness = ShardHarness::new(1, 0);
+        harness.settings.teams[0].limit = Resources::offered(limit, 0.0, 0.0);
         for spec in [large, small] {
-            h.shard.add_job(Rc::new(spec), 5, s(120));
+            harness.shard.add_job(Rc::new(spec), 5, s(120));
         }
-        rounds(&mut h, s(120), 1);
+        run_cycles(&mut harness, s(120), 1);
         assert_eq!(
-            (placed(&h, "j-0"), placed(&h, "j-1")),
+            (placed_tasks(&harness, "j-0"), placed_tasks(&harness, "j-1")),
             expected,
-            "{kind:?}, {limit}, {late}"
+            "{kind:?}, limit {limit}, deadline missed: {deadline_missed}"
         );
     }
 }
 
-/// An ordinary job that has its turn goes before an urgent one; what comes after it must not take its place
-/// away again, round after round.
+/// A starving job of normal priority is placed before an urgent one. The urgent job must not preempt it in the
+/// following cycles, over and over.
 #[test]
-fn what_began_by_its_turn_is_not_stopped_by_what_comes_after_it() {
+fn a_job_placed_as_starving_is_not_preempted_by_a_later_urgent_job() {
     let now = s(400);
-    let mut old = array("j-0", 1, Priority::Normal, now - START_DEADLINE);
-    old.task_resources = Resources::needed(8.0, 0.0, 1.0);
+    let mut starving = job_array("j-0", 1, Priority::Normal, now - START_DEADLINE);
+    starving.task_resources = Resources::needed(8.0, 0.0, 1.0);
     let urgent = JobSpec {
         id: "j-1".into(),
         priority: Priority::Urgent,
         submitted: now,
-        ..old.clone()
+        ..starving.clone()
     };
-    let mut h = after_a_round(1, now, vec![old, urgent]);
-    rounds(&mut h, now + s(1), 3);
-    assert_eq!((placed(&h, "j-0"), placed(&h, "j-1")), (1, 0));
-    let job = &h.shard.jobs[&JobId::from("j-0")];
+    let mut harness = harness_after_one_cycle(1, now, vec![starving, urgent]);
+    run_cycles(&mut harness, now + s(1), 3);
+    assert_eq!(
+        (placed_tasks(&harness, "j-0"), placed_tasks(&harness, "j-1")),
+        (1, 0)
+    );
+    let job = &harness.shard.jobs[&JobId::from("j-0")];
     assert!(
         job.tasks
             .values()
             .all(|p| p.stop.is_none() && p.attempt == 1),
-        "it was stopped and placed anew"
+        "it was preempted and placed again"
     );
 }
 
-/// An urgent gang that has its turn is beyond its team's guarantee, and one of the same priority that comes after it
-/// lies within another team's: it may not reclaim the place that the first would be given again in the next round.
+/// A starving urgent gang exceeds its team's guarantee, and a later gang of the same priority is within another team's
+/// guarantee. The later gang must not reclaim the capacity that the next cycle would give to the starving one again.
 #[test]
-fn what_began_by_its_turn_is_not_reclaimed_for_a_guarantee() {
+fn a_gang_placed_as_starving_is_not_preempted_for_another_teams_guarantee() {
     let now = s(400);
     let gang = |id: &str, team: &str, submitted| JobSpec {
         kind: JobKind::Gang,
         team: team.into(),
         task_resources: Resources::needed(8.0, 0.0, 1.0),
-        ..array(id, 1, Priority::Urgent, submitted)
+        ..job_array(id, 1, Priority::Urgent, submitted)
     };
-    let mut h = ShardHarness::new(1, 0);
+    let mut harness = ShardHarness::new(1, 0);
     let guarantee = Resources::offered(16.0, 0.0, 0.0);
-    h.settings.teams.push(Team {
+    harness.settings.teams.push(Team {
         name: "u".into(),
         guarantee,
         limit: Resources::default(),
@@ -123,58 +127,71 @@
         gang("j-0", "t", now - START_DEADLINE),
         gang("j-1", "u", now),
     ] {
-        h.shard.add_job(Rc::new(spec), 5, now);
+        harness.shard.add_job(Rc::new(spec), 5, now);
     }
-    rounds(&mut h, now, 4);
-    assert_eq!((placed(&h, "j-0"), placed(&h, "j-1")), (1, 0));
+    run_cycles(&mut harness, now, 4);
+    assert_eq!(
+        (placed_tasks(&harness, "j-0"), placed_tasks(&harness, "j-1")),
+        (1, 0)
+    );
     assert_eq!(
-        h.shard.jobs[&JobId::from("j-0")]
+        harness.shard.jobs[&JobId::from("j-0")]
             .gang
             .as_ref()
             .unwrap()
             .epoch,
         1,
-        "it was stopped and placed anew"
+        "it was preempted and placed again"
     );
 }
 
-/// A fetch takes longer than a live service may wait.
+/// Fetching an image takes longer than a live service may wait, so capacity is reserved on machines that have the
+/// image.
 #[test]
-fn room_for_live_services_is_kept_where_their_images_are() {
+fn capacity_for_live_services_is_reserved_on_machines_with_their_image() {
     let now = s(120);
-    let mut h = ShardHarness::new(3, 0);
+    let mut harness = ShardHarness::new(3, 0);
     let live = JobSpec {
         kind: JobKind::Service,
         priority: Priority::Critical,
         image: "live".into(),
         ..(*job("j-0", 4)).clone()
     };
-    h.shard.add_job(Rc::new(live), 5, now);
-    let busy = MachineId::from("i-1");
-    h.shard
+    harness.shard.add_job(Rc::new(live), 5, now);
+    let machine_with_image = MachineId::from("i-1");
+    harness
+        .shard
         .machines
-        .get_mut(&busy)
+        .get_mut(&machine_with_image)
         .unwrap()
         .image_cache
         .use_image("live", 100, 1_000);
-    h.shard.add_job(
-        Rc::new(array("j-1", 200, Priority::BestEffort, now)),
+    harness.shard.add_job(
+        Rc::new(job_array("j-1", 200, Priority::BestEffort, now)),
         5,
         now,
     );
-    rounds(&mut h, now, 1);
-    assert_eq!(placed(&h, "j-0"), 4, "it starts at once");
-    let free = h.shard.machines[&busy].free().cpus;
+    run_cycles(&mut harness, now, 1);
+    assert_eq!(
+        placed_tasks(&harness, "j-0"),
+        4,
+        "all tasks of the service are placed at once"
+    );
+    let free = harness.shard.machines[&machine_with_image].free().cpus;
     assert_eq!(
         free, 4_000,
-        "room for one more like it is left where its image is"
+        "capacity for one more such service is kept on the machine with its image"
+    );
+    assert_eq!(
+        placed_tasks(&harness, "j-1"),
+        16,
+        "the remaining capacity is used"
     );
-    assert_eq!(placed(&h, "j-1"), 16, "and the rest is used");
 }
 
-/// What waits for other jobs takes no part of its team's guarantee from those that can run.
+/// A job that waits for its dependencies takes no part of its team's guarantee from jobs that can run.
 #[test]
-fn a_waiting_job_holds_no_part_of_a_guarantee() {
+fn a_job_blocked_on_dependencies_takes_no_part_of_its_teams_guarantee() {
     use seamfront_core::job::Job;
     use seamfront_core::quota::guaranteed;
     let team = Team {
@@ -186,101 +203,117 @@
             ram: 0,
         },
     };
-    let mut first = Job::new(Rc::new(array("j-0", 4, Priority::Normal, s(1))), 5, s(1));
-    let second = Job::new(Rc::new(array("j-1", 4, Priority::Normal, s(2))), 5, s(2));
-    for (blocked, inside) in [(false, "j-0"), (true, "j-1")] {
+    let mut first = Job::new(
+        Rc::new(job_array("j-0", 4, Priority::Normal, s(1))),
+        5,
+        s(1),
+    );
+    let second = Job::new(
+        Rc::new(job_array("j-1", 4, Priority::Normal, s(2))),
+        5,
+        s(2),
+    );
+    for (blocked, expected) in [(false, "j-0"), (true, "j-1")] {
         first.blocked = blocked;
-        let found = guaranteed(std::slice::from_ref(&team), [&first, &second].into_iter());
+        let within_guarantee =
+            guaranteed(std::slice::from_ref(&team), [&first, &second].into_iter());
         assert_eq!(
-            found
+            within_guarantee
                 .iter()
                 .map(seamfront_core::types::JobId::as_str)
                 .collect::<Vec<_>>(),
-            [inside]
+            [expected]
         );
     }
     assert_eq!((first.unplaced(), second.unplaced()), (0, 4));
 }
 
-/// A team may run one more gang, and two wait: only the first has lesser work stopped. Room that was freed for the
-/// other would be filled again, and be freed again, for as long as it waits.
+/// A team's limit admits one more gang, and two are waiting: tasks are preempted only for the first. Capacity that was
+/// freed for the second would be filled and freed again for as long as it waits.
 #[test]
-fn lesser_work_is_stopped_only_for_what_the_limit_lets_run() {
+fn tasks_are_preempted_only_for_gangs_that_their_teams_limit_admits() {
     let now = s(120);
-    let whole = |id: &str, team: &str, kind, priority| JobSpec {
+    let machine_sized_job = |id: &str, team: &str, kind, priority| JobSpec {
         kind,
         team: team.into(),
         task_resources: Resources::needed(8.0, 0.0, 1.0),
-        ..array(id, 1, priority, now)
+        ..job_array(id, 1, priority, now)
     };
-    let mut h = ShardHarness::new(4, 0);
-    h.settings.teams[0].limit = Resources::offered(8.0, 0.0, 0.0);
-    h.settings.teams.push(Team {
+    let mut harness = ShardHarness::new(4, 0);
+    harness.settings.teams[0].limit = Resources::offered(8.0, 0.0, 0.0);
+    harness.settings.teams.push(Team {
         name: "u".into(),
         guarantee: Resources::default(),
         limit: Resources::default(),
     });
     for id in ["j-5", "j-6", "j-7", "j-8"] {
-        h.shard.add_job(
-            Rc::new(whole(id, "u", JobKind::Array, Priority::BestEffort)),
+        harness.shard.add_job(
+            Rc::new(machine_sized_job(
+                id,
+                "u",
+                JobKind::Array,
+                Priority::BestEffort,
+            )),
             5,
             now,
         );
     }
-    rounds(&mut h, now, 1);
-    order_all(&mut h);
+    run_cycles(&mut harness, now, 1);
+    mark_all_ordered(&mut harness);
     for id in ["j-0", "j-1"] {
-        h.shard.add_job(
-            Rc::new(whole(id, "t", JobKind::Gang, Priority::Urgent)),
+        harness.shard.add_job(
+            Rc::new(machine_sized_job(id, "t", JobKind::Gang, Priority::Urgent)),
             5,
             now,
         );
     }
     for k in 1..4 {
-        h.with(
+        harness.with(
             now + s(k),
             seamfront_core::shard::Shard::run_scheduling_cycle,
         );
     }
-    assert_eq!(stopped(&h), 1);
+    assert_eq!(tasks_being_stopped(&harness), 1);
 }
 
-/// Machines of eight processors with their tasks of best effort ordered there, and room for two such tasks under the
-/// limit of the team whose gangs take a machine a member.
-fn held_with_limit_for_two(
+/// A shard with machines of eight CPUs. Each of `best_effort_jobs` is a best-effort job of team `u` that fills one
+/// machine, and team `t` has a limit of two machines. The returned function makes urgent gangs of team `t` with one
+/// member per machine.
+fn harness_with_limit_of_two_machines(
     machines: usize,
-    busy: &[&str],
+    best_effort_jobs: &[&str],
     now: Micros,
 ) -> (ShardHarness, impl Fn(&str, u32, Micros) -> JobSpec) {
-    let mut h = ShardHarness::new(machines, 0);
-    h.settings.teams[0].limit = Resources::offered(16.0, 0.0, 0.0);
-    h.settings.teams.push(Team {
+    let mut harness = ShardHarness::new(machines, 0);
+    harness.settings.teams[0].limit = Resources::offered(16.0, 0.0, 0.0);
+    harness.settings.teams.push(Team {
         name: "u".into(),
         guarantee: Resources::default(),
         limit: Resources::default(),
     });
-    for id in busy {
+    for id in best_effort_jobs {
         let task_resources = Resources::needed(8.0, 0.0, 1.0);
-        let lesser = JobSpec {
+        let best_effort = JobSpec {
             team: "u".into(),
             task_resources,
-            ..array(id, 1, Priority::BestEffort, now)
+            ..job_array(id, 1, Priority::BestEffort, now)
         };
-        h.shard.add_job(Rc::new(lesser), 5, now);
+        harness.shard.add_job(Rc::new(best_effort), 5, now);
     }
-    rounds(&mut h, now, 1);
-    order_all(&mut h);
+    run_cycles(&mut harness, now, 1);
+    mark_all_ordered(&mut harness);
     let gang = |id: &str, tasks, submitted| JobSpec {
         kind: JobKind::Gang,
         task_resources: Resources::needed(8.0, 0.0, 1.0),
-        ..array(id, tasks, Priority::Urgent, submitted)
+        ..job_array(id, tasks, Priority::Urgent, submitted)
     };
-    (h, gang)
+    (harness, gang)
 }
 
-/// Tasks that are being stopped.
-fn stopped(h: &ShardHarness) -> usize {
-    h.shard
+/// Number of tasks that are being stopped.
+fn tasks_being_stopped(harness: &ShardHarness) -> usize {
+    harness
+        .shard
         .jobs
         .values()
         .flat_map(|j| j.tasks.values())
@@ -288,56 +321,69 @@
         .count()
 }
 
-/// The records of all placements are written.
-fn order_all(h: &mut ShardHarness) {
-    for j in h.shard.jobs.values_mut() {
+/// Marks all placements as recorded and ordered.
+fn mark_all_ordered(harness: &mut ShardHarness) {
+    for j in harness.shard.jobs.values_mut() {
         j.tasks
             .values_mut()
             .for_each(|p| p.phase = seamfront_core::job::Phase::Ordered);
     }
 }
 
-/// Lesser work is being stopped for an overdue gang: a smaller one that finds free room at once must not use up the
-/// limit meanwhile, again and again.
+/// Best-effort tasks are being preempted for a starving gang. A smaller gang that would find free capacity at once must
+/// not use up the team's limit in the meantime, over and over.
 #[test]
-fn an_overdue_gang_keeps_its_part_of_the_limit_while_room_is_freed_for_it() {
+fn a_starving_gang_keeps_its_reserved_quota_while_tasks_are_preempted_for_it() {
     let now = s(500);
-    let (mut h, gang) = held_with_limit_for_two(3, &["j-5", "j-6"], now);
-    h.shard
+    let (mut harness, gang) = harness_with_limit_of_two_machines(3, &["j-5", "j-6"], now);
+    harness
+        .shard
         .add_job(Rc::new(gang("j-0", 2, now - START_DEADLINE)), 5, now);
-    h.shard.add_job(Rc::new(gang("j-1", 1, now)), 5, now);
-    h.with(
+    harness.shard.add_job(Rc::new(gang("j-1", 1, now)), 5, now);
+    harness.with(
         now + s(1),
         seamfront_core::shard::Shard::run_scheduling_cycle,
     );
-    assert!(stopped(&h) > 0, "room is being freed");
-    assert_eq!((placed(&h, "j-0"), placed(&h, "j-1")), (0, 0));
+    assert!(
+        tasks_being_stopped(&harness) > 0,
+        "no task is preempted for the starving gang"
+    );
+    assert_eq!(
+        (placed_tasks(&harness, "j-0"), placed_tasks(&harness, "j-1")),
+        (0, 0)
+    );
 }
 
-/// While an overdue gang waits for its part of the limit, lesser work does not fill the room that it will need then.
+/// While a starving gang waits until its team's limit admits it, best-effort jobs do not fill the capacity that it will
+/// need then.
 #[test]
-fn an_overdue_gang_holds_room_while_it_waits_for_the_limit() {
+fn a_starving_gang_keeps_capacity_reserved_while_it_waits_for_quota() {
     let now = s(500);
-    let (mut h, gang) = held_with_limit_for_two(3, &[], now);
-    h.shard.add_job(Rc::new(gang("j-1", 1, now)), 5, now);
-    h.with(
+    let (mut harness, gang) = harness_with_limit_of_two_machines(3, &[], now);
+    harness.shard.add_job(Rc::new(gang("j-1", 1, now)), 5, now);
+    harness.with(
         now + s(1),
         seamfront_core::shard::Shard::run_scheduling_cycle,
     );
-    order_all(&mut h);
-    h.shard
+    mark_all_ordered(&mut harness);
+    harness
+        .shard
         .add_job(Rc::new(gang("j-0", 2, now - START_DEADLINE)), 5, now);
-    let lesser = JobSpec {
+    let best_effort = JobSpec {
         team: "u".into(),
-        ..array("j-7", 40, Priority::BestEffort, now)
+        ..job_array("j-7", 40, Priority::BestEffort, now)
     };
-    h.shard.add_job(Rc::new(lesser), 5, now);
-    h.with(
+    harness.shard.add_job(Rc::new(best_effort), 5, now);
+    harness.with(
         now + s(2),
         seamfront_core::shard::Shard::run_scheduling_cycle,
     );
     assert_eq!(
-        (placed(&h, "j-1"), placed(&h, "j-0"), placed(&h, "j-7")),
+        (
+            placed_tasks(&harness, "j-1"),
+            placed_tasks(&harness, "j-0"),
+            placed_tasks(&harness, "j-7")
+        ),
         (1, 0, 0)
     );
 }
