--- a/crates/seamfront-core/tests/operational_faults.rs
+++ b/crates/seamfront-core/tests/operational_faults.rs
@@ -1,6 +1,7 @@
-//! What on-call people met: machines that come up late or never, controllers that are silent for long or see only a
-//! part of what they need, and jobs that fail on every machine. Each test brings it about in the seeded world, together
-//! with older troubles, and asserts that it did.
+//! Faults that on-call engineers have met: machines that boot late or never, controllers that are unresponsive for long
+//! or reach only a part of the systems they need, and jobs that fail on every machine. Each test injects them into
+//! simulated runs together with other faults; all invariants are checked, and coverage counters show that the
+//! situations occurred.
 
 use seamfront_core::types::*;
 use seamfront_testing::simulation::recording::scenario;
@@ -9,39 +10,44 @@
 };
 use seamfront_testing::simulation::{ms, Fault, Scale, Simulation, CONTROLLERS, SMALL};
 
-/// Nothing that never comes up is paid for once the troubles are over, whoever has led since it was rented.
+/// Once the faults are over, no machine that never boots is still provisioned and paid for, whichever controllers have
+/// led since it was provisioned.
 #[test]
-fn machines_come_up_late_or_never_while_leaders_change() {
+fn machines_that_never_boot_are_terminated_while_leaders_change() {
     scenario("on_call.machines_come_up_late_or_never_while_leaders_change");
     let mut coverage = Coverage::new();
     for seed in 2_000..2_012 {
-        let w = simulate(seed, |w, troubles| {
-            let percent = [100, 400, 800][w.draw(0..3) as usize];
-            w.fault(
+        let simulation = simulate(seed, |simulation, faults_end_ms| {
+            let percent = [100, 400, 800][simulation.draw(0..3) as usize];
+            simulation.fault(
                 ms(1_000),
                 Fault::BadBoots {
-                    until: ms(troubles),
+                    until: ms(faults_end_ms),
                     never: 30,
                     percent,
                 },
             );
             for k in 0..4 {
-                let at = 9_000 + 19_000 * k + w.draw(0..6_000);
-                let fault = match w.draw(0..3) {
+                let at = 9_000 + 19_000 * k + simulation.draw(0..6_000);
+                let fault = match simulation.draw(0..3) {
                     0 => Fault::CrashHolder {
                         claim: "leader",
-                        back: ms(w.draw(100..6_000)),
+                        back: ms(simulation.draw(100..6_000)),
                     },
                     1 => Fault::CloudOutage {
                         until: ms(at + 9_000),
                     },
                     _ => Fault::KillMachines { count: 2 },
                 };
-                w.fault(ms(at), fault);
+                simulation.fault(ms(at), fault);
             }
         });
-        assert_eq!(w.never_booting(), [], "seed {seed}: paid for to the end");
-        add_coverage(&mut coverage, w.coverage);
+        assert_eq!(
+            simulation.never_booting(),
+            [],
+            "seed {seed}: machines that never boot were not terminated"
+        );
+        add_coverage(&mut coverage, simulation.coverage);
     }
     assert!(
         count(&coverage, "a machine was rented that never comes up") > 20,
@@ -49,12 +55,13 @@
     );
 }
 
-/// For a while nothing boots at all, or everything within moments: what is up serves, and all is done in the end.
+/// For a while no machine boots at all, and then all boot within moments. Meanwhile the machines that run are used, and
+/// in the end all jobs are done.
 #[test]
-fn nothing_boots_or_everything_at_once() {
+fn all_jobs_end_when_no_machine_boots_and_then_all_boot_at_once() {
     scenario("on_call.nothing_boots_or_everything_at_once");
-    let coverage = simulate_seeds(2_020..2_030, |w, _| {
-        w.fault(
+    let coverage = simulate_seeds(2_020..2_030, |simulation, _| {
+        simulation.fault(
             ms(1_000),
             Fault::BadBoots {
                 until: ms(40_000),
@@ -62,7 +69,7 @@
                 percent: 100,
             },
         );
-        w.fault(
+        simulation.fault(
             ms(40_000),
             Fault::BadBoots {
                 until: ms(80_000),
@@ -70,9 +77,9 @@
                 percent: 5,
             },
         );
-        w.fault(ms(20_000), Fault::KillMachines { count: 2 });
-        let at = w.draw(30_000..60_000);
-        w.fault(
+        simulation.fault(ms(20_000), Fault::KillMachines { count: 2 });
+        let at = simulation.draw(30_000..60_000);
+        simulation.fault(
             ms(at),
             Fault::CrashHolder {
                 claim: "leader",
@@ -93,56 +100,45 @@
     );
 }
 
-/// Frozen for a minute, its clocks running on, or off the net with all that was under way held back; the leader, two at
-/// once, and the same one again within seconds, while users cancel.
+/// Controllers are frozen for up to a minute while their clocks run on, or are cut off from everything with all
+/// messages in flight held back: first one, then a second one as well, and the first one again within seconds of its
+/// return. Meanwhile users cancel jobs.
 #[test]
-fn controllers_are_silent_for_a_minute_while_jobs_are_cancelled() {
+fn invariants_hold_when_controllers_are_unresponsive_for_a_minute_while_jobs_are_cancelled() {
     scenario("on_call.controllers_are_silent_for_a_minute_while_jobs_are_cancelled");
-    let coverage = simulate_seeds(2_040..2_054, |w, _| {
-        let first = any_controller(w);
+    let coverage = simulate_seeds(2_040..2_054, |simulation, _| {
+        let first = any_controller(simulation);
         let second = (first + 1) % CONTROLLERS;
-        for (k, n) in [first, second, first].into_iter().enumerate() {
+        for (k, controller) in [first, second, first].into_iter().enumerate() {
             let at = [8_000, 9_500, 71_500][k];
             let until = ms(at + [60_000, 45_000, 15_000][k]);
-            if w.draw(0..2) == 0 {
-                w.fault(
-                    ms(at),
-                    Fault::PauseController {
-                        controller: n,
-                        until,
-                    },
-                );
+            if simulation.draw(0..2) == 0 {
+                simulation.fault(ms(at), Fault::PauseController { controller, until });
             } else {
-                w.fault(
+                simulation.fault(
                     ms(at),
                     Fault::CutStore {
-                        controller: n,
+                        controller,
                         until,
                         hold: true,
                     },
                 );
-                w.fault(
+                simulation.fault(
                     ms(at),
                     Fault::CutAgents {
-                        controller: n,
+                        controller,
                         until,
                         hold: true,
                     },
                 );
-                w.fault(
-                    ms(at),
-                    Fault::CutPeers {
-                        controller: n,
-                        until,
-                    },
-                );
+                simulation.fault(ms(at), Fault::CutPeers { controller, until });
             }
         }
         for at in [10_000, 22_000, 68_500, 73_000] {
-            let hang = ms(w.draw(0..8_000));
-            w.fault(ms(at), Fault::CancelRunning { count: 3, hang });
+            let hang = ms(simulation.draw(0..8_000));
+            simulation.fault(ms(at), Fault::CancelRunning { count: 3, hang });
         }
-        w.fault(ms(8_000), Fault::DuplicateHeartbeats { until: ms(85_000) });
+        simulation.fault(ms(8_000), Fault::DuplicateHeartbeats { until: ms(85_000) });
     });
     assert!(
         count(&coverage, "leadership was taken") > 20,
@@ -150,35 +146,32 @@
     );
 }
 
-/// It sees workers and not the state service, the state service and no workers, or is refused by the state service
-/// alone; for less than a lease of 12 s and for longer. Whoever cannot serve its workers hands its shards over.
+/// A controller reaches agents but not the store, or the store but no agents, or is refused by the store alone, for
+/// less than a lease of 12 s or for longer. One that cannot serve its agents transfers its shards to other members.
 #[test]
-fn a_controller_sees_a_part_of_what_it_needs() {
+fn claims_of_partly_disconnected_controllers_are_taken_over_without_flapping() {
     scenario("on_call.a_controller_sees_a_part_of_what_it_needs");
-    let coverage = simulate_seeds(2_060..2_076, |w, _| {
+    let coverage = simulate_seeds(2_060..2_076, |simulation, _| {
         for k in 0..3 {
             let at = 9_000 + 26_000 * k;
-            let n = any_controller(w);
-            let until = ms(at + [5_000, 11_000, 24_000][w.draw(0..3) as usize]);
-            let hold = w.draw(0..2) == 0;
-            let fault = match w.draw(0..4) {
+            let controller = any_controller(simulation);
+            let until = ms(at + [5_000, 11_000, 24_000][simulation.draw(0..3) as usize]);
+            let hold = simulation.draw(0..2) == 0;
+            let fault = match simulation.draw(0..4) {
                 0 => Fault::CutStore {
-                    controller: n,
+                    controller,
                     until,
                     hold,
                 },
-                1 => Fault::RefuseController {
-                    controller: n,
-                    until,
-                },
+                1 => Fault::RefuseController { controller, until },
                 _ => Fault::CutAgents {
-                    controller: n,
+                    controller,
                     until,
                     hold,
                 },
             };
-            w.fault(ms(at), fault);
-            w.fault(
+            simulation.fault(ms(at), fault);
+            simulation.fault(
                 ms(at + 3_000),
                 Fault::CancelRunning {
                     count: 3,
@@ -188,32 +181,39 @@
         }
     });
     let claims = count(&coverage, "a claim was taken");
-    assert!(claims > 16 * 5, "nobody took over: {coverage:?}");
-    assert!(claims < 16 * 40, "claims went to and fro: {coverage:?}");
+    assert!(
+        claims > 16 * 5,
+        "too few claims were acquired: {coverage:?}"
+    );
+    assert!(
+        claims < 16 * 40,
+        "claims moved back and forth between members: {coverage:?}"
+    );
 }
 
-/// They stay known and are tried on until their users cancel them; all other jobs are done as if they were not there.
+/// Jobs that fail everywhere stay known and are retried until their users cancel them. All other jobs are done as if
+/// the failing ones did not exist.
 #[test]
-fn jobs_that_fail_on_every_machine_until_they_are_cancelled() {
+fn jobs_that_fail_on_every_machine_do_not_hinder_others_until_they_are_cancelled() {
     scenario("on_call.jobs_that_fail_on_every_machine_until_they_are_cancelled");
-    let coverage = simulate_seeds(2_080..2_092, |w, _| {
+    let coverage = simulate_seeds(2_080..2_092, |simulation, _| {
         for n in 100..112 {
-            let mut spec = w.job(n);
+            let mut spec = simulation.job(n);
             if spec.team == "b" {
                 spec.team = "d".into();
             }
             spec.class = format!("{} with a mistake", spec.class);
-            let (id, at) = (spec.id.clone(), w.draw(500..30_000));
-            w.make_failing(&spec);
-            w.submit(ms(at), spec);
-            let later = w.draw(25_000..60_000);
-            w.cancel(ms(at + later), id);
+            let (id, at) = (spec.id.clone(), simulation.draw(500..30_000));
+            simulation.make_failing(&spec);
+            simulation.submit(ms(at), spec);
+            let cancel_delay = simulation.draw(25_000..60_000);
+            simulation.cancel(ms(at + cancel_delay), id);
         }
         for k in 0..3 {
-            let at = 14_000 + 22_000 * k + w.draw(0..6_000);
-            let claim = SHARD_CLAIMS[w.draw(0..3) as usize];
-            let back = ms(w.draw(100..6_000));
-            w.fault(ms(at), Fault::CrashHolder { claim, back });
+            let at = 14_000 + 22_000 * k + simulation.draw(0..6_000);
+            let claim = SHARD_CLAIMS[simulation.draw(0..3) as usize];
+            let back = ms(simulation.draw(100..6_000));
+            simulation.fault(ms(at), Fault::CrashHolder { claim, back });
         }
     });
     assert!(
@@ -225,31 +225,32 @@
     );
 }
 
-/// Questions cost the state service a fifth of its rate at most, however many there are: those that come within a
-/// moment share a confirmation. Submissions and cancellations go on, and nobody is told anything older (the world checks it).
+/// Polls use at most a fifth of the store's request rate, however many there are: polls that arrive within a moment
+/// share one verification. Submissions and cancellations continue, and no answer is older than an earlier one (the
+/// simulation checks this).
 #[test]
-fn users_ask_fifty_times_as_often() {
+fn polls_use_at_most_a_fifth_of_the_store_rate_at_fifty_times_their_usual_rate() {
     scenario("on_call.users_ask_fifty_times_as_often");
-    let asked = |factor: i64| {
-        let mut sum = 0;
+    let simulate_polls = |factor: i64| {
+        let mut store_requests = 0;
         let mut coverage = Coverage::new();
         for seed in 2_100..2_106 {
-            let w = simulate(seed, |w, _| {
-                w.fault(
+            let simulation = simulate(seed, |simulation, _| {
+                simulation.fault(
                     ms(15_000),
                     Fault::PollStorm {
                         until: ms(75_000),
                         factor,
                     },
                 );
-                w.fault(
+                simulation.fault(
                     ms(30_000),
                     Fault::CancelRunning {
                         count: 4,
                         hang: Micros::ZERO,
                     },
                 );
-                w.fault(
+                simulation.fault(
                     ms(50_000),
                     Fault::CrashHolder {
                         claim: "leader",
@@ -257,37 +258,40 @@
                     },
                 );
             });
-            sum += (20..70).map(|second| w.store_load[&second].0).sum::<u32>();
-            add_coverage(&mut coverage, w.coverage);
+            store_requests += (20..70)
+                .map(|second| simulation.store_load[&second].0)
+                .sum::<u32>();
+            add_coverage(&mut coverage, simulation.coverage);
         }
         (
-            sum,
+            store_requests,
             count(&coverage, "a question was asked besides the usual ones"),
         )
     };
-    let ((usual, few), (storm, many)) = (asked(1), asked(50));
+    let ((usual_requests, usual_polls), (storm_requests, storm_polls)) =
+        (simulate_polls(1), simulate_polls(50));
     assert!(
-        many > 20 * few && many > 10_000,
-        "{few} and {many} questions"
+        storm_polls > 20 * usual_polls && storm_polls > 10_000,
+        "{usual_polls} polls at the usual rate, {storm_polls} at fifty times that"
     );
-    let a_fifth = 6 * 50 * SMALL.state_rps as u32 / 5;
+    let fifth_of_rate = 6 * 50 * SMALL.state_rps as u32 / 5;
     assert!(
-        storm < usual + a_fifth,
-        "{usual} requests to the store at the usual rate, {storm} at fifty times that"
+        storm_requests < usual_requests + fifth_of_rate,
+        "{usual_requests} requests to the store at the usual rate, {storm_requests} at fifty times that"
     );
     assert!(
-        storm < 2 * usual,
-        "{usual} requests to the store at the usual rate, {storm} at fifty times that"
+        storm_requests < 2 * usual_requests,
+        "{usual_requests} requests to the store at the usual rate, {storm_requests} at fifty times that"
     );
 }
 
-/// At the first start all machines at hand are without records, and more are asked for all the time. Only those that
-/// may have been rented just then must wait for the answer.
+/// At the first start no existing machine has a record, and more machines are being provisioned all the time. Only
+/// machines that a provisioning request in flight may have created must wait for its answer before they are adopted.
 #[test]
-fn machines_at_hand_are_adopted_while_others_are_being_rented() {
+fn existing_machines_are_adopted_while_others_are_being_provisioned() {
     scenario("on_call.machines_at_hand_are_adopted_while_others_are_being_rented");
     for seed in 2_120..2_124 {
-        let mut w = Simulation::sized(
+        let mut simulation = Simulation::sized(
             seed,
             Scale {
                 machines: 60,
@@ -297,37 +301,38 @@
                 ..SMALL
             },
         );
-        w.faults_end = ms(1_000);
-        w.fault(ms(1), Fault::SlowProvisioning { until: ms(60_000) });
+        simulation.faults_end = ms(1_000);
+        simulation.fault(ms(1), Fault::SlowProvisioning { until: ms(60_000) });
         for n in 0..20 {
-            let mut spec = w.job(n);
+            let mut spec = simulation.job(n);
             (spec.kind, spec.tasks, spec.types) = (JobKind::Array, 30, Some(vec!["large".into()]));
             let at = 500 * i64::from(n);
-            w.submit(ms(at), spec);
+            simulation.submit(ms(at), spec);
         }
-        w.run_until(ms(25_000));
+        simulation.run_until(ms(25_000));
         assert!(
-            w.count_keys("machine/") >= 60,
-            "seed {seed}: {} of 60 after 25 s",
-            w.count_keys("machine/")
+            simulation.count_keys("machine/") >= 60,
+            "seed {seed}: only {} of 60 machines adopted after 25 s",
+            simulation.count_keys("machine/")
         );
         assert!(
             count(
-                &w.coverage,
+                &simulation.coverage,
                 "the cloud took seconds to answer a request for machines"
             ) > 3
         );
     }
 }
 
-/// One guest's sweep of thousands of tasks of seconds each, at the lowest priority, beside the others' work and with
-/// controllers that end: what it costs the state service grows with its running tasks and its ranges, not with its size.
+/// One team runs a parameter sweep of thousands of tasks of a few seconds each, at the lowest priority, beside the jobs
+/// of other teams and while holders crash. The sweep's load on the store grows with its running tasks and the ranges of
+/// task numbers in its record, not with its size.
 #[test]
-fn a_sweep_of_many_short_tasks_beside_the_others_work() {
+fn a_large_parameter_sweep_causes_fewer_writes_than_tasks_while_holders_crash() {
     const TASKS: u32 = 4_000;
     scenario("on_call.a_sweep_of_many_short_tasks_beside_the_others_work");
     for seed in 2_130..2_133 {
-        let mut w = Simulation::sized(
+        let mut simulation = Simulation::sized(
             seed,
             Scale {
                 machines: 16,
@@ -336,21 +341,21 @@
                 ..SMALL
             },
         );
-        w.faults_end = ms(90_000);
+        simulation.faults_end = ms(90_000);
         for n in 0..30 {
-            let mut spec = w.job(n);
+            let mut spec = simulation.job(n);
             spec.team = ["a", "b", "c"][n as usize % 3].into();
             let (id, service, at) = (
                 spec.id.clone(),
                 spec.kind == JobKind::Service,
                 2_000 * i64::from(n),
             );
-            w.submit(ms(at), spec);
+            simulation.submit(ms(at), spec);
             if service {
-                w.cancel(ms(at + 60_000), id);
+                simulation.cancel(ms(at + 60_000), id);
             }
         }
-        let mut sweep = w.job(99);
+        let mut sweep = simulation.job(99);
         (sweep.kind, sweep.class, sweep.team, sweep.priority) = (
             JobKind::Array,
             "sweep".into(),
@@ -361,25 +366,25 @@
             (TASKS, Resources::needed(0.25, 0.0, 0.25), 100);
         (sweep.zone, sweep.one_zone, sweep.spread, sweep.spot) = (None, false, false, true);
         (sweep.deadline, sweep.checkpoint, sweep.estimate) = (None, Micros::ZERO, ms(4_000));
-        w.submit(ms(15_000), sweep);
-        w.fault(
+        simulation.submit(ms(15_000), sweep);
+        simulation.fault(
             ms(40_000),
             Fault::CrashHolder {
                 claim: "leader",
                 back: ms(5_000),
             },
         );
-        w.fault(
+        simulation.fault(
             ms(60_000),
             Fault::CrashHolder {
                 claim: "share/0",
                 back: ms(300),
             },
         );
-        w.run_until(ms(390_000));
-        assert_eq!(w.unfinished(), Vec::<String>::new(), "seed {seed}");
-        assert_eq!(w.not_served(), Vec::<String>::new(), "seed {seed}");
-        let writes: u32 = w.store_load.values().map(|second| second.1).sum();
+        simulation.run_until(ms(390_000));
+        assert_eq!(simulation.unfinished(), Vec::<String>::new(), "seed {seed}");
+        assert_eq!(simulation.not_served(), Vec::<String>::new(), "seed {seed}");
+        let writes: u32 = simulation.store_load.values().map(|second| second.1).sum();
         assert!(
             writes < TASKS,
             "seed {seed}: {writes} writes for {TASKS} tasks and thirty other jobs"
--- a/crates/seamfront-core/tests/rules.rs
+++ b/crates/seamfront-core/tests/rules.rs
@@ -1,22 +1,22 @@
-//! Seeded runs of several engines in a hostile world; after each step every rule is checked on the
-//! workers' truth. Needs nothing but this repository.
+//! Simulated runs of several engines under injected faults, each drawn from a seed. After every step all invariants are
+//! checked against what actually runs on the machines. No outside system is needed.
 
 use seamfront_core::types::*;
 use seamfront_testing::simulation::recording::scenario;
 use seamfront_testing::simulation::scenarios::simulate;
 use seamfront_testing::simulation::{ms, Fault, Simulation, CONTROLLERS};
 
-fn random_faults(w: &mut Simulation, troubles: i64) {
+fn random_faults(simulation: &mut Simulation, faults_end_ms: i64) {
     for _ in 0..7 {
-        let at = w.draw(5_000..troubles - 12_000);
-        let lasts = w.draw(1_000..25_000);
-        let until = ms((at + lasts).min(troubles));
-        let controller = w.draw(0..CONTROLLERS as i64) as usize;
-        let hold = w.draw(0..2) == 0;
-        let fault = match w.draw(0..17) {
+        let at = simulation.draw(5_000..faults_end_ms - 12_000);
+        let lasts = simulation.draw(1_000..25_000);
+        let until = ms((at + lasts).min(faults_end_ms));
+        let controller = simulation.draw(0..CONTROLLERS as i64) as usize;
+        let hold = simulation.draw(0..2) == 0;
+        let fault = match simulation.draw(0..17) {
             0 => Fault::Crash {
                 controllers: vec![controller],
-                back: ms(w.draw(100..6_000)),
+                back: ms(simulation.draw(100..6_000)),
             },
             1 => Fault::Crash {
                 controllers: vec![controller, (controller + 1) % CONTROLLERS],
@@ -24,7 +24,7 @@
             },
             2 => Fault::Crash {
                 controllers: (0..CONTROLLERS).collect(),
-                back: ms(w.draw(200..6_000)),
+                back: ms(simulation.draw(200..6_000)),
             },
             3 => Fault::StoreOutage { until },
             4 => Fault::RefuseController { controller, until },
@@ -55,10 +55,10 @@
             15 => Fault::RestartMachines { count: 2 },
             16 => Fault::Crash {
                 controllers: vec![controller],
-                back: ms(w.draw(20..600)),
+                back: ms(simulation.draw(20..600)),
             },
             9 => Fault::KillMachines {
-                count: w.draw(1..4) as usize,
+                count: simulation.draw(1..4) as usize,
             },
             10 => Fault::HangMachines {
                 count: 2,
@@ -70,25 +70,27 @@
             },
             _ => Fault::PreemptionNotice { count: 2 },
         };
-        w.fault(ms(at), fault);
+        simulation.fault(ms(at), fault);
     }
 }
 
-/// Bites: each of these guards, taken out by hand, made one or more of the tests in this file fail.
-/// - a placement is ordered only after its record is written (`Phase::Recording`): `ran_twice`
-/// - omissions count only in a report that shows the present token, with no command unsettled
-///   (`Shard::apply_heartbeat`): quota
-/// - an unanswered command stays unsettled (`Shard::direct_result`): quota, jobs never done
-/// - the time of `Machine::lease_expiry`: `ran_twice`
-/// - orders for an earlier session only are void in a later one (`Shard::apply_heartbeat`): `ran_twice`
-/// - the limit of acting without proof (`Settings::verification_ttl`): `ran_cancelled`
-/// - the token as the larger of claim and record (`Machine::fencing_token`): jobs never done
-/// - the team's limit in a round: quota
+/// The tests of this file detect when one of these safeguards is missing: with each of them removed on purpose, at
+/// least one test failed, with the violation named after the colon.
+/// - a task is ordered only after the record of its placement is written (`Phase::Recording`): `ran_twice`
+/// - a task counts as absent only if it is missing in a heartbeat that shows the current fencing token, while no
+///   command is unsettled (`Shard::apply_heartbeat`): `quota`
+/// - an unanswered command stays unsettled (`Shard::direct_result`): `quota`, unfinished jobs
+/// - a lease counts as expired only from the time of `Machine::lease_expiry`: `ran_twice`
+/// - start orders that went only to an earlier incarnation are void in a later one (`Shard::apply_heartbeat`):
+///   `ran_twice`
+/// - a holder acts only for a limited time without verifying its claim (`Settings::verification_ttl`): `ran_cancelled`
+/// - the fencing token is the larger of the versions of claim and record (`Machine::fencing_token`): unfinished jobs
+/// - a scheduling cycle observes the team's limit: `quota`
 ///
-/// The claim's version in each write was taken out alone without a failure here: the record's own
-/// version in the same transaction guards the same thing a second time.
+/// No test failed when only the claim's version was removed from the conditions of every write: the version of the
+/// record itself, a condition of the same transaction, is a second safeguard against the same error.
 #[test]
-fn no_rule_breaks_under_random_overlapping_troubles() {
+fn invariants_hold_under_random_overlapping_faults() {
     scenario("rules.no_rule_breaks_under_random_overlapping_troubles");
     for seed in (0..40).chain(136..137) {
         simulate(seed, random_faults);
@@ -96,7 +98,7 @@
 }
 
 #[test]
-fn a_quiet_day_gets_everything_done() {
+fn all_jobs_end_without_faults() {
     scenario("rules.a_quiet_day_gets_everything_done");
     for seed in 100..104 {
         simulate(seed, |_, _| {});
@@ -104,26 +106,26 @@
 }
 
 #[test]
-fn crashes_in_the_middle_of_elections() {
+fn invariants_hold_when_controllers_crash_during_elections() {
     scenario("rules.crashes_in_the_middle_of_elections");
     for seed in 200..212 {
-        simulate(seed, |w, _| {
+        simulate(seed, |simulation, _| {
             for k in 0..6 {
-                let at = 10_000 + k * 9_000 + w.draw(0..6_000);
-                let controller = w.draw(0..CONTROLLERS as i64) as usize;
-                let back = ms(w.draw(100..5_000));
-                w.fault(
+                let at = 10_000 + k * 9_000 + simulation.draw(0..6_000);
+                let controller = simulation.draw(0..CONTROLLERS as i64) as usize;
+                let back = ms(simulation.draw(100..5_000));
+                simulation.fault(
                     ms(at),
                     Fault::Crash {
                         controllers: vec![controller],
                         back,
                     },
                 );
-                let soon = at + w.draw(50..4_500);
+                let second_crash_at = at + simulation.draw(50..4_500);
                 let other = (controller + 1) % CONTROLLERS;
-                let back = ms(w.draw(100..1_000));
-                w.fault(
-                    ms(soon),
+                let back = ms(simulation.draw(100..1_000));
+                simulation.fault(
+                    ms(second_crash_at),
                     Fault::Crash {
                         controllers: vec![other],
                         back,
@@ -134,27 +136,27 @@
     }
 }
 
-/// A holder that the state service alone refuses goes on for a while, while another takes over:
-/// cancellations, starts and reports of both must not contradict each other.
+/// A holder that is refused only by the store continues for a while, and another controller takes over. Cancellations,
+/// starts and answers of the two must not contradict each other.
 #[test]
-fn refused_by_the_state_service_alone() {
+fn invariants_hold_when_the_store_refuses_one_controller() {
     scenario("rules.refused_by_the_state_service_alone");
     for seed in 300..330 {
-        simulate(seed, |w, _| {
+        simulate(seed, |simulation, _| {
             for k in 0..3 {
                 let at = 12_000 + k * 26_000;
-                let controller = w.draw(0..CONTROLLERS as i64) as usize;
-                w.fault(
+                let controller = simulation.draw(0..CONTROLLERS as i64) as usize;
+                simulation.fault(
                     ms(at),
                     Fault::RefuseController {
                         controller,
                         until: ms(at + 24_000),
                     },
                 );
-                if w.draw(0..3) > 0 {
+                if simulation.draw(0..3) > 0 {
                     let until = ms(at + 24_000);
-                    w.fault(ms(at + 100), Fault::CutPeers { controller, until });
-                    w.fault(
+                    simulation.fault(ms(at + 100), Fault::CutPeers { controller, until });
+                    simulation.fault(
                         ms(at + 4_500),
                         Fault::CutLinks {
                             controller,
@@ -168,20 +170,20 @@
     }
 }
 
-/// A holder that nobody can tell that it has been replaced acts for T at most. Meanwhile some of its
-/// machines have gone over to the new holder, and others hang after the old one's last word.
+/// A holder that cannot learn that it has been replaced acts for at most `Settings::verification_ttl`. Meanwhile some
+/// of its machines have turned to the new holder, and others hang after the last message of the old one.
 #[test]
-fn a_holder_cut_off_for_longer_than_it_may_act() {
+fn invariants_hold_when_a_holder_is_cut_off_for_longer_than_it_may_act() {
     scenario("rules.a_holder_cut_off_for_longer_than_it_may_act");
     for seed in 350..362 {
-        simulate(seed, |w, _| {
-            let at = w.draw(8_000..16_000);
-            let controller = w.draw(0..CONTROLLERS as i64) as usize;
+        simulate(seed, |simulation, _| {
+            let at = simulation.draw(8_000..16_000);
+            let controller = simulation.draw(0..CONTROLLERS as i64) as usize;
             let until = ms(at + 70_000);
-            if w.draw(0..2) == 0 {
-                w.fault(ms(at), Fault::RefuseController { controller, until });
+            if simulation.draw(0..2) == 0 {
+                simulation.fault(ms(at), Fault::RefuseController { controller, until });
             } else {
-                w.fault(
+                simulation.fault(
                     ms(at),
                     Fault::CutStore {
                         controller,
@@ -190,9 +192,9 @@
                     },
                 );
             }
-            w.fault(ms(at), Fault::CutPeers { controller, until });
+            simulation.fault(ms(at), Fault::CutPeers { controller, until });
             for k in 0..3 {
-                w.fault(
+                simulation.fault(
                     ms(at + 4_500 + 2_000 * k),
                     Fault::CutLinks {
                         controller,
@@ -200,7 +202,7 @@
                         until,
                     },
                 );
-                w.fault(
+                simulation.fault(
                     ms(at + 10_500 + 1_500 * k),
                     Fault::HangMachines {
                         count: 2,
@@ -213,15 +215,15 @@
 }
 
 #[test]
-fn cut_from_the_state_service_with_late_transactions() {
+fn invariants_hold_when_a_controller_is_cut_off_from_the_store_and_its_transactions_execute_late() {
     scenario("rules.cut_from_the_state_service_with_late_transactions");
     for seed in 400..416 {
-        simulate(seed, |w, _| {
+        simulate(seed, |simulation, _| {
             for k in 0..3 {
                 let at = 10_000 + k * 25_000;
-                let controller = w.draw(0..CONTROLLERS as i64) as usize;
-                let until = ms(at + w.draw(3_000..24_000));
-                w.fault(
+                let controller = simulation.draw(0..CONTROLLERS as i64) as usize;
+                let until = ms(at + simulation.draw(3_000..24_000));
+                simulation.fault(
                     ms(at),
                     Fault::CutStore {
                         controller,
@@ -229,8 +231,8 @@
                         hold: true,
                     },
                 );
-                w.fault(ms(at), Fault::CutPeers { controller, until });
-                w.fault(
+                simulation.fault(ms(at), Fault::CutPeers { controller, until });
+                simulation.fault(
                     ms(at + 2_000),
                     Fault::CutLinks {
                         controller,
@@ -238,44 +240,44 @@
                         until,
                     },
                 );
-                let lasts = ms(w.draw(3_000..20_000));
-                w.fault(ms(at + 500), Fault::HangMachines { count: 2, lasts });
+                let lasts = ms(simulation.draw(3_000..20_000));
+                simulation.fault(ms(at + 500), Fault::HangMachines { count: 2, lasts });
             }
         });
     }
 }
 
 #[test]
-fn machines_that_hang_are_cut_or_taken() {
+fn invariants_hold_when_machines_hang_are_cut_off_or_preempted() {
     scenario("rules.machines_that_hang_are_cut_or_taken");
     for seed in 500..512 {
-        simulate(seed, |w, _| {
+        simulate(seed, |simulation, _| {
             for k in 0..6 {
                 let at = 8_000 + k * 12_000;
-                let lasts = ms(w.draw(2_000..22_000));
-                w.fault(ms(at), Fault::HangMachines { count: 2, lasts });
-                w.fault(ms(at + 3_000), Fault::CutMachines { count: 2, lasts });
-                w.fault(ms(at + 5_000), Fault::PreemptionNotice { count: 1 });
+                let lasts = ms(simulation.draw(2_000..22_000));
+                simulation.fault(ms(at), Fault::HangMachines { count: 2, lasts });
+                simulation.fault(ms(at + 3_000), Fault::CutMachines { count: 2, lasts });
+                simulation.fault(ms(at + 5_000), Fault::PreemptionNotice { count: 1 });
             }
         });
     }
 }
 
-/// A machine that is heard but hears nothing: its reports keep coming, at one controller after the
-/// other, while nothing that it is told arrives. Some do not hear a new holder's token from the start.
+/// Heartbeats of some machines keep arriving, at one controller after the other, while no answer or command reaches
+/// these machines. Where a controller crashes as this begins, they never receive the new holder's fencing token.
 #[test]
-fn reports_arrive_but_answers_and_commands_do_not() {
+fn invariants_hold_when_heartbeats_arrive_but_answers_and_commands_are_lost() {
     scenario("rules.reports_arrive_but_answers_and_commands_do_not");
     for seed in 600..616 {
-        simulate(seed, |w, _| {
+        simulate(seed, |simulation, _| {
             for k in 0..4 {
-                let at = 8_000 + k * 19_000 + w.draw(0..5_000);
-                let lasts = ms(w.draw(3_000..40_000));
-                w.fault(ms(at), Fault::LoseAnswers { count: 3, lasts });
-                if w.draw(0..2) == 0 {
-                    let controller = w.draw(0..CONTROLLERS as i64) as usize;
-                    let back = ms(w.draw(50..6_000));
-                    w.fault(
+                let at = 8_000 + k * 19_000 + simulation.draw(0..5_000);
+                let lasts = ms(simulation.draw(3_000..40_000));
+                simulation.fault(ms(at), Fault::LoseAnswers { count: 3, lasts });
+                if simulation.draw(0..2) == 0 {
+                    let controller = simulation.draw(0..CONTROLLERS as i64) as usize;
+                    let back = ms(simulation.draw(50..6_000));
+                    simulation.fault(
                         ms(at + 300),
                         Fault::Crash {
                             controllers: vec![controller],
@@ -288,34 +290,34 @@
     }
 }
 
-/// Reports come a second time, seconds to well over a lease late, also at holders that have just
-/// taken the shard and have seen nothing newer.
+/// Heartbeats arrive a second time, from seconds to well over a lease late, also at holders that have just acquired the
+/// shard's claim and have seen nothing newer.
 #[test]
-fn late_copies_of_reports_prove_nothing() {
+fn invariants_hold_when_duplicate_heartbeats_arrive_late() {
     scenario("rules.late_copies_of_reports_prove_nothing");
     for seed in 700..720 {
-        simulate(seed, |w, troubles| {
-            w.fault(
+        simulate(seed, |simulation, faults_end_ms| {
+            simulation.fault(
                 ms(1_000),
                 Fault::DuplicateHeartbeats {
-                    until: ms(troubles),
+                    until: ms(faults_end_ms),
                 },
             );
             for k in 0..6 {
-                let at = 9_000 + k * 12_000 + w.draw(0..4_000);
-                let controller = w.draw(0..CONTROLLERS as i64) as usize;
-                let fault = match w.draw(0..5) {
+                let at = 9_000 + k * 12_000 + simulation.draw(0..4_000);
+                let controller = simulation.draw(0..CONTROLLERS as i64) as usize;
+                let fault = match simulation.draw(0..5) {
                     0 => Fault::Crash {
                         controllers: vec![controller],
-                        back: ms(w.draw(20..900)),
+                        back: ms(simulation.draw(20..900)),
                     },
                     1 => Fault::Crash {
                         controllers: (0..CONTROLLERS).collect(),
-                        back: ms(w.draw(20..5_000)),
+                        back: ms(simulation.draw(20..5_000)),
                     },
                     2 => Fault::HangMachines {
                         count: 3,
-                        lasts: ms(w.draw(2_000..20_000)),
+                        lasts: ms(simulation.draw(2_000..20_000)),
                     },
                     3 => Fault::CutLinks {
                         controller,
@@ -324,36 +326,36 @@
                     },
                     _ => Fault::KillMachines { count: 2 },
                 };
-                w.fault(ms(at), fault);
+                simulation.fault(ms(at), fault);
             }
         });
     }
 }
 
-/// Processes and machines that are back within a fraction of a second, in the middle of elections,
-/// drains and takeovers, with copies and late transactions of the former incarnation.
+/// Controllers and agents restart within a fraction of a second, in the middle of elections, drains and takeovers,
+/// while duplicate heartbeats and delayed transactions of the former incarnation arrive.
 #[test]
-fn back_within_a_fraction_of_a_second() {
+fn invariants_hold_when_controllers_and_agents_restart_within_a_fraction_of_a_second() {
     scenario("rules.back_within_a_fraction_of_a_second");
     for seed in 800..816 {
-        simulate(seed, |w, troubles| {
-            w.fault(
+        simulate(seed, |simulation, faults_end_ms| {
+            simulation.fault(
                 ms(1_000),
                 Fault::DuplicateHeartbeats {
-                    until: ms(troubles),
+                    until: ms(faults_end_ms),
                 },
             );
             for k in 0..8 {
-                let at = 8_000 + k * 9_000 + w.draw(0..4_000);
-                let controller = w.draw(0..CONTROLLERS as i64) as usize;
-                let hold = w.draw(0..2) == 0;
-                let (lasts, soon, back, blink) = (
-                    w.draw(200..5_000),
-                    w.draw(0..300),
-                    w.draw(10..500),
-                    w.draw(0..4_500),
+                let at = 8_000 + k * 9_000 + simulation.draw(0..4_000);
+                let controller = simulation.draw(0..CONTROLLERS as i64) as usize;
+                let hold = simulation.draw(0..2) == 0;
+                let (lasts, crash_delay, back, agent_restart_delay) = (
+                    simulation.draw(200..5_000),
+                    simulation.draw(0..300),
+                    simulation.draw(10..500),
+                    simulation.draw(0..4_500),
                 );
-                w.fault(
+                simulation.fault(
                     ms(at),
                     Fault::CutStore {
                         controller,
@@ -361,28 +363,31 @@
                         hold,
                     },
                 );
-                w.fault(
-                    ms(at + soon),
+                simulation.fault(
+                    ms(at + crash_delay),
                     Fault::Crash {
                         controllers: vec![controller],
                         back: ms(back),
                     },
                 );
-                w.fault(ms(at + blink), Fault::RestartMachines { count: 2 });
+                simulation.fault(
+                    ms(at + agent_restart_delay),
+                    Fault::RestartMachines { count: 2 },
+                );
             }
         });
     }
 }
 
-/// A gang that needs nearly all of its team's limit, while small jobs of the same team keep coming and
-/// would use up whatever comes free.
+/// A gang needs nearly all of its team's limit, while small jobs of the same team keep arriving that would use up
+/// whatever is released.
 #[test]
-fn a_gang_as_large_as_its_teams_limit_gets_its_turn() {
+fn a_gang_near_its_teams_limit_is_not_starved_by_small_jobs() {
     scenario("rules.a_gang_as_large_as_its_teams_limit_gets_its_turn");
     for seed in 850..854 {
-        let mut w = Simulation::new(seed);
-        w.faults_end = ms(300_000);
-        let mut gang = w.job(0);
+        let mut simulation = Simulation::new(seed);
+        simulation.faults_end = ms(300_000);
+        let mut gang = simulation.job(0);
         (gang.kind, gang.class, gang.team, gang.priority) =
             (JobKind::Gang, "gang".into(), "b".into(), Priority::Urgent);
         (gang.tasks, gang.task_resources) = (3, Resources::needed(3.0, 0.0, 4.0));
@@ -395,39 +400,39 @@
                 "small".into(),
             );
             small.tasks = 1;
-            w.submit(ms(3_200 * i64::from(n)), small);
+            simulation.submit(ms(3_200 * i64::from(n)), small);
         }
-        w.submit(ms(8_000), gang);
-        w.run_until(ms(300_000));
-        assert_eq!(w.not_served(), Vec::<String>::new(), "seed {seed}");
+        simulation.submit(ms(8_000), gang);
+        simulation.run_until(ms(300_000));
+        assert_eq!(simulation.not_served(), Vec::<String>::new(), "seed {seed}");
     }
 }
 
-/// Without troubles, what was under way as a job was called off is stopped with the next reply: no task starts later
-/// than that (`check_late_starts`).
+/// Without faults, a start that is in flight as its job is cancelled is stopped by the answer to the next heartbeat, so
+/// no task starts later than that (`check_late_starts`).
 #[test]
-fn nothing_starts_long_after_a_confirmed_cancellation() {
+fn no_task_starts_long_after_a_confirmed_cancellation() {
     scenario("rules.nothing_starts_long_after_a_confirmed_cancellation");
-    let mut late = 0;
+    let mut late_starts = 0;
     for seed in 800..806 {
-        let mut w = Simulation::new(seed);
-        w.faults_end = ms(1_000);
+        let mut simulation = Simulation::new(seed);
+        simulation.faults_end = ms(1_000);
         for n in 0..60 {
-            let spec = w.job(n);
-            let (at, id) = (w.draw(31_000..110_000), spec.id.clone());
-            w.submit(ms(at), spec);
-            let later = w.draw(0..5_000);
-            w.cancel(ms(at + later), id);
+            let spec = simulation.job(n);
+            let (at, id) = (simulation.draw(31_000..110_000), spec.id.clone());
+            simulation.submit(ms(at), spec);
+            let cancel_delay = simulation.draw(0..5_000);
+            simulation.cancel(ms(at + cancel_delay), id);
         }
-        w.run_until(ms(200_000));
-        late += w
+        simulation.run_until(ms(200_000));
+        late_starts += simulation
             .coverage
             .get("a task started after its cancellation was confirmed")
             .copied()
             .unwrap_or(0);
     }
     assert!(
-        late > 0,
-        "the runs prove nothing: no start was under way as its job was called off"
+        late_starts > 0,
+        "vacuous runs: no start was in flight as its job was cancelled"
     );
 }
