--- a/crates/seamfront-lease/tests/forms.rs
+++ b/crates/seamfront-lease/tests/forms.rs
@@ -1,5 +1,5 @@
-//! Stored records of duties under their keys, to the letter: single values decoded and encoded again, and what a
-//! member writes as it runs against a store.
+//! The exact keys and JSON texts that duties keep in the store: single records are decoded and encoded again, and the
+//! writes of a member that runs against a store are compared with the expected ones.
 
 use seamfront_lease::keys;
 use seamfront_lease::port::{Command, Effect, Outcome};
@@ -13,23 +13,24 @@
 use serde::Serialize;
 use serde_json::{json, Value};
 
-/// Reads a stored text and writes it again; each of the fields must be there.
-fn kept<T: Serialize + DeserializeOwned>(text: &str, required: &[&str]) {
+/// Checks that a stored text is decoded and encoded again unchanged, and that it is refused without any of the required
+/// fields.
+fn assert_round_trip<T: Serialize + DeserializeOwned>(text: &str, required: &[&str]) {
     let value: Value = serde_json::from_str(text).unwrap();
     let record: T = read("some/key", &value).unwrap_or_else(|e| panic!("{text}: {e}"));
     assert_eq!(write(&record).to_string(), text);
     for field in required {
-        let mut lacking = value.clone();
+        let mut incomplete = value.clone();
         assert!(
-            lacking.as_object_mut().unwrap().remove(*field).is_some(),
+            incomplete.as_object_mut().unwrap().remove(*field).is_some(),
             "{field} is not in {text}"
         );
         assert!(
-            read::<T>("some/key", &lacking).is_err(),
-            "{text} is read without {field}"
+            read::<T>("some/key", &incomplete).is_err(),
+            "{text} is accepted without {field}"
         );
     }
-    // Fields of a later version of this format are ignored.
+    // Unknown fields, which a later version of this format may add, are ignored.
     let mut later = value;
     if let Some(fields) = later.as_object_mut() {
         fields.insert("later".to_owned(), json!([1]));
@@ -41,7 +42,7 @@
 }
 
 #[test]
-fn keys_in_the_store() {
+fn keys_and_prefixes_in_the_store_are_unchanged() {
     let found = [
         keys::claim("renting"),
         keys::member("n0"),
@@ -82,43 +83,43 @@
 }
 
 #[test]
-fn records() {
-    kept::<ClaimRecord>(
+fn stored_records_round_trip_and_require_their_fields() {
+    assert_round_trip::<ClaimRecord>(
         r#"{"format":1,"lease":7,"member":"n0"}"#,
         &["format", "lease", "member"],
     );
-    kept::<MemberRecord>(
+    assert_round_trip::<MemberRecord>(
         r#"{"format":1,"lease":7,"leaving":true,"load":35,"settings":{"duties":["renting","moving"],"lease_ms":4000,"members":["n0","n1"]}}"#,
         &["format", "lease", "leaving", "load", "settings"],
     );
-    kept::<SharedSettings>(
+    assert_round_trip::<SharedSettings>(
         r#"{"duties":[],"lease_ms":1,"members":[]}"#,
         &["duties", "lease_ms", "members"],
     );
-    kept::<VersionRecord>(r#"{"format":1}"#, &["format"]);
-    kept::<MoveRecord>(r#"{"format":1,"to":"n1"}"#, &["format", "to"]);
-    kept::<SwitchRecord>(
+    assert_round_trip::<VersionRecord>(r#"{"format":1}"#, &["format"]);
+    assert_round_trip::<MoveRecord>(r#"{"format":1,"to":"n1"}"#, &["format", "to"]);
+    assert_round_trip::<SwitchRecord>(
         r#"{"by":"n0","ended":41,"format":1}"#,
         &["by", "ended", "format"],
     );
-    kept::<FormerClaimRecord>(r#"{"lease":0,"member":""}"#, &["lease", "member"]);
-    kept::<OperationName>(r#"{"number":3,"token":41}"#, &["number", "token"]);
-    kept::<Operation>(
+    assert_round_trip::<FormerClaimRecord>(r#"{"lease":0,"member":""}"#, &["lease", "member"]);
+    assert_round_trip::<OperationName>(r#"{"number":3,"token":41}"#, &["number", "token"]);
+    assert_round_trip::<Operation>(
         r#"{"name":{"number":3,"token":41},"payload":{"any":[1,null]}}"#,
         &["name"],
     );
-    kept::<Settlement>(r#""done""#, &[]);
-    kept::<Settlement>(r#""not_done""#, &[]);
-    kept::<SettledOperation>(
+    assert_round_trip::<Settlement>(r#""done""#, &[]);
+    assert_round_trip::<Settlement>(r#""not_done""#, &[]);
+    assert_round_trip::<SettledOperation>(
         r#"{"name":{"number":3,"token":41},"settlement":"not_done"}"#,
         &["name", "settlement"],
     );
     let fields = ["ended", "format", "open", "recent", "sequence", "token"];
-    kept::<LogRecord>(
+    assert_round_trip::<LogRecord>(
         r#"{"ended":0,"format":1,"open":[],"recent":[],"sequence":0,"token":0}"#,
         &fields,
     );
-    kept::<LogRecord>(
+    assert_round_trip::<LogRecord>(
         r#"{"ended":2,"format":1,"open":[{"name":{"number":3,"token":41},"payload":{"count":1}}],"recent":[{"name":{"number":1,"token":41},"settlement":"done"},{"name":{"number":2,"token":41},"settlement":"not_done"}],"sequence":5,"token":41}"#,
         &fields,
     );
@@ -133,7 +134,7 @@
 }
 
 #[test]
-fn a_newer_format_is_refused() {
+fn a_record_of_a_newer_format_is_refused() {
     let refused = read::<VersionRecord>("duty/version/n0", &json!({"format": 2})).unwrap_err();
     assert_eq!(
         refused.to_string(),
@@ -141,38 +142,43 @@
     );
 }
 
-// ---- a member and its store ------------------------------------------------------------------
+// ---- a member that runs against a store -------------------------------------------------------
 
-struct Rig {
+/// A member that runs against a store in virtual time.
+struct Harness {
     now: Micros,
     store: Store,
     manager: DutyManager,
-    waiting: Vec<(u64, StoreRequest)>,
-    next: Vec<Command>,
-    /// Key, value and lease of each write, in order.
-    written: Vec<String>,
-    told: Vec<Effect>,
+    /// Requests that the store has not replied to.
+    pending_requests: Vec<(u64, StoreRequest)>,
+    /// Commands for the manager's next step.
+    next_commands: Vec<Command>,
+    /// Key, value and lease of each committed write, in order.
+    committed_writes: Vec<String>,
+    /// All effects but requests to the store.
+    effects: Vec<Effect>,
 }
 
-impl Rig {
-    fn new(member: &str, former: Option<&str>) -> Rig {
+impl Harness {
+    fn new(member: &str, former_claim: Option<&str>) -> Harness {
         let limits = StoreLimits {
             value_bytes: 8_192,
             transaction_changes: 10,
             changes_per_second: 50,
         };
         let mut settings = LeaseSettings::new(member, &["n0", "n1"], &["renting"], limits);
-        settings.former_claim = former.map(str::to_owned);
+        settings.former_claim = former_claim.map(str::to_owned);
         let manager = DutyManager::new(settings).unwrap();
-        let (waiting, next, written, told) = (vec![], vec![], vec![], vec![]);
-        Rig {
+        let (pending_requests, next_commands, committed_writes, effects) =
+            (vec![], vec![], vec![], vec![]);
+        Harness {
             now: Micros::from_secs(1),
             store: Store::with_page_size(100),
             manager,
-            waiting,
-            next,
-            written,
-            told,
+            pending_requests,
+            next_commands,
+            committed_writes,
+            effects,
         }
     }
 
@@ -196,7 +202,7 @@
         );
     }
 
-    fn lease(&mut self) -> u64 {
+    fn grant_lease(&mut self) -> u64 {
         match self.store.execute(
             self.now,
             &StoreRequest::GrantLease {
@@ -204,7 +210,7 @@
             },
         ) {
             Some(StoreReply::Lease { id }) => id,
-            other => panic!("no lease: {other:?}"),
+            other => panic!("the store granted no lease: {other:?}"),
         }
     }
 
@@ -212,43 +218,44 @@
         let end = self.now + Micros::from_millis(millis);
         while self.now < end {
             self.now += Micros::from_millis(50);
-            let commands = std::mem::take(&mut self.next);
+            let commands = std::mem::take(&mut self.next_commands);
             for effect in self.manager.step(self.now, commands) {
                 match effect {
-                    Effect::Store { call, request } => self.waiting.push((call, request)),
-                    other => self.told.push(other),
+                    Effect::Store { call, request } => self.pending_requests.push((call, request)),
+                    other => self.effects.push(other),
                 }
             }
             self.store.expire(self.now);
-            for (call, request) in std::mem::take(&mut self.waiting) {
+            for (call, request) in std::mem::take(&mut self.pending_requests) {
                 let Some(reply) = self.store.execute(self.now, &request) else {
-                    self.waiting.push((call, request));
+                    self.pending_requests.push((call, request));
                     continue;
                 };
                 if let (StoreRequest::CompareAndSwap { writes, .. }, StoreReply::Committed { .. }) =
                     (&request, &reply)
                 {
-                    self.written.extend(writes.iter().map(|write| match write {
-                        Write::Put {
-                            key,
-                            value,
-                            lease: None,
-                        } => format!("{key} {value}"),
-                        Write::Put {
-                            key,
-                            value,
-                            lease: Some(lease),
-                        } => format!("{key} {value} under {lease}"),
-                        Write::Delete { key } => format!("{key} gone"),
-                    }));
+                    self.committed_writes
+                        .extend(writes.iter().map(|write| match write {
+                            Write::Put {
+                                key,
+                                value,
+                                lease: None,
+                            } => format!("{key} {value}"),
+                            Write::Put {
+                                key,
+                                value,
+                                lease: Some(lease),
+                            } => format!("{key} {value} under {lease}"),
+                            Write::Delete { key } => format!("{key} gone"),
+                        }));
                 }
-                self.next.push(Command::Store { call, reply });
+                self.next_commands.push(Command::Store { call, reply });
             }
         }
     }
 
-    fn begin(&mut self, request: u64, payload: Value) {
-        self.next.push(Command::Begin {
+    fn begin_operation(&mut self, request: u64, payload: Value) {
+        self.next_commands.push(Command::Begin {
             request,
             duty: "renting".to_owned(),
             payload,
@@ -256,16 +263,16 @@
         self.run(200);
     }
 
-    /// Ends the attempt that was asked for last.
-    fn performed(&mut self, outcome: Outcome) {
-        let mut attempts = self.told.iter().filter_map(|effect| match effect {
+    /// Passes the outcome of the latest attempt to the manager.
+    fn finish_latest_attempt(&mut self, outcome: Outcome) {
+        let mut attempts = self.effects.iter().filter_map(|effect| match effect {
             Effect::Perform {
                 operation, attempt, ..
             } => Some((operation.name, *attempt)),
             _ => None,
         });
-        let (operation, attempt) = attempts.next_back().expect("an attempt");
-        self.next.push(Command::Performed {
+        let (operation, attempt) = attempts.next_back().expect("an attempt was started");
+        self.next_commands.push(Command::Performed {
             duty: "renting".to_owned(),
             operation,
             attempt,
@@ -275,7 +282,7 @@
     }
 }
 
-/// The lines of a text, without the spaces before them.
+/// The lines of a text, without their indentation and without empty ones.
 fn lines(text: &str) -> Vec<&str> {
     text.lines()
         .map(str::trim_start)
@@ -284,18 +291,18 @@
 }
 
 #[test]
-fn what_a_member_writes() {
-    let mut rig = Rig::new("n0", None);
-    rig.run(2_000);
-    rig.begin(1, json!({"count": 1}));
-    rig.performed(Outcome::Done { writes: vec![] });
-    rig.begin(2, json!("text"));
-    rig.performed(Outcome::NotDone);
-    rig.begin(3, json!([3]));
-    rig.next.push(Command::SetLoad(40));
-    rig.run(6_000);
-    rig.next.push(Command::Leave);
-    rig.run(1_000);
+fn a_member_writes_the_expected_records() {
+    let mut harness = Harness::new("n0", None);
+    harness.run(2_000);
+    harness.begin_operation(1, json!({"count": 1}));
+    harness.finish_latest_attempt(Outcome::Done { writes: vec![] });
+    harness.begin_operation(2, json!("text"));
+    harness.finish_latest_attempt(Outcome::NotDone);
+    harness.begin_operation(3, json!([3]));
+    harness.next_commands.push(Command::SetLoad(40));
+    harness.run(6_000);
+    harness.next_commands.push(Command::Leave);
+    harness.run(1_000);
     let expected = r#"
         duty/member/n0 {"format":1,"lease":1,"leaving":false,"load":0,"settings":{"duties":["renting"],"lease_ms":4000,"members":["n0","n1"]}} under 1
         duty/claim/renting {"format":1,"lease":1,"member":"n0"} under 1
@@ -309,29 +316,29 @@
         duty/claim/renting gone
         duty/member/n0 gone
     "#;
-    assert_eq!(rig.written, lines(expected));
+    assert_eq!(harness.committed_writes, lines(expected));
 }
 
-/// The claim, the log and the request of another member's making are read: the open operation is settled, and the duty
-/// is then moved.
+/// A predecessor's log and an operator's move request are read: the open operation is settled, and the duty is then
+/// transferred.
 #[test]
-fn what_a_member_reads() {
-    let mut rig = Rig::new("n0", None);
-    rig.put(
+fn a_predecessors_log_and_a_move_request_are_read() {
+    let mut harness = Harness::new("n0", None);
+    harness.put(
         "duty-log/renting",
         r#"{"ended":2,"format":1,"open":[{"name":{"number":3,"token":41},"payload":{"count":1}}],"recent":[{"name":{"number":1,"token":41},"settlement":"done"}],"sequence":5,"token":41}"#,
         None,
     );
-    rig.run(2_000);
-    rig.performed(Outcome::NotDone);
-    let other = rig.lease();
+    harness.run(2_000);
+    harness.finish_latest_attempt(Outcome::NotDone);
+    let other = harness.grant_lease();
     let member = format!(
         r#"{{"format":1,"lease":{other},"load":0,"leaving":false,"settings":{{"duties":["renting"],"lease_ms":4000,"members":["n0","n1"]}}}}"#
     );
-    rig.put("duty/member/n1", &member, Some(other));
-    rig.run(500);
-    rig.put("duty/move/renting", r#"{"format":1,"to":"n1"}"#, None);
-    rig.run(2_000);
+    harness.put("duty/member/n1", &member, Some(other));
+    harness.run(500);
+    harness.put("duty/move/renting", r#"{"format":1,"to":"n1"}"#, None);
+    harness.run(2_000);
     let expected = r#"
         duty/member/n0 {"format":1,"lease":1,"leaving":false,"load":0,"settings":{"duties":["renting"],"lease_ms":4000,"members":["n0","n1"]}} under 1
         duty/claim/renting {"format":1,"lease":1,"member":"n0"} under 1
@@ -339,17 +346,19 @@
         duty/claim/renting {"format":1,"lease":2,"member":"n1"} under 2
         duty/move/renting gone
     "#;
-    assert_eq!(rig.written, lines(expected));
+    assert_eq!(harness.committed_writes, lines(expected));
 }
 
 #[test]
-fn the_switch() {
-    let mut rig = Rig::new("n0", Some("leader"));
-    rig.put("leader", r#"{"member":"n0","lease":1}"#, None);
-    rig.put("duty/version/n1", r#"{"format":1}"#, None);
-    let version = rig.store.keys["leader"].1;
-    rig.next.push(Command::FormerClaim(Some(version)));
-    rig.run(2_000);
+fn the_switch_from_a_former_claim_writes_the_expected_records() {
+    let mut harness = Harness::new("n0", Some("leader"));
+    harness.put("leader", r#"{"member":"n0","lease":1}"#, None);
+    harness.put("duty/version/n1", r#"{"format":1}"#, None);
+    let version = harness.store.keys["leader"].1;
+    harness
+        .next_commands
+        .push(Command::FormerClaim(Some(version)));
+    harness.run(2_000);
     let expected = r#"
         duty/member/n0 {"format":1,"lease":1,"leaving":false,"load":0,"settings":{"duties":["renting"],"lease_ms":4000,"members":["n0","n1"]}} under 1
         duty/version/n0 {"format":1}
@@ -357,16 +366,16 @@
         duty/switch {"by":"n0","ended":1,"format":1}
         duty/claim/renting {"format":1,"lease":1,"member":"n0"} under 1
     "#;
-    assert_eq!(rig.written, lines(expected));
-    // Another member finds it done.
-    let mut rig = Rig::new("n1", Some("leader"));
-    rig.put("duty/switch", r#"{"by":"n0","ended":1,"format":1}"#, None);
-    rig.run(3_000);
-    assert!(rig.manager.duties_in_force());
+    assert_eq!(harness.committed_writes, lines(expected));
+    // Another member reads the switch record, and does not make the switch again.
+    let mut harness = Harness::new("n1", Some("leader"));
+    harness.put("duty/switch", r#"{"by":"n0","ended":1,"format":1}"#, None);
+    harness.run(3_000);
+    assert!(harness.manager.duties_in_force());
     let expected = r#"
         duty/member/n1 {"format":1,"lease":1,"leaving":false,"load":0,"settings":{"duties":["renting"],"lease_ms":4000,"members":["n0","n1"]}} under 1
         duty/version/n1 {"format":1}
         duty/claim/renting {"format":1,"lease":1,"member":"n1"} under 1
     "#;
-    assert_eq!(rig.written, lines(expected));
+    assert_eq!(harness.committed_writes, lines(expected));
 }
--- a/crates/seamfront-lease/tests/hard_cases.rs
+++ b/crates/seamfront-lease/tests/hard_cases.rs
@@ -1,4 +1,5 @@
-//! One hard case each, step by step: a single member whose requests the test answers, beside others that the test plays.
+//! Failure cases of a single member, one for each test: the test decides when the member's requests reach the store and
+//! what it replies, and writes the records of the other members itself.
 
 use seamfront_lease::port::*;
 use seamfront_lease::record::{self, MemberRecord, OperationName, Settlement, FORMAT};
@@ -24,7 +25,7 @@
     LeaseSettings::new("n0", &["n0", "n1"], &[DUTY], LIMITS)
 }
 
-fn writes(request: &StoreRequest, key: &str) -> bool {
+fn writes_key(request: &StoreRequest, key: &str) -> bool {
     match request {
         StoreRequest::CompareAndSwap { writes, .. } => writes
             .iter()
@@ -33,106 +34,109 @@
     }
 }
 
-/// A member, its store, and requests that the test holds back.
-struct Rig {
+/// A member, its store, and the member's requests, which the test may delay.
+struct Harness {
     now: Micros,
     store: Store,
     manager: DutyManager,
-    told: Vec<Effect>,
-    waiting: Vec<(CallId, StoreRequest)>,
-    performing: Vec<(OperationName, u64)>,
-    /// Attempts to write the claim.
-    claims: usize,
-}
-
-impl Rig {
-    fn new(settings: LeaseSettings) -> Rig {
-        let manager = DutyManager::new(settings).expect("settings");
+    /// All effects but requests to the store.
+    effects: Vec<Effect>,
+    /// Requests that the store has not replied to.
+    pending_requests: Vec<(CallId, StoreRequest)>,
+    /// Attempts to perform operations: name of the operation and number of the attempt.
+    attempts: Vec<(OperationName, u64)>,
+    /// Number of requests that write the claim.
+    claim_writes: usize,
+}
+
+impl Harness {
+    fn new(settings: LeaseSettings) -> Harness {
+        let manager = DutyManager::new(settings).expect("valid settings");
         let store = Store::with_limits(100, LIMITS.value_bytes, LIMITS.transaction_changes);
         let now = ms(1_000_000);
-        Rig {
+        Harness {
             now,
             store,
             manager,
-            told: Vec::new(),
-            waiting: Vec::new(),
-            performing: Vec::new(),
-            claims: 0,
+            effects: Vec::new(),
+            pending_requests: Vec::new(),
+            attempts: Vec::new(),
+            claim_writes: 0,
         }
     }
 
-    /// A rig whose member holds the duty.
-    fn active() -> Rig {
-        let mut rig = Rig::new(settings());
-        rig.run(ms(2_000));
-        assert!(rig.fencing_token() > 0);
-        rig.told.clear();
-        rig
+    /// A harness whose member holds the duty and is active.
+    fn with_active_duty() -> Harness {
+        let mut harness = Harness::new(settings());
+        harness.run(ms(2_000));
+        assert!(harness.fencing_token() > 0);
+        harness.effects.clear();
+        harness
     }
 
     fn fencing_token(&self) -> u64 {
         self.manager.active().first().map_or(0, |held| held.1)
     }
 
-    /// One step; requests wait until the test lets them through.
+    /// Runs one step of the manager; its requests stay pending until the test lets the store execute them.
     fn step(&mut self, commands: Vec<Command>) {
         for effect in self.manager.step(self.now, commands) {
             match effect {
                 Effect::Store { call, request } => {
-                    self.claims += usize::from(writes(&request, &keys::claim(DUTY)));
-                    self.waiting.push((call, request));
+                    self.claim_writes += usize::from(writes_key(&request, &keys::claim(DUTY)));
+                    self.pending_requests.push((call, request));
                 }
                 Effect::Perform {
                     ref operation,
                     attempt,
                     ..
                 } => {
-                    self.performing.push((operation.name, attempt));
-                    self.told.push(effect);
+                    self.attempts.push((operation.name, attempt));
+                    self.effects.push(effect);
                 }
-                other => self.told.push(other),
+                other => self.effects.push(other),
             }
         }
     }
 
-    /// Carries out what waits.
-    fn answer_all(&mut self) {
+    /// Lets the store execute all pending requests, and passes its replies to the manager.
+    fn execute_pending_requests(&mut self) {
         self.store.expire(self.now);
-        for (call, request) in std::mem::take(&mut self.waiting) {
+        for (call, request) in std::mem::take(&mut self.pending_requests) {
             match self.store.execute(self.now, &request) {
                 Some(reply) => self.step(vec![Command::Store { call, reply }]),
-                None => self.waiting.push((call, request)),
+                None => self.pending_requests.push((call, request)),
             }
         }
     }
 
-    fn run(&mut self, time: Micros) {
-        let end = self.now + time;
+    fn run(&mut self, duration: Micros) {
+        let end = self.now + duration;
         while self.now < end {
             self.now += ms(50);
             self.step(Vec::new());
-            self.answer_all();
+            self.execute_pending_requests();
         }
     }
 
-    /// Takes the next request that is a commit with these changes out of what waits, without carrying it out.
+    /// Removes the first pending transaction that writes this key, without executing it.
     fn take_commit(&mut self, key: &str) -> (CallId, StoreRequest) {
         let index = self
-            .waiting
+            .pending_requests
             .iter()
-            .position(|(_, request)| writes(request, key))
-            .expect("no such commit waits");
-        self.waiting.remove(index)
+            .position(|(_, request)| writes_key(request, key))
+            .expect("a pending transaction writes the key");
+        self.pending_requests.remove(index)
     }
 
-    fn unanswered(&mut self, call: CallId) {
+    fn reply_unknown(&mut self, call: CallId) {
         self.step(vec![Command::Store {
             call,
             reply: StoreReply::Unknown,
         }]);
     }
 
-    fn begin(&mut self, request: RequestId) {
+    fn begin_operation(&mut self, request: RequestId) {
         self.step(vec![Command::Begin {
             request,
             duty: DUTY.to_owned(),
@@ -140,7 +144,7 @@
         }]);
     }
 
-    fn performed(&mut self, (operation, attempt): (OperationName, u64), outcome: Outcome) {
+    fn finish_attempt(&mut self, (operation, attempt): (OperationName, u64), outcome: Outcome) {
         self.step(vec![Command::Performed {
             duty: DUTY.to_owned(),
             operation,
@@ -149,7 +153,7 @@
         }]);
     }
 
-    fn done() -> Outcome {
+    fn done_outcome() -> Outcome {
         Outcome::Done {
             writes: vec![Write::Put {
                 key: "machine/i-1".to_owned(),
@@ -159,13 +163,13 @@
         }
     }
 
-    /// Another member that is up, with a lease of its own.
-    fn neighbour(&mut self, settings: &LeaseSettings) -> u64 {
+    /// Registers another member under a lease of its own, and returns the lease.
+    fn add_other_member(&mut self, settings: &LeaseSettings) -> u64 {
         let Some(StoreReply::Lease { id }) = self
             .store
             .execute(self.now, &StoreRequest::GrantLease { ttl: ms(600_000) })
         else {
-            panic!("no lease");
+            panic!("the store granted no lease");
         };
         let record = MemberRecord {
             format: FORMAT,
@@ -192,12 +196,12 @@
             },
         ) {
             Some(StoreReply::Committed { revision }) => revision,
-            other => panic!("not written: {other:?}"),
+            other => panic!("the store did not commit: {other:?}"),
         }
     }
 
-    /// The neighbour takes the duty, as if the member's lease had ended.
-    fn replace(&mut self, lease: u64) -> u64 {
+    /// Claims the duty for the other member, as if this member's lease had expired. Returns the new fencing token.
+    fn claim_for_other_member(&mut self, lease: u64) -> u64 {
         self.put(
             &keys::claim(DUTY),
             json!({"format": FORMAT, "member": "n1", "lease": lease}),
@@ -205,23 +209,23 @@
         )
     }
 
-    fn log(&self) -> Value {
+    fn stored_log(&self) -> Value {
         self.store
             .keys
             .get(&keys::log(DUTY))
             .map_or(Value::Null, |entry| entry.0.clone())
     }
 
-    fn lost(&self) -> Vec<LossReason> {
+    fn loss_reasons(&self) -> Vec<LossReason> {
         let reason = |effect: &Effect| match effect {
             Effect::Lost { reason, .. } => Some(*reason),
             _ => None,
         };
-        self.told.iter().filter_map(reason).collect()
+        self.effects.iter().filter_map(reason).collect()
     }
 
-    fn settled(&self) -> usize {
-        self.told
+    fn settled_count(&self) -> usize {
+        self.effects
             .iter()
             .filter(|effect| matches!(effect, Effect::Settled { .. }))
             .count()
@@ -229,35 +233,44 @@
 }
 
 #[test]
-fn nothing_is_performed_before_it_is_recorded() {
-    let mut rig = Rig::active();
-    rig.begin(1);
-    let (call, commit) = rig.take_commit(&keys::log(DUTY));
-    rig.run(ms(500));
-    assert!(rig.performing.is_empty());
-    let reply = rig.store.execute(rig.now, &commit).expect("a reply");
-    rig.step(vec![Command::Store { call, reply }]);
-    assert_eq!(rig.performing.len(), 1);
+fn an_operation_is_performed_only_after_its_log_record_is_committed() {
+    let mut harness = Harness::with_active_duty();
+    harness.begin_operation(1);
+    let (call, commit) = harness.take_commit(&keys::log(DUTY));
+    harness.run(ms(500));
+    assert!(harness.attempts.is_empty());
+    let reply = harness
+        .store
+        .execute(harness.now, &commit)
+        .expect("the store replies");
+    harness.step(vec![Command::Store { call, reply }]);
+    assert_eq!(harness.attempts.len(), 1);
 }
 
 #[test]
-fn a_holder_frozen_for_a_minute_proves_its_claim_before_it_goes_on() {
-    let mut rig = Rig::active();
-    let lease = rig.neighbour(&settings());
-    rig.begin(1);
-    let (call, commit) = rig.take_commit(&keys::log(DUTY));
-    let reply = rig.store.execute(rig.now, &commit).expect("a reply");
-    // The answer is there, the process is not.
-    rig.now += ms(60_000);
-    rig.store.expire(rig.now);
-    let successor = rig.replace(lease);
-    rig.step(vec![Command::Store { call, reply }]);
-    assert!(rig.performing.is_empty(), "acted without a proof");
-    rig.run(ms(1_000));
-    assert!(rig.performing.is_empty());
-    assert_eq!(rig.lost().len(), 1);
-    let replaced: Vec<&Effect> = rig
-        .told
+fn a_holder_frozen_past_its_lease_performs_nothing_and_learns_its_successor() {
+    let mut harness = Harness::with_active_duty();
+    let lease = harness.add_other_member(&settings());
+    harness.begin_operation(1);
+    let (call, commit) = harness.take_commit(&keys::log(DUTY));
+    let reply = harness
+        .store
+        .execute(harness.now, &commit)
+        .expect("the store replies");
+    // The reply arrives while the process is frozen.
+    harness.now += ms(60_000);
+    harness.store.expire(harness.now);
+    let successor = harness.claim_for_other_member(lease);
+    harness.step(vec![Command::Store { call, reply }]);
+    assert!(
+        harness.attempts.is_empty(),
+        "an operation is performed although the lease has expired"
+    );
+    harness.run(ms(1_000));
+    assert!(harness.attempts.is_empty());
+    assert_eq!(harness.loss_reasons().len(), 1);
+    let replaced: Vec<&Effect> = harness
+        .effects
         .iter()
         .filter(|e| matches!(e, Effect::Replaced { .. }))
         .collect();
@@ -271,158 +284,168 @@
     );
 }
 
-/// The lease may end a lease after the last renewal was *sent*, however late its answer came, and whatever transactions
-/// have shown since.
+/// The lease may expire one lease duration after the last successful renewal was *sent*. A late reply to the renewal,
+/// or a transaction that succeeds later, must not extend the permit beyond that.
 #[test]
-fn a_proof_counts_from_its_sending() {
-    let mut rig = Rig::active();
-    rig.run(ms(4_000));
-    rig.now += ms(1_000);
-    rig.step(Vec::new());
-    let sent = rig.now;
-    let index = rig
-        .waiting
+fn a_permit_is_bounded_by_the_time_at_which_the_renewal_was_sent() {
+    let mut harness = Harness::with_active_duty();
+    harness.run(ms(4_000));
+    harness.now += ms(1_000);
+    harness.step(Vec::new());
+    let sent = harness.now;
+    let index = harness
+        .pending_requests
         .iter()
         .position(|(_, request)| matches!(request, StoreRequest::RenewLease { .. }));
-    let (call, _) = rig.waiting.remove(index.expect("a renewal"));
-    rig.now += ms(1_400);
-    rig.step(vec![Command::Store {
+    let (call, _) = harness
+        .pending_requests
+        .remove(index.expect("a pending lease renewal"));
+    harness.now += ms(1_400);
+    harness.step(vec![Command::Store {
         call,
         reply: StoreReply::Renewed,
     }]);
-    // All further renewals are refused; transactions are not.
-    rig.now += ms(1_100);
-    rig.begin(1);
-    for (call, request) in std::mem::take(&mut rig.waiting) {
+    // All further renewals are refused, while transactions succeed.
+    harness.now += ms(1_100);
+    harness.begin_operation(1);
+    for (call, request) in std::mem::take(&mut harness.pending_requests) {
         let refused = matches!(request, StoreRequest::RenewLease { .. });
         let reply = if refused {
             Some(StoreReply::Refused)
         } else {
-            rig.store.execute(rig.now, &request)
+            harness.store.execute(harness.now, &request)
         };
         if let Some(reply) = reply {
-            rig.step(vec![Command::Store { call, reply }]);
+            harness.step(vec![Command::Store { call, reply }]);
         }
     }
-    let permit = rig.manager.permit(DUTY).expect("a permit");
+    let permit = harness.manager.permit(DUTY).expect("the duty has a permit");
     assert!(
         permit.until <= sent + settings().acting_time(),
-        "the lease is relied on beyond its time"
+        "the permit outlasts the acting time after the renewal was sent"
     );
 }
 
 #[test]
-fn an_outcome_of_another_attempt_changes_nothing() {
-    let mut rig = Rig::active();
-    rig.begin(1);
-    rig.answer_all();
-    let first = rig.performing[0];
-    rig.performed(first, Outcome::Unknown);
-    rig.run(ms(1_000));
-    let second = rig.performing[1];
-    // The first attempt's refusal comes after all, while the second may have rented.
-    rig.performed(first, Outcome::NotDone);
-    rig.run(ms(200));
-    assert_eq!(rig.settled(), 0, "settled by another attempt's refusal");
-    rig.performed(second, Rig::done());
-    rig.run(ms(200));
-    assert_eq!(rig.settled(), 1);
-    assert!(rig.store.keys.contains_key("machine/i-1"));
+fn a_late_outcome_of_an_earlier_attempt_does_not_settle_an_operation() {
+    let mut harness = Harness::with_active_duty();
+    harness.begin_operation(1);
+    harness.execute_pending_requests();
+    let first = harness.attempts[0];
+    harness.finish_attempt(first, Outcome::Unknown);
+    harness.run(ms(1_000));
+    let second = harness.attempts[1];
+    // The refusal of the first attempt arrives late, when the second one may have provisioned machines.
+    harness.finish_attempt(first, Outcome::NotDone);
+    harness.run(ms(200));
+    assert_eq!(
+        harness.settled_count(),
+        0,
+        "settled by the outcome of an earlier attempt"
+    );
+    harness.finish_attempt(second, Harness::done_outcome());
+    harness.run(ms(200));
+    assert_eq!(harness.settled_count(), 1);
+    assert!(harness.store.keys.contains_key("machine/i-1"));
 }
 
 #[test]
-fn an_answer_that_comes_after_the_replacement_changes_nothing() {
-    let mut rig = Rig::active();
-    let lease = rig.neighbour(&settings());
-    rig.begin(1);
-    rig.answer_all();
-    let attempt = rig.performing[0];
-    rig.replace(lease);
-    rig.performed(attempt, Rig::done());
-    rig.run(ms(500));
-    assert_eq!(rig.lost(), [LossReason::TokenRefused]);
+fn an_outcome_that_arrives_after_another_member_claimed_the_duty_is_not_written() {
+    let mut harness = Harness::with_active_duty();
+    let lease = harness.add_other_member(&settings());
+    harness.begin_operation(1);
+    harness.execute_pending_requests();
+    let attempt = harness.attempts[0];
+    harness.claim_for_other_member(lease);
+    harness.finish_attempt(attempt, Harness::done_outcome());
+    harness.run(ms(500));
+    assert_eq!(harness.loss_reasons(), [LossReason::TokenRefused]);
     assert!(
-        !rig.store.keys.contains_key("machine/i-1"),
-        "written under a void token"
+        !harness.store.keys.contains_key("machine/i-1"),
+        "written under an outdated fencing token"
     );
     assert_eq!(
-        rig.log()["open"].as_array().map(Vec::len),
+        harness.stored_log()["open"].as_array().map(Vec::len),
         Some(1),
-        "the operation is the successor's now"
+        "the operation must stay open for the successor to settle"
     );
 }
 
 #[test]
-fn open_operations_of_a_predecessor_come_first() {
-    let mut rig = Rig::new(settings());
-    // Tokens are revisions: the predecessor's is lower than any that comes.
+fn open_operations_of_a_predecessor_are_settled_before_the_duty_is_active() {
+    let mut harness = Harness::new(settings());
+    // Fencing tokens are revisions of the store. These writes raise the revision above the predecessor's token.
     for n in 0..10 {
-        rig.put("x", json!(n), None);
+        harness.put("x", json!(n), None);
     }
     let open = json!([{"name": {"token": 3, "number": 7}, "payload": {"count": 2}}]);
     let log = json!({"format": FORMAT, "token": 3, "sequence": 9, "ended": 5, "open": open, "recent": []});
-    rig.put(&keys::log(DUTY), log, None);
-    rig.run(ms(2_000));
+    harness.put(&keys::log(DUTY), log, None);
+    harness.run(ms(2_000));
     let old = OperationName {
         fencing_token: 3,
         number: 7,
     };
-    assert_eq!(rig.performing.first().map(|p| p.0), Some(old));
+    assert_eq!(harness.attempts.first().map(|p| p.0), Some(old));
     assert_eq!(
-        rig.fencing_token(),
+        harness.fencing_token(),
         0,
-        "active with open operations of a predecessor"
+        "active before the predecessor's operations are settled"
     );
-    rig.begin(1);
+    harness.begin_operation(1);
     let rejected = Effect::Rejected {
         request: 1,
         rejection: Rejection::NotHeld,
     };
-    assert!(rig.told.contains(&rejected));
-    let attempt = rig.performing[0];
-    rig.performed(attempt, Outcome::NotDone);
-    rig.run(ms(500));
-    assert!(rig.fencing_token() > 0);
-    let settled = rig
-        .told
+    assert!(harness.effects.contains(&rejected));
+    let attempt = harness.attempts[0];
+    harness.finish_attempt(attempt, Outcome::NotDone);
+    harness.run(ms(500));
+    assert!(harness.fencing_token() > 0);
+    let settled = harness
+        .effects
         .iter()
         .any(|e| matches!(e, Effect::Settled { operation, .. } if operation.name == old));
     assert!(settled);
-    assert_eq!(rig.log()["ended"], json!(6));
+    assert_eq!(harness.stored_log()["ended"], json!(6));
 }
 
 #[test]
-fn a_record_without_an_answer_is_read_and_sent_again_to_the_letter() {
+fn a_log_write_with_an_unknown_outcome_takes_effect_once() {
     for applied in [true, false] {
-        let mut rig = Rig::active();
-        rig.begin(1);
-        let (call, commit) = rig.take_commit(&keys::log(DUTY));
+        let mut harness = Harness::with_active_duty();
+        harness.begin_operation(1);
+        let (call, commit) = harness.take_commit(&keys::log(DUTY));
         if applied {
-            rig.store.execute(rig.now, &commit);
+            harness.store.execute(harness.now, &commit);
         }
-        rig.unanswered(call);
-        rig.run(ms(1_000));
-        assert_eq!(rig.performing.len(), 1, "applied: {applied}");
-        let before = rig.log();
-        // The copy that went unanswered comes after all.
-        rig.store.execute(rig.now, &commit);
-        assert_eq!(rig.log(), before, "carried out twice");
-        let attempt = rig.performing[0];
-        rig.performed(attempt, Rig::done());
-        rig.run(ms(500));
-        assert_eq!(rig.settled(), 1);
-        rig.store.execute(rig.now, &commit);
+        harness.reply_unknown(call);
+        harness.run(ms(1_000));
+        assert_eq!(harness.attempts.len(), 1, "applied: {applied}");
+        let before = harness.stored_log();
+        // The transaction with the unknown outcome reaches the store late.
+        harness.store.execute(harness.now, &commit);
         assert_eq!(
-            rig.log()["open"],
+            harness.stored_log(),
+            before,
+            "the late transaction was applied a second time"
+        );
+        let attempt = harness.attempts[0];
+        harness.finish_attempt(attempt, Harness::done_outcome());
+        harness.run(ms(500));
+        assert_eq!(harness.settled_count(), 1);
+        harness.store.execute(harness.now, &commit);
+        assert_eq!(
+            harness.stored_log()["open"],
             json!([]),
-            "an operation that has ended is open again"
+            "a settled operation is open again"
         );
     }
 }
 
 #[test]
-fn a_fenced_change_without_an_answer_is_never_made_after_it_was_called_a_conflict() {
-    let mut rig = Rig::active();
+fn a_commit_reported_as_a_conflict_after_an_unknown_outcome_is_never_applied_late() {
+    let mut harness = Harness::with_active_duty();
     let key = "machine/i-9".to_owned();
     let writes = vec![Write::Put {
         key: key.clone(),
@@ -435,13 +458,13 @@
         conditions: vec![(key.clone(), 0)],
         writes,
     };
-    rig.step(vec![commit]);
-    let (call, late) = rig.take_commit(&key);
-    rig.unanswered(call);
-    // Meanwhile somebody else writes the record.
-    rig.put(&key, json!({"other": true}), None);
-    rig.run(ms(1_500));
-    let outcome = rig.told.iter().find_map(|effect| match effect {
+    harness.step(vec![commit]);
+    let (call, late) = harness.take_commit(&key);
+    harness.reply_unknown(call);
+    // Another client writes the record in the meantime.
+    harness.put(&key, json!({"other": true}), None);
+    harness.run(ms(1_500));
+    let outcome = harness.effects.iter().find_map(|effect| match effect {
         Effect::Committed {
             request: 5,
             outcome,
@@ -449,167 +472,168 @@
         _ => None,
     });
     assert_eq!(outcome, Some(CommitOutcome::Conflict(vec![key.clone()])));
-    // The record is removed, and the late copy's own condition holds again.
-    rig.store.execute(
-        rig.now,
+    // The record is deleted, so that the condition of the late transaction holds again.
+    harness.store.execute(
+        harness.now,
         &StoreRequest::CompareAndSwap {
             conditions: vec![],
             writes: vec![Write::Delete { key: key.clone() }],
         },
     );
-    rig.store.execute(rig.now, &late);
+    harness.store.execute(harness.now, &late);
     assert!(
-        !rig.store.keys.contains_key(&key),
-        "written after it was called a conflict"
+        !harness.store.keys.contains_key(&key),
+        "applied after it was reported as a conflict"
     );
 }
 
 #[test]
-fn a_claim_without_an_answer_is_learned_from_the_view() {
-    let mut rig = Rig::new(settings());
+fn a_claim_whose_reply_was_lost_is_found_in_the_view() {
+    let mut harness = Harness::new(settings());
     let call = loop {
-        rig.now += ms(50);
-        rig.step(Vec::new());
-        if rig
-            .waiting
+        harness.now += ms(50);
+        harness.step(Vec::new());
+        if harness
+            .pending_requests
             .iter()
-            .any(|(_, request)| writes(request, &keys::claim(DUTY)))
+            .any(|(_, request)| writes_key(request, &keys::claim(DUTY)))
         {
-            let (call, commit) = rig.take_commit(&keys::claim(DUTY));
-            rig.store.execute(rig.now, &commit);
+            let (call, commit) = harness.take_commit(&keys::claim(DUTY));
+            harness.store.execute(harness.now, &commit);
             break call;
         }
-        rig.answer_all();
+        harness.execute_pending_requests();
     };
-    rig.unanswered(call);
-    rig.run(ms(1_000));
-    assert!(rig.fencing_token() > 0);
+    harness.reply_unknown(call);
+    harness.run(ms(1_000));
+    assert!(harness.fencing_token() > 0);
 }
 
 #[test]
-fn a_transfer_without_an_answer_ends_acting_and_never_comes_true_later() {
-    let mut rig = Rig::active();
-    let lease = rig.neighbour(&settings());
-    rig.run(ms(200));
-    rig.begin(1);
-    rig.answer_all();
-    let first = rig.performing[0];
-    rig.performed(first, Rig::done());
-    rig.run(ms(200));
-    let before = rig.fencing_token();
-    rig.step(vec![Command::Transfer {
+fn a_transfer_with_an_unknown_outcome_ends_the_permit_and_is_never_applied_late() {
+    let mut harness = Harness::with_active_duty();
+    let lease = harness.add_other_member(&settings());
+    harness.run(ms(200));
+    harness.begin_operation(1);
+    harness.execute_pending_requests();
+    let first = harness.attempts[0];
+    harness.finish_attempt(first, Harness::done_outcome());
+    harness.run(ms(200));
+    let before = harness.fencing_token();
+    harness.step(vec![Command::Transfer {
         duty: DUTY.to_owned(),
         to: Some("n1".to_owned()),
     }]);
-    rig.step(Vec::new());
-    let (call, transfer) = rig.take_commit(&keys::claim(DUTY));
+    harness.step(Vec::new());
+    let (call, transfer) = harness.take_commit(&keys::claim(DUTY));
     assert_eq!(
-        rig.fencing_token(),
+        harness.fencing_token(),
         0,
-        "acts although the transfer may have been made"
+        "active although the transfer may have been applied"
     );
-    rig.unanswered(call);
-    assert_eq!(rig.lost(), [LossReason::Transferred]);
-    rig.run(ms(1_000));
+    harness.reply_unknown(call);
+    assert_eq!(harness.loss_reasons(), [LossReason::Transferred]);
+    harness.run(ms(1_000));
     assert!(
-        rig.fencing_token() > before,
-        "the claim that stayed ours is taken under another token"
-    );
-    rig.store.execute(rig.now, &transfer);
-    let claim = rig.store.keys.get(&keys::claim(DUTY)).expect("a claim");
-    assert_ne!(
-        claim.2,
-        Some(lease),
-        "the late transfer has taken the duty away"
+        harness.fencing_token() > before,
+        "the duty that was not transferred must be claimed again under a higher token"
     );
+    harness.store.execute(harness.now, &transfer);
+    let claim = harness
+        .store
+        .keys
+        .get(&keys::claim(DUTY))
+        .expect("the duty is claimed");
+    assert_ne!(claim.2, Some(lease), "the late transfer was applied");
 }
 
 #[test]
-fn a_transfer_to_a_member_that_is_gone_keeps_the_duty() {
-    let mut rig = Rig::active();
-    rig.neighbour(&settings());
-    rig.run(ms(200));
-    let before = rig.fencing_token();
-    rig.step(vec![Command::Transfer {
+fn a_transfer_to_a_member_that_is_gone_leaves_the_duty_with_its_holder() {
+    let mut harness = Harness::with_active_duty();
+    harness.add_other_member(&settings());
+    harness.run(ms(200));
+    let before = harness.fencing_token();
+    harness.step(vec![Command::Transfer {
         duty: DUTY.to_owned(),
         to: Some("n1".to_owned()),
     }]);
     let member = Write::Delete {
         key: keys::member("n1"),
     };
-    rig.store.execute(
-        rig.now,
+    harness.store.execute(
+        harness.now,
         &StoreRequest::CompareAndSwap {
             conditions: vec![],
             writes: vec![member],
         },
     );
-    rig.run(ms(1_000));
-    assert_eq!(rig.fencing_token(), before);
-    assert!(rig.lost().is_empty());
+    harness.run(ms(1_000));
+    assert_eq!(harness.fencing_token(), before);
+    assert!(harness.loss_reasons().is_empty());
 }
 
 #[test]
-fn a_clock_that_goes_back_voids_all_proofs() {
-    let mut rig = Rig::active();
-    let member_now = rig.now;
-    rig.run(ms(2_000));
-    rig.now = member_now - ms(500_000);
-    rig.step(Vec::new());
-    assert!(rig.manager.permit(DUTY).is_none());
-    // The store's clock goes on. Transactions prove the claim again, but nothing the lease until it is renewed: how long
-    // ago that was is not known.
+fn a_clock_that_jumps_back_ends_the_permit_until_the_lease_is_renewed() {
+    let mut harness = Harness::with_active_duty();
+    let member_now = harness.now;
+    harness.run(ms(2_000));
+    harness.now = member_now - ms(500_000);
+    harness.step(Vec::new());
+    assert!(harness.manager.permit(DUTY).is_none());
+    // The store's clock goes on. Transactions verify the claim again, but only a renewal verifies the lease, since the
+    // time that has passed since the last one is unknown.
     let store_now = member_now + ms(2_000);
-    rig.begin(1);
+    harness.begin_operation(1);
     for _ in 0..4 {
-        for (call, request) in std::mem::take(&mut rig.waiting) {
+        for (call, request) in std::mem::take(&mut harness.pending_requests) {
             let refused = matches!(request, StoreRequest::RenewLease { .. });
             let reply = if refused {
                 Some(StoreReply::Refused)
             } else {
-                rig.store.execute(store_now, &request)
+                harness.store.execute(store_now, &request)
             };
             if let Some(reply) = reply {
-                rig.step(vec![Command::Store { call, reply }]);
+                harness.step(vec![Command::Store { call, reply }]);
             }
         }
-        rig.now += ms(50);
+        harness.now += ms(50);
     }
     assert!(
-        rig.manager.permit(DUTY).is_none(),
-        "a renewal of before the jump is relied on"
+        harness.manager.permit(DUTY).is_none(),
+        "the permit relies on a renewal from before the clock jump"
     );
-    assert!(rig.performing.is_empty());
+    assert!(harness.attempts.is_empty());
 }
 
 #[test]
-fn acting_ends_before_the_lease_whatever_the_drift() {
+fn acting_time_ends_before_the_lease_even_if_the_clock_runs_slow() {
     let settings = settings();
-    let slow = settings.acting_time().0 * 10_005 / 10_000;
-    assert!(Micros(slow) < settings.lease - ms(100));
+    // The length of the acting time by the store's clock, if the member's clock runs 0.05 % slow.
+    let acting_time_by_store = settings.acting_time().0 * 10_005 / 10_000;
+    assert!(Micros(acting_time_by_store) < settings.lease - ms(100));
 }
 
 #[test]
-fn a_former_incarnations_claim_is_taken_at_once_and_under_another_token() {
-    let mut rig = Rig::active();
-    let before = rig.fencing_token();
-    rig.waiting.clear();
-    rig.manager = DutyManager::new(settings()).expect("settings");
-    rig.run(ms(600));
+fn a_restarted_member_claims_its_duty_at_once_under_a_higher_token() {
+    let mut harness = Harness::with_active_duty();
+    let before = harness.fencing_token();
+    harness.pending_requests.clear();
+    harness.manager = DutyManager::new(settings()).expect("valid settings");
+    harness.run(ms(600));
     assert!(
-        rig.fencing_token() > before,
-        "back within a fraction of a second"
+        harness.fencing_token() > before,
+        "not active again within a fraction of a second"
     );
 }
 
 #[test]
-fn a_second_process_of_the_same_name_ends_the_first() {
-    let mut rig = Rig::active();
-    let Some(StoreReply::Lease { id }) = rig
+fn a_second_process_under_the_same_name_stops_the_first() {
+    let mut harness = Harness::with_active_duty();
+    let Some(StoreReply::Lease { id }) = harness
         .store
-        .execute(rig.now, &StoreRequest::GrantLease { ttl: ms(60_000) })
+        .execute(harness.now, &StoreRequest::GrantLease { ttl: ms(60_000) })
     else {
-        panic!("no lease");
+        panic!("the store granted no lease");
     };
     let settings = settings().shared();
     let record = MemberRecord {
@@ -619,103 +643,117 @@
         leaving: false,
         settings,
     };
-    rig.put(&keys::member("n0"), record::write(&record), Some(id));
-    rig.run(ms(1_000));
-    assert_eq!(rig.lost(), [LossReason::Superseded]);
-    rig.run(ms(10_000));
-    assert_eq!(rig.fencing_token(), 0);
+    harness.put(&keys::member("n0"), record::write(&record), Some(id));
+    harness.run(ms(1_000));
+    assert_eq!(harness.loss_reasons(), [LossReason::Superseded]);
+    harness.run(ms(10_000));
+    assert_eq!(harness.fencing_token(), 0);
 }
 
 #[test]
-fn other_settings_than_those_in_force_keep_a_member_out() {
+fn a_member_with_differing_settings_registers_only_after_the_other_is_gone() {
     let mut other = settings();
     other.lease = ms(6_000);
-    let mut rig = Rig::new(settings());
-    rig.neighbour(&other);
-    rig.run(ms(5_000));
-    assert_eq!(rig.fencing_token(), 0);
+    let mut harness = Harness::new(settings());
+    harness.add_other_member(&other);
+    harness.run(ms(5_000));
+    assert_eq!(harness.fencing_token(), 0);
     assert!(
-        !rig.store.keys.contains_key(&keys::member("n0")),
-        "registered with other settings"
+        !harness.store.keys.contains_key(&keys::member("n0")),
+        "registered with settings that differ from another member's"
     );
-    // Once the other has gone, there is nothing to differ from.
+    // Once the other member is gone, no settings are left that differ.
     let member = Write::Delete {
         key: keys::member("n1"),
     };
-    rig.store.execute(
-        rig.now,
+    harness.store.execute(
+        harness.now,
         &StoreRequest::CompareAndSwap {
             conditions: vec![],
             writes: vec![member],
         },
     );
-    rig.run(ms(2_000));
-    assert!(rig.fencing_token() > 0);
+    harness.run(ms(2_000));
+    assert!(harness.fencing_token() > 0);
 }
 
 #[test]
-fn a_log_that_cannot_be_read_is_left_as_it_is() {
+fn an_unreadable_log_is_neither_changed_nor_claimed_repeatedly() {
     for log in [
         json!({"format": 99, "open": []}),
         json!({"format": 1, "open": "x"}),
         json!("x"),
     ] {
-        let mut rig = Rig::new(settings());
-        let version = rig.put(&keys::log(DUTY), log.clone(), None);
-        rig.run(ms(30_000));
-        assert_eq!(rig.fencing_token(), 0);
-        let stored = rig.store.keys.get(&keys::log(DUTY)).expect("the log");
+        let mut harness = Harness::new(settings());
+        let version = harness.put(&keys::log(DUTY), log.clone(), None);
+        harness.run(ms(30_000));
+        assert_eq!(harness.fencing_token(), 0);
+        let stored = harness
+            .store
+            .keys
+            .get(&keys::log(DUTY))
+            .expect("the log is still stored");
         assert_eq!(
             (&stored.0, stored.1),
             (&log, version),
-            "written over or deleted"
+            "the unreadable log was overwritten or deleted"
         );
-        assert!(rig
-            .lost()
+        assert!(harness
+            .loss_reasons()
             .iter()
             .all(|reason| *reason == LossReason::UnreadableLog));
-        assert!(rig.lost().len() < 5, "claimed again and again");
+        assert!(
+            harness.loss_reasons().len() < 5,
+            "the duty was claimed repeatedly"
+        );
     }
 }
 
 #[test]
-fn a_claim_that_cannot_be_read_is_not_free() {
-    let mut rig = Rig::new(settings());
-    rig.put(&keys::claim(DUTY), json!({"format": 99}), None);
-    rig.run(ms(10_000));
-    assert_eq!(rig.fencing_token(), 0);
-    assert_eq!(rig.store.keys[&keys::claim(DUTY)].0, json!({"format": 99}));
-    assert_eq!(rig.claims, 0, "taken for free");
+fn an_unreadable_claim_counts_as_held() {
+    let mut harness = Harness::new(settings());
+    harness.put(&keys::claim(DUTY), json!({"format": 99}), None);
+    harness.run(ms(10_000));
+    assert_eq!(harness.fencing_token(), 0);
+    assert_eq!(
+        harness.store.keys[&keys::claim(DUTY)].0,
+        json!({"format": 99})
+    );
+    assert_eq!(
+        harness.claim_writes, 0,
+        "the member tried to claim the duty"
+    );
 }
 
 #[test]
-fn an_outcome_with_more_changes_than_a_transaction_takes_is_written_in_several() {
-    let mut rig = Rig::active();
-    rig.begin(1);
-    rig.answer_all();
+fn an_outcome_larger_than_a_transaction_is_written_in_several() {
+    let mut harness = Harness::with_active_duty();
+    harness.begin_operation(1);
+    harness.execute_pending_requests();
     let put = |n: usize| Write::Put {
         key: format!("machine/i-{n:03}"),
         value: json!({}),
         lease: None,
     };
-    let attempt = rig.performing[0];
-    rig.performed(
+    let attempt = harness.attempts[0];
+    harness.finish_attempt(
         attempt,
         Outcome::Done {
             writes: (0..35).map(put).collect(),
         },
     );
-    rig.run(ms(3_000));
+    harness.run(ms(3_000));
     assert_eq!(
-        rig.store
+        harness
+            .store
             .keys
             .keys()
             .filter(|key| key.starts_with("machine/"))
             .count(),
         35
     );
-    assert_eq!(rig.settled(), 1);
-    let settled = rig.told.iter().any(|e| {
+    assert_eq!(harness.settled_count(), 1);
+    let settled = harness.effects.iter().any(|e| {
         matches!(
             e,
             Effect::Settled {
@@ -728,10 +766,10 @@
 }
 
 #[test]
-fn open_operations_and_payloads_are_bounded() {
-    let mut rig = Rig::active();
+fn too_many_or_too_large_operations_and_unknown_duties_are_rejected() {
+    let mut harness = Harness::with_active_duty();
     for request in 1..=40 {
-        rig.begin(request);
+        harness.begin_operation(request);
     }
     let many = |effect: &&Effect| {
         matches!(
@@ -742,85 +780,87 @@
             }
         )
     };
-    assert_eq!(rig.told.iter().filter(many).count(), 8);
-    let mut rig = Rig::active();
+    assert_eq!(harness.effects.iter().filter(many).count(), 8);
+    let mut harness = Harness::with_active_duty();
     let payload = json!({"text": "x".repeat(5_000)});
-    rig.step(vec![Command::Begin {
+    harness.step(vec![Command::Begin {
         request: 1,
         duty: DUTY.to_owned(),
         payload,
     }]);
-    assert!(rig.told.contains(&Effect::Rejected {
+    assert!(harness.effects.contains(&Effect::Rejected {
         request: 1,
         rejection: Rejection::TooLarge
     }));
-    rig.step(vec![Command::Begin {
+    harness.step(vec![Command::Begin {
         request: 2,
         duty: "baking".to_owned(),
         payload: json!({}),
     }]);
-    assert!(rig.told.contains(&Effect::Rejected {
+    assert!(harness.effects.contains(&Effect::Rejected {
         request: 2,
         rejection: Rejection::UnknownDuty
     }));
 }
 
 #[test]
-fn leaving_gives_every_duty_up_and_then_the_name() {
-    let mut rig = Rig::active();
-    rig.step(vec![Command::Leave]);
-    rig.run(ms(3_000));
-    assert!(rig.told.contains(&Effect::Left));
+fn a_leaving_member_without_a_successor_deletes_its_claims_and_registration() {
+    let mut harness = Harness::with_active_duty();
+    harness.step(vec![Command::Leave]);
+    harness.run(ms(3_000));
+    assert!(harness.effects.contains(&Effect::Left));
     assert!(
-        rig.store
+        harness
+            .store
             .keys
             .keys()
             .all(|key| !key.starts_with(keys::CONTROL_PREFIX)),
-        "left something behind"
+        "keys of the member are left in the store"
     );
 }
 
 #[test]
-fn leaving_hands_over_without_a_moment_in_which_nobody_holds() {
-    let mut rig = Rig::active();
-    let lease = rig.neighbour(&settings());
-    rig.run(ms(200));
-    let before = rig.store.revision;
-    rig.step(vec![Command::Leave]);
-    rig.run(ms(3_000));
-    assert!(rig.told.contains(&Effect::Left));
-    let claim = &rig.store.keys[&keys::claim(DUTY)];
+fn a_leaving_member_transfers_its_duty_without_deleting_the_claim() {
+    let mut harness = Harness::with_active_duty();
+    let lease = harness.add_other_member(&settings());
+    harness.run(ms(200));
+    let before = harness.store.revision;
+    harness.step(vec![Command::Leave]);
+    harness.run(ms(3_000));
+    assert!(harness.effects.contains(&Effect::Left));
+    let claim = &harness.store.keys[&keys::claim(DUTY)];
     assert_eq!(claim.2, Some(lease));
     let changes = StoreRequest::Watch {
         prefix: keys::CLAIM_PREFIX.to_owned(),
         after: before,
         wait: Micros::ZERO,
     };
-    let Some(StoreReply::Changes { events, .. }) = rig.store.execute(rig.now, &changes) else {
-        panic!("no changes")
+    let Some(StoreReply::Changes { events, .. }) = harness.store.execute(harness.now, &changes)
+    else {
+        panic!("the store replied without changes")
     };
     assert!(
         events.iter().all(|event| event.1.is_some()),
-        "nobody held it: {events:?}"
+        "the claim was deleted in between: {events:?}"
     );
 }
 
 #[test]
-fn an_operators_request_moves_a_duty_once() {
-    let mut rig = Rig::active();
-    let lease = rig.neighbour(&settings());
-    rig.put(
+fn an_operators_move_request_transfers_the_duty_and_is_deleted() {
+    let mut harness = Harness::with_active_duty();
+    let lease = harness.add_other_member(&settings());
+    harness.put(
         &keys::move_request(DUTY),
         json!({"format": FORMAT, "to": "n1"}),
         None,
     );
-    rig.run(ms(1_000));
-    assert_eq!(rig.store.keys[&keys::claim(DUTY)].2, Some(lease));
-    assert!(!rig.store.keys.contains_key(&keys::move_request(DUTY)));
+    harness.run(ms(1_000));
+    assert_eq!(harness.store.keys[&keys::claim(DUTY)].2, Some(lease));
+    assert!(!harness.store.keys.contains_key(&keys::move_request(DUTY)));
 }
 
 #[test]
-fn settings_that_could_not_work_are_refused_by_name() {
+fn invalid_settings_are_refused_with_the_name_of_the_field() {
     let refused = |change: fn(&mut LeaseSettings)| {
         let mut settings = settings();
         change(&mut settings);
@@ -863,7 +903,7 @@
     );
 }
 
-// ---- the switch from one claim to many -----------------------------------------------------
+// ---- the switch from the former claim to a claim for each duty ---------------------------------
 
 fn with_former_claim() -> LeaseSettings {
     LeaseSettings {
@@ -873,60 +913,60 @@
 }
 
 #[test]
-fn duties_begin_only_once_every_member_knows_them() {
-    let mut rig = Rig::new(with_former_claim());
-    let version = rig.put("leader", json!({"member": "n0", "lease": 1}), None);
-    rig.step(vec![Command::FormerClaim(Some(version))]);
-    rig.run(ms(5_000));
+fn duties_begin_only_after_every_member_supports_them() {
+    let mut harness = Harness::new(with_former_claim());
+    let version = harness.put("leader", json!({"member": "n0", "lease": 1}), None);
+    harness.step(vec![Command::FormerClaim(Some(version))]);
+    harness.run(ms(5_000));
     assert_eq!(
-        rig.fencing_token(),
+        harness.fencing_token(),
         0,
-        "n1 has not said that it knows duties"
+        "active before n1 has recorded that it supports duties"
     );
-    rig.put(&keys::version("n1"), json!({"format": FORMAT}), None);
-    rig.run(ms(2_000));
-    assert!(rig.fencing_token() > 0);
-    // An old process that comes back finds a claim that it can't take.
+    harness.put(&keys::version("n1"), json!({"format": FORMAT}), None);
+    harness.run(ms(2_000));
+    assert!(harness.fencing_token() > 0);
+    // A process of the old version that comes back can't acquire the former claim.
     let value = json!({"member": "n1", "lease": 77});
     let writes = vec![Write::Put {
         key: "leader".to_owned(),
         value,
         lease: None,
     }];
-    let take = StoreRequest::CompareAndSwap {
+    let acquire = StoreRequest::CompareAndSwap {
         conditions: vec![("leader".to_owned(), 0)],
         writes: writes.clone(),
     };
     assert!(matches!(
-        rig.store.execute(rig.now, &take),
+        harness.store.execute(harness.now, &acquire),
         Some(StoreReply::Conflict { .. })
     ));
-    // What it may still have under way under the former claim fails.
+    // A transaction that it sent earlier, fenced by the former claim, fails.
     let late = StoreRequest::CompareAndSwap {
         conditions: vec![("leader".to_owned(), version)],
         writes,
     };
     assert!(matches!(
-        rig.store.execute(rig.now, &late),
+        harness.store.execute(harness.now, &late),
         Some(StoreReply::Conflict { .. })
     ));
     assert_eq!(
-        rig.store.keys["leader"].2, None,
-        "what stands there must not end with a lease"
+        harness.store.keys["leader"].2, None,
+        "the former claim must not be bound to a lease, which could expire"
     );
 }
 
 #[test]
-fn the_switch_is_made_by_the_holder_of_the_former_claim_only() {
-    let mut rig = Rig::new(with_former_claim());
-    let version = rig.put("leader", json!({"member": "n1", "lease": 1}), None);
-    rig.put(&keys::version("n1"), json!({"format": FORMAT}), None);
-    rig.run(ms(3_000));
-    assert!(!rig.store.keys.contains_key(keys::SWITCH));
-    // A holder that was replaced a moment ago does not know yet.
-    rig.put("leader", json!({"member": "n1", "lease": 2}), None);
-    rig.step(vec![Command::FormerClaim(Some(version))]);
-    rig.run(ms(3_000));
-    assert!(!rig.store.keys.contains_key(keys::SWITCH));
-    assert_eq!(rig.fencing_token(), 0);
+fn only_the_holder_of_the_former_claim_makes_the_switch() {
+    let mut harness = Harness::new(with_former_claim());
+    let version = harness.put("leader", json!({"member": "n1", "lease": 1}), None);
+    harness.put(&keys::version("n1"), json!({"format": FORMAT}), None);
+    harness.run(ms(3_000));
+    assert!(!harness.store.keys.contains_key(keys::SWITCH));
+    // Nor by a former holder that has not noticed yet that it was replaced.
+    harness.put("leader", json!({"member": "n1", "lease": 2}), None);
+    harness.step(vec![Command::FormerClaim(Some(version))]);
+    harness.run(ms(3_000));
+    assert!(!harness.store.keys.contains_key(keys::SWITCH));
+    assert_eq!(harness.fencing_token(), 0);
 }
