--- a/crates/seamfront-report/src/main.rs
+++ b/crates/seamfront-report/src/main.rs
@@ -1,29 +1,29 @@
-//! Turns the record of a measured run into one HTML page.
+//! Command-line program that renders the record of a measured run as an HTML page.
 
 use clap::Parser;
-use seamfront_report::{page, read, ReportError};
+use seamfront_report::{parse_record, render_page, ReportError};
 use std::io::Write;
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
 
-/// Turns the record of a measured run into one self-contained HTML page with plots.
+/// Renders the record of a measured run as a self-contained HTML page with plots.
 #[derive(Parser)]
 #[command(version, about)]
 struct Args {
-    /// The record.
+    /// File with the record.
     record: PathBuf,
-    /// The page that is written.
+    /// File that the HTML page is written to.
     page: PathBuf,
 }
 
-fn convert(record: &Path, target: &Path) -> Result<(), ReportError> {
-    let file = |path: &Path| {
+fn convert(record: &Path, page: &Path) -> Result<(), ReportError> {
+    let file_error = |path: &Path| {
         let path = path.to_owned();
         move |source| ReportError::File { path, source }
     };
-    let text = std::fs::read_to_string(record).map_err(file(record))?;
-    let html = page(&read(&text)?)?;
-    std::fs::write(target, html).map_err(file(target))
+    let text = std::fs::read_to_string(record).map_err(file_error(record))?;
+    let html = render_page(&parse_record(&text)?)?;
+    std::fs::write(page, html).map_err(file_error(page))
 }
 
 fn main() -> ExitCode {
--- a/crates/seamfront-report/src/page.rs
+++ b/crates/seamfront-report/src/page.rs
@@ -1,26 +1,27 @@
-//! One self-contained HTML page of a run's record.
+//! Renders a run's record as a self-contained HTML page.
 
 use crate::plot;
 use crate::record::{Count, ReportError, Run, Series};
 use std::collections::BTreeMap;
 use std::fmt::Write;
 
+/// Columns of the tables of durations; the last is the maximum.
 const PERCENTILES: [f64; 4] = [50.0, 90.0, 99.0, 100.0];
 const MICROS_PER_SECOND: f64 = 1e6;
 const STYLE: &str = "body{font-family:sans-serif;max-width:60em;margin:2em auto;color:#222}\
 table{border-collapse:collapse;margin:1em 0}td,th{border:1px solid #bbb;padding:.25em .6em;text-align:right}\
 td:first-child,th:first-child{text-align:left}svg{max-width:100%;height:auto}";
 
-/// The page: for each group a plot and a table.
-pub fn page(run: &Run) -> Result<String, ReportError> {
+/// Renders a run as a self-contained HTML page, with a plot and a table for each group.
+pub fn render_page(run: &Run) -> Result<String, ReportError> {
     let title = escape(&run.title);
     let mut html = format!(
         "<!doctype html>\n<html lang=\"en\"><head><meta charset=\"utf-8\"><title>{title}</title>\
          <style>{STYLE}</style></head><body>\n<h1>{title}</h1>\n"
     );
     let mut series: BTreeMap<&str, Vec<&Series>> = BTreeMap::new();
-    for member in &run.series {
-        series.entry(&member.group).or_default().push(member);
+    for entry in &run.series {
+        series.entry(&entry.group).or_default().push(entry);
     }
     for (group, series) in series {
         let plot = plot::durations(group, &series)?;
@@ -54,15 +55,15 @@
         let _ = write!(table, "<th>{percent}%</th>");
     }
     table.push_str("</tr>\n");
-    for one in series {
+    for entry in series {
         let _ = write!(
             table,
             "<tr><td>{}</td><td>{}</td>",
-            escape(&one.name),
-            one.durations.len()
+            escape(&entry.name),
+            entry.durations.len()
         );
         for percent in PERCENTILES {
-            let seconds = one.durations.value_at_percentile(percent) as f64 / MICROS_PER_SECOND;
+            let seconds = entry.durations.value_at_percentile(percent) as f64 / MICROS_PER_SECOND;
             let _ = write!(table, "<td>{seconds:.3}</td>");
         }
         table.push_str("</tr>\n");
--- a/crates/seamfront-report/src/record.rs
+++ b/crates/seamfront-report/src/record.rs
@@ -1,4 +1,4 @@
-//! The record of a run: a text file with one JSON object a line.
+//! The record of a run, a text file with one JSON object per line: collecting, writing and parsing it.
 
 use crate::plot::DrawingError;
 use base64::engine::general_purpose::STANDARD;
@@ -13,14 +13,14 @@
 use std::path::{Path, PathBuf};
 use thiserror::Error;
 
-/// The format that this version writes.
+/// Version of the record format that this crate writes, and the newest that it reads.
 const FORMAT: u32 = 1;
-/// Significant digits that a histogram keeps of each value.
+/// Significant decimal digits that a histogram keeps of each value.
 const SIGNIFICANT_DIGITS: u8 = 3;
-/// Durations longer than this are recorded as this: an hour, in microseconds.
+/// Longest duration that is recorded, one hour in microseconds. A longer one is recorded as this.
 const DURATION_MAX_MICROS: u64 = 3_600_000_000;
 
-/// Why a record can't be read or written, or its page not made.
+/// Error while a record is read or written, or its page rendered.
 #[derive(Debug, Error)]
 pub enum ReportError {
     /// The file can't be read or written.
@@ -28,57 +28,57 @@
     File {
         /// The file.
         path: PathBuf,
-        /// What went wrong.
+        /// The cause.
         source: std::io::Error,
     },
-    /// A line can't be used.
+    /// A line of the record is invalid.
     #[error("line {line}: {reason}")]
     Line {
-        /// Number of the line, from 1.
+        /// Number of the line, starting at 1.
         line: usize,
-        /// What is wrong with it.
+        /// Why the line is invalid.
         #[source]
         reason: LineError,
     },
-    /// A line can't be written.
-    #[error("a line: {0}")]
+    /// A line can't be encoded as JSON.
+    #[error("cannot encode a line of the record: {0}")]
     EncodeLine(#[source] serde_json::Error),
     /// A histogram can't be created.
-    #[error("a histogram: {0}")]
+    #[error("cannot create a histogram: {0}")]
     CreateHistogram(#[source] CreationError),
-    /// A histogram can't be written.
-    #[error("a histogram: {0}")]
+    /// A histogram can't be encoded.
+    #[error("cannot encode a histogram: {0}")]
     EncodeHistogram(#[source] V2DeflateSerializeError),
     /// A plot can't be drawn.
-    #[error("{title}: {source}")]
+    #[error("cannot draw the plot {title:?}: {source}")]
     Plot {
-        /// Its title.
+        /// Title of the plot.
         title: String,
-        /// What went wrong.
+        /// The cause.
         source: DrawingError,
     },
 }
 
-/// What is wrong with a line of a record.
+/// Why a line of a record is invalid.
 #[derive(Debug, Error)]
 pub enum LineError {
-    /// It is not JSON, or not of a kind that this version knows.
+    /// It is not valid JSON, lacks a field or is of an unknown kind.
     #[error(transparent)]
     Malformed(#[from] serde_json::Error),
-    /// A newer version wrote it.
-    #[error("format {format} is newer than {FORMAT}")]
+    /// It was written in a newer format.
+    #[error("format {format} is newer than the supported format {FORMAT}")]
     NewerFormat {
-        /// Its format.
+        /// The format of the record.
         format: u32,
     },
-    /// A histogram is not base64.
-    #[error("histogram: {0}")]
-    HistogramText(#[from] base64::DecodeError),
-    /// A histogram is damaged.
-    #[error("histogram: {0}")]
+    /// The field `histogram` is not valid base64.
+    #[error("field histogram is not valid base64: {0}")]
+    HistogramBase64(#[from] base64::DecodeError),
+    /// The field `histogram` doesn't decode to a histogram.
+    #[error("field histogram is invalid: {0}")]
     Histogram(#[from] DeserializeError),
-    /// A count is not a finite number.
-    #[error("value: not a number")]
+    /// The value of a count is not finite.
+    #[error("field value must be a finite number")]
     NotFinite,
 }
 
@@ -102,42 +102,42 @@
     },
 }
 
-/// Durations of one kind.
+/// A series of durations.
 #[derive(Clone, Debug)]
 pub struct Series {
-    /// What they are compared with: series of one group share a plot.
+    /// Series of the same group share a plot and a table.
     pub group: String,
-    /// What they are of.
+    /// Name of the series.
     pub name: String,
     /// The durations in microseconds.
     pub durations: Histogram<u64>,
 }
 
-/// A count at some size, such as requests a minute with seven members.
+/// A count at a size, such as requests per minute in a cluster of seven members.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Count {
-    /// What it is compared with: series of one group share a plot.
+    /// Series of the same group share a plot and a table.
     pub group: String,
-    /// What it is of.
+    /// Name of the series.
     pub series: String,
-    /// The size at which it was counted.
+    /// The size at which it was counted, such as the number of members.
     pub size: u64,
     /// The count.
     pub value: f64,
 }
 
-/// All that a run has recorded.
+/// The parsed record of a run.
 #[derive(Clone, Debug, Default)]
 pub struct Run {
     /// Title of the run.
     pub title: String,
-    /// Its durations.
+    /// Series of durations.
     pub series: Vec<Series>,
-    /// Its counts.
+    /// Counts of all series.
     pub counts: Vec<Count>,
 }
 
-/// Names a series within a run.
+/// Identifies a series of durations within a run.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct SeriesKey {
     group: String,
@@ -153,7 +153,7 @@
 }
 
 impl Recorder {
-    /// A run under this title.
+    /// Starts the record of a run with this title.
     pub fn new(title: &str) -> Recorder {
         Recorder {
             title: title.to_owned(),
@@ -161,7 +161,7 @@
         }
     }
 
-    /// Records a duration.
+    /// Adds a duration to a series. One longer than an hour counts as an hour.
     pub fn duration(&mut self, group: &str, series: &str, micros: u64) -> Result<(), ReportError> {
         let key = SeriesKey {
             group: group.to_owned(),
@@ -175,7 +175,7 @@
         Ok(())
     }
 
-    /// Records a count.
+    /// Adds a count to a series.
     pub fn count(&mut self, group: &str, series: &str, size: u64, value: f64) {
         self.counts.push(Count {
             group: group.to_owned(),
@@ -185,7 +185,7 @@
         });
     }
 
-    /// Writes the record.
+    /// Writes the record to a file, which is overwritten if it exists.
     pub fn write(&self, path: &Path) -> Result<(), ReportError> {
         let mut text = Vec::new();
         let mut lines = vec![Line::Run {
@@ -208,17 +208,18 @@
         }));
         for line in &lines {
             let line = serde_json::to_string(line).map_err(ReportError::EncodeLine)?;
-            writeln!(text, "{line}").map_err(|error| file(path, error))?;
+            writeln!(text, "{line}").map_err(|error| file_error(path, error))?;
         }
-        std::fs::write(path, text).map_err(|error| file(path, error))
+        std::fs::write(path, text).map_err(|error| file_error(path, error))
     }
 }
 
-/// Reads the record of a run. A line that can't be read is refused by its number, a newer format as such.
-pub fn read(text: &str) -> Result<Run, ReportError> {
+/// Parses the record of a run. An invalid line is refused with its number, and a newer format with
+/// [`LineError::NewerFormat`].
+pub fn parse_record(text: &str) -> Result<Run, ReportError> {
     let mut run = Run::default();
     for (index, line) in text.lines().enumerate() {
-        read_line(line, &mut run).map_err(|reason| ReportError::Line {
+        parse_line(line, &mut run).map_err(|reason| ReportError::Line {
             line: index + 1,
             reason,
         })?;
@@ -226,7 +227,7 @@
     Ok(run)
 }
 
-fn read_line(text: &str, run: &mut Run) -> Result<(), LineError> {
+fn parse_line(text: &str, run: &mut Run) -> Result<(), LineError> {
     match serde_json::from_str(text)? {
         Line::Run { format, .. } if format > FORMAT => {
             return Err(LineError::NewerFormat { format });
@@ -274,7 +275,7 @@
     Ok(Deserializer::new().deserialize(&mut bytes.as_slice())?)
 }
 
-fn file(path: &Path, source: std::io::Error) -> ReportError {
+fn file_error(path: &Path, source: std::io::Error) -> ReportError {
     ReportError::File {
         path: path.to_owned(),
         source,
