--- a/crates/seamfront/examples/duty_holder/main.rs
+++ b/crates/seamfront/examples/duty_holder/main.rs
@@ -1,5 +1,5 @@
-//! A program that holds duties: together, processes of it keep a fleet of machines at a size. Start several with the same
-//! `--members`, each under its own name; stop, kill or freeze any of them.
+//! An example program that holds duties: several processes of it keep a fleet of machines at a target size. Start them
+//! with the same `--members`, each under its own name; stop, kill or freeze any of them.
 //!
 //! ```text
 //! duty_holder --member n0 --members n0,n1,n2 --state 127.0.0.1:7001 --cloud 127.0.0.1:7002
@@ -26,12 +26,15 @@
 use std::rc::Rc;
 use std::time::Duration;
 
+/// Interval at which the program decides what to do.
 const TICK_INTERVAL: Duration = Duration::from_millis(50);
+/// Pause between two lists of recorded machines.
 const LIST_INTERVAL: Micros = Micros::from_millis(300);
-/// One in so many ticks a machine is returned, so that there is always something to do.
-const TICKS_PER_RETURN: u64 = 6;
-/// One in so many ticks the cloud's list is read.
+/// A machine is terminated once in this many ticks, so that replacements are provisioned all the time.
+const TICKS_PER_TERMINATION: u64 = 6;
+/// The cloud's list of machines is read once in this many ticks.
 const TICKS_PER_CLOUD_LIST: u64 = 40;
+/// After this time without a response an operation's outcome counts as unknown.
 const PERFORM_TIMEOUT: Duration = Duration::from_secs(2);
 
 #[derive(Parser)]
@@ -39,22 +42,22 @@
     /// This member's name.
     #[arg(long)]
     member: String,
-    /// Names of all members.
+    /// Names of all members, separated by commas.
     #[arg(long, value_delimiter = ',')]
     members: Vec<String>,
     /// Address of the key-value store.
     #[arg(long)]
     state: SocketAddr,
-    /// Address of the cloud.
+    /// Address of the cloud API.
     #[arg(long)]
     cloud: SocketAddr,
-    /// Length of the lease in milliseconds.
+    /// Duration of the lease in milliseconds.
     #[arg(long, default_value_t = 4_000)]
     lease_ms: i64,
-    /// The longest that the key-value store may take to respond, in milliseconds.
+    /// Maximum response time of the key-value store, in milliseconds.
     #[arg(long, default_value_t = 1_500)]
     answer_ms: i64,
-    /// Machines to keep.
+    /// Target number of machines in the fleet.
     #[arg(long, default_value_t = 6)]
     target: usize,
 }
@@ -73,8 +76,8 @@
 struct HttpCloud {
     client: Client,
     addr: SocketAddr,
-    /// Machines of the operations that were performed here.
-    rented: RefCell<BTreeMap<OperationName, Vec<String>>>,
+    /// Machines that each operation provisioned in this process.
+    provisioned_machines: RefCell<BTreeMap<OperationName, Vec<String>>>,
 }
 
 impl HttpCloud {
@@ -94,7 +97,7 @@
                     .iter()
                     .map(|machine| machine.as_str().to_owned())
                     .collect();
-                self.rented
+                self.provisioned_machines
                     .borrow_mut()
                     .insert(operation.name, machines.clone());
                 fleet_reconciler::provisioned(&machines)
@@ -134,26 +137,26 @@
     }
 }
 
-/// Decides what to do, beside the driver.
+/// Decides which operations to begin; the driver runs concurrently and performs them.
 struct Program {
-    keeper: FleetReconciler,
+    reconciler: FleetReconciler,
     client: Client,
-    state: SocketAddr,
+    store_addr: SocketAddr,
     cloud: Rc<HttpCloud>,
     commands: Sender<Command>,
     events: Receiver<Effect>,
     ticks: u64,
-    list_next: Micros,
+    next_list_at: Micros,
 }
 
 impl Program {
     async fn run(mut self) {
         loop {
             Timer::after(TICK_INTERVAL).await;
-            self.take_events();
-            self.read_lists().await;
-            self.take_events();
-            for command in self.decide().await {
+            self.observe_events();
+            self.refresh_list().await;
+            self.observe_events();
+            for command in self.next_commands().await {
                 if self.commands.send(command).await.is_err() {
                     return;
                 }
@@ -161,31 +164,38 @@
         }
     }
 
-    fn take_events(&mut self) {
+    fn observe_events(&mut self) {
         while let Ok(event) = self.events.try_recv() {
-            let rented = self.cloud.rented.borrow();
-            let machines_of =
-                |operation: &Operation| rented.get(&operation.name).cloned().unwrap_or_default();
-            self.keeper.observe(&event, machines_of);
+            let provisioned_machines = self.cloud.provisioned_machines.borrow();
+            let machines_of = |operation: &Operation| {
+                provisioned_machines
+                    .get(&operation.name)
+                    .cloned()
+                    .unwrap_or_default()
+            };
+            self.reconciler.observe(&event, machines_of);
         }
     }
 
-    async fn read_lists(&mut self) {
+    async fn refresh_list(&mut self) {
         let now = SteadyClock.now();
-        if !self.keeper.needs_list() || now < self.list_next {
+        if !self.reconciler.needs_list() || now < self.next_list_at {
             return;
         }
-        self.list_next = now + LIST_INTERVAL;
-        let number = self.keeper.begin_list();
-        let (Some(machines), Some(open)) = (self.recorded().await, self.open_orders().await) else {
+        self.next_list_at = now + LIST_INTERVAL;
+        let number = self.reconciler.begin_list();
+        let (Some(machines), Some(open)) = (
+            self.list_recorded_machines().await,
+            self.open_provisioning_operations().await,
+        ) else {
             return;
         };
-        // What came meanwhile may void the list.
-        self.take_events();
-        self.keeper.apply_list(now, number, machines, &open);
+        // Events that arrived in the meantime may invalidate the list.
+        self.observe_events();
+        self.reconciler.apply_list(now, number, machines, &open);
     }
 
-    async fn recorded(&self) -> Option<BTreeSet<String>> {
+    async fn list_recorded_machines(&self) -> Option<BTreeSet<String>> {
         let mut machines = BTreeSet::new();
         let mut after = None;
         loop {
@@ -194,7 +204,7 @@
                 after,
             };
             let StoreReply::Page { entries, more, .. } =
-                store_client::call(&self.client, self.state, &request).await
+                store_client::call(&self.client, self.store_addr, &request).await
             else {
                 return None;
             };
@@ -209,11 +219,11 @@
         }
     }
 
-    async fn open_orders(&self) -> Option<BTreeSet<OperationName>> {
+    async fn open_provisioning_operations(&self) -> Option<BTreeSet<OperationName>> {
         let key = keys::log(fleet_reconciler::PROVISIONING_DUTY);
         match store_client::call(
             &self.client,
-            self.state,
+            self.store_addr,
             &StoreRequest::Get { key: key.clone() },
         )
         .await
@@ -232,21 +242,21 @@
         }
     }
 
-    async fn decide(&mut self) -> Vec<Command> {
+    async fn next_commands(&mut self) -> Vec<Command> {
         self.ticks += 1;
-        let mut commands: Vec<Command> = self.keeper.provision().into_iter().collect();
-        if self.ticks.is_multiple_of(TICKS_PER_RETURN) {
-            commands.extend(self.keeper.terminate(self.ticks as usize));
+        let mut commands: Vec<Command> = self.reconciler.provision().into_iter().collect();
+        if self.ticks.is_multiple_of(TICKS_PER_TERMINATION) {
+            commands.extend(self.reconciler.terminate(self.ticks as usize));
         }
         if self.ticks.is_multiple_of(TICKS_PER_CLOUD_LIST) {
-            if let Some(listed) = self.listed_by_cloud().await {
-                commands.extend(self.keeper.adopt(SteadyClock.now(), &listed));
+            if let Some(listed) = self.list_cloud_machines().await {
+                commands.extend(self.reconciler.adopt(SteadyClock.now(), &listed));
             }
         }
         commands
     }
 
-    async fn listed_by_cloud(&self) -> Option<BTreeSet<String>> {
+    async fn list_cloud_machines(&self) -> Option<BTreeSet<String>> {
         let mut machines = BTreeSet::new();
         let mut after = None;
         loop {
@@ -301,7 +311,7 @@
     let cloud = Rc::new(HttpCloud {
         client: client.clone(),
         addr: args.cloud,
-        rented: RefCell::default(),
+        provisioned_machines: RefCell::default(),
     });
     let driver = Driver {
         store: Rc::new(HttpStore {
@@ -314,14 +324,14 @@
         perform_timeout: PERFORM_TIMEOUT,
     };
     let program = Program {
-        keeper: FleetReconciler::new(args.target),
+        reconciler: FleetReconciler::new(args.target),
         client,
-        state: args.state,
+        store_addr: args.state,
         cloud,
         commands,
         events,
         ticks: 0,
-        list_next: Micros::ZERO,
+        next_list_at: Micros::ZERO,
     };
     async_io::block_on(driver.run(manager).or(program.run()));
     ExitCode::SUCCESS
--- a/crates/seamfront/examples/measure_duties/main.rs
+++ b/crates/seamfront/examples/measure_duties/main.rs
@@ -1,5 +1,5 @@
-//! Measures in virtual time how long duties are without a holder, and what they ask of the store, beside the leader's
-//! claim of the scheduler. Writes a record for `seamfront-report`.
+//! Measures in virtual time how long duties have no active holder, compared with the scheduler's leader claim, and the
+//! load of duties on the store. Writes a record for `seamfront-report`.
 //!
 //! ```text
 //! cargo run --release -p seamfront --example measure_duties -- record.jsonl
@@ -14,61 +14,66 @@
 use std::path::PathBuf;
 use std::process::ExitCode;
 
-/// Seeds that each fault is measured with.
-const ROUNDS: u64 = 60;
-/// Sizes of the cluster.
-const MEMBERS: [usize; 3] = [3, 7, 32];
-/// Clusters of this size and larger are measured without the leader's claim.
-const LEADER_MEMBERS_LIMIT: usize = 32;
-/// A gap longer than this is not recorded.
+/// Number of seeds with which each fault is measured.
+const SEEDS_PER_FAULT: u64 = 60;
+/// Cluster sizes to measure, in members.
+const CLUSTER_SIZES: [usize; 3] = [3, 7, 32];
+/// The leader's claim is measured in smaller clusters only.
+const LEADER_CLUSTER_SIZE_LIMIT: usize = 32;
+/// Maximum time to wait for the next holder; a longer gap is not recorded.
 const GAP_MAX_MS: i64 = 120_000;
-/// How often the holder is looked up.
+/// Interval at which the holder is looked up.
 const POLL_INTERVAL_MS: i64 = 10;
-/// When faults begin; each seed adds up to a second.
+/// Virtual time before a fault is injected; each seed adds up to a second.
 const WARM_UP_MS: i64 = 25_000;
-/// How long a fault lasts.
+/// Duration of a fault.
 const FAULT_MS: i64 = 60_000;
+/// Virtual time before requests are counted.
 const LOAD_WARM_UP_MS: i64 = 40_000;
-/// How long requests are counted.
+/// Virtual time during which requests are counted.
 const LOAD_SECONDS: i64 = 300;
+// Groups of the record: the series of a group are compared in one plot.
 const GAPS: &str = "time without an active holder";
 const REQUESTS: &str = "requests to the store a minute, by members";
 const CHANGES: &str = "changes in the store a minute, by members";
+/// Number of duties that the simulated members have.
 const DUTIES: f64 = 4.0;
 
-/// What happens to the holder.
+/// A fault of the holder, or a transfer of its duty.
 #[derive(Clone, Copy)]
 enum HolderFault {
     Crash,
     Freeze,
     Cut,
-    Handover,
+    Transfer,
 }
 
 const HOLDER_FAULTS: [(HolderFault, &str); 4] = [
     (HolderFault::Crash, "crash, back after 60 s"),
     (HolderFault::Freeze, "frozen for 60 s"),
     (HolderFault::Cut, "cut off from the store for 60 s"),
-    (HolderFault::Handover, "handed over"),
+    (HolderFault::Transfer, "handed over"),
 ];
 
-/// When the fault of a seed begins: seeds meet different phases of the timers.
+/// The time at which a seed injects its fault. It varies, so that faults occur at different phases of the timers.
 fn fault_time(seed: u64) -> Micros {
     ms(WARM_UP_MS + (seed as i64 * 137) % 1_000)
 }
 
-/// The time from the fault until another member is active.
+/// The time from the fault until another member is active, if that happens within [`GAP_MAX_MS`].
 fn duty_gap(seed: u64, members: usize, fault: HolderFault) -> Option<Micros> {
-    let mut world = Simulation::new(seed, members);
-    world.run_for(fault_time(seed));
-    let holder = world.holder(PROVISIONING_DUTY)?;
+    let mut simulation = Simulation::new(seed, members);
+    simulation.run_for(fault_time(seed));
+    let holder = simulation.holder(PROVISIONING_DUTY)?;
     let duration = ms(FAULT_MS);
     match fault {
-        HolderFault::Crash => world.crash(holder, duration),
-        HolderFault::Freeze => world.freeze(holder, duration),
-        HolderFault::Cut => world.members[holder].store_refused_until = world.now + duration,
-        HolderFault::Handover => {
-            world.command(
+        HolderFault::Crash => simulation.crash(holder, duration),
+        HolderFault::Freeze => simulation.freeze(holder, duration),
+        HolderFault::Cut => {
+            simulation.members[holder].store_refused_until = simulation.now + duration;
+        }
+        HolderFault::Transfer => {
+            simulation.command(
                 holder,
                 Command::Transfer {
                     duty: PROVISIONING_DUTY.to_owned(),
@@ -77,45 +82,49 @@
             );
         }
     }
-    let mut since = world.now;
-    let last = world.now + ms(GAP_MAX_MS);
-    while world.now < last {
-        world.run_for(ms(POLL_INTERVAL_MS));
-        match world.holder(PROVISIONING_DUTY) {
-            // A handover begins when the holder stops; until then it is active. One that is frozen or cut off is not, though
-            // its claim is still there.
-            Some(now) if now == holder && matches!(fault, HolderFault::Handover) => {
-                since = world.now;
+    let mut gap_start = simulation.now;
+    let deadline = simulation.now + ms(GAP_MAX_MS);
+    while simulation.now < deadline {
+        simulation.run_for(ms(POLL_INTERVAL_MS));
+        match simulation.holder(PROVISIONING_DUTY) {
+            // In a transfer the gap begins when the holder stops acting. A frozen or cut holder does not act, although
+            // its claim is still in the store.
+            Some(current) if current == holder && matches!(fault, HolderFault::Transfer) => {
+                gap_start = simulation.now;
             }
-            Some(now) if now != holder => return Some(world.now - since),
+            Some(current) if current != holder => return Some(simulation.now - gap_start),
             _ => {}
         }
     }
     None
 }
 
-/// The same for the leader's claim, until another controller has it.
+/// The time from a crash of the leader until another controller holds the leader's claim, if that happens within
+/// [`GAP_MAX_MS`].
 fn leader_gap(seed: u64, members: usize) -> Option<Micros> {
     let scale = Scale {
         controllers: members,
         ..SMALL
     };
-    let mut world = simulation::Simulation::sized(seed, scale);
-    world.run_until(fault_time(seed));
-    let holder = world.holder("leader")?;
-    let begin = world.now;
-    world.fault(
-        world.now,
+    let mut simulation = simulation::Simulation::sized(seed, scale);
+    simulation.run_until(fault_time(seed));
+    let holder = simulation.holder("leader")?;
+    let crashed_at = simulation.now;
+    simulation.fault(
+        simulation.now,
         Fault::Crash {
             controllers: vec![holder],
             back: ms(FAULT_MS),
         },
     );
-    while world.now < begin + ms(GAP_MAX_MS) {
-        let next = world.now + ms(POLL_INTERVAL_MS);
-        world.run_until(next);
-        if world.holder("leader").is_some_and(|now| now != holder) {
-            return Some(world.now - begin);
+    while simulation.now < crashed_at + ms(GAP_MAX_MS) {
+        let next = simulation.now + ms(POLL_INTERVAL_MS);
+        simulation.run_until(next);
+        if simulation
+            .holder("leader")
+            .is_some_and(|current| current != holder)
+        {
+            return Some(simulation.now - crashed_at);
         }
     }
     None
@@ -123,7 +132,7 @@
 
 fn record_gaps(recorder: &mut Recorder, members: usize) -> Result<(), ReportError> {
     for (fault, name) in HOLDER_FAULTS {
-        for seed in 0..ROUNDS {
+        for seed in 0..SEEDS_PER_FAULT {
             let Some(gap) = duty_gap(seed, members, fault) else {
                 continue;
             };
@@ -134,8 +143,8 @@
             )?;
         }
     }
-    if members < LEADER_MEMBERS_LIMIT {
-        for seed in 0..ROUNDS {
+    if members < LEADER_CLUSTER_SIZE_LIMIT {
+        for seed in 0..SEEDS_PER_FAULT {
             let Some(gap) = leader_gap(seed, members) else {
                 continue;
             };
@@ -149,17 +158,17 @@
     Ok(())
 }
 
-/// Requests and changes at rest, and while a machine is returned and another rented all the time.
+/// Records requests to the store and changes in it, at rest and while machines are continually terminated and replaced.
 fn record_load(recorder: &mut Recorder, members: usize) {
     for (churn, name) in [(false, "at rest"), (true, "while machines come and go")] {
-        let mut world = Simulation::new(1, members);
-        world.churn = churn;
-        world.run_for(ms(LOAD_WARM_UP_MS));
-        (world.store_requests, world.store_changes) = Default::default();
-        let rented = world.cloud.ledger.len();
-        world.run_for(ms(LOAD_SECONDS * 1_000));
+        let mut simulation = Simulation::new(1, members);
+        simulation.churn = churn;
+        simulation.run_for(ms(LOAD_WARM_UP_MS));
+        (simulation.store_requests, simulation.store_changes) = Default::default();
+        let provisioned_before = simulation.cloud.ledger.len();
+        simulation.run_for(ms(LOAD_SECONDS * 1_000));
         let minutes = LOAD_SECONDS as f64 / 60.0;
-        let requests: u64 = world.store_requests.values().sum();
+        let requests: u64 = simulation.store_requests.values().sum();
         let size = members as u64;
         recorder.count(
             REQUESTS,
@@ -171,19 +180,19 @@
             CHANGES,
             &format!("each duty, {name}"),
             size,
-            world.store_changes as f64 / minutes / DUTIES,
+            simulation.store_changes as f64 / minutes / DUTIES,
         );
-        let machines = (world.cloud.ledger.len() - rented) as f64 / minutes;
+        let machines = (simulation.cloud.ledger.len() - provisioned_before) as f64 / minutes;
         println!(
             "{members} members, {name}: {machines:.0} machines a minute, {:?}",
-            world.store_requests
+            simulation.store_requests
         );
     }
 }
 
 fn measure(path: &std::path::Path) -> Result<(), ReportError> {
     let mut recorder = Recorder::new("Duties: time without a holder, load on the store");
-    for members in MEMBERS {
+    for members in CLUSTER_SIZES {
         record_gaps(&mut recorder, members)?;
         record_load(&mut recorder, members);
     }
