--- a/crates/seamfront-core/tests/reconciliation.rs
+++ b/crates/seamfront-core/tests/reconciliation.rs
@@ -173,7 +173,7 @@
         for outcome in outcomes {
             for w in &writes {
                 harness.with(s(142), |shard, context| {
-                    shard.apply_write_outcome(context, w, outcome)
+                    shard.apply_write_outcome(context, w, outcome);
                 });
             }
             if let Done(version) = outcome {
