--- a/crates/seamfront/tests/documentation.rs
+++ b/crates/seamfront/tests/documentation.rs
@@ -1,34 +1,34 @@
-//! The pages name what the sources have: modules, functions, files and log lines.
+//! Checks that the modules, functions, files and log lines named in the documentation exist in the repository.
 
 use std::collections::BTreeSet;
 use std::fs;
 use std::path::{Path, PathBuf};
 
-/// The root of the repository.
-fn root() -> PathBuf {
+fn repository_root() -> PathBuf {
     Path::new(env!("CARGO_MANIFEST_DIR")).join("../..")
 }
 
+/// The text of a page, by its path from the repository root.
 fn page(name: &str) -> String {
-    let path = root().join(name);
+    let path = repository_root().join(name);
     fs::read_to_string(&path).unwrap_or_else(|e| panic!("{}: {e}", path.display()))
 }
 
-fn rust_files(folder: &Path, found: &mut Vec<PathBuf>) {
+fn collect_rust_files(folder: &Path, found: &mut Vec<PathBuf>) {
     for entry in fs::read_dir(folder).unwrap() {
         let path = entry.unwrap().path();
         if path.is_dir() && path.file_name().is_some_and(|name| name != "target") {
-            rust_files(&path, found);
+            collect_rust_files(&path, found);
         } else if path.extension().is_some_and(|extension| extension == "rs") {
             found.push(path);
         }
     }
 }
 
-/// The texts of all sources outside of tests.
+/// The concatenated text of all Rust files below `src` folders, which excludes integration tests.
 fn sources() -> String {
     let mut files = Vec::new();
-    rust_files(&root().join("crates"), &mut files);
+    collect_rust_files(&repository_root().join("crates"), &mut files);
     let sources = files
         .iter()
         .filter(|path| path.components().any(|part| part.as_os_str() == "src"));
@@ -37,7 +37,7 @@
         .collect()
 }
 
-/// What stands between single backticks, outside of code blocks.
+/// The inline code spans of a Markdown text, without those in fenced code blocks.
 fn code_spans(text: &str) -> Vec<&str> {
     let outside = text.split("```").step_by(2);
     outside
@@ -45,16 +45,19 @@
         .collect()
 }
 
-/// The first column of a table's rows, from the line that begins with this header to the table's end.
+/// The cells in the first column of the table whose header line begins with `header`.
 fn first_column<'a>(text: &'a str, header: &str) -> Vec<&'a str> {
     let mut lines = text.lines().skip_while(|line| !line.starts_with(header));
-    assert!(lines.next().is_some(), "no table {header:?}");
+    assert!(
+        lines.next().is_some(),
+        "no table with the header {header:?}"
+    );
     let rows = lines.skip(1).take_while(|line| line.starts_with('|'));
     rows.filter_map(|row| row.split('|').nth(1)).collect()
 }
 
-/// Whether a span names a module, type or function: `shard`, `Engine::step`.
-fn is_path(span: &str) -> bool {
+/// Whether a code span is a Rust path with at least two segments, such as `Engine::step`.
+fn is_rust_path(span: &str) -> bool {
     let segment =
         |s: &str| !s.is_empty() && s.chars().all(|c| c.is_ascii_alphanumeric() || c == '_');
     span.contains("::") && span.split("::").all(segment)
@@ -65,11 +68,12 @@
         .collect()
 }
 
-/// Whether the sources write such a line: `some text`, `field=`, `field=value` or `why=some text`.
+/// Whether the sources contain what a search term stands for: a message (`some text`), a field (`field=`,
+/// `field=value`) or the text of a `why` field (`why=some text`).
 fn is_logged(line: &str, sources: &str) -> bool {
-    let reason = line.strip_prefix("why=").unwrap_or(line);
-    let field = reason.split_once('=').map(|(field, _)| field);
-    sources.contains(reason) || field.is_some_and(|field| words(sources).contains(field))
+    let message = line.strip_prefix("why=").unwrap_or(line);
+    let field = message.split_once('=').map(|(field, _)| field);
+    sources.contains(message) || field.is_some_and(|field| words(sources).contains(field))
 }
 
 #[test]
@@ -82,12 +86,15 @@
     for (name, header) in pages {
         let text = page(name);
         for cell in first_column(&text, header) {
-            // The id of a job, as an example, is no line of ours.
+            // Job ids such as `j-000412` are examples of search terms, not log lines.
             for line in code_spans(cell)
                 .into_iter()
                 .filter(|line| !line.starts_with("j-"))
             {
-                assert!(is_logged(line, &sources), "{name}: no log line {line:?}");
+                assert!(
+                    is_logged(line, &sources),
+                    "{name}: the sources log no line {line:?}"
+                );
             }
         }
     }
@@ -102,26 +109,36 @@
         .skip_while(|line| !line.starts_with("| old line |"))
         .skip(2);
     let rows: Vec<&str> = rows.take_while(|line| line.starts_with('|')).collect();
-    assert!(rows.len() > 50, "only {} renamed log lines", rows.len());
+    assert!(
+        rows.len() > 50,
+        "only {} renamed log lines in the table",
+        rows.len()
+    );
     for row in rows {
         let new = row.split('|').nth(2).unwrap_or_default();
-        // What follows the line itself are notes on its fields.
+        // The first code span is the log line; later ones describe its fields.
         let line = code_spans(new)[0];
-        assert!(is_logged(line, &sources), "no log line {line:?}");
+        assert!(
+            is_logged(line, &sources),
+            "the sources log no line {line:?}"
+        );
     }
 }
 
 #[test]
-fn names_in_the_architecture_page_exist() {
+fn rust_paths_in_the_architecture_and_design_pages_exist() {
     let sources = sources();
     let known = words(&sources);
     for name in ["docs/architecture.md", "docs/design.md"] {
         let text = page(name);
-        for span in code_spans(&text).into_iter().filter(|span| is_path(span)) {
+        for span in code_spans(&text)
+            .into_iter()
+            .filter(|span| is_rust_path(span))
+        {
             for segment in span.split("::") {
                 assert!(
                     known.contains(segment),
-                    "{name}: `{span}` is not in the sources"
+                    "{name}: `{segment}` of `{span}` is not in the sources"
                 );
             }
         }
@@ -129,7 +146,7 @@
 }
 
 #[test]
-fn files_that_pages_name_exist() {
+fn files_named_in_the_pages_exist() {
     let pages = [
         "README.md",
         "CONTRIBUTING.md",
@@ -151,7 +168,10 @@
                 && !span.contains([' ', '<', '{'])
         });
         for path in paths {
-            assert!(root().join(path).exists(), "{name}: no file {path}");
+            assert!(
+                repository_root().join(path).exists(),
+                "{name}: {path} does not exist"
+            );
         }
     }
 }
--- a/crates/seamfront/tests/parsing.rs
+++ b/crates/seamfront/tests/parsing.rs
@@ -1,4 +1,4 @@
-//! What comes in from users, workers and settings is read strictly, and errors name the field.
+//! Checks that submissions, heartbeats and settings are validated strictly and that errors name the invalid field.
 
 use seamfront::{settings, user_api, worker_api};
 use seamfront_core::port::{Exit, TaskState};
@@ -16,7 +16,7 @@
 }
 
 #[test]
-fn a_whole_submission_is_taken() {
+fn a_complete_submission_is_parsed() {
     let job = parse(&submission()).unwrap();
     assert_eq!(
         (job.tasks, job.task_resources.cpus, job.task_resources.gpus),
@@ -32,7 +32,7 @@
 }
 
 #[test]
-fn a_submission_that_lacks_a_field_is_refused() {
+fn a_submission_without_a_required_field_is_rejected() {
     let required = [
         "id",
         "fornada",
@@ -61,8 +61,8 @@
 }
 
 #[test]
-fn every_bad_field_is_named() {
-    let wrong: [(&str, Vec<Value>); 14] = [
+fn errors_name_the_invalid_submission_field() {
+    let invalid_values: [(&str, Vec<Value>); 14] = [
         (
             "id",
             vec![
@@ -102,7 +102,7 @@
         ("entrega_s", vec![json!(-2), json!("soon")]),
         ("equipe", vec![json!({}), Value::Null]),
     ];
-    for (field, values) in wrong {
+    for (field, values) in invalid_values {
         for bad in values {
             let mut v = submission();
             v[field] = bad.clone();
@@ -119,19 +119,19 @@
 }
 
 #[test]
-fn a_report_that_is_not_understood_is_refused_whole() {
-    let heartbeat = |tasks: Value| {
+fn a_heartbeat_with_an_invalid_task_is_rejected() {
+    let body = |tasks: Value| {
         json!({"fornalha":"i-1","addr":"10.1.0.1:9","turno":1,"conta":8,"bastao":41,"aviso_s":null,"paes":tasks})
             .to_string()
     };
-    let good = json!([{"pao":"j-1/3","tentativa":2,"ponto":"running"},
+    let valid = json!([{"pao":"j-1/3","tentativa":2,"ponto":"running"},
         {"pao":"j-2/0","tentativa":1,"ponto":"exited","motivo":"halted","saved":true}]);
-    let r = worker_api::parse_heartbeat(heartbeat(good).as_bytes()).unwrap();
+    let heartbeat = worker_api::parse_heartbeat(body(valid).as_bytes()).unwrap();
     assert_eq!(
-        r.tasks[1].state,
+        heartbeat.tasks[1].state,
         TaskState::Exited(Exit::Stopped { saved: true })
     );
-    assert_eq!(r.tasks[0].task.to_string(), "j-1/3");
+    assert_eq!(heartbeat.tasks[0].task.to_string(), "j-1/3");
     for bad in [
         json!([{"pao":"j-1/3","tentativa":2,"ponto":"dancing"}]),
         json!([{"pao":"j-1","tentativa":2,"ponto":"running"}]),
@@ -140,23 +140,23 @@
         json!([{"pao":"j-1/1","tentativa":1,"ponto":"exited","motivo":"boredom"}]),
     ] {
         assert!(
-            worker_api::parse_heartbeat(heartbeat(bad.clone()).as_bytes()).is_err(),
+            worker_api::parse_heartbeat(body(bad.clone()).as_bytes()).is_err(),
             "{bad}"
         );
     }
 }
 
 #[test]
-fn settings_are_checked_and_fields_named() {
-    let good = include_str!("../../../docs/settings.example.toml");
+fn settings_errors_name_the_invalid_field() {
+    let example = include_str!("../../../docs/settings.example.toml");
     let ini = include_str!("../../../docs/seamfront.example.ini");
-    let s = settings::parse(good, Some(ini)).expect("the examples are valid");
+    let s = settings::parse(example, Some(ini)).expect("the examples are valid");
     assert_eq!(s.core.members, ["alpha", "beta"]);
     assert_eq!(
         s.core.tuning.idle_keep,
         seamfront_core::types::Tuning::default().idle_keep
     );
-    assert!(settings::parse(&good.replace("ram_mb", "unknown_field"), None).is_ok());
+    assert!(settings::parse(&example.replace("ram_mb", "unknown_field"), None).is_ok());
     for (from, to, field) in [
         ("report_s = 2.0", "report_s = -2.0", "report_s"),
         ("txn_ops = 48", "txn_ops = 0", "txn_ops"),
@@ -166,34 +166,37 @@
         ("member = \"beta\"", "member = \"alpha\"", "members"),
         ("fd_limit = 2000", "fd_limit = 3", "fd_limit"),
     ] {
-        assert!(good.contains(from));
-        let e = settings::parse(&good.replacen(from, to, 1), None)
+        assert!(example.contains(from));
+        let error = settings::parse(&example.replacen(from, to, 1), None)
             .expect_err(field)
             .to_string();
-        assert!(e.contains(field) && !e.contains('\n'), "{field}: {e}");
+        assert!(
+            error.contains(field) && !error.contains('\n'),
+            "{field}: {error}"
+        );
     }
     for (bad, field) in [
         ("[gangs]\nretry_limit = none", "gangs.retry_limit"),
         ("[fleet]\nidle = 3", "fleet.idle"),
         ("ttl_s = 3", "ttl_s"),
     ] {
-        let e = settings::parse(good, Some(bad))
+        let error = settings::parse(example, Some(bad))
             .expect_err(field)
             .to_string();
-        assert!(e.contains(field), "{e}");
+        assert!(error.contains(field), "{error}");
     }
 }
 
 #[test]
-fn needed_jobs_are_checked_and_count_once() {
-    let body = |espera: Value| {
+fn dependencies_are_validated_and_deduplicated() {
+    let body = |dependencies: Value| {
         let mut v = json!({"id":"j-7","fornada":"c","equipe":"t","feitio":"array","vez":"normal","paes":1,"cores":1.0,
             "accelerators":0.0,"ram_gb":1.0,"receita":"i","pull_gb":1.0,"modelos":null,"praca":null,"one_zone":false,
             "scatter":false,"emprestados":true,"assa_s":1.0,"vira_s":0.0,"guarda_s":0.0,"entrega_s":null});
-        v["espera"] = espera;
+        v["espera"] = dependencies;
         v.to_string()
     };
-    let parse = |espera: Value| user_api::parse_submission(body(espera).as_bytes());
+    let parse = |dependencies: Value| user_api::parse_submission(body(dependencies).as_bytes());
     assert_eq!(parse(Value::Null).unwrap().dependencies, []);
     assert_eq!(parse(json!([])).unwrap().dependencies, []);
     let dependencies = parse(json!(["j-9", "j-8", "j-9"])).unwrap().dependencies;
@@ -222,38 +225,40 @@
     }
 }
 
-/// What the state service will have from some moment on holds from the start, field by field.
+/// Limits of the key-value store that are announced for a later time apply from the start where they are smaller,
+/// field by field.
 #[test]
-fn the_smaller_of_present_and_coming_limits_holds() {
-    let good = include_str!("../../../docs/settings.example.toml");
-    let with = |next: &str| {
+fn the_smaller_of_current_and_announced_store_limits_applies() {
+    let example = include_str!("../../../docs/settings.example.toml");
+    let parse_with = |next: &str| {
         settings::parse(
-            &good.replace("[params.cloud]", &format!("{next}\n[params.cloud]")),
+            &example.replace("[params.cloud]", &format!("{next}\n[params.cloud]")),
             None,
         )
     };
-    let now = with("").unwrap().core;
-    let s = with("[params.state.next]\nwrite_rps = 20.0\nvalue_kb = 2.0\ntxn_ops = 16\n")
+    let current = parse_with("").unwrap().core;
+    let s = parse_with("[params.state.next]\nwrite_rps = 20.0\nvalue_kb = 2.0\ntxn_ops = 16\n")
         .unwrap()
         .core;
     assert_eq!(
         (s.write_rps, s.value_bytes, s.txn_ops, s.state_rps),
-        (20, 2_048, 16, now.state_rps)
+        (20, 2_048, 16, current.state_rps)
     );
-    let s = with("[params.state.next]\nwrite_rps = 9000.0\nvalue_kb = 900.0\n")
+    let s = parse_with("[params.state.next]\nwrite_rps = 9000.0\nvalue_kb = 900.0\n")
         .unwrap()
         .core;
     assert_eq!(
         (s.write_rps, s.value_bytes, s.txn_ops),
-        (now.write_rps, now.value_bytes, now.txn_ops)
+        (current.write_rps, current.value_bytes, current.txn_ops)
     );
-    assert!(with("[params.state.next]\ntxn_ops = 0\n").is_err());
+    assert!(parse_with("[params.state.next]\ntxn_ops = 0\n").is_err());
 }
 
-/// What the version in production wrote, to the letter, and what it is given to read: it ignores fields that it does
-/// not know, and a job without needed jobs is written as it always was.
+/// Records and messages exactly as the version in production writes them must be read and written back unchanged, since
+/// both versions read each other's during an upgrade. That version ignores unknown fields. A job without dependencies
+/// is written without the `needs` field, as that version writes it.
 #[test]
-fn records_of_the_version_in_production() {
+fn records_and_messages_of_the_version_in_production_are_read_and_written_unchanged() {
     use seamfront_core::record::WorkRecord;
     let job = r#"{"id":"j-000412","class":"c","team":"t","kind":"Array","priority":"Urgent","tasks":3,"need":{"c":1000,"g":0,"r":2000},"types":null,"zone":null,"one_zone":false,"spread":false,"spot":true,"image":"i","image_mb":100,"estimate":1000000,"checkpoint":0,"save":0,"deadline":null,"submitted":17}"#;
     let spec: seamfront_core::types::JobSpec = serde_json::from_str(job).unwrap();
@@ -262,7 +267,7 @@
     assert_eq!(
         serde_json::to_value(&spec).unwrap(),
         as_value(job),
-        "written as before"
+        "a job without dependencies is written as the version in production writes it"
     );
     let work = r#"{"team":"t","need":{"c":1000,"g":0,"r":2000},"e":1,"dr":false,"a":[[0,2]],"n":7,"d":[[0,2],[4,5]],"p":{"i-000231":[[2,4,6]]},"pk":0}"#;
     let record: WorkRecord = serde_json::from_str(work).unwrap();
