--- a/crates/seamfront/tests/forms.rs
+++ b/crates/seamfront/tests/forms.rs
@@ -1,5 +1,6 @@
-//! HTTP bodies in both directions, the gRPC call between controllers and the settings files, to the letter: what
-//! adapters send is compared byte for byte as it arrives at a server, and what they read is given to them as text.
+//! Checks the formats of HTTP requests and replies, of the gRPC call between controllers and of the settings files
+//! against literal texts. What the adapters send is compared byte for byte as a server receives it, and what they parse
+//! is given to them as text.
 
 use bytes::Bytes;
 use hyper::body::{Body, Frame};
@@ -24,27 +25,28 @@
 // ---- users -----------------------------------------------------------------------------------
 
 const SUBMISSION: &str = r#"{"id":"j-000031","fornada":"nightly","equipe":"sound","feitio":"group","vez":"urgent","paes":12,"cores":2.5,"accelerators":0.5,"ram_gb":12.25,"receita":"img-3","pull_gb":1.5,"modelos":["g4","g8"],"praca":"b","one_zone":true,"scatter":false,"emprestados":true,"assa_s":90.5,"vira_s":15.0,"guarda_s":2.5,"entrega_s":600.0,"espera":["j-7","j-8"]}"#;
-/// The same job as it is stored, where it has not got its time of submission yet.
-const SUBMITTED: &str = r#"{"id":"j-000031","class":"nightly","team":"sound","kind":"Gang","priority":"Urgent","tasks":12,"need":{"c":2500,"g":500,"r":12250},"types":["g4","g8"],"zone":"b","one_zone":true,"spread":false,"spot":true,"image":"img-3","image_mb":1500,"estimate":90500000,"checkpoint":15000000,"save":2500000,"deadline":600000000,"submitted":0,"needs":["j-7","j-8"]}"#;
+/// The same job as its stored record, before the time of submission is set.
+const STORED_JOB: &str = r#"{"id":"j-000031","class":"nightly","team":"sound","kind":"Gang","priority":"Urgent","tasks":12,"need":{"c":2500,"g":500,"r":12250},"types":["g4","g8"],"zone":"b","one_zone":true,"spread":false,"spot":true,"image":"img-3","image_mb":1500,"estimate":90500000,"checkpoint":15000000,"save":2500000,"deadline":600000000,"submitted":0,"needs":["j-7","j-8"]}"#;
 
-fn submitted(text: &str) -> String {
+/// Parses a submission and serializes the job as it is stored.
+fn stored_job(text: &str) -> String {
     let spec =
         user_api::parse_submission(text.as_bytes()).unwrap_or_else(|e| panic!("{text}: {e}"));
     serde_json::to_string(&spec).unwrap()
 }
 
 #[test]
-fn submissions() {
-    assert_eq!(submitted(SUBMISSION), SUBMITTED);
-    for (wire, kept) in [
+fn submissions_are_parsed_and_stored() {
+    assert_eq!(stored_job(SUBMISSION), STORED_JOB);
+    for (wire, stored) in [
         ("array", "Array"),
         ("group", "Gang"),
         ("service", "Service"),
     ] {
         let text = SUBMISSION.replace("\"group\"", &format!("{wire:?}"));
         assert_eq!(
-            submitted(&text),
-            SUBMITTED.replace("\"Gang\"", &format!("{kept:?}"))
+            stored_job(&text),
+            STORED_JOB.replace("\"Gang\"", &format!("{stored:?}"))
         );
     }
     let priorities = [
@@ -53,36 +55,39 @@
         ("normal", "Normal"),
         ("best_effort", "BestEffort"),
     ];
-    for (wire, kept) in priorities {
+    for (wire, stored) in priorities {
         let text = SUBMISSION.replace("\"urgent\"", &format!("{wire:?}"));
         assert_eq!(
-            submitted(&text),
-            SUBMITTED.replace("\"Urgent\"", &format!("{kept:?}"))
+            stored_job(&text),
+            STORED_JOB.replace("\"Urgent\"", &format!("{stored:?}"))
         );
     }
     for field in ["one_zone", "scatter", "emprestados"] {
-        let kept = match field {
+        let stored_field = match field {
             "scatter" => "spread",
             "emprestados" => "spot",
             other => other,
         };
         let (on, off) = (format!("\"{field}\":true"), format!("\"{field}\":false"));
-        let (kept_on, kept_off) = (format!("\"{kept}\":true"), format!("\"{kept}\":false"));
-        let turned = if SUBMISSION.contains(&on) {
+        let (stored_on, stored_off) = (
+            format!("\"{stored_field}\":true"),
+            format!("\"{stored_field}\":false"),
+        );
+        let (toggled, expected) = if SUBMISSION.contains(&on) {
             (
                 SUBMISSION.replace(&on, &off),
-                SUBMITTED.replace(&kept_on, &kept_off),
+                STORED_JOB.replace(&stored_on, &stored_off),
             )
         } else {
             (
                 SUBMISSION.replace(&off, &on),
-                SUBMITTED.replace(&kept_off, &kept_on),
+                STORED_JOB.replace(&stored_off, &stored_on),
             )
         };
-        assert_eq!(submitted(&turned.0), turned.1);
+        assert_eq!(stored_job(&toggled), expected);
     }
-    // What may be null may be missing.
-    let least = SUBMITTED
+    // Optional fields may be null or missing.
+    let minimal = STORED_JOB
         .replace(r#"["g4","g8"]"#, "null")
         .replace(r#""zone":"b""#, r#""zone":null"#)
         .replace("600000000", "null")
@@ -92,12 +97,12 @@
         .replace(r#""praca":"b""#, r#""praca":null"#)
         .replace("600.0", "null")
         .replace(r#"["j-7","j-8"]"#, "null");
-    assert_eq!(submitted(&null), least);
+    assert_eq!(stored_job(&null), minimal);
     let mut missing: Value = serde_json::from_str(SUBMISSION).unwrap();
     for field in ["modelos", "praca", "entrega_s", "espera"] {
         assert!(missing.as_object_mut().unwrap().remove(field).is_some());
     }
-    assert_eq!(submitted(&missing.to_string()), least);
+    assert_eq!(stored_job(&missing.to_string()), minimal);
 }
 
 fn text_of(reply: &Reply) -> String {
@@ -105,7 +110,7 @@
 }
 
 #[test]
-fn answers_to_users() {
+fn replies_to_users() {
     let status = |created, state, done, running| {
         text_of(&user_api::reply(&Answer::Status {
             created,
@@ -168,28 +173,32 @@
 
 // ---- workers ---------------------------------------------------------------------------------
 
-const REPORT: &str = r#"{"fornalha":"i-000031","addr":"10.2.0.31:9100","modelo":"g4","praca":"b","emprestados":true,"turno":3,"conta":19,"bastao":77,"aviso_s":31.5,"paes":[{"pao":"j-5/2","tentativa":4,"ponto":"running"}]}"#;
+const HEARTBEAT: &str = r#"{"fornalha":"i-000031","addr":"10.2.0.31:9100","modelo":"g4","praca":"b","emprestados":true,"turno":3,"conta":19,"bastao":77,"aviso_s":31.5,"paes":[{"pao":"j-5/2","tentativa":4,"ponto":"running"}]}"#;
 
-/// One line for a report: its fields in this order, each task as a line of its own.
-fn report_text(body: &str) -> Result<String, String> {
-    let r = worker_api::parse_heartbeat(body.as_bytes()).map_err(|e| e.to_string())?;
-    let tasks: String = r
+/// One line for a heartbeat: its fields in a fixed order, followed by its tasks, each after a `|`.
+fn heartbeat_text(body: &str) -> Result<String, String> {
+    let heartbeat = worker_api::parse_heartbeat(body.as_bytes()).map_err(|e| e.to_string())?;
+    let tasks: String = heartbeat
         .tasks
         .iter()
         .map(|t| format!(" | {} {} {:?}", t.task, t.attempt, t.state))
         .collect();
-    let notice = r.preemption_notice.map(|n| n.0);
+    let notice = heartbeat.preemption_notice.map(|n| n.0);
     Ok(format!(
         "{} {} {} {} {} {notice:?}{tasks}",
-        r.machine, r.addr, r.incarnation, r.sequence, r.fencing_token
+        heartbeat.machine,
+        heartbeat.addr,
+        heartbeat.incarnation,
+        heartbeat.sequence,
+        heartbeat.fencing_token
     ))
 }
 
 #[test]
-fn reports_of_workers() {
+fn heartbeats_of_workers_are_parsed() {
     let head = "i-000031 10.2.0.31:9100 3 19 77 Some(31500000)";
     assert_eq!(
-        report_text(REPORT).unwrap(),
+        heartbeat_text(HEARTBEAT).unwrap(),
         format!("{head} | j-5/2 4 Running")
     );
     let states = [
@@ -239,26 +248,26 @@
         ),
     ];
     for (text, state) in states {
-        let body = REPORT.replace(r#""ponto":"running""#, text);
+        let body = HEARTBEAT.replace(r#""ponto":"running""#, text);
         assert_eq!(
-            report_text(&body).unwrap(),
+            heartbeat_text(&body).unwrap(),
             format!("{head} | j-5/2 4 {state:?}")
         );
     }
-    // What may be missing, or null.
-    let least = "i-000031 10.2.0.31:9100 3 19 0 None";
+    // Optional fields may be null or missing.
+    let minimal = "i-000031 10.2.0.31:9100 3 19 0 None";
     assert_eq!(
-        report_text(r#"{"fornalha":"i-000031","addr":"10.2.0.31:9100","turno":3,"conta":19}"#)
+        heartbeat_text(r#"{"fornalha":"i-000031","addr":"10.2.0.31:9100","turno":3,"conta":19}"#)
             .unwrap(),
-        least
+        minimal
     );
     let null = r#"{"fornalha":"i-000031","addr":"10.2.0.31:9100","turno":3,"conta":19,"aviso_s":null,"paes":[]}"#;
-    assert_eq!(report_text(null).unwrap(), least);
+    assert_eq!(heartbeat_text(null).unwrap(), minimal);
     for field in ["fornalha", "addr", "turno", "conta"] {
-        let mut lacking: Value = serde_json::from_str(REPORT).unwrap();
-        lacking.as_object_mut().unwrap().remove(field);
+        let mut incomplete: Value = serde_json::from_str(HEARTBEAT).unwrap();
+        incomplete.as_object_mut().unwrap().remove(field);
         assert!(
-            report_text(&lacking.to_string())
+            heartbeat_text(&incomplete.to_string())
                 .unwrap_err()
                 .contains(field),
             "{field}"
@@ -270,7 +279,7 @@
         ("ponto", r#","ponto":"running""#),
     ] {
         assert!(
-            report_text(&REPORT.replace(text, ""))
+            heartbeat_text(&HEARTBEAT.replace(text, ""))
                 .unwrap_err()
                 .contains(field),
             "{field}"
@@ -308,7 +317,7 @@
 const ORDERS: &str = r#"[{"ordem":"run","pao":"j-5/2","tentativa":4},{"folga_s":2.5,"ordem":"stop","pao":"j-5/3","tentativa":1},{"folga_s":0.0,"ordem":"stop","pao":"j-5/3","tentativa":1},{"ordem":"clear","pao":"j-5/0","tentativa":9}]"#;
 
 #[test]
-fn answers_to_workers() {
+fn replies_to_workers() {
     assert_eq!(
         text_of(&worker_api::orders_reply(77, &all_orders())),
         format!(r#"200 {{"bastao":77,"ordens":{ORDERS}}} None"#)
@@ -324,14 +333,14 @@
     assert_eq!(text_of(&worker_api::elsewhere_reply(None)), "421 {} None");
 }
 
-// ---- requests as they arrive -----------------------------------------------------------------
+// ---- requests as a server receives them ------------------------------------------------------
 
-/// A server that gives the same answer to each request and shows what arrived: method, path and body.
-fn server(status: u16, body: &str) -> (SocketAddr, Receiver<String>) {
+/// Starts a server that sends the same reply to each request. The receiver gets the method, path and body of each.
+fn start_server(status: u16, body: &str) -> (SocketAddr, Receiver<String>) {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let addr = listener.local_addr().unwrap();
-    let (sender, arrived) = channel();
-    let answer = format!(
+    let (sender, received) = channel();
+    let reply = format!(
         "HTTP/1.1 {status} X\r\ncontent-length: {}\r\n\r\n{body}",
         body.len()
     );
@@ -343,29 +352,29 @@
                 let request = first.trim_end().trim_end_matches(" HTTP/1.1");
                 let text = format!("{request} {}", String::from_utf8(body).unwrap());
                 if sender.send(text.trim_end().to_owned()).is_err()
-                    || out.write_all(answer.as_bytes()).is_err()
+                    || out.write_all(reply.as_bytes()).is_err()
                 {
                     break;
                 }
             }
         }
     });
-    (addr, arrived)
+    (addr, received)
 }
 
 #[test]
-fn orders_sent_straight_to_a_worker() {
+fn orders_sent_directly_to_a_worker() {
     let send = |status, body: &str| {
-        let (addr, arrived) = server(status, body);
+        let (addr, received) = start_server(status, body);
         let client = Client::default();
         let (to, orders) = (addr.to_string(), all_orders());
         let outcome = async_io::block_on(worker_api::direct(&client, &to, 3, 77, &orders));
         let expected = format!(r#"POST /commands {{"bastao":77,"ordens":{ORDERS},"turno":3}}"#);
-        assert_eq!(arrived.recv().unwrap(), expected);
+        assert_eq!(received.recv().unwrap(), expected);
         outcome
     };
     for status in [200, 409] {
-        let DirectOutcome::Settled { heartbeat } = send(status, REPORT) else {
+        let DirectOutcome::Settled { heartbeat } = send(status, HEARTBEAT) else {
             panic!("{status}: not settled")
         };
         assert_eq!(
@@ -382,13 +391,13 @@
     assert!(matches!(send(200, "{}"), DirectOutcome::Unknown));
 }
 
-// ---- the state service -----------------------------------------------------------------------
+// ---- the key-value store ---------------------------------------------------------------------
 
-/// Sends a request, compares what arrives, and shows what the answer is understood as.
-fn ask_state(request: &StoreRequest, expected: &str, status: u16, body: &str) -> String {
-    let (addr, arrived) = server(status, body);
+/// Sends a request to the store, compares what a server receives, and returns the parsed reply as text.
+fn call_store(request: &StoreRequest, expected: &str, status: u16, body: &str) -> String {
+    let (addr, received) = start_server(status, body);
     let reply = async_io::block_on(store_client::call(&Client::default(), addr, request));
-    assert_eq!(arrived.recv().unwrap(), expected);
+    assert_eq!(received.recv().unwrap(), expected);
     let entry = |e: Entry| format!("{} {} {}", e.key, e.value, e.version);
     match reply {
         StoreReply::Entry(e) => format!("entry {}", entry(e)),
@@ -423,23 +432,23 @@
 }
 
 #[test]
-fn reading_from_the_state_service() {
+fn read_requests_and_replies_of_the_store() {
     let get = StoreRequest::Get {
         key: "job/j-4".into(),
     };
     let sent = "GET /kv/job/j-4";
     let pair = r#"{"key":"job/j-4","data":{"a":[1]},"rasura":31,"vale":7}"#;
     assert_eq!(
-        ask_state(&get, sent, 200, pair),
+        call_store(&get, sent, 200, pair),
         r#"entry job/j-4 {"a":[1]} 31"#
     );
     assert_eq!(
-        ask_state(&get, sent, 200, r#"{"key":"a","rasura":3}"#),
+        call_store(&get, sent, 200, r#"{"key":"a","rasura":3}"#),
         "entry a null 3"
     );
-    assert_eq!(ask_state(&get, sent, 404, r#"{"caderno":40}"#), "missing");
-    for lacking in [r#"{"data":1,"rasura":3}"#, r#"{"key":"a","data":1}"#] {
-        assert_eq!(ask_state(&get, sent, 200, lacking), "unknown");
+    assert_eq!(call_store(&get, sent, 404, r#"{"caderno":40}"#), "missing");
+    for incomplete in [r#"{"data":1,"rasura":3}"#, r#"{"key":"a","data":1}"#] {
+        assert_eq!(call_store(&get, sent, 200, incomplete), "unknown");
     }
     for (status, expected) in [
         (429, "refused"),
@@ -447,7 +456,7 @@
         (400, "refused"),
         (500, "unknown"),
     ] {
-        assert_eq!(ask_state(&get, sent, status, "{}"), expected);
+        assert_eq!(call_store(&get, sent, status, "{}"), expected);
     }
 
     let list = |after: Option<&str>| StoreRequest::List {
@@ -456,12 +465,12 @@
     };
     let page = r#"{"pairs":[{"key":"work/0/j-1","data":{},"rasura":5},{"key":"work/0/j-2","data":[],"rasura":6}],"more":true,"caderno":44}"#;
     assert_eq!(
-        ask_state(&list(None), "GET /kv?prefix=work/0/&page=300", 200, page),
+        call_store(&list(None), "GET /kv?prefix=work/0/&page=300", 200, page),
         "page work/0/j-1 {} 5, work/0/j-2 [] 6 more true at 44"
     );
     let sent = "GET /kv?prefix=work/0/&after=work/0/j-2&page=300";
     assert_eq!(
-        ask_state(
+        call_store(
             &list(Some("work/0/j-2")),
             sent,
             200,
@@ -470,7 +479,7 @@
         "page  more false at 45"
     );
     assert_eq!(
-        ask_state(
+        call_store(
             &list(Some("work/0/j-2")),
             sent,
             200,
@@ -487,15 +496,15 @@
     let sent = "GET /changes?prefix=duty/&after=31&hold_ms=1500";
     let body = r#"{"caderno":40,"events":[{"write":"duty/b","data":{"x":1},"rasura":39},{"remove":"duty/a","rasura":33}]}"#;
     assert_eq!(
-        ask_state(&changes, sent, 200, body),
+        call_store(&changes, sent, 200, body),
         r#"changes duty/a gone 33, duty/b {"x":1} 39 to 40"#
     );
     assert_eq!(
-        ask_state(&changes, sent, 200, r#"{"caderno":41}"#),
+        call_store(&changes, sent, 200, r#"{"caderno":41}"#),
         "changes  to 41"
     );
     assert_eq!(
-        ask_state(
+        call_store(
             &changes,
             sent,
             200,
@@ -503,11 +512,11 @@
         ),
         "unknown"
     );
-    assert_eq!(ask_state(&changes, sent, 410, "{}"), "too old");
+    assert_eq!(call_store(&changes, sent, 410, "{}"), "too old");
 }
 
 #[test]
-fn writing_to_the_state_service() {
+fn write_requests_and_replies_of_the_store() {
     let put = |lease| Write::Put {
         key: "a/b".into(),
         value: serde_json::json!({"x": null}),
@@ -524,11 +533,11 @@
     ]);
     let sent = r#"POST /commit {"apply":[{"data":{"x":null},"vale":7,"write":"a/b"},{"data":{"x":null},"write":"a/b"},{"remove":"c/d"}],"when":[{"key":"a/b","rasura":0},{"key":"leader","rasura":41}]}"#;
     assert_eq!(
-        ask_state(&all, sent, 200, r#"{"caderno":42}"#),
+        call_store(&all, sent, 200, r#"{"caderno":42}"#),
         "committed 42"
     );
     assert_eq!(
-        ask_state(
+        call_store(
             &all,
             sent,
             409,
@@ -536,20 +545,20 @@
         ),
         "conflict a/b, leader"
     );
-    assert_eq!(ask_state(&all, sent, 409, "{}"), "conflict ");
+    assert_eq!(call_store(&all, sent, 409, "{}"), "conflict ");
     assert_eq!(
-        ask_state(&all, sent, 400, r#"{"error":"no such lease"}"#),
+        call_store(&all, sent, 400, r#"{"error":"no such lease"}"#),
         "no such lease"
     );
     assert_eq!(
-        ask_state(&all, sent, 400, r#"{"error":"malformed"}"#),
+        call_store(&all, sent, 400, r#"{"error":"malformed"}"#),
         "refused"
     );
-    assert_eq!(ask_state(&all, sent, 200, "{}"), "unknown");
+    assert_eq!(call_store(&all, sent, 200, "{}"), "unknown");
     let compare =
         r#"POST /commit {"when":[{"key":"a/b","rasura":0},{"key":"leader","rasura":41}]}"#;
     assert_eq!(
-        ask_state(&commit(vec![]), compare, 200, r#"{"caderno":42}"#),
+        call_store(&commit(vec![]), compare, 200, r#"{"caderno":42}"#),
         "committed 42"
     );
 
@@ -557,7 +566,7 @@
         ttl: Micros::from_secs(4),
     };
     assert_eq!(
-        ask_state(
+        call_store(
             &grant,
             r#"POST /grants {"ttl_ms":4000}"#,
             200,
@@ -567,22 +576,22 @@
     );
     let renew = StoreRequest::RenewLease { lease: 7 };
     assert_eq!(
-        ask_state(&renew, "POST /grants/7/renew", 200, "{}"),
+        call_store(&renew, "POST /grants/7/renew", 200, "{}"),
         "renewed"
     );
     assert_eq!(
-        ask_state(&renew, "POST /grants/7/renew", 404, "{}"),
+        call_store(&renew, "POST /grants/7/renew", 404, "{}"),
         "no such lease"
     );
 }
 
 // ---- the cloud -------------------------------------------------------------------------------
 
-/// Sends a request, compares what arrives, and shows what the answer is understood as.
-fn ask_cloud(request: &CloudRequest, expected: &str, status: u16, body: &str) -> String {
-    let (addr, arrived) = server(status, body);
+/// Sends a request to the cloud API, compares what a server receives, and returns the parsed reply as text.
+fn call_cloud(request: &CloudRequest, expected: &str, status: u16, body: &str) -> String {
+    let (addr, received) = start_server(status, body);
     let reply = async_io::block_on(cloud_client::call(&Client::default(), addr, request));
-    assert_eq!(arrived.recv().unwrap(), expected);
+    assert_eq!(received.recv().unwrap(), expected);
     match reply {
         CloudReply::MachineTypes(types) => serde_json::to_string(&types).unwrap(),
         CloudReply::Provisioned(ids) => format!("rented {ids:?}"),
@@ -605,10 +614,10 @@
 }
 
 #[test]
-fn requests_to_the_cloud() {
+fn requests_and_replies_of_the_cloud_api() {
     let types = r#"{"modelos":[{"name":"g4","cores":48,"accelerators":4,"ram_gb":384.5,"cache_gb":100,"fetch_gb_per_s":0.5,"hourly":6.25,"spot_price":2.125,"boot_s":40.5,"pracas":["a","b"]},{"name":"m","cores":8,"ram_gb":32,"pracas":[]}]}"#;
     assert_eq!(
-        ask_cloud(
+        call_cloud(
             &CloudRequest::MachineTypes,
             "GET /machine_types",
             200,
@@ -616,22 +625,22 @@
         ),
         r#"[{"name":"g4","size":{"c":48000,"g":4000,"r":384500},"cache_mb":100000,"fetch_mb_s":500,"price":6250,"spot_price":2125,"boot":40500000,"zones":["a","b"]},{"name":"m","size":{"c":8000,"g":0,"r":32000},"cache_mb":0,"fetch_mb_s":0,"price":0,"spot_price":0,"boot":0,"zones":[]}]"#
     );
-    for lacking in [
+    for incomplete in [
         r"{}",
         r#"{"modelos":[{"cores":8,"ram_gb":32,"pracas":[]}]}"#,
     ] {
         assert_eq!(
-            ask_cloud(
+            call_cloud(
                 &CloudRequest::MachineTypes,
                 "GET /machine_types",
                 200,
-                lacking
+                incomplete
             ),
             "failed"
         );
     }
 
-    let rent = CloudRequest::Provision {
+    let provision = CloudRequest::Provision {
         name: "r-41-2".into(),
         kind: "g4".into(),
         zone: "b".into(),
@@ -640,25 +649,25 @@
     };
     let sent = r#"POST /hosts {"count":12,"emprestados":true,"encomenda":"r-41-2","modelo":"g4","praca":"b"}"#;
     assert_eq!(
-        ask_cloud(&rent, sent, 200, r#"{"fornalhas":["i-1","i-2"]}"#),
+        call_cloud(&provision, sent, 200, r#"{"fornalhas":["i-1","i-2"]}"#),
         r#"rented ["i-1", "i-2"]"#
     );
     assert_eq!(
-        ask_cloud(&rent, sent, 503, r#"{"error":"no capacity"}"#),
+        call_cloud(&provision, sent, 503, r#"{"error":"no capacity"}"#),
         "no capacity"
     );
     assert_eq!(
-        ask_cloud(&rent, sent, 503, r#"{"error":"trouble"}"#),
+        call_cloud(&provision, sent, 503, r#"{"error":"trouble"}"#),
         "failed"
     );
-    assert_eq!(ask_cloud(&rent, sent, 200, "{}"), "failed");
+    assert_eq!(call_cloud(&provision, sent, 200, "{}"), "failed");
 
-    let delete = CloudRequest::Terminate {
+    let terminate = CloudRequest::Terminate {
         machines: vec!["i-1".into(), "i-2".into()],
     };
     assert_eq!(
-        ask_cloud(
-            &delete,
+        call_cloud(
+            &terminate,
             r#"POST /hosts/delete {"fornalhas":["i-1","i-2"]}"#,
             200,
             "{}"
@@ -676,21 +685,22 @@
         machine.replace("i-1", "i-3").replace("starting", "failed"),
     );
     assert_eq!(
-        ask_cloud(&list(None), "GET /hosts?page=500", 200, &more),
+        call_cloud(&list(None), "GET /hosts?page=500", 200, &more),
         "i-1 g4 b true Starting 61500000, i-2 g4 b true Running 61500000, i-3 g4 b true Failed 61500000, \
          i-4 m a false Running 0 more true"
     );
     let sent = "GET /hosts?after=i-4&page=500";
     assert_eq!(
-        ask_cloud(&list(Some("i-4")), sent, 200, r#"{"fornalhas":[]}"#),
+        call_cloud(&list(Some("i-4")), sent, 200, r#"{"fornalhas":[]}"#),
         " more false"
     );
-    assert_eq!(ask_cloud(&list(Some("i-4")), sent, 200, "{}"), "failed");
-    assert_eq!(ask_cloud(&list(Some("i-4")), sent, 429, "{}"), "failed");
+    assert_eq!(call_cloud(&list(Some("i-4")), sent, 200, "{}"), "failed");
+    assert_eq!(call_cloud(&list(Some("i-4")), sent, 429, "{}"), "failed");
 }
 
 // ---- settings --------------------------------------------------------------------------------
 
+/// The settings file that the platform provides.
 const PLATFORM: &str = r#"
 member = "alpha"
 location = "zone-7"
@@ -761,58 +771,71 @@
 fd_limit = 1999
 "#;
 
+/// The settings file of the operators.
 const OPERATORS: &str = "[claims]\nttl_s = 5\n[shares]\nmove_every_s = 1.5\n[fleet]\nidle_keep_s = 41.5\n[gangs]\nretry_limit = 7\n[duties]\non = yes\n";
 
-/// All settings, one line for each kind, as plain values.
+/// All settings as text, a line for each group of settings.
 fn settings_text(toml: &str, ini: Option<&str>) -> String {
-    let s = settings::parse(toml, ini).unwrap_or_else(|e| panic!("{e}"));
-    let peers: Vec<String> = s.peers.iter().map(SocketAddr::to_string).collect();
-    let c = &s.core;
+    let settings = settings::parse(toml, ini).unwrap_or_else(|e| panic!("{e}"));
+    let peers: Vec<String> = settings.peers.iter().map(SocketAddr::to_string).collect();
+    let core = &settings.core;
     let mut lines = vec![
-        format!("{} of {} at {}", c.me, c.members.join(" "), peers.join(" ")),
+        format!(
+            "{} of {} at {}",
+            core.me,
+            core.members.join(" "),
+            peers.join(" ")
+        ),
         format!(
             "bind {} mesh {} cloud {} state {} sockets {}",
-            s.bind, s.mesh, s.cloud, s.store, s.sockets
+            settings.bind, settings.mesh, settings.cloud, settings.store, settings.sockets
         ),
     ];
-    for t in &c.teams {
-        let (g, l) = (t.guarantee, t.limit);
+    for team in &core.teams {
+        let (guarantee, limit) = (team.guarantee, team.limit);
         lines.push(format!(
             "team {} {} {} {} up to {} {} {}",
-            t.name, g.cpus, g.gpus, g.ram, l.cpus, l.gpus, l.ram
+            team.name,
+            guarantee.cpus,
+            guarantee.gpus,
+            guarantee.ram,
+            limit.cpus,
+            limit.gpus,
+            limit.ram
         ));
     }
-    for o in &c.objectives {
+    for objective in &core.objectives {
         lines.push(format!(
             "class {} started {} within {}",
-            o.class,
-            o.milestone == Milestone::Started,
-            o.within.0
+            objective.class,
+            objective.milestone == Milestone::Started,
+            objective.within.0
         ));
     }
     let workers = [
-        c.heartbeat_interval,
-        c.lease,
-        c.gang_wait,
-        c.gang_peer,
-        c.cancel,
+        core.heartbeat_interval,
+        core.lease,
+        core.gang_wait,
+        core.gang_peer,
+        core.cancel,
     ]
     .map(|t| t.0);
     lines.push(format!("workers {workers:?}"));
     lines.push(format!(
         "state {} {} {} {}",
-        c.state_rps, c.write_rps, c.value_bytes, c.txn_ops
+        core.state_rps, core.write_rps, core.value_bytes, core.txn_ops
     ));
-    lines.push(format!("cloud {} {}", c.cloud_rps, c.list_lag.0));
-    let t = &c.tuning;
-    let times = [t.claim_ttl, t.move_every, t.idle_keep].map(|t| t.0);
+    lines.push(format!("cloud {} {}", core.cloud_rps, core.list_lag.0));
+    let tuning = &core.tuning;
+    let times = [tuning.claim_ttl, tuning.move_every, tuning.idle_keep].map(|t| t.0);
     lines.push(format!(
         "operators {times:?} {} {}",
-        t.retry_limit, t.duties
+        tuning.retry_limit, tuning.duties
     ));
     lines.join("\n")
 }
 
+/// [`settings_text`] of `PLATFORM` and `OPERATORS`.
 const SETTINGS: &str = "1 of aaa alpha gamma at 127.0.0.1:7004 127.0.0.1:7002 127.0.0.1:7003
 bind 127.0.0.1:7001 mesh 127.0.0.1:7002 cloud 127.0.0.1:7005 state 127.0.0.1:7006 sockets 1999
 team sound 1000 3000 0 up to 2000 4000 0
@@ -823,10 +846,11 @@
 state 201 81 31744 47
 cloud 6 9500000
 operators [5000000, 1500000, 41500000] 7 true";
+/// The last line of `SETTINGS` when the operators set nothing.
 const DEFAULTS: &str = "operators [4000000, 2000000, 40000000] 3 false";
 
 #[test]
-fn settings_files() {
+fn settings_files_are_parsed() {
     assert_eq!(settings_text(PLATFORM, Some(OPERATORS)), SETTINGS);
     let operators = SETTINGS.lines().last().unwrap();
     assert_eq!(
@@ -837,7 +861,7 @@
         settings_text(PLATFORM, Some("")),
         SETTINGS.replace(operators, DEFAULTS)
     );
-    // Each of the operators' settings by itself.
+    // Each of the operators' settings alone; the others keep their defaults.
     for (line, ini) in [
         (
             "operators [6000000, 2000000, 40000000] 3 false",
@@ -869,7 +893,7 @@
             SETTINGS.replace(operators, line)
         );
     }
-    // The platform's next limits, each by itself.
+    // Each announced limit of the store alone.
     let state = "state 201 81 31744 47";
     for (next, line) in [
         ("rps = 101.0", "state 101 81 31744 47"),
@@ -888,9 +912,9 @@
     }
 }
 
-/// Each setting of the platform's that the program reads is missed when it is not there, and named.
+/// Every required setting of the platform is named in the error if it is missing.
 #[test]
-fn settings_that_are_missing_are_named() {
+fn errors_name_the_missing_setting() {
     let required =
         "member bind mesh_addr peer_addr cloud state name cpus cpus_max gpus gpus_max kind report_s lease_s \
                     gang_wait_s gang_peer_s cancel_s rps write_rps value_kb txn_ops list_lag_s fd_limit";
@@ -904,7 +928,7 @@
             .to_string();
         assert!(error.contains(&format!("`{field}`")), "{field}: {error}");
     }
-    // Lists may be missing.
+    // The lists of teams and objectives are optional.
     let at = PLATFORM.find("[[params.teams]]").unwrap();
     let end = PLATFORM.find("[params.workers]").unwrap();
     let toml = format!("{}{}", &PLATFORM[..at], &PLATFORM[end..]);
@@ -926,10 +950,10 @@
     }
 }
 
-/// One frame of data.
-struct Once(Option<Bytes>);
+/// A body with at most one data frame.
+struct SingleFrame(Option<Bytes>);
 
-impl Body for Once {
+impl Body for SingleFrame {
     type Data = Bytes;
     type Error = std::convert::Infallible;
 
@@ -941,7 +965,7 @@
     }
 }
 
-/// All data of a body, and the gRPC status that follows it.
+/// All data of a body, and the gRPC status in its trailers.
 async fn read_all(mut body: hyper::body::Incoming) -> (Vec<u8>, Option<String>) {
     let (mut data, mut status) = (Vec::new(), None);
     while let Some(Ok(frame)) = std::future::poll_fn(|cx| Pin::new(&mut body).poll_frame(cx)).await
@@ -959,8 +983,8 @@
     (data, status)
 }
 
-/// A gRPC message: not compressed, its length, its text.
-fn framed(text: &str) -> Vec<u8> {
+/// A gRPC message frame: the flag for "not compressed", the length and the text.
+fn grpc_frame(text: &str) -> Vec<u8> {
     [
         &[0],
         &(text.len() as u32).to_be_bytes()[..],
@@ -972,7 +996,7 @@
 const ENVELOPE: &str = r#"{"from":"alpha","message":{"Cancelled":{"job":"j-1","tasks":3}}}"#;
 
 #[test]
-fn a_message_as_it_is_sent_to_another_controller() {
+fn a_message_is_sent_to_another_controller() {
     let ex: &'static Executor = Box::leak(Box::default());
     async_io::block_on(ex.run(async {
         let listener = async_net::TcpListener::bind("127.0.0.1:0").await.unwrap();
@@ -994,7 +1018,7 @@
             .await
             .unwrap();
         let (stream, _) = listener.accept().await.unwrap();
-        let (sender, arrived) = async_channel::unbounded();
+        let (sender, received) = async_channel::unbounded();
         let handler =
             hyper::service::service_fn(move |request: http::Request<hyper::body::Incoming>| {
                 let sender = sender.clone();
@@ -1006,20 +1030,20 @@
                     let head = format!("{} {} {kind}", request.method(), request.uri().path());
                     let (data, _) = read_all(request.into_body()).await;
                     sender.send((head, data)).await.unwrap();
-                    Ok::<_, std::convert::Infallible>(http::Response::new(Once(None)))
+                    Ok::<_, std::convert::Infallible>(http::Response::new(SingleFrame(None)))
                 }
             });
         let io = smol_hyper::rt::FuturesIo::new(stream);
         ex.spawn(hyper::server::conn::http2::Builder::new(Spawn(ex)).serve_connection(io, handler))
             .detach();
-        let (head, data) = arrived.recv().await.unwrap();
+        let (head, data) = received.recv().await.unwrap();
         assert_eq!(head, "POST /seamfront.Mesh/Deliver application/grpc");
-        assert_eq!(data, framed(ENVELOPE));
+        assert_eq!(data, grpc_frame(ENVELOPE));
     }));
 }
 
 #[test]
-fn a_message_as_it_is_taken_from_another_controller() {
+fn messages_from_another_controller_are_received_or_rejected() {
     let ex: &'static Executor = Box::leak(Box::default());
     async_io::block_on(ex.run(async {
         let bind = seamfront_testing::controller_process::unused_address();
@@ -1043,14 +1067,14 @@
             .unwrap();
         ex.spawn(connection).detach();
         for (text, status, answer) in [
-            (ENVELOPE, "0", framed("{}")),
+            (ENVELOPE, "0", grpc_frame("{}")),
             (&ENVELOPE.replace("alpha", "nobody"), "7", vec![]),
             (r#"{"from":"alpha"}"#, "3", vec![]),
         ] {
             let request = http::Request::post(format!("http://{bind}/seamfront.Mesh/Deliver"))
                 .header("content-type", "application/grpc")
                 .header("te", "trailers")
-                .body(Once(Some(framed(text).into())))
+                .body(SingleFrame(Some(grpc_frame(text).into())))
                 .unwrap();
             let response = sender.send_request(request).await.unwrap();
             let in_head = response
@@ -1065,7 +1089,7 @@
             );
         }
         let Ok(Command::Peer { from, message }) = commands.try_recv() else {
-            panic!("no message")
+            panic!("the valid message was not received")
         };
         assert_eq!(
             (from, message),
@@ -1082,16 +1106,16 @@
 }
 
 #[test]
-fn envelopes() {
+fn envelopes_and_receipts_are_serialized() {
     let read: peer_transport::Envelope = serde_json::from_str(ENVELOPE).unwrap();
     assert_eq!(serde_json::to_string(&read).unwrap(), ENVELOPE);
     let receipt: peer_transport::Receipt = serde_json::from_str(r#"{"later":1}"#).unwrap();
     assert_eq!(serde_json::to_string(&receipt).unwrap(), "{}");
 }
 
-// ---- a controller's server -------------------------------------------------------------------
+// ---- the HTTP server of a controller ---------------------------------------------------------
 
-/// Status and body of an answer.
+/// Sends a request and returns the status and body of the reply.
 fn request(to: SocketAddr, method: &str, path: &str, body: &str) -> Option<String> {
     let mut stream = TcpStream::connect(to).ok()?;
     let head = format!(
@@ -1108,10 +1132,10 @@
 }
 
 #[test]
-fn a_controller_answers() {
+fn replies_of_a_running_controller() {
     let types =
         r#"{"modelos":[{"name":"g4","cores":48,"accelerators":4,"ram_gb":384,"pracas":["b"]}]}"#;
-    let (cloud, _requests) = server(200, types);
+    let (cloud, _requests) = start_server(200, types);
     let at = seamfront_testing::controller_process::unused_address();
     let dir = std::env::temp_dir().join(format!("seamfront-forms-{}", std::process::id()));
     std::fs::create_dir_all(&dir).unwrap();
@@ -1196,7 +1220,7 @@
             too_long.as_str(),
             r#"400 {"error":"body: too long"}"#,
         ),
-        ("POST", "/hello", REPORT, "421 {}"),
+        ("POST", "/hello", HEARTBEAT, "421 {}"),
         ("GET", "/hello", "", r#"405 {"error":"method not allowed"}"#),
         ("POST", "/up", "", r#"405 {"error":"method not allowed"}"#),
         (
@@ -1222,34 +1246,37 @@
     let _ = std::fs::remove_dir_all(&dir);
 }
 
-// ---- operators' commands on duties -----------------------------------------------------------
+// ---- operator commands on duties -------------------------------------------------------------
 
 #[test]
-fn commands_on_duties() {
-    let service = seamfront_testing::store_service::StoreService::new();
+fn operator_commands_on_duties_read_and_write_the_store() {
+    let store = seamfront_testing::store_service::StoreService::new();
     let put = |key: &str, value: &str| {
         let body = format!(r#"{{"when":[],"apply":[{{"write":"{key}","data":{value}}}]}}"#);
         assert_eq!(
-            service
+            store
                 .handle("POST", "/commit", &serde_json::from_str(&body).unwrap())
                 .0,
             200
         );
     };
-    let all = || -> Vec<String> {
-        let store = service.store.lock().unwrap();
-        store
+    let all_entries = || -> Vec<String> {
+        let entries = store.store.lock().unwrap();
+        entries
             .keys
             .iter()
             .map(|(key, entry)| format!("{key} {}", entry.0))
             .collect()
     };
-    let shared = service.clone();
-    let at = seamfront_testing::http::serve(move |method, path, body| {
+    let shared = store.clone();
+    let store_addr = seamfront_testing::http::serve(move |method, path, body| {
         shared.handle(method, path, &body)
     });
-    let settings =
-        settings::parse(&PLATFORM.replace("127.0.0.1:7006", &at.to_string()), None).unwrap();
+    let settings = settings::parse(
+        &PLATFORM.replace("127.0.0.1:7006", &store_addr.to_string()),
+        None,
+    )
+    .unwrap();
     assert_eq!(
         duty_admin::show(&settings).unwrap(),
         "no duty is held and no member is up\n"
@@ -1259,7 +1286,7 @@
     let request: duty_admin::MoveRequest = "moving=aaa".parse().unwrap();
     duty_admin::request_move(&settings, &request).unwrap();
     assert_eq!(
-        all(),
+        all_entries(),
         [
             r#"duty/move/cleaning {"format":1,"to":"gamma"}"#,
             r#"duty/move/moving {"format":1,"to":"aaa"}"#,
@@ -1310,14 +1337,14 @@
     ] {
         let body = format!(r#"{{"when":[],"apply":[{{"remove":"{key}"}}]}}"#);
         assert_eq!(
-            service
+            store
                 .handle("POST", "/commit", &serde_json::from_str(&body).unwrap())
                 .0,
             200
         );
     }
     duty_admin::end(&settings).unwrap();
-    let left: Vec<String> = all()
+    let remaining: Vec<String> = all_entries()
         .iter()
         .map(|line| line.split(' ').next().unwrap().to_owned())
         .collect();
@@ -1327,5 +1354,5 @@
         "duty/move/renting",
         "duty/move/returning",
     ];
-    assert_eq!(left, [&["duty-log/renting"], &moves[..]].concat());
+    assert_eq!(remaining, [&["duty-log/renting"], &moves[..]].concat());
 }
