--- a/crates/seamfront-core/src/engine/jobs.rs
+++ b/crates/seamfront-core/src/engine/jobs.rs
@@ -20,7 +20,7 @@
 struct KnownShards<'a> {
     shards: &'a [Option<Shard>],
     session: &'a StoreSession,
-    me: usize,
+    member_index: usize,
 }
 
 impl ShardDirectory for KnownShards<'_> {
@@ -38,7 +38,7 @@
 
     fn peer_holder(&self, shard: usize) -> Option<usize> {
         let claim = self.session.claim(ClaimId::Shard(shard))?;
-        Some(claim.member).filter(|member| *member != self.me)
+        Some(claim.member).filter(|member| *member != self.member_index)
     }
 }
 
@@ -48,7 +48,7 @@
         let shards = KnownShards {
             shards: &self.shards,
             session: &self.store,
-            me: self.settings.member_index,
+            member_index: self.settings.member_index,
         };
         let context = JobContext {
             settings: &self.settings,
@@ -72,7 +72,7 @@
         let shards = KnownShards {
             shards: &self.shards,
             session: &self.store,
-            me: self.settings.member_index,
+            member_index: self.settings.member_index,
         };
         let mut context = UserContext {
             job_context: JobContext {
@@ -99,7 +99,7 @@
         let now = self.now;
         for event in self.jobs.take_events() {
             match event {
-                JobEvent::Appeared {
+                JobEvent::Added {
                     shard,
                     spec,
                     version,
--- a/crates/seamfront-core/src/engine/messages.rs
+++ b/crates/seamfront-core/src/engine/messages.rs
@@ -132,15 +132,15 @@
         let Some(message) = self.shard_update(shard) else {
             return;
         };
-        let me = self.settings.member_index;
+        let member_index = self.settings.member_index;
         if self.leader.is_some() {
-            self.peer_message(me, message.clone());
+            self.peer_message(member_index, message.clone());
             if !self.duties.claims_active() {
                 return;
             }
         }
         for to in self.fleet_holders() {
-            if to != me || self.leader.is_none() {
+            if to != member_index || self.leader.is_none() {
                 self.effects.push(Effect::SendToPeer {
                     to,
                     message: message.clone(),
@@ -184,9 +184,9 @@
 
     /// Sends a message to the holder of a shard, or handles it here if that is this controller.
     pub(super) fn notify_holder(&mut self, shard: usize, message: PeerMessage) {
-        let me = self.settings.member_index;
+        let member_index = self.settings.member_index;
         if self.shards[shard].is_some() {
-            self.peer_message(me, message);
+            self.peer_message(member_index, message);
         } else if let Some(to) = self.other_holder(shard) {
             self.effects.push(Effect::SendToPeer { to, message });
         }
--- a/crates/seamfront-core/src/engine/mod.rs
+++ b/crates/seamfront-core/src/engine/mod.rs
@@ -126,7 +126,7 @@
             Command::Store { call, reply } => self.store_reply(call, reply),
             Command::Cloud { call, reply } => self.cloud_reply(call, reply),
             Command::Peer { from, message } => self.peer_message(from, message),
-            Command::Health { to } => {
+            Command::HealthCheck { to } => {
                 let ready = self.healthy();
                 self.effects.push(Effect::HealthReply { to, ready });
             }
--- a/crates/seamfront-core/src/engine/peers.rs
+++ b/crates/seamfront-core/src/engine/peers.rs
@@ -44,7 +44,7 @@
 /// All controllers, indexed by member; the entry of this controller is not used.
 #[derive(Debug)]
 pub(crate) struct Peers {
-    me: usize,
+    member_index: usize,
     peers: Vec<Peer>,
     /// Number of pending writes that this controller last announced.
     announced_writes: usize,
@@ -52,9 +52,9 @@
 
 impl Peers {
     /// Creates the initial state, in which no announcement has been received.
-    pub(super) fn new(me: usize, members: usize) -> Self {
+    pub(super) fn new(member_index: usize, members: usize) -> Self {
         Peers {
-            me,
+            member_index,
             peers: vec![Peer::default(); members],
             announced_writes: 0,
         }
@@ -62,8 +62,8 @@
 
     /// All members except this controller.
     pub(super) fn others(&self) -> impl Iterator<Item = usize> + 'static {
-        let me = self.me;
-        (0..self.peers.len()).filter(move |member| *member != me)
+        let member_index = self.member_index;
+        (0..self.peers.len()).filter(move |member| *member != member_index)
     }
 
     fn other_peers(&self) -> impl Iterator<Item = &Peer> {
--- a/crates/seamfront-core/src/jobs/mod.rs
+++ b/crates/seamfront-core/src/jobs/mod.rs
@@ -53,7 +53,7 @@
 /// A change to a job that its shard must be told of, if this controller holds the shard.
 pub(crate) enum JobEvent {
     /// The job has become live.
-    Appeared {
+    Added {
         shard: usize,
         spec: Rc<JobSpec>,
         version: u64,
@@ -157,7 +157,7 @@
         self.live
             .insert(id.clone(), LiveJob::new(spec.clone(), version, shard));
         let has_dependencies = self.register_dependencies(context, &id);
-        self.events.push(JobEvent::Appeared {
+        self.events.push(JobEvent::Added {
             shard,
             spec,
             version,
--- a/crates/seamfront-core/src/machine/mod.rs
+++ b/crates/seamfront-core/src/machine/mod.rs
@@ -163,9 +163,14 @@
 
     /// When its agent's lease has certainly expired, so that no task ordered before can still run. The lease is counted
     /// from this holder's last reply or from the first message of the incarnation, whichever is later. Until the agent
-    /// has shown our token, a former holder may have renewed the lease up to `lease_valid` after the takeover.
-    pub fn lease_expiry(&self, claim_version: u64, lease: Micros, lease_valid: Micros) -> Micros {
-        let former = self.lifecycle.owned_since + lease_valid.with_drift();
+    /// has shown our token, a former holder may have renewed the lease up to `verification_ttl` after the takeover.
+    pub fn lease_expiry(
+        &self,
+        claim_version: u64,
+        lease: Micros,
+        verification_ttl: Micros,
+    ) -> Micros {
+        let former = self.lifecycle.owned_since + verification_ttl.with_drift();
         let renewed = self.agent.last_reply.max(self.agent.incarnation_seen_at);
         let last = match renewed {
             // An agent that has shown our token ignores replies of former holders.
--- a/crates/seamfront-core/src/placement.rs
+++ b/crates/seamfront-core/src/placement.rs
@@ -57,7 +57,7 @@
     /// The usable machines, sorted by name.
     pub machines: Vec<MachineCapacity>,
     /// Cost of all searches so far, in machine lookups; `ENTRIES_PER_LOOKUP` list entries count as one lookup.
-    pub work_done: Cell<i64>,
+    pub search_cost: Cell<i64>,
 }
 
 /// Number of entries of [`FreeCapacity::machines`] that cost as much to examine as one lookup of a machine.
@@ -128,8 +128,9 @@
 
     /// Adds the cost of a search that examined this many entries and looked up this many machines.
     fn count_work(&self, entries: usize, machines: usize) {
-        self.work_done
-            .set(self.work_done.get() + 1 + entries as i64 / ENTRIES_PER_LOOKUP + machines as i64);
+        self.search_cost.set(
+            self.search_cost.get() + 1 + entries as i64 / ENTRIES_PER_LOOKUP + machines as i64,
+        );
     }
 }
 
@@ -150,7 +151,7 @@
     /// If set, tasks that need no accelerators may also use machines with accelerators, which
     /// [`JobSpec::accelerators_allowed`] rules out. The value is the idle time after which such a machine is terminated:
     /// one that may soon be terminated is not used, see [`Machine::accepts_cpu_only_work`].
-    pub accelerator_idle_keep: Option<Micros>,
+    pub accelerator_idle_timeout: Option<Micros>,
     /// Whether only machines that have the job's image cached may be used.
     pub require_cached_image: bool,
 }
@@ -196,7 +197,7 @@
             avoid: &job.avoided_machines,
             now,
             types,
-            accelerator_idle_keep: None,
+            accelerator_idle_timeout: None,
             require_cached_image: false,
         }
     }
@@ -207,7 +208,7 @@
         let suitability = |g: &MachineGroup| {
             let allowed = self.spec.allows(&g.machine_type, &g.zone, g.spot);
             let accelerators_allowed = self.spec.accelerators_allowed(g.size, self.types);
-            (allowed && (accelerators_allowed || self.accelerator_idle_keep.is_some()))
+            (allowed && (accelerators_allowed || self.accelerator_idle_timeout.is_some()))
                 .then_some(accelerators_allowed)
         };
         capacity.groups.iter().map(suitability).collect()
@@ -218,7 +219,7 @@
     fn allowed(&self, m: &Machine, accelerators_allowed: bool) -> bool {
         (accelerators_allowed
             || self
-                .accelerator_idle_keep
+                .accelerator_idle_timeout
                 .is_some_and(|keep| m.accepts_cpu_only_work(self.now, keep)))
             && (!self.require_cached_image || m.image_cache.has_image(&self.spec.image))
             && self.avoid.get(&m.id).is_none_or(|until| *until <= self.now)
--- a/crates/seamfront-core/src/port/mod.rs
+++ b/crates/seamfront-core/src/port/mod.rs
@@ -84,7 +84,7 @@
         message: PeerMessage,
     },
     /// The load balancer checks whether this controller can take requests.
-    Health {
+    HealthCheck {
         /// The request.
         to: ClientRequestId,
     },
--- a/crates/seamfront-core/src/scheduling/admission.rs
+++ b/crates/seamfront-core/src/scheduling/admission.rs
@@ -210,8 +210,8 @@
             passes.push(Some(idle_timeout));
         }
         let mut rest = missing;
-        for accelerator_idle_keep in passes {
-            placement.accelerator_idle_keep = accelerator_idle_keep;
+        for accelerator_idle_timeout in passes {
+            placement.accelerator_idle_timeout = accelerator_idle_timeout;
             rest -= cycle.assign(
                 &placement,
                 &self.machines,
--- a/crates/seamfront-core/src/scheduling/mod.rs
+++ b/crates/seamfront-core/src/scheduling/mod.rs
@@ -49,9 +49,9 @@
             self.place_job(context, &id, &guaranteed, &mut cycle);
         }
         self.mark_gang_reservations(cycle.gang_reservations);
-        self.last_cycle_cost = cycle.capacity.work_done.get();
+        self.last_cycle_cost = cycle.capacity.search_cost.get();
         self.count_work(
-            cycle.capacity.work_done.get() as usize + self.jobs.len() + self.machines.len(),
+            cycle.capacity.search_cost.get() as usize + self.jobs.len() + self.machines.len(),
         );
     }
 
--- a/crates/seamfront-core/src/shard/inspection.rs
+++ b/crates/seamfront-core/src/shard/inspection.rs
@@ -31,13 +31,13 @@
     /// Removes the tasks on machines whose agents' leases have expired.
     fn expire_leases(&mut self, context: &mut Context) {
         let lease = context.settings.lease;
-        let lease_valid = context.settings.verification_ttl();
+        let verification_ttl = context.settings.verification_ttl();
         let expired: Vec<MachineId> = self
             .machines
             .values()
             // A task may have been placed just before the lease expired: such a machine is checked again.
             .filter(|m| !m.agent.lease_expired || !m.tasks.is_empty())
-            .filter(|m| m.lease_expiry(self.version, lease, lease_valid) < context.now)
+            .filter(|m| m.lease_expiry(self.version, lease, verification_ttl) < context.now)
             .map(|m| m.id.clone())
             .collect();
         for id in expired {
--- a/crates/seamfront-core/src/store_session/claims.rs
+++ b/crates/seamfront-core/src/store_session/claims.rs
@@ -120,7 +120,7 @@
         claim: ClaimId,
         lease: u64,
     ) -> NextStep {
-        let me = context.settings.member_index;
+        let member_index = context.settings.member_index;
         let state = self.state_mut(claim);
         if state.request_in_flight || state.held.is_some() {
             return NextStep::Wait;
@@ -131,7 +131,7 @@
         }
         match &state.seen {
             Some(seen)
-                if seen.member == me
+                if seen.member == member_index
                     && seen.lease == lease
                     && seen.version > state.last_released_token =>
             {
@@ -143,7 +143,7 @@
             // without delay; or this process released it and failed to delete it. It is written anew, not reused:
             // delayed replies, heartbeats and machine requests from before would be attributed to the new claim if it
             // had the same version.
-            Some(seen) if seen.member == me => NextStep::Acquire {
+            Some(seen) if seen.member == member_index => NextStep::Acquire {
                 expected_version: seen.version,
             },
             Some(_) => {
--- a/crates/seamfront-core/src/write_pacing.rs
+++ b/crates/seamfront-core/src/write_pacing.rs
@@ -18,7 +18,7 @@
     /// Available budget in milliwrites; negative after a large write.
     budget: i64,
     refilled_at: Micros,
-    paused_until: Micros,
+    backoff_until: Micros,
     next_flush: Micros,
     /// Number of flushes so far; a controller that holds several shards starts each flush with a different one.
     flushes: usize,
@@ -35,7 +35,7 @@
 
     /// Starts a flush if one is due and schedules the next one after `interval`. Returns the number of the flush.
     pub(crate) fn start_flush(&mut self, now: Micros, interval: Micros) -> Option<usize> {
-        if now < self.paused_until.max(self.next_flush) {
+        if now < self.backoff_until.max(self.next_flush) {
             return None;
         }
         self.next_flush = now + interval;
@@ -60,6 +60,6 @@
 
     /// Pauses flushes because the store has refused writes.
     pub(crate) fn store_refused(&mut self, now: Micros) {
-        self.paused_until = now + REFUSED_PAUSE;
+        self.backoff_until = now + REFUSED_PAUSE;
     }
 }
--- a/crates/seamfront-core/tests/machines.rs
+++ b/crates/seamfront-core/tests/machines.rs
@@ -37,13 +37,13 @@
 /// Until the agent has shown the current fencing token, a former holder may still have renewed its lease.
 #[test]
 fn lease_expires_only_when_no_former_holder_can_have_renewed_it() {
-    let (lease, lease_valid) = (Micros::from_secs(10), Micros::from_secs(20));
+    let (lease, verification_ttl) = (Micros::from_secs(10), Micros::from_secs(20));
     let mut m = machine();
     m.lifecycle.owned_since = Micros::from_secs(100);
-    assert!(m.lease_expiry(9, lease, lease_valid) >= Micros::from_secs(130));
+    assert!(m.lease_expiry(9, lease, verification_ttl) >= Micros::from_secs(130));
     m.agent.last_reply = Some(Micros::from_secs(101));
-    assert!(m.lease_expiry(9, lease, lease_valid) >= Micros::from_secs(130));
+    assert!(m.lease_expiry(9, lease, verification_ttl) >= Micros::from_secs(130));
     m.fencing.highest_seen_token = 9;
-    let expiry = m.lease_expiry(9, lease, lease_valid);
+    let expiry = m.lease_expiry(9, lease, verification_ttl);
     assert!(expiry >= Micros::from_secs(111) && expiry < Micros::from_secs(112));
 }
--- a/crates/seamfront-core/tests/placement.rs
+++ b/crates/seamfront-core/tests/placement.rs
@@ -67,7 +67,7 @@
             avoid: &avoid,
             now: Micros::ZERO,
             types: &[],
-            accelerator_idle_keep: None,
+            accelerator_idle_timeout: None,
             require_cached_image: false,
         };
         let partial = rng.random_range(0..2) == 0;
--- a/crates/seamfront-testing/src/simulation/mod.rs
+++ b/crates/seamfront-testing/src/simulation/mod.rs
@@ -315,7 +315,7 @@
     duties: false,
 };
 
-fn settings(scale: Scale, me: usize) -> Settings {
+fn settings(scale: Scale, member_index: usize) -> Settings {
     let team = |name: &str, limit: i64| Team {
         name: name.into(),
         guarantee: Resources::rounded_down(8.0, 0.0, 0.0),
@@ -323,7 +323,7 @@
     };
     Settings {
         members: (0..scale.controllers).map(|k| format!("n{k}")).collect(),
-        member_index: me,
+        member_index,
         teams: ["a", "b", "c", "d", "e", "f", "g", "h", "i", "j"]
             .into_iter()
             .zip(scale.limits)
--- a/crates/seamfront/src/router.rs
+++ b/crates/seamfront/src/router.rs
@@ -64,7 +64,7 @@
         let post = request.method == Method::Post;
         let get = request.method == Method::Get;
         match path.as_slice() {
-            ["up"] if get => self.call_engine(|to| Command::Health { to }).await,
+            ["up"] if get => self.call_engine(|to| Command::HealthCheck { to }).await,
             ["hello"] if post => self.heartbeat(request.body).await,
             ["submissions"] if post => self.submit(request.body).await,
             ["submissions", id] if get => self.poll(id).await,
