--- a/crates/seamfront-core/src/boot_times.rs
+++ b/crates/seamfront-core/src/boot_times.rs
@@ -78,7 +78,7 @@
     /// and a half times the usual boot time, since a period of fast boots may end at any time.
     pub fn late_after(&self, kind: &str, usual: Micros) -> Micros {
         match self.slow_boot_time(kind) {
-            Some(slow) => slow.max(usual).times(3).over(2) + BOOT_TIME_MARGIN,
+            Some(slow) => slow.max(usual).times(3).divided_by(2) + BOOT_TIME_MARGIN,
             None => usual.times(2) + BOOT_TIME_MARGIN.times(2),
         }
     }
--- a/crates/seamfront-core/src/capacity/planner.rs
+++ b/crates/seamfront-core/src/capacity/planner.rs
@@ -365,7 +365,7 @@
 /// boot. Other work preempts only if it has waited for some time and nothing can be provisioned for it.
 fn may_preempt(request: &ResourceRequest, nothing_to_provision: bool) -> bool {
     let delay = if request.guaranteed {
-        PREEMPTION_DELAY.over(4)
+        PREEMPTION_DELAY.divided_by(4)
     } else {
         PREEMPTION_DELAY
     };
--- a/crates/seamfront-core/src/capacity/provisioning.rs
+++ b/crates/seamfront-core/src/capacity/provisioning.rs
@@ -223,7 +223,7 @@
             .map(|t| t.price)
             .min();
         if lowest_price.is_some_and(|price| is_cheap(types, price)) {
-            return time.over(2);
+            return time.divided_by(2);
         }
         time
     }
--- a/crates/seamfront-core/src/engine/writes.rs
+++ b/crates/seamfront-core/src/engine/writes.rs
@@ -53,7 +53,7 @@
     /// Sends the due writes of all shards held here, as far as the write budget allows.
     pub(super) fn flush_writes(&mut self) {
         // Writes that become due within this interval are batched.
-        let interval = self.settings.min_request_interval().over(2);
+        let interval = self.settings.min_request_interval().divided_by(2);
         let Some(flush) = self.write_pacer.start_flush(self.now, interval) else {
             return;
         };
--- a/crates/seamfront-core/src/job.rs
+++ b/crates/seamfront-core/src/job.rs
@@ -96,7 +96,7 @@
 
     /// The mean run time; there must be at least one run.
     pub fn mean(&self) -> Micros {
-        self.total.over(self.count)
+        self.total.divided_by(self.count)
     }
 }
 
@@ -272,9 +272,9 @@
     /// [`queue_rank`]. Half of the last third is meant for fetching the image. A job with a longer fetch counts as
     /// starving earlier by the difference, but at most by another third.
     pub fn starving(&self, wall_time: Micros, types: &[MachineType]) -> bool {
-        let last_third = START_DEADLINE.over(3);
-        let extra_fetch =
-            (self.spec.min_fetch_time(types) - last_third.over(2)).clamp(Micros::ZERO, last_third);
+        let last_third = START_DEADLINE.divided_by(3);
+        let extra_fetch = (self.spec.min_fetch_time(types) - last_third.divided_by(2))
+            .clamp(Micros::ZERO, last_third);
         let waited = wall_time - self.spec.submitted;
         self.tasks.is_empty()
             && self.done.count() == 0
--- a/crates/seamfront-core/src/leader/listing.rs
+++ b/crates/seamfront-core/src/leader/listing.rs
@@ -110,7 +110,11 @@
         };
         self.listing.machines.extend(machines);
         if !more {
-            let interval = context.settings.list_lag.over(3).max(MIN_LIST_INTERVAL);
+            let interval = context
+                .settings
+                .list_lag
+                .divided_by(3)
+                .max(MIN_LIST_INTERVAL);
             self.listing.next_list_at = context.now + interval;
             let listed = std::mem::take(&mut self.listing.machines);
             self.machines_listed(context, outbox, &listed);
--- a/crates/seamfront-core/src/machine/mod.rs
+++ b/crates/seamfront-core/src/machine/mod.rs
@@ -189,6 +189,6 @@
             || self
                 .usage
                 .accelerators_unused_since
-                .is_none_or(|t| now - t < keep.over(2))
+                .is_none_or(|t| now - t < keep.divided_by(2))
     }
 }
--- a/crates/seamfront-core/src/scheduling/admission.rs
+++ b/crates/seamfront-core/src/scheduling/admission.rs
@@ -248,7 +248,7 @@
             return 0;
         };
         let preemption_time =
-            context.settings.heartbeat_interval.times(5).over(4) + PREEMPTION_MARGIN;
+            context.settings.heartbeat_interval.times(5).divided_by(4) + PREEMPTION_MARGIN;
         if !is_live_service(&job.spec) || job.spec.min_fetch_time(context.types) <= preemption_time
         {
             return 0;
--- a/crates/seamfront-core/src/scheduling/assignment.rs
+++ b/crates/seamfront-core/src/scheduling/assignment.rs
@@ -80,6 +80,6 @@
 /// Start delay of a gang's member. Without it, a member whose image is cached would wait for the members that still
 /// fetch theirs, and time out.
 fn member_delay(context: &Context, slowest_ms: i64, fetch_ms: i64) -> Micros {
-    let tolerated_wait_ms = context.settings.gang_wait.over(3).0 / 1_000;
+    let tolerated_wait_ms = context.settings.gang_wait.divided_by(3).0 / 1_000;
     Micros::from_millis((slowest_ms - fetch_ms - tolerated_wait_ms).max(0))
 }
--- a/crates/seamfront-core/src/scheduling/reservation.rs
+++ b/crates/seamfront-core/src/scheduling/reservation.rs
@@ -177,7 +177,7 @@
             && largest.accelerators_allowed(t.size, context.types)
     };
     let boot_time = context.types.iter().filter(fits).map(|t| t.boot).min();
-    let lead_time = boot_time.unwrap_or(Micros::ZERO).times(3).over(2);
+    let lead_time = boot_time.unwrap_or(Micros::ZERO).times(3).divided_by(2);
     let recent: i64 = services
         .iter()
         .filter(|job| context.wall_time - job.spec.submitted < ARRIVAL_WINDOW)
--- a/crates/seamfront-core/src/shard/drain.rs
+++ b/crates/seamfront-core/src/shard/drain.rs
@@ -63,7 +63,8 @@
         let silent = |p: &Placement| {
             let m = self.machines.get(&p.machine);
             m.is_none_or(|m| {
-                m.silent_for(context.now) > context.settings.heartbeat_interval.times(3).over(2)
+                m.silent_for(context.now)
+                    > context.settings.heartbeat_interval.times(3).divided_by(2)
             })
         };
         job.tasks.iter().find(|(_, p)| silent(p)).map(|(i, _)| *i)
@@ -101,7 +102,7 @@
     /// Grace period in which a task may save before it is stopped; zero if its job has no checkpoints.
     pub(super) fn grace(spec: &JobSpec) -> Micros {
         if spec.supports_checkpoints() {
-            spec.checkpoint_time + spec.checkpoint_time.over(5) + SAVE_MARGIN
+            spec.checkpoint_time + spec.checkpoint_time.divided_by(5) + SAVE_MARGIN
         } else {
             Micros::ZERO
         }
--- a/crates/seamfront-core/src/shard/failure_detection.rs
+++ b/crates/seamfront-core/src/shard/failure_detection.rs
@@ -31,7 +31,7 @@
     fn new(context: &Context) -> Self {
         let heartbeat_interval = context.settings.heartbeat_interval;
         let on_demand = heartbeat_interval.times(4) + SILENCE_MARGIN;
-        let spot = heartbeat_interval.times(3).over(2) + SPOT_SILENCE_MARGIN;
+        let spot = heartbeat_interval.times(3).divided_by(2) + SPOT_SILENCE_MARGIN;
         SilenceLimits {
             on_demand,
             spot: on_demand.min(spot),
@@ -153,7 +153,7 @@
     let unacknowledged = m.agent.unacknowledged_for(context.now);
     (silent > limit && !mass.silent)
         || (unacknowledged > limit && !mass.unacknowledging)
-        || silent > limits.former_holder_ttl + context.settings.lease.times(3).over(2)
+        || silent > limits.former_holder_ttl + context.settings.lease.times(3).divided_by(2)
 }
 
 /// Whether a task that may be on the machine was cancelled so long ago that half of the time allowed for a cancellation
@@ -164,7 +164,7 @@
         .filter_map(|task| jobs.get(&task.job)?.tasks.get(&task.index)?.stop)
         .any(|stop| {
             stop.cause == StopReason::Cancelled
-                && context.now - stop.since > context.settings.cancellation_time.over(2)
+                && context.now - stop.since > context.settings.cancellation_time.divided_by(2)
         })
 }
 
--- a/crates/seamfront-core/src/store_session/lease.rs
+++ b/crates/seamfront-core/src/store_session/lease.rs
@@ -36,7 +36,11 @@
 
     pub(super) fn lease_reply(&mut self, context: &mut SessionContext, reply: StoreReply) {
         self.lease.request_in_flight = false;
-        let renewal_interval = context.settings.tuning.claim_ttl.over(RENEWALS_PER_TTL);
+        let renewal_interval = context
+            .settings
+            .tuning
+            .claim_ttl
+            .divided_by(RENEWALS_PER_TTL);
         self.lease.next_request = context.now + renewal_interval;
         match reply {
             StoreReply::Lease { id } => {
--- a/crates/seamfront-core/src/store_session/watches.rs
+++ b/crates/seamfront-core/src/store_session/watches.rs
@@ -119,7 +119,7 @@
         watch.retry_at = match &update {
             ViewUpdate::Failed => now + RETRY_INTERVAL,
             // The next watch starts after a pause: otherwise every single change would cost each controller a request.
-            ViewUpdate::Changed { .. } | ViewUpdate::TooOld => now + pause,
+            ViewUpdate::Changed { .. } | ViewUpdate::Compacted => now + pause,
             ViewUpdate::Partial | ViewUpdate::Read { .. } => now,
         };
         self.view_updated(context, view_id, update);
@@ -133,7 +133,7 @@
         reply: StoreReply,
     ) -> bool {
         let update = self.watch_mut(view_id).view.handle_reply(reply);
-        let usable = matches!(update, ViewUpdate::Changed { .. } | ViewUpdate::TooOld);
+        let usable = matches!(update, ViewUpdate::Changed { .. } | ViewUpdate::Compacted);
         self.view_updated(context, view_id, update);
         usable
     }
@@ -152,7 +152,7 @@
                     self.entry_changed(context, view_id, entry);
                 }
             }
-            ViewUpdate::TooOld => warn!(
+            ViewUpdate::Compacted => warn!(
                 prefix = view_id.prefix(),
                 "revision compacted; reading the view anew"
             ),
--- a/crates/seamfront-lease/src/log/batch.rs
+++ b/crates/seamfront-lease/src/log/batch.rs
@@ -95,7 +95,7 @@
             changes.began.insert(operation.name);
             open.push(operation);
         }
-        Some(record::write(&self.record(changes, &open)))
+        Some(record::encode(&self.record(changes, &open)))
     }
 
     /// The current value of the log, with the next sequence number. None if it is too large because the limits have
@@ -116,7 +116,7 @@
         let skip = changes.recent.len().saturating_sub(RECENT_MAX);
         changes.recent.drain(..skip);
         loop {
-            let value = record::write(&self.record(changes, open));
+            let value = record::encode(&self.record(changes, open));
             if changes.recent.is_empty() || value.to_string().len() <= max_bytes {
                 return value;
             }
@@ -141,7 +141,7 @@
 }
 
 fn encoded_bytes(operation: &Operation) -> usize {
-    record::write(operation).to_string().len()
+    record::encode(operation).to_string().len()
 }
 
 fn write_bytes(write: &Write) -> usize {
--- a/crates/seamfront-lease/src/manager/claims.rs
+++ b/crates/seamfront-lease/src/manager/claims.rs
@@ -201,7 +201,7 @@
         };
         self.duties[index].claim_in_flight = true;
         let key = self.claim_key(index);
-        let value = record::write(&ClaimRecord {
+        let value = record::encode(&ClaimRecord {
             format: FORMAT,
             member: self.settings.member.clone(),
             lease,
--- a/crates/seamfront-lease/src/manager/membership.rs
+++ b/crates/seamfront-lease/src/manager/membership.rs
@@ -151,7 +151,7 @@
             .or(stored.map(|seen| seen.version))
             .unwrap_or(0);
         self.membership.register_in_flight = true;
-        let value = record::write(&record);
+        let value = record::encode(&record);
         let writes = vec![Write::Put {
             key: key.clone(),
             value,
@@ -273,7 +273,7 @@
         }
         self.membership.version_in_flight = true;
         let key = keys::version(&self.settings.member);
-        let value = record::write(&VersionRecord { format: FORMAT });
+        let value = record::encode(&VersionRecord { format: FORMAT });
         let writes = vec![Write::Put {
             key: key.clone(),
             value,
--- a/crates/seamfront-lease/src/manager/mod.rs
+++ b/crates/seamfront-lease/src/manager/mod.rs
@@ -155,7 +155,7 @@
         let Some(index) = self.duty_index(duty) else {
             return;
         };
-        let half = self.settings.verification_ttl().over(2);
+        let half = self.settings.verification_ttl().divided_by(2);
         let fresh = self
             .current_permit(index)
             .is_some_and(|permit| permit.until + self.clock_offset > self.now + half);
--- a/crates/seamfront-lease/src/manager/operations.rs
+++ b/crates/seamfront-lease/src/manager/operations.rs
@@ -77,7 +77,7 @@
         let key = keys::log(&self.duties[index].name);
         let stored = match reply {
             StoreReply::Entry(entry) => {
-                record::read::<LogRecord>(&key, &entry.value).map(|r| (entry.version, Some(r)))
+                record::decode::<LogRecord>(&key, &entry.value).map(|r| (entry.version, Some(r)))
             }
             StoreReply::Missing => Ok((0, None)),
             _ => {
--- a/crates/seamfront-lease/src/manager/switch.rs
+++ b/crates/seamfront-lease/src/manager/switch.rs
@@ -39,7 +39,7 @@
         self.switch_in_flight = true;
         let mut conditions = vec![(key.clone(), version), (keys::SWITCH.to_owned(), 0)];
         conditions.extend(versions);
-        let placeholder = record::write(&FormerClaimRecord {
+        let placeholder = record::encode(&FormerClaimRecord {
             member: String::new(),
             lease: 0,
         });
@@ -56,7 +56,7 @@
             },
             Write::Put {
                 key: keys::SWITCH.to_owned(),
-                value: record::write(&switch),
+                value: record::encode(&switch),
                 lease: None,
             },
         ];
--- a/crates/seamfront-lease/src/manager/transfer.rs
+++ b/crates/seamfront-lease/src/manager/transfer.rs
@@ -169,7 +169,7 @@
         let fencing_token = holding.fencing_token;
         let key = self.claim_key(index);
         let lease = target.record.lease;
-        let value = record::write(&ClaimRecord {
+        let value = record::encode(&ClaimRecord {
             format: FORMAT,
             member: to.to_owned(),
             lease,
--- a/crates/seamfront-lease/src/manager/views.rs
+++ b/crates/seamfront-lease/src/manager/views.rs
@@ -31,7 +31,7 @@
         self.view_request_at = self.now + WATCH_INTERVAL;
         match self.view.handle_reply(reply) {
             ViewUpdate::Failed => self.view_request_at = self.now + RETRY_DELAY,
-            ViewUpdate::Partial | ViewUpdate::TooOld => self.view_request_at = self.now,
+            ViewUpdate::Partial | ViewUpdate::Compacted => self.view_request_at = self.now,
             ViewUpdate::Changed { changes, revision } => {
                 for change in changes {
                     self.apply_change(change);
@@ -88,7 +88,7 @@
 
     /// Decodes a changed value. None if it was deleted or is unreadable.
     fn parse<T: DeserializeOwned>(&mut self, change: &Change) -> Option<T> {
-        match record::read(&change.key, change.value.as_ref()?) {
+        match record::decode(&change.key, change.value.as_ref()?) {
             Ok(value) => Some(value),
             Err(error) => {
                 self.warn_unreadable(&error);
--- a/crates/seamfront-lease/src/record.rs
+++ b/crates/seamfront-lease/src/record.rs
@@ -32,7 +32,7 @@
 }
 
 /// Decodes the value stored under a key.
-pub fn read<T: DeserializeOwned>(key: &str, value: &Value) -> Result<T, RecordError> {
+pub fn decode<T: DeserializeOwned>(key: &str, value: &Value) -> Result<T, RecordError> {
     match value.get("format").and_then(Value::as_u64) {
         Some(format) if format > u64::from(FORMAT) => Err(RecordError::Newer {
             key: key.to_owned(),
@@ -46,7 +46,7 @@
 }
 
 /// Encodes a value for the store.
-pub fn write<T: Serialize>(record: &T) -> Value {
+pub fn encode<T: Serialize>(record: &T) -> Value {
     serde_json::to_value(record).unwrap_or_default()
 }
 
--- a/crates/seamfront-lease/src/settings.rs
+++ b/crates/seamfront-lease/src/settings.rs
@@ -89,17 +89,17 @@
     /// the safety margin.
     pub fn acting_time(&self) -> Micros {
         let drift = self.lease.with_drift() - self.lease;
-        self.lease - drift - self.lease.over(SAFETY_MARGIN_DIVISOR)
+        self.lease - drift - self.lease.divided_by(SAFETY_MARGIN_DIVISOR)
     }
 
     /// Maximum age of a claim's verification when an effect begins.
     pub fn verification_ttl(&self) -> Micros {
-        self.acting_time().over(2)
+        self.acting_time().divided_by(2)
     }
 
     /// Interval between renewals.
     pub fn renew_every(&self) -> Micros {
-        self.lease.over(RENEWALS_PER_LEASE)
+        self.lease.divided_by(RENEWALS_PER_LEASE)
     }
 
     /// The settings that must be the same at all members.
--- a/crates/seamfront-lease/src/store.rs
+++ b/crates/seamfront-lease/src/store.rs
@@ -117,7 +117,7 @@
         events: Vec<(String, Option<Value>, u64)>,
     },
     /// The requested changes are no longer kept.
-    TooOld,
+    Compacted,
     /// The lease has expired.
     NoSuchLease,
     /// HTTP status 429 or 503, or no connection could be made: the request was certainly not executed.
--- a/crates/seamfront-lease/src/time.rs
+++ b/crates/seamfront-lease/src/time.rs
@@ -41,7 +41,7 @@
     }
 
     /// Divides by `n`.
-    pub fn over(self, n: i64) -> Micros {
+    pub fn divided_by(self, n: i64) -> Micros {
         Micros(self.0 / n)
     }
 
--- a/crates/seamfront-lease/src/view.rs
+++ b/crates/seamfront-lease/src/view.rs
@@ -38,7 +38,7 @@
         revision: u64,
     },
     /// The requested changes are no longer kept. All keys are listed again.
-    TooOld,
+    Compacted,
 }
 
 /// The progress of a view. Its owner keeps the contents.
@@ -110,9 +110,9 @@
                     .collect();
                 ViewUpdate::Changed { changes, revision }
             }
-            StoreReply::TooOld => {
+            StoreReply::Compacted => {
                 self.loaded = false;
-                ViewUpdate::TooOld
+                ViewUpdate::Compacted
             }
             _ => ViewUpdate::Failed,
         }
--- a/crates/seamfront-lease/tests/forms.rs
+++ b/crates/seamfront-lease/tests/forms.rs
@@ -17,8 +17,8 @@
 /// fields.
 fn assert_round_trip<T: Serialize + DeserializeOwned>(text: &str, required: &[&str]) {
     let value: Value = serde_json::from_str(text).unwrap();
-    let record: T = read("some/key", &value).unwrap_or_else(|e| panic!("{text}: {e}"));
-    assert_eq!(write(&record).to_string(), text);
+    let record: T = decode("some/key", &value).unwrap_or_else(|e| panic!("{text}: {e}"));
+    assert_eq!(encode(&record).to_string(), text);
     for field in required {
         let mut incomplete = value.clone();
         assert!(
@@ -26,7 +26,7 @@
             "{field} is not in {text}"
         );
         assert!(
-            read::<T>("some/key", &incomplete).is_err(),
+            decode::<T>("some/key", &incomplete).is_err(),
             "{text} is accepted without {field}"
         );
     }
@@ -35,7 +35,7 @@
     if let Some(fields) = later.as_object_mut() {
         fields.insert("later".to_owned(), json!([1]));
         assert_eq!(
-            write(&read::<T>("some/key", &later).unwrap()).to_string(),
+            encode(&decode::<T>("some/key", &later).unwrap()).to_string(),
             text
         );
     }
@@ -135,7 +135,7 @@
 
 #[test]
 fn a_record_of_a_newer_format_is_refused() {
-    let refused = read::<VersionRecord>("duty/version/n0", &json!({"format": 2})).unwrap_err();
+    let refused = decode::<VersionRecord>("duty/version/n0", &json!({"format": 2})).unwrap_err();
     assert_eq!(
         refused.to_string(),
         "duty/version/n0: format 2 is newer than 1"
--- a/crates/seamfront-lease/tests/hard_cases.rs
+++ b/crates/seamfront-lease/tests/hard_cases.rs
@@ -178,7 +178,7 @@
             leaving: false,
             settings: settings.shared(),
         };
-        self.put(&keys::member("n1"), record::write(&record), Some(id));
+        self.put(&keys::member("n1"), record::encode(&record), Some(id));
         id
     }
 
@@ -643,7 +643,7 @@
         leaving: false,
         settings,
     };
-    harness.put(&keys::member("n0"), record::write(&record), Some(id));
+    harness.put(&keys::member("n0"), record::encode(&record), Some(id));
     harness.run(ms(1_000));
     assert_eq!(harness.loss_reasons(), [LossReason::Superseded]);
     harness.run(ms(10_000));
--- a/crates/seamfront-testing/src/simulation/cloud.rs
+++ b/crates/seamfront-testing/src/simulation/cloud.rs
@@ -166,7 +166,7 @@
             return Micros::MAX;
         }
         self.cover("a machine was rented that boots faster or slower");
-        usual.times(percent).over(100)
+        usual.times(percent).divided_by(100)
     }
 
     /// Machines that are still provisioned and will never boot.
--- a/crates/seamfront-testing/src/simulation/invariants.rs
+++ b/crates/seamfront-testing/src/simulation/invariants.rs
@@ -277,7 +277,7 @@
     /// as the job was cancelled is stopped by the answer to the next heartbeat, so no task starts later than that.
     pub(super) fn check_late_starts(&mut self) {
         let check_from = self.faults_end + ms(30_000);
-        let at_most = self.settings.heartbeat_interval.times(5).over(2) + ms(1_000);
+        let at_most = self.settings.heartbeat_interval.times(5).divided_by(2) + ms(1_000);
         for (task, confirmed) in std::mem::take(&mut self.ground_truth.started_after_cancellation) {
             self.cover("a task started after its cancellation was confirmed");
             if confirmed > check_from && self.now - confirmed > at_most {
--- a/crates/seamfront/examples/duty_holder/main.rs
+++ b/crates/seamfront/examples/duty_holder/main.rs
@@ -229,7 +229,7 @@
         .await
         {
             StoreReply::Entry(entry) => {
-                let log: LogRecord = record::read(&key, &entry.value).ok()?;
+                let log: LogRecord = record::decode(&key, &entry.value).ok()?;
                 Some(
                     log.open
                         .into_iter()
--- a/crates/seamfront/src/duty_admin.rs
+++ b/crates/seamfront/src/duty_admin.rs
@@ -105,7 +105,7 @@
     } else {
         vec![request.duty.clone()]
     };
-    let value = record::write(&MoveRecord {
+    let value = record::encode(&MoveRecord {
         format: FORMAT,
         to: request.to.clone(),
     });
@@ -266,11 +266,11 @@
 }
 
 fn describe_claim(duty: &str, entry: &Entry, log: Option<&Entry>) -> String {
-    let claim = match record::read::<ClaimRecord>(&entry.key, &entry.value) {
+    let claim = match record::decode::<ClaimRecord>(&entry.key, &entry.value) {
         Ok(claim) => claim,
         Err(error) => return format!("duty {duty}: {error}"),
     };
-    let log = log.map(|log| record::read::<LogRecord>(&log.key, &log.value));
+    let log = log.map(|log| record::decode::<LogRecord>(&log.key, &log.value));
     let operations = match log {
         None => "no operations yet".to_owned(),
         Some(Ok(log)) => format!("{} open, {} ended", log.open.len(), log.ended),
@@ -283,7 +283,7 @@
 }
 
 fn describe_member(member: &str, entry: &Entry) -> String {
-    match record::read::<MemberRecord>(&entry.key, &entry.value) {
+    match record::decode::<MemberRecord>(&entry.key, &entry.value) {
         Ok(record) if record.leaving => format!("member {member}: leaving"),
         Ok(record) => format!("member {member}: up, load {} percent", record.load),
         Err(error) => format!("member {member}: {error}"),
@@ -291,7 +291,7 @@
 }
 
 fn describe_move(duty: &str, entry: &Entry) -> String {
-    match record::read::<MoveRecord>(&entry.key, &entry.value) {
+    match record::decode::<MoveRecord>(&entry.key, &entry.value) {
         Ok(request) => format!("duty {duty}: to be moved to {}", request.to),
         Err(error) => format!("duty {duty}: {error}"),
     }
--- a/crates/seamfront/src/store_client.rs
+++ b/crates/seamfront/src/store_client.rs
@@ -284,7 +284,7 @@
         },
         (StoreRequest::RenewLease { .. }, 200) => StoreReply::Renewed,
         (StoreRequest::RenewLease { .. }, 404) => StoreReply::NoSuchLease,
-        (StoreRequest::Watch { .. }, 410) => StoreReply::TooOld,
+        (StoreRequest::Watch { .. }, 410) => StoreReply::Compacted,
         (StoreRequest::Watch { .. }, 200) => watch_reply(parse_json(body)?)?,
         _ => return None,
     })
--- a/crates/seamfront/tests/forms.rs
+++ b/crates/seamfront/tests/forms.rs
@@ -415,7 +415,7 @@
             let events: Vec<String> = events.into_iter().map(shown).collect();
             format!("changes {} to {revision}", events.join(", "))
         }
-        StoreReply::TooOld => "too old".to_owned(),
+        StoreReply::Compacted => "too old".to_owned(),
         StoreReply::NoSuchLease => "no such lease".to_owned(),
         StoreReply::Refused => "refused".to_owned(),
         StoreReply::Unknown => "unknown".to_owned(),
