--- a/crates/seamfront-core/tests/dependencies.rs
+++ b/crates/seamfront-core/tests/dependencies.rs
@@ -4,7 +4,7 @@
 use seamfront_core::types::*;
 use seamfront_testing::simulation::recording::scenario;
 use seamfront_testing::simulation::scenarios::{
-    count, fault_pairs, fault_pairs_of_all_kinds, simulate_seeds, Coverage,
+    coverage_count, fault_pairs, fault_pairs_of_all_kinds, simulate_seeds, Coverage,
 };
 use seamfront_testing::simulation::{ms, Fault, Scale, Simulation, SMALL};
 use std::ops::Range;
@@ -34,21 +34,30 @@
 fn dependencies_are_respected_without_faults() {
     scenario("chains.chains_on_quiet_days");
     let coverage = simulate_with_pipelines(2_000..2_006, |_, _| {});
-    assert!(count(&coverage, DEPENDENT_CANCELLED) > 3, "{coverage:?}");
+    assert!(
+        coverage_count(&coverage, DEPENDENT_CANCELLED) > 3,
+        "{coverage:?}"
+    );
 }
 
 #[test]
 fn dependencies_are_respected_under_pairs_of_faults() {
     scenario("chains.chains_under_troubles_in_pairs");
     let coverage = simulate_with_pipelines(2_100..2_130, fault_pairs);
-    assert!(count(&coverage, DEPENDENT_CANCELLED) > 20, "{coverage:?}");
+    assert!(
+        coverage_count(&coverage, DEPENDENT_CANCELLED) > 20,
+        "{coverage:?}"
+    );
 }
 
 #[test]
 fn dependencies_are_respected_under_pairs_of_faults_of_all_kinds() {
     scenario("chains.chains_under_all_kinds_of_troubles_in_pairs");
     let coverage = simulate_with_pipelines(2_700..2_730, fault_pairs_of_all_kinds);
-    assert!(count(&coverage, DEPENDENT_CANCELLED) > 20, "{coverage:?}");
+    assert!(
+        coverage_count(&coverage, DEPENDENT_CANCELLED) > 20,
+        "{coverage:?}"
+    );
 }
 
 /// The delay that the scheduler adds between two steps of a pipeline, across shards and with free capacity: from the
@@ -72,7 +81,11 @@
             simulation.pipeline(200 + 10 * k, 5_000 + 6_000 * i64::from(k));
         }
         simulation.run_until(ms(200_000));
-        assert_eq!(simulation.unfinished(), Vec::<String>::new(), "seed {seed}");
+        assert_eq!(
+            simulation.unfinished_jobs(),
+            Vec::<String>::new(),
+            "seed {seed}"
+        );
         waits.extend(simulation.dependency_waits());
     }
     waits.sort();
@@ -109,13 +122,16 @@
         simulation.fault(ms(1_000), Fault::DelayWrites { until: ms(40_000) });
     });
     assert!(
-        count(
+        coverage_count(
             &coverage,
             "a cancellation, a question and a submission met a job's end"
         ) > 50,
         "{coverage:?}"
     );
-    assert!(count(&coverage, DEPENDENT_CANCELLED) > 5, "{coverage:?}");
+    assert!(
+        coverage_count(&coverage, DEPENDENT_CANCELLED) > 5,
+        "{coverage:?}"
+    );
 }
 
 /// Twice, the store refuses one holder alone and a few seconds later everybody; jobs are cancelled in between.
@@ -134,7 +150,7 @@
             ms(at + 100),
             Fault::CancelRunning {
                 count: 9,
-                hang: Micros::ZERO,
+                hang_for: Micros::ZERO,
             },
         );
         simulation.fault(
@@ -144,12 +160,12 @@
             },
         );
         if simulation.draw(0..2) == 0 {
-            let back = ms(simulation.draw(50..3_000));
+            let restart_after = ms(simulation.draw(50..3_000));
             simulation.fault(
                 ms(at + outage_delay + 500),
                 Fault::CrashHolder {
                     claim: "share/2",
-                    back,
+                    restart_after,
                 },
             );
         }
@@ -165,7 +181,10 @@
     // In this run a submission was once reported as queued although it depended on a cancelled job, since the
     // controller's view was out of date (`orphaned`).
     simulate_with_pipelines(22_302..22_303, refused_holder_then_store_outage);
-    assert!(count(&coverage, DEPENDENT_CANCELLED) > 10, "{coverage:?}");
+    assert!(
+        coverage_count(&coverage, DEPENDENT_CANCELLED) > 10,
+        "{coverage:?}"
+    );
 }
 
 #[test]
@@ -173,12 +192,21 @@
     scenario("chains.holders_end_while_chains_go_on");
     let coverage = simulate_with_pipelines(2_400..2_412, |simulation, _| {
         for k in 0..8 {
-            let back = ms(simulation.draw(50..6_000));
+            let restart_after = ms(simulation.draw(50..6_000));
             let claim = ["share/0", "share/1", "share/2"][k as usize % 3];
-            simulation.fault(ms(6_000 + 9_000 * k), Fault::CrashHolder { claim, back });
+            simulation.fault(
+                ms(6_000 + 9_000 * k),
+                Fault::CrashHolder {
+                    claim,
+                    restart_after,
+                },
+            );
         }
     });
-    assert!(count(&coverage, DEPENDENT_CANCELLED) > 5, "{coverage:?}");
+    assert!(
+        coverage_count(&coverage, DEPENDENT_CANCELLED) > 5,
+        "{coverage:?}"
+    );
 }
 
 /// The store accepts only small values and transactions. Records, long dependency lists and the writes of many jobs at
@@ -189,7 +217,7 @@
     for seed in 2_500..2_504 {
         let scale = Scale {
             value_bytes: 2_048,
-            txn_ops: 16,
+            max_txn_changes: 16,
             machines: 10,
             max_machines: 30,
             ..SMALL
@@ -222,12 +250,16 @@
                 ms(20_000 + 20_000 * k),
                 Fault::CrashHolder {
                     claim: "share/0",
-                    back: ms(4_500),
+                    restart_after: ms(4_500),
                 },
             );
             simulation.fault(ms(24_000 + 20_000 * k), Fault::KillMachines { count: 1 });
         }
         simulation.run_until(ms(420_000));
-        assert_eq!(simulation.unfinished(), Vec::<String>::new(), "seed {seed}");
+        assert_eq!(
+            simulation.unfinished_jobs(),
+            Vec::<String>::new(),
+            "seed {seed}"
+        );
     }
 }
--- a/crates/seamfront-core/tests/duties.rs
+++ b/crates/seamfront-core/tests/duties.rs
@@ -5,7 +5,7 @@
 use seamfront_core::types::*;
 use seamfront_testing::simulation::recording::scenario;
 use seamfront_testing::simulation::scenarios::{
-    add_coverage, count, fault_pairs_of_all_kinds, simulate_at_scale, Coverage,
+    add_coverage, coverage_count, fault_pairs_of_all_kinds, simulate_at_scale, Coverage,
 };
 use seamfront_testing::simulation::{ms, Fault, Scale, Simulation, CONTROLLERS, SMALL};
 
@@ -28,9 +28,12 @@
         let at = 6_000 + 10_000 * k + simulation.draw(0..6_000);
         let claim = FLEET_DUTY_CLAIMS[simulation.draw(0..3) as usize];
         let until = ms(at + simulation.draw(500..15_000));
-        let back = ms(simulation.draw(100..6_000));
+        let restart_after = ms(simulation.draw(100..6_000));
         let fault = match simulation.draw(0..4) {
-            0 => Fault::CrashHolder { claim, back },
+            0 => Fault::CrashHolder {
+                claim,
+                restart_after,
+            },
             1 => Fault::RefuseHolder { claim, until },
             2 => Fault::IsolateHolder { claim, until },
             _ => Fault::PauseController {
@@ -61,7 +64,10 @@
         );
         add_coverage(&mut coverage, simulation.coverage);
     }
-    assert!(count(&coverage, DUTY_CALLED_CLOUD) > 1_000, "{coverage:?}");
+    assert!(
+        coverage_count(&coverage, DUTY_CALLED_CLOUD) > 1_000,
+        "{coverage:?}"
+    );
 }
 
 #[test]
@@ -128,11 +134,17 @@
                 ms(at - 9_000),
                 Fault::Crash {
                     controllers: vec![controller],
-                    back: ms(1_000),
+                    restart_after: ms(1_000),
+                },
+            );
+            let restart_after = ms(simulation.draw(300..5_000));
+            simulation.fault(
+                ms(at),
+                Fault::Upgrade {
+                    controller,
+                    restart_after,
                 },
             );
-            let back = ms(simulation.draw(300..5_000));
-            simulation.fault(ms(at), Fault::Upgrade { controller, back });
         }
         simulation.run_until(ms(60_000));
         assert_eq!(
@@ -141,9 +153,16 @@
             "seed {seed}: duties were claimed beside a controller of the old version"
         );
         simulation.run_until(ms(480_000));
-        assert_eq!(simulation.unfinished(), Vec::<String>::new(), "seed {seed}");
+        assert_eq!(
+            simulation.unfinished_jobs(),
+            Vec::<String>::new(),
+            "seed {seed}"
+        );
         assert_eq!(simulation.count_keys("duty/claim/"), 4, "seed {seed}");
         add_coverage(&mut coverage, simulation.coverage);
     }
-    assert!(count(&coverage, DUTY_CALLED_CLOUD) > 200, "{coverage:?}");
+    assert!(
+        coverage_count(&coverage, DUTY_CALLED_CLOUD) > 200,
+        "{coverage:?}"
+    );
 }
--- a/crates/seamfront-core/tests/failing_jobs.rs
+++ b/crates/seamfront-core/tests/failing_jobs.rs
@@ -4,7 +4,7 @@
 use seamfront_core::job::{Job, Phase};
 use seamfront_core::port::*;
 use seamfront_core::types::*;
-use seamfront_testing::shard_harness::{job, s, ShardHarness, CLAIM};
+use seamfront_testing::shard_harness::{job, s, ShardHarness, CLAIM_TOKEN};
 use std::collections::BTreeMap;
 use std::rc::Rc;
 
@@ -58,7 +58,7 @@
                     &format!("i-{m}"),
                     1,
                     self.sequence,
-                    CLAIM,
+                    CLAIM_TOKEN,
                     &[],
                 )
             };
--- a/crates/seamfront-core/tests/fault_combinations.rs
+++ b/crates/seamfront-core/tests/fault_combinations.rs
@@ -5,7 +5,7 @@
 use seamfront_core::types::*;
 use seamfront_testing::simulation::recording::scenario;
 use seamfront_testing::simulation::scenarios::{
-    add_coverage, any_controller, count, simulate_seeds, stream_of_small_jobs,
+    add_coverage, any_controller, coverage_count, simulate_seeds, stream_of_small_jobs,
     teams_at_their_limits, Coverage, SHARD_CLAIMS,
 };
 use seamfront_testing::simulation::{ms, Fault, Simulation, CONTROLLERS};
@@ -38,9 +38,12 @@
                     until: ms(at + 14_000),
                 },
             );
-            let hang = ms(simulation.draw(0..14_000));
+            let hang_for = ms(simulation.draw(0..14_000));
             let (cancel_delay, count) = (simulation.draw(0..outage_delay - 300), 6);
-            simulation.fault(ms(at + cancel_delay), Fault::CancelRunning { count, hang });
+            simulation.fault(
+                ms(at + cancel_delay),
+                Fault::CancelRunning { count, hang_for },
+            );
             simulation.fault(
                 ms(at + outage_delay),
                 Fault::StoreOutage {
@@ -49,26 +52,26 @@
             );
             if simulation.draw(0..3) == 0 {
                 let controller = any_controller(simulation);
-                let back = ms(simulation.draw(50..900));
+                let restart_after = ms(simulation.draw(50..900));
                 simulation.fault(
                     ms(at + outage_delay + 3_000),
                     Fault::Crash {
                         controllers: vec![controller],
-                        back,
+                        restart_after,
                     },
                 );
             }
         }
     });
     assert!(
-        count(
+        coverage_count(
             &coverage,
             "a running job was cancelled while a controller was refused"
         ) > 20,
         "{coverage:?}"
     );
     assert!(
-        count(&coverage, "a machine hung as its job was cancelled") > 5,
+        coverage_count(&coverage, "a machine hung as its job was cancelled") > 5,
         "{coverage:?}"
     );
 }
@@ -86,19 +89,25 @@
         for k in 0..4 {
             let at = 12_000 + 18_000 * k + simulation.draw(0..6_000);
             let claim = SHARD_CLAIMS[simulation.draw(0..3) as usize];
-            let back = ms(simulation.draw(100..6_000));
-            simulation.fault(ms(at), Fault::CrashHolder { claim, back });
+            let restart_after = ms(simulation.draw(100..6_000));
+            simulation.fault(
+                ms(at),
+                Fault::CrashHolder {
+                    claim,
+                    restart_after,
+                },
+            );
         }
     });
     assert!(
-        count(
+        coverage_count(
             &coverage,
             "a late transaction was carried out after newer ones"
         ) > 50,
         "{coverage:?}"
     );
     assert!(
-        count(&coverage, "a late transaction failed") > 5,
+        coverage_count(&coverage, "a late transaction failed") > 5,
         "{coverage:?}"
     );
 }
@@ -110,27 +119,27 @@
         for k in 0..2 {
             let at = 10_000 + 40_000 * k;
             // Longer than the agents' lease of 12 s.
-            let lasts = 20_000 + 12_000 * k;
+            let duration = 20_000 + 12_000 * k;
             let (controller, zone) = (any_controller(simulation), if k == 0 { "x" } else { "y" });
             simulation.fault(
                 ms(at),
                 Fault::CutZone {
                     zone,
                     controller,
-                    until: ms(at + lasts),
+                    until: ms(at + duration),
                 },
             );
             simulation.fault(
                 ms(at + 5_000),
                 Fault::CancelRunning {
                     count: 4,
-                    hang: Micros::ZERO,
+                    hang_for: Micros::ZERO,
                 },
             );
         }
     });
     assert!(
-        count(
+        coverage_count(
             &coverage,
             "a running job was cancelled while a controller was refused"
         ) > 5,
@@ -150,7 +159,7 @@
         );
     });
     assert!(
-        count(
+        coverage_count(
             &coverage,
             "a cancellation, a question and a submission met a job's end"
         ) > 50,
@@ -170,11 +179,11 @@
         );
     });
     assert!(
-        count(&coverage, "a job that is done was cancelled") > 50,
+        coverage_count(&coverage, "a job that is done was cancelled") > 50,
         "{coverage:?}"
     );
     assert!(
-        count(&coverage, "an unfinished job was submitted again") > 50,
+        coverage_count(&coverage, "an unfinished job was submitted again") > 50,
         "{coverage:?}"
     );
 }
@@ -186,20 +195,32 @@
         for k in 0..5 {
             let at = 9_000 + 15_000 * k + simulation.draw(0..3_000);
             let claim = SHARD_CLAIMS[(k % 3) as usize];
-            let back = ms(simulation.draw(4_500..6_500));
-            simulation.fault(ms(at), Fault::CrashHolder { claim, back });
-            let back = ms(simulation.draw(50..900));
+            let restart_after = ms(simulation.draw(4_500..6_500));
+            simulation.fault(
+                ms(at),
+                Fault::CrashHolder {
+                    claim,
+                    restart_after,
+                },
+            );
+            let restart_after = ms(simulation.draw(50..900));
             // As the shard is transferred back to its home member, its holder crashes and restarts within a second. In
             // every other round all controllers crash 200 ms later.
             let transfer_at = at + 7_500 + simulation.draw(0..3_000);
-            simulation.fault(ms(transfer_at), Fault::CrashHolder { claim, back });
+            simulation.fault(
+                ms(transfer_at),
+                Fault::CrashHolder {
+                    claim,
+                    restart_after,
+                },
+            );
             if k % 2 == 0 {
                 let restart_delay = if k == 0 { 300 } else { 4_200 };
                 simulation.fault(
                     ms(transfer_at + 200),
                     Fault::Crash {
                         controllers: (0..CONTROLLERS).collect(),
-                        back: ms(restart_delay),
+                        restart_after: ms(restart_delay),
                     },
                 );
             }
@@ -212,7 +233,7 @@
         }
     });
     assert!(
-        count(&coverage, "leadership was taken") > 60,
+        coverage_count(&coverage, "leadership was taken") > 60,
         "{coverage:?}"
     );
 }
@@ -235,7 +256,7 @@
                 ms(at + 500),
                 Fault::CancelRunning {
                     count: 5,
-                    hang: Micros::ZERO,
+                    hang_for: Micros::ZERO,
                 },
             );
             let outage_at = at + simulation.draw(3_000..7_000);
@@ -248,7 +269,7 @@
         }
     });
     assert!(
-        count(
+        coverage_count(
             &coverage,
             "a running job was cancelled while a controller was refused"
         ) > 2,
@@ -264,12 +285,12 @@
         let coverage = simulate_seeds(seed..seed + 1, |simulation, _| {
             for k in 0..12 {
                 let at = 5_000 + 7_000 * k;
-                let back = ms(if k % 3 == 0 { 400 } else { 5_000 });
+                let restart_after = ms(if k % 3 == 0 { 400 } else { 5_000 });
                 simulation.fault(
                     ms(at),
                     Fault::CrashHolder {
                         claim: "leader",
-                        back,
+                        restart_after,
                     },
                 );
             }
@@ -282,7 +303,7 @@
             );
         });
         assert!(
-            count(&coverage, "leadership was taken") >= 10,
+            coverage_count(&coverage, "leadership was taken") >= 10,
             "seed {seed}: {coverage:?}"
         );
     }
@@ -303,7 +324,7 @@
         }
     });
     assert!(
-        count(&coverage, "a copy from an earlier session arrived") > 20,
+        coverage_count(&coverage, "a copy from an earlier session arrived") > 20,
         "{coverage:?}"
     );
 }
@@ -328,7 +349,7 @@
         }
     });
     assert!(
-        count(&coverage, "a job bound to one zone lost a machine") > 20,
+        coverage_count(&coverage, "a job bound to one zone lost a machine") > 20,
         "{coverage:?}"
     );
 }
@@ -339,31 +360,31 @@
     let coverage = simulate_seeds(1_180..1_190, |simulation, _| {
         for k in 0..4 {
             let at = 9_000 + 19_000 * k;
-            let lasts = ms(simulation.draw(6_000..26_000));
-            let back = ms(simulation.draw(100..8_000));
+            let duration = ms(simulation.draw(6_000..26_000));
+            let restart_after = ms(simulation.draw(100..8_000));
             let fault = match k % 2 {
-                0 => Fault::CutMachines { count: 4, lasts },
-                _ => Fault::LoseAnswers { count: 4, lasts },
+                0 => Fault::CutMachines { count: 4, duration },
+                _ => Fault::LoseAnswers { count: 4, duration },
             };
             simulation.fault(ms(at), fault);
             simulation.fault(
                 ms(at + 300),
                 Fault::CrashHolder {
                     claim: SHARD_CLAIMS[(k % 3) as usize],
-                    back,
+                    restart_after,
                 },
             );
             simulation.fault(
                 ms(at + 600),
                 Fault::CrashHolder {
                     claim: "leader",
-                    back,
+                    restart_after,
                 },
             );
         }
     });
     assert!(
-        count(
+        coverage_count(
             &coverage,
             "a controller ended while machines with tasks were out of reach"
         ) > 10,
@@ -379,8 +400,8 @@
     let coverage = simulate_seeds(1_200..1_224, |simulation, _| {
         for k in 0..5 {
             let at = 8_000 + 15_000 * k;
-            let lasts = ms(simulation.draw(3_000..30_000));
-            simulation.fault(ms(at), Fault::LoseHeartbeats { count: 3, lasts });
+            let duration = ms(simulation.draw(3_000..30_000));
+            simulation.fault(ms(at), Fault::LoseHeartbeats { count: 3, duration });
         }
         for n in 100..140 {
             let at = simulation.draw(5_000..85_000);
@@ -390,7 +411,7 @@
         }
     });
     assert!(
-        count(
+        coverage_count(
             &coverage,
             "a command was carried out by a machine that reaches no controller"
         ) > 20,
@@ -419,16 +440,16 @@
                 },
             );
             for n in 0..3 {
-                let hang = ms(simulation.draw(0..9_000));
+                let hang_for = ms(simulation.draw(0..9_000));
                 simulation.fault(
                     ms(at + 500 + 2_500 * n),
-                    Fault::CancelRunning { count: 3, hang },
+                    Fault::CancelRunning { count: 3, hang_for },
                 );
             }
         }
     });
     assert!(
-        count(
+        coverage_count(
             &coverage,
             "a running job was cancelled while a controller was refused"
         ) > 20,
@@ -441,18 +462,18 @@
     scenario("fault_combinations.all_controllers_away_for_longer_than_a_lease");
     let coverage = simulate_seeds(1_260..1_268, |simulation, _| {
         for at in [12_000, 50_000] {
-            let back = ms(simulation.draw(13_000..26_000));
+            let restart_after = ms(simulation.draw(13_000..26_000));
             simulation.fault(
                 ms(at),
                 Fault::Crash {
                     controllers: (0..CONTROLLERS).collect(),
-                    back,
+                    restart_after,
                 },
             );
         }
     });
     assert!(
-        count(&coverage, "a lease ended under running tasks") > 10,
+        coverage_count(&coverage, "a lease ended under running tasks") > 10,
         "{coverage:?}"
     );
 }
@@ -468,15 +489,15 @@
             },
         );
         for k in 0..6 {
-            let lasts = ms(simulation.draw(1_000..10_000));
+            let duration = ms(simulation.draw(1_000..10_000));
             simulation.fault(
                 ms(9_000 + 12_000 * k),
-                Fault::HangMachines { count: 3, lasts },
+                Fault::HangMachines { count: 3, duration },
             );
         }
     });
     assert!(
-        count(&coverage, "a command was carried out late") > 10,
+        coverage_count(&coverage, "a command was carried out late") > 10,
         "{coverage:?}"
     );
 }
@@ -496,26 +517,26 @@
         }
         for k in 0..4 {
             let at = 10_000 + 18_000 * k;
-            let lasts = ms(simulation.draw(5_000..20_000));
-            simulation.fault(ms(at), Fault::CutMachines { count: 5, lasts });
+            let duration = ms(simulation.draw(5_000..20_000));
+            simulation.fault(ms(at), Fault::CutMachines { count: 5, duration });
             simulation.fault(
                 ms(at + 1_000),
                 Fault::CrashHolder {
                     claim: SHARD_CLAIMS[(k % 3) as usize],
-                    back: ms(5_500),
+                    restart_after: ms(5_500),
                 },
             );
             simulation.fault(
                 ms(at + 2_000),
                 Fault::CancelRunning {
                     count: 4,
-                    hang: ms(3_000),
+                    hang_for: ms(3_000),
                 },
             );
         }
     });
     assert!(
-        count(&coverage, "a team stood at its limit as a controller ended") > 5,
+        coverage_count(&coverage, "a team stood at its limit as a controller ended") > 5,
         "{coverage:?}"
     );
 }
@@ -532,18 +553,18 @@
         );
         for k in 0..9 {
             let at = 8_000 + 9_000 * k;
-            let back = ms(if k % 2 == 0 { 300 } else { 5_500 });
+            let restart_after = ms(if k % 2 == 0 { 300 } else { 5_500 });
             simulation.fault(
                 ms(at),
                 Fault::CrashHolder {
                     claim: SHARD_CLAIMS[(k % 3) as usize],
-                    back,
+                    restart_after,
                 },
             );
         }
     });
     assert!(
-        count(
+        coverage_count(
             &coverage,
             "a copy arrived at a controller that began after it was sent"
         ) > 5,
@@ -563,18 +584,18 @@
         }
         for k in 0..8 {
             let at = 8_000 + 10_000 * k;
-            let back = ms(simulation.draw(100..6_000));
+            let restart_after = ms(simulation.draw(100..6_000));
             simulation.fault(
                 ms(at),
                 Fault::CrashHolder {
                     claim: SHARD_CLAIMS[(k % 3) as usize],
-                    back,
+                    restart_after,
                 },
             );
         }
     });
     assert!(
-        count(
+        coverage_count(
             &coverage,
             "a controller ended between the ends of a small job's tasks"
         ) > 10,
@@ -618,7 +639,10 @@
             );
         }
     });
-    assert!(count(&coverage, "no machine had room") > 20, "{coverage:?}");
+    assert!(
+        coverage_count(&coverage, "no machine had room") > 20,
+        "{coverage:?}"
+    );
 }
 
 /// A controller that was frozen while its clocks ran on must not act on anything that has expired in the meantime.
@@ -628,20 +652,20 @@
     simulate_seeds(1_380..1_392, |simulation, _| {
         for k in 0..4 {
             let at = 8_000 + 20_000 * k;
-            let lasts = simulation.draw(3_000..18_000);
+            let duration = simulation.draw(3_000..18_000);
             let controller = any_controller(simulation);
             simulation.fault(
                 ms(at),
                 Fault::PauseController {
                     controller,
-                    until: ms(at + lasts),
+                    until: ms(at + duration),
                 },
             );
             simulation.fault(
                 ms(at + 4_800),
                 Fault::CancelRunning {
                     count: 3,
-                    hang: Micros::ZERO,
+                    hang_for: Micros::ZERO,
                 },
             );
         }
@@ -676,12 +700,12 @@
         for k in 0..4 {
             let at = 9_000 + 19_000 * k;
             // The claim expires within 4 s. It is transferred back 3 s after its home member is ready again.
-            let back = ms(simulation.draw(300..6_000));
+            let restart_after = ms(simulation.draw(300..6_000));
             simulation.fault(
                 ms(at),
                 Fault::CrashHolder {
                     claim: SHARD_CLAIMS[(k % 3) as usize],
-                    back,
+                    restart_after,
                 },
             );
             for n in 0..5 {
@@ -690,14 +714,14 @@
                     ms(at + 1_800 * n + jitter),
                     Fault::CancelRunning {
                         count: 3,
-                        hang: Micros::ZERO,
+                        hang_for: Micros::ZERO,
                     },
                 );
             }
         }
     });
     assert!(
-        count(
+        coverage_count(
             &coverage,
             "a running job was cancelled as its share changed hands"
         ) > 20,
@@ -714,7 +738,7 @@
     }
     let situation =
         "every team stood at its limit, a cancelled task was out of reach and a controller ended";
-    assert!(count(&coverage, situation) > 5, "{coverage:?}");
+    assert!(coverage_count(&coverage, situation) > 5, "{coverage:?}");
 }
 
 #[test]
@@ -730,9 +754,12 @@
         for k in 0..6 {
             let at = 8_000 + 13_000 * k + simulation.draw(0..3_000);
             let claim = SHARD_CLAIMS[(k % 3) as usize];
-            let back = ms(simulation.draw(100..6_000));
+            let restart_after = ms(simulation.draw(100..6_000));
             let fault = match k % 2 {
-                0 => Fault::CrashHolder { claim, back },
+                0 => Fault::CrashHolder {
+                    claim,
+                    restart_after,
+                },
                 _ => Fault::IsolateHolder {
                     claim,
                     until: ms(at + 11_000),
@@ -742,9 +769,9 @@
         }
     });
     let refused = "a former holder's command arrived after the new holder's and was refused";
-    assert!(count(&coverage, refused) > 5, "{coverage:?}");
+    assert!(coverage_count(&coverage, refused) > 5, "{coverage:?}");
     assert!(
-        count(
+        coverage_count(
             &coverage,
             "a former holder's command arrived before the new holder's"
         ) > 5,
@@ -786,16 +813,19 @@
                 } else {
                     SHARD_CLAIMS[simulation.draw(0..3) as usize]
                 };
-                let back = ms(simulation.draw(50..900));
+                let restart_after = ms(simulation.draw(50..900));
                 simulation.fault(
                     ms(at + 2_000 + 2_000 * n),
-                    Fault::CrashHolder { claim, back },
+                    Fault::CrashHolder {
+                        claim,
+                        restart_after,
+                    },
                 );
             }
         }
     });
     let situation = "a controller ended while a new machine had work and writes lagged";
-    assert!(count(&coverage, situation) > 5, "{coverage:?}");
+    assert!(coverage_count(&coverage, situation) > 5, "{coverage:?}");
 }
 
 #[test]
@@ -815,15 +845,21 @@
             } else {
                 SHARD_CLAIMS[(k % 3) as usize]
             };
-            let back = ms(if k % 2 == 0 { 300 } else { 5_500 });
-            simulation.fault(ms(at), Fault::CrashHolder { claim, back });
+            let restart_after = ms(if k % 2 == 0 { 300 } else { 5_500 });
+            simulation.fault(
+                ms(at),
+                Fault::CrashHolder {
+                    claim,
+                    restart_after,
+                },
+            );
             simulation.fault(ms(at - 1_000), Fault::RestartMachines { count: 2 });
         }
     });
     let situation = "an old report reached every controller as a claim was taken";
-    assert!(count(&coverage, situation) > 50, "{coverage:?}");
+    assert!(coverage_count(&coverage, situation) > 50, "{coverage:?}");
     assert!(
-        count(&coverage, "a copy from an earlier session arrived") > 20,
+        coverage_count(&coverage, "a copy from an earlier session arrived") > 20,
         "{coverage:?}"
     );
 }
@@ -847,19 +883,25 @@
         for k in 0..3 {
             let at = 15_000 + 22_000 * k;
             let claim = SHARD_CLAIMS[(k % 3) as usize];
-            let back = ms(simulation.draw(100..6_000));
-            simulation.fault(ms(at), Fault::CrashHolder { claim, back });
+            let restart_after = ms(simulation.draw(100..6_000));
+            simulation.fault(
+                ms(at),
+                Fault::CrashHolder {
+                    claim,
+                    restart_after,
+                },
+            );
             simulation.fault(
                 ms(at + 3_000),
                 Fault::CancelRunning {
                     count: 3,
-                    hang: Micros::ZERO,
+                    hang_for: Micros::ZERO,
                 },
             );
         }
     });
     let situation = "others read what was written by a transaction whose answer was lost";
-    assert!(count(&coverage, situation) > 100, "{coverage:?}");
+    assert!(coverage_count(&coverage, situation) > 100, "{coverage:?}");
 }
 
 #[test]
@@ -884,7 +926,7 @@
                 ms(at),
                 Fault::CancelRunning {
                     count: 3,
-                    hang: Micros::ZERO,
+                    hang_for: Micros::ZERO,
                 },
             );
             let fault = match k {
@@ -900,14 +942,14 @@
                 },
                 _ => Fault::CrashHolder {
                     claim: SHARD_CLAIMS[2],
-                    back: ms(400),
+                    restart_after: ms(400),
                 },
             };
             simulation.fault(ms(at), fault);
         }
     });
     assert!(
-        count(
+        coverage_count(
             &coverage,
             "users asked at all controllers within milliseconds"
         ) > 300,
@@ -922,7 +964,7 @@
     scenario("fault_combinations.one_task_jobs_come_four_a_second_a_quarter_cancelled");
     for seed in 1_640..1_644 {
         let simulation = stream_of_small_jobs(seed);
-        assert_eq!(simulation.accepted(), 480, "seed {seed}");
+        assert_eq!(simulation.accepted_jobs(), 480, "seed {seed}");
         let writes = |from: i64| {
             (from..from + 10)
                 .filter_map(|second| simulation.store_load.get(&second))
@@ -934,7 +976,7 @@
             most_writes <= 1_100,
             "seed {seed}: {most_writes} writes within ten seconds"
         );
-        let refused = count(
+        let refused = coverage_count(
             &simulation.coverage,
             "the state service refused for its rate",
         );
--- a/crates/seamfront-core/tests/garbage_collection.rs
+++ b/crates/seamfront-core/tests/garbage_collection.rs
@@ -91,7 +91,7 @@
         4_100,
         Scale {
             value_bytes: 4_096,
-            txn_ops: 16,
+            max_txn_changes: 16,
             ..DUTIES_ENABLED
         },
         |_, _| {},
--- a/crates/seamfront-core/tests/operational_faults.rs
+++ b/crates/seamfront-core/tests/operational_faults.rs
@@ -6,7 +6,7 @@
 use seamfront_core::types::*;
 use seamfront_testing::simulation::recording::scenario;
 use seamfront_testing::simulation::scenarios::{
-    add_coverage, any_controller, count, simulate, simulate_seeds, Coverage, SHARD_CLAIMS,
+    add_coverage, any_controller, coverage_count, simulate, simulate_seeds, Coverage, SHARD_CLAIMS,
 };
 use seamfront_testing::simulation::{ms, Fault, Scale, Simulation, CONTROLLERS, SMALL};
 
@@ -32,7 +32,7 @@
                 let fault = match simulation.draw(0..3) {
                     0 => Fault::CrashHolder {
                         claim: "leader",
-                        back: ms(simulation.draw(100..6_000)),
+                        restart_after: ms(simulation.draw(100..6_000)),
                     },
                     1 => Fault::CloudOutage {
                         until: ms(at + 9_000),
@@ -50,7 +50,7 @@
         add_coverage(&mut coverage, simulation.coverage);
     }
     assert!(
-        count(&coverage, "a machine was rented that never comes up") > 20,
+        coverage_count(&coverage, "a machine was rented that never comes up") > 20,
         "{coverage:?}"
     );
 }
@@ -83,16 +83,16 @@
             ms(at),
             Fault::CrashHolder {
                 claim: "leader",
-                back: ms(400),
+                restart_after: ms(400),
             },
         );
     });
     assert!(
-        count(&coverage, "a machine was rented that never comes up") > 20,
+        coverage_count(&coverage, "a machine was rented that never comes up") > 20,
         "{coverage:?}"
     );
     assert!(
-        count(
+        coverage_count(
             &coverage,
             "a machine was rented that boots faster or slower"
         ) > 5,
@@ -120,7 +120,7 @@
                     Fault::CutStore {
                         controller,
                         until,
-                        hold: true,
+                        deliver_late: true,
                     },
                 );
                 simulation.fault(
@@ -128,20 +128,20 @@
                     Fault::CutAgents {
                         controller,
                         until,
-                        hold: true,
+                        deliver_late: true,
                     },
                 );
                 simulation.fault(ms(at), Fault::CutPeers { controller, until });
             }
         }
         for at in [10_000, 22_000, 68_500, 73_000] {
-            let hang = ms(simulation.draw(0..8_000));
-            simulation.fault(ms(at), Fault::CancelRunning { count: 3, hang });
+            let hang_for = ms(simulation.draw(0..8_000));
+            simulation.fault(ms(at), Fault::CancelRunning { count: 3, hang_for });
         }
         simulation.fault(ms(8_000), Fault::DuplicateHeartbeats { until: ms(85_000) });
     });
     assert!(
-        count(&coverage, "leadership was taken") > 20,
+        coverage_count(&coverage, "leadership was taken") > 20,
         "{coverage:?}"
     );
 }
@@ -156,18 +156,18 @@
             let at = 9_000 + 26_000 * k;
             let controller = any_controller(simulation);
             let until = ms(at + [5_000, 11_000, 24_000][simulation.draw(0..3) as usize]);
-            let hold = simulation.draw(0..2) == 0;
+            let deliver_late = simulation.draw(0..2) == 0;
             let fault = match simulation.draw(0..4) {
                 0 => Fault::CutStore {
                     controller,
                     until,
-                    hold,
+                    deliver_late,
                 },
                 1 => Fault::RefuseController { controller, until },
                 _ => Fault::CutAgents {
                     controller,
                     until,
-                    hold,
+                    deliver_late,
                 },
             };
             simulation.fault(ms(at), fault);
@@ -175,12 +175,12 @@
                 ms(at + 3_000),
                 Fault::CancelRunning {
                     count: 3,
-                    hang: Micros::ZERO,
+                    hang_for: Micros::ZERO,
                 },
             );
         }
     });
-    let claims = count(&coverage, "a claim was taken");
+    let claims = coverage_count(&coverage, "a claim was taken");
     assert!(
         claims > 16 * 5,
         "too few claims were acquired: {coverage:?}"
@@ -212,12 +212,18 @@
         for k in 0..3 {
             let at = 14_000 + 22_000 * k + simulation.draw(0..6_000);
             let claim = SHARD_CLAIMS[simulation.draw(0..3) as usize];
-            let back = ms(simulation.draw(100..6_000));
-            simulation.fault(ms(at), Fault::CrashHolder { claim, back });
+            let restart_after = ms(simulation.draw(100..6_000));
+            simulation.fault(
+                ms(at),
+                Fault::CrashHolder {
+                    claim,
+                    restart_after,
+                },
+            );
         }
     });
     assert!(
-        count(
+        coverage_count(
             &coverage,
             "a task failed since its job was submitted with a mistake"
         ) > 100,
@@ -247,14 +253,14 @@
                     ms(30_000),
                     Fault::CancelRunning {
                         count: 4,
-                        hang: Micros::ZERO,
+                        hang_for: Micros::ZERO,
                     },
                 );
                 simulation.fault(
                     ms(50_000),
                     Fault::CrashHolder {
                         claim: "leader",
-                        back: ms(3_000),
+                        restart_after: ms(3_000),
                     },
                 );
             });
@@ -265,7 +271,7 @@
         }
         (
             store_requests,
-            count(&coverage, "a question was asked besides the usual ones"),
+            coverage_count(&coverage, "a question was asked besides the usual ones"),
         )
     };
     let ((usual_requests, usual_polls), (storm_requests, storm_polls)) =
@@ -274,7 +280,7 @@
         storm_polls > 20 * usual_polls && storm_polls > 10_000,
         "{usual_polls} polls at the usual rate, {storm_polls} at fifty times that"
     );
-    let fifth_of_rate = 6 * 50 * SMALL.state_rps as u32 / 5;
+    let fifth_of_rate = 6 * 50 * SMALL.store_rps as u32 / 5;
     assert!(
         storm_requests < usual_requests + fifth_of_rate,
         "{usual_requests} requests to the store at the usual rate, {storm_requests} at fifty times that"
@@ -316,7 +322,7 @@
             simulation.count_keys("machine/")
         );
         assert!(
-            count(
+            coverage_count(
                 &simulation.coverage,
                 "the cloud took seconds to answer a request for machines"
             ) > 3
@@ -372,19 +378,27 @@
             ms(40_000),
             Fault::CrashHolder {
                 claim: "leader",
-                back: ms(5_000),
+                restart_after: ms(5_000),
             },
         );
         simulation.fault(
             ms(60_000),
             Fault::CrashHolder {
                 claim: "share/0",
-                back: ms(300),
+                restart_after: ms(300),
             },
         );
         simulation.run_until(ms(390_000));
-        assert_eq!(simulation.unfinished(), Vec::<String>::new(), "seed {seed}");
-        assert_eq!(simulation.not_served(), Vec::<String>::new(), "seed {seed}");
+        assert_eq!(
+            simulation.unfinished_jobs(),
+            Vec::<String>::new(),
+            "seed {seed}"
+        );
+        assert_eq!(
+            simulation.underserved_groups(),
+            Vec::<String>::new(),
+            "seed {seed}"
+        );
         let writes: u32 = simulation.store_load.values().map(|second| second.1).sum();
         assert!(
             writes < TASKS,
--- a/crates/seamfront-core/tests/reconciliation.rs
+++ b/crates/seamfront-core/tests/reconciliation.rs
@@ -9,7 +9,7 @@
 use seamfront_core::shard::{ShardPhase, ShardWrite, StatusSource, StoredRecord};
 use seamfront_core::types::*;
 use seamfront_core::Engine;
-use seamfront_testing::shard_harness::{heartbeat, job, s, settings, ShardHarness, CLAIM};
+use seamfront_testing::shard_harness::{heartbeat, job, s, settings, ShardHarness, CLAIM_TOKEN};
 use seamfront_testing::store::Store;
 
 /// A heartbeat with a former holder's token may be a late copy. The attempt may have been started, have exited and been
@@ -42,7 +42,7 @@
             "i-0",
             1,
             89,
-            CLAIM,
+            CLAIM_TOKEN,
             &[("j-0", 3, TaskState::Exited(Exit::PeerLost))],
         ),
     );
@@ -53,11 +53,11 @@
 fn machine_is_usable_only_after_showing_the_current_fencing_token() {
     let mut harness = ShardHarness::new(1, 0);
     let usable = |harness: &ShardHarness, now| {
-        harness.shard.machines[&MachineId::from("i-0")].usable(now, s(2), CLAIM)
+        harness.shard.machines[&MachineId::from("i-0")].usable(now, s(2), CLAIM_TOKEN)
     };
     harness.heartbeat(s(101), &heartbeat("i-0", 1, 88, 12, &[]));
     assert!(!usable(&harness, s(101)));
-    harness.heartbeat(s(102), &heartbeat("i-0", 1, 89, CLAIM, &[]));
+    harness.heartbeat(s(102), &heartbeat("i-0", 1, 89, CLAIM_TOKEN, &[]));
     assert!(usable(&harness, s(102)));
 }
 
@@ -75,7 +75,7 @@
                     &format!("i-{k}"),
                     1,
                     90 + n as u64,
-                    CLAIM,
+                    CLAIM_TOKEN,
                     &[(&job, 3, TaskState::Running)],
                 ),
             );
@@ -106,7 +106,7 @@
     let mut harness = ShardHarness::new(8, 0);
     for (n, t) in (101..160).step_by(2).enumerate() {
         for k in 0..8 {
-            let fencing_token = if k < 4 { 12 } else { CLAIM };
+            let fencing_token = if k < 4 { 12 } else { CLAIM_TOKEN };
             harness.heartbeat(
                 s(t),
                 &heartbeat(&format!("i-{k}"), 1, 90 + n as u64, fencing_token, &[]),
@@ -126,7 +126,10 @@
         for t in (101..=at).step_by(2) {
             for k in 0..10 {
                 if t == 101 || k >= silent {
-                    harness.heartbeat(s(t), &heartbeat(&format!("i-{k}"), 1, t as u64, CLAIM, &[]));
+                    harness.heartbeat(
+                        s(t),
+                        &heartbeat(&format!("i-{k}"), 1, t as u64, CLAIM_TOKEN, &[]),
+                    );
                 }
             }
         }
@@ -159,16 +162,19 @@
         for t in (101..140).step_by(2) {
             for k in 0..8 {
                 if t == 101 || k > 0 {
-                    harness.heartbeat(s(t), &heartbeat(&format!("i-{k}"), 1, t as u64, CLAIM, &[]));
+                    harness.heartbeat(
+                        s(t),
+                        &heartbeat(&format!("i-{k}"), 1, t as u64, CLAIM_TOKEN, &[]),
+                    );
                 }
             }
         }
         harness.with(s(140), seamfront_core::shard::Shard::tick);
-        let mut fencing_token = CLAIM;
+        let mut fencing_token = CLAIM_TOKEN;
         let mut writes = harness
             .shard
             .due_writes(s(140), 100, &Layout::single(32 * 1024));
-        harness.heartbeat(s(141), &heartbeat("i-0", 1, 141, CLAIM, &[]));
+        harness.heartbeat(s(141), &heartbeat("i-0", 1, 141, CLAIM_TOKEN, &[]));
         harness.with(s(141), seamfront_core::shard::Shard::tick);
         for outcome in outcomes {
             for w in &writes {
@@ -192,7 +198,7 @@
             s(144),
         );
         let m = &harness.shard.machines[&MachineId::from("i-0")];
-        assert_eq!(m.usable(s(144), s(2), CLAIM), usable);
+        assert_eq!(m.usable(s(144), s(2), CLAIM_TOKEN), usable);
     }
 }
 
@@ -218,7 +224,10 @@
     for t in (101..140).step_by(2) {
         for k in 0..8 {
             if t == 101 || k > 0 {
-                harness.heartbeat(s(t), &heartbeat(&format!("i-{k}"), 1, t as u64, CLAIM, &[]));
+                harness.heartbeat(
+                    s(t),
+                    &heartbeat(&format!("i-{k}"), 1, t as u64, CLAIM_TOKEN, &[]),
+                );
             }
         }
     }
@@ -233,7 +242,7 @@
         .any(|w| matches!(w, ShardWrite::Machine { record, .. } if record.shard.is_none())));
     let start = Order::Start { task, attempt: 3 };
     assert!(!harness
-        .heartbeat(silent, &heartbeat("i-0", 1, 141, CLAIM, &[]))
+        .heartbeat(silent, &heartbeat("i-0", 1, 141, CLAIM_TOKEN, &[]))
         .contains(&start));
     // The store refuses the write, so the machine stays in the shard.
     for w in &writes {
@@ -245,7 +254,7 @@
     let recovered = silent + Micros::from_millis(150);
     harness.with(recovered, seamfront_core::shard::Shard::tick);
     assert!(harness
-        .heartbeat(recovered, &heartbeat("i-0", 1, 142, CLAIM, &[]))
+        .heartbeat(recovered, &heartbeat("i-0", 1, 142, CLAIM_TOKEN, &[]))
         .contains(&start));
 }
 
@@ -255,21 +264,21 @@
 #[test]
 fn lease_expiry_despite_replies_raises_the_fencing_token() {
     let mut harness = ShardHarness::new(1, 0);
-    harness.heartbeat(s(101), &heartbeat("i-0", 1, 88, CLAIM, &[]));
-    harness.heartbeat(s(103), &heartbeat("i-0", 1, 89, CLAIM, &[]));
+    harness.heartbeat(s(101), &heartbeat("i-0", 1, 88, CLAIM_TOKEN, &[]));
+    harness.heartbeat(s(103), &heartbeat("i-0", 1, 89, CLAIM_TOKEN, &[]));
     assert_eq!(harness.machine_writes(s(103), 60), []);
-    harness.heartbeat(s(112), &heartbeat("i-0", 2, 95, CLAIM, &[]));
+    harness.heartbeat(s(112), &heartbeat("i-0", 2, 95, CLAIM_TOKEN, &[]));
     assert_eq!(
         harness.machine_writes(s(112), 60),
         [("i-0".to_owned(), true)]
     );
     let m = &harness.shard.machines[&MachineId::from("i-0")];
     assert!(
-        !m.usable(s(112), s(2), CLAIM),
+        !m.usable(s(112), s(2), CLAIM_TOKEN),
         "the agent has not shown token 60 yet"
     );
     harness.heartbeat(s(114), &heartbeat("i-0", 2, 96, 60, &[]));
-    assert!(harness.shard.machines[&MachineId::from("i-0")].usable(s(114), s(2), CLAIM));
+    assert!(harness.shard.machines[&MachineId::from("i-0")].usable(s(114), s(2), CLAIM_TOKEN));
 }
 
 /// A late copy of an older heartbeat must not undo what a newer one has shown.
@@ -278,7 +287,7 @@
     let mut harness = ShardHarness::new(1, 1);
     harness.heartbeat(
         s(101),
-        &heartbeat("i-0", 2, 88, CLAIM, &[("j-0", 3, TaskState::Running)]),
+        &heartbeat("i-0", 2, 88, CLAIM_TOKEN, &[("j-0", 3, TaskState::Running)]),
     );
     let agent_state = |harness: &ShardHarness| {
         let m = &harness.shard.machines[&MachineId::from("i-0")];
@@ -295,7 +304,7 @@
         harness.with(s(120), |shard, context| {
             assert!(!shard.apply_heartbeat(
                 context,
-                &heartbeat("i-0", incarnation, sequence, CLAIM, &[]),
+                &heartbeat("i-0", incarnation, sequence, CLAIM_TOKEN, &[]),
                 StatusSource::AgentHeartbeat
             ));
         });
@@ -662,7 +671,7 @@
         harness.placed("j-0"),
         "a heartbeat that may be a late copy proves nothing"
     );
-    let orders = harness.heartbeat(s(102), &heartbeat("i-0", 1, 89, CLAIM, &[]));
+    let orders = harness.heartbeat(s(102), &heartbeat("i-0", 1, 89, CLAIM_TOKEN, &[]));
     assert!(!harness.placed("j-0") && orders.is_empty(), "{orders:?}");
 }
 
@@ -673,17 +682,17 @@
 fn command_replies_do_not_make_a_machine_usable() {
     let mut harness = ShardHarness::new(1, 0);
     let id = MachineId::from("i-0");
-    harness.heartbeat(s(101), &heartbeat("i-0", 1, 88, CLAIM, &[]));
+    harness.heartbeat(s(101), &heartbeat("i-0", 1, 88, CLAIM_TOKEN, &[]));
     let command_reply = |harness: &mut ShardHarness, now, incarnation, sequence| {
         let m = harness.shard.machines.get_mut(&id).unwrap();
         m.fencing.direct_command = Some(DirectCommand {
             call: 7,
-            fencing_token: CLAIM,
+            fencing_token: CLAIM_TOKEN,
             incarnation,
             unknown: false,
         });
         let outcome = DirectOutcome::Settled {
-            heartbeat: Box::new(heartbeat("i-0", incarnation, sequence, CLAIM, &[])),
+            heartbeat: Box::new(heartbeat("i-0", incarnation, sequence, CLAIM_TOKEN, &[])),
         };
         harness.with(now, |shard, context| {
             shard.apply_direct_outcome(context, 7, &id, outcome);
@@ -694,14 +703,14 @@
     }
     let m = &harness.shard.machines[&id];
     assert!(
-        !m.usable(s(112), s(2), CLAIM),
+        !m.usable(s(112), s(2), CLAIM_TOKEN),
         "no heartbeat for eleven seconds"
     );
     assert_eq!(m.silent_for(s(112)), s(11));
     // An incarnation known only from a command reply may have begun at that moment, with a whole lease from then on.
     command_reply(&mut harness, s(113), 2, 1);
     let m = &harness.shard.machines[&id];
-    assert!(m.lease_expiry(CLAIM, s(12), s(5)) >= s(125));
+    assert!(m.lease_expiry(CLAIM_TOKEN, s(12), s(5)) >= s(125));
 }
 
 /// An outcome that arrives after the shard or the machine has left this holder and come back does not settle the
@@ -718,7 +727,7 @@
         .fencing
         .direct_command = Some(DirectCommand {
         call: 9,
-        fencing_token: CLAIM,
+        fencing_token: CLAIM_TOKEN,
         incarnation: 1,
         unknown: false,
     });
--- a/crates/seamfront-core/tests/records.rs
+++ b/crates/seamfront-core/tests/records.rs
@@ -8,7 +8,7 @@
 use seamfront_core::types::*;
 use seamfront_testing::simulation::recording::scenario;
 use seamfront_testing::simulation::scenarios::{
-    add_coverage, count, fault_pairs_of_all_kinds, init_logging_if_selected, Coverage,
+    add_coverage, coverage_count, fault_pairs_of_all_kinds, init_logging_if_selected, Coverage,
 };
 use seamfront_testing::simulation::{ms, Fault, Scale, Simulation, CONTROLLERS, SMALL};
 use serde_json::{json, Value};
@@ -155,7 +155,7 @@
 fn scale_with_small_values(machines: usize) -> Scale {
     Scale {
         value_bytes: VALUE_BYTES,
-        txn_ops: TRANSACTION_CHANGES,
+        max_txn_changes: TRANSACTION_CHANGES,
         machines,
         max_machines: machines + 12,
         limits: [0; 10],
@@ -193,7 +193,7 @@
             ms(24_000),
             Fault::CrashHolder {
                 claim: shard,
-                back: ms(5_000),
+                restart_after: ms(5_000),
             },
         );
         simulation.fault(ms(40_000), Fault::KillMachines { count: 1 });
@@ -202,13 +202,17 @@
             ms(50_000),
             Fault::CrashHolder {
                 claim: shard,
-                back: ms(300),
+                restart_after: ms(300),
             },
         );
         let second = submit_large_gang(&mut simulation, 2, 180);
         simulation.cancel(ms(70_000), second);
         simulation.run_until(ms(400_000));
-        assert_eq!(simulation.unfinished(), Vec::<String>::new(), "seed {seed}");
+        assert_eq!(
+            simulation.unfinished_jobs(),
+            Vec::<String>::new(),
+            "seed {seed}"
+        );
         assert_eq!(
             simulation.count_keys("part/"),
             0,
@@ -217,11 +221,11 @@
         add_coverage(&mut coverage, simulation.coverage);
     }
     assert!(
-        count(&coverage, "a record was written in parts") > 20,
+        coverage_count(&coverage, "a record was written in parts") > 20,
         "{coverage:?}"
     );
     assert!(
-        count(&coverage, "a record in parts was read by a new holder") > 4,
+        coverage_count(&coverage, "a record in parts was read by a new holder") > 4,
         "{coverage:?}"
     );
 }
@@ -263,33 +267,43 @@
         simulation.fault(ms(5_000), Fault::DelayWrites { until: ms(100_000) });
         for controller in 0..CONTROLLERS {
             let at = 20_000 + 25_000 * controller as i64 + simulation.draw(0..8_000);
-            let back = ms(simulation.draw(300..5_000));
+            let restart_after = ms(simulation.draw(300..5_000));
             // A controller that crashes before its upgrade restarts with the old version.
             simulation.fault(
                 ms(at - 9_000),
                 Fault::Crash {
                     controllers: vec![controller],
-                    back: ms(1_000),
+                    restart_after: ms(1_000),
+                },
+            );
+            simulation.fault(
+                ms(at),
+                Fault::Upgrade {
+                    controller,
+                    restart_after,
                 },
             );
-            simulation.fault(ms(at), Fault::Upgrade { controller, back });
         }
         let at = simulation.draw(95_000..105_000);
         simulation.pipeline(200, at);
         simulation.run_until(ms(480_000));
-        assert_eq!(simulation.unfinished(), Vec::<String>::new(), "seed {seed}");
+        assert_eq!(
+            simulation.unfinished_jobs(),
+            Vec::<String>::new(),
+            "seed {seed}"
+        );
         add_coverage(&mut coverage, simulation.coverage);
     }
     assert!(
-        count(&coverage, "a controller was upgraded while others had been") > 20,
+        coverage_count(&coverage, "a controller was upgraded while others had been") > 20,
         "{coverage:?}"
     );
     assert!(
-        count(&coverage, "an old controller ended beside new ones") > 10,
+        coverage_count(&coverage, "an old controller ended beside new ones") > 10,
         "{coverage:?}"
     );
     assert!(
-        count(&coverage, "a record was written in parts") > 20,
+        coverage_count(&coverage, "a record was written in parts") > 20,
         "{coverage:?}"
     );
 }
--- a/crates/seamfront-core/tests/rules.rs
+++ b/crates/seamfront-core/tests/rules.rs
@@ -9,34 +9,34 @@
 fn random_faults(simulation: &mut Simulation, faults_end_ms: i64) {
     for _ in 0..7 {
         let at = simulation.draw(5_000..faults_end_ms - 12_000);
-        let lasts = simulation.draw(1_000..25_000);
-        let until = ms((at + lasts).min(faults_end_ms));
+        let duration = simulation.draw(1_000..25_000);
+        let until = ms((at + duration).min(faults_end_ms));
         let controller = simulation.draw(0..CONTROLLERS as i64) as usize;
-        let hold = simulation.draw(0..2) == 0;
+        let deliver_late = simulation.draw(0..2) == 0;
         let fault = match simulation.draw(0..17) {
             0 => Fault::Crash {
                 controllers: vec![controller],
-                back: ms(simulation.draw(100..6_000)),
+                restart_after: ms(simulation.draw(100..6_000)),
             },
             1 => Fault::Crash {
                 controllers: vec![controller, (controller + 1) % CONTROLLERS],
-                back: ms(5_000),
+                restart_after: ms(5_000),
             },
             2 => Fault::Crash {
                 controllers: (0..CONTROLLERS).collect(),
-                back: ms(simulation.draw(200..6_000)),
+                restart_after: ms(simulation.draw(200..6_000)),
             },
             3 => Fault::StoreOutage { until },
             4 => Fault::RefuseController { controller, until },
             5 => Fault::CutStore {
                 controller,
                 until,
-                hold,
+                deliver_late,
             },
             6 => Fault::CutAgents {
                 controller,
                 until,
-                hold,
+                deliver_late,
             },
             7 => Fault::CutPeers { controller, until },
             8 => Fault::CloudOutage { until },
@@ -47,7 +47,7 @@
             },
             13 => Fault::LoseAnswers {
                 count: 3,
-                lasts: ms(lasts),
+                duration: ms(duration),
             },
             14 => Fault::DuplicateHeartbeats {
                 until: ms(at + 40_000),
@@ -55,18 +55,18 @@
             15 => Fault::RestartMachines { count: 2 },
             16 => Fault::Crash {
                 controllers: vec![controller],
-                back: ms(simulation.draw(20..600)),
+                restart_after: ms(simulation.draw(20..600)),
             },
             9 => Fault::KillMachines {
                 count: simulation.draw(1..4) as usize,
             },
             10 => Fault::HangMachines {
                 count: 2,
-                lasts: ms(lasts),
+                duration: ms(duration),
             },
-            _ if hold => Fault::CutMachines {
+            _ if deliver_late => Fault::CutMachines {
                 count: 3,
-                lasts: ms(lasts),
+                duration: ms(duration),
             },
             _ => Fault::PreemptionNotice { count: 2 },
         };
@@ -113,22 +113,22 @@
             for k in 0..6 {
                 let at = 10_000 + k * 9_000 + simulation.draw(0..6_000);
                 let controller = simulation.draw(0..CONTROLLERS as i64) as usize;
-                let back = ms(simulation.draw(100..5_000));
+                let restart_after = ms(simulation.draw(100..5_000));
                 simulation.fault(
                     ms(at),
                     Fault::Crash {
                         controllers: vec![controller],
-                        back,
+                        restart_after,
                     },
                 );
                 let second_crash_at = at + simulation.draw(50..4_500);
                 let other = (controller + 1) % CONTROLLERS;
-                let back = ms(simulation.draw(100..1_000));
+                let restart_after = ms(simulation.draw(100..1_000));
                 simulation.fault(
                     ms(second_crash_at),
                     Fault::Crash {
                         controllers: vec![other],
-                        back,
+                        restart_after,
                     },
                 );
             }
@@ -188,7 +188,7 @@
                     Fault::CutStore {
                         controller,
                         until,
-                        hold: true,
+                        deliver_late: true,
                     },
                 );
             }
@@ -206,7 +206,7 @@
                     ms(at + 10_500 + 1_500 * k),
                     Fault::HangMachines {
                         count: 2,
-                        lasts: ms(9_000),
+                        duration: ms(9_000),
                     },
                 );
             }
@@ -228,7 +228,7 @@
                     Fault::CutStore {
                         controller,
                         until,
-                        hold: true,
+                        deliver_late: true,
                     },
                 );
                 simulation.fault(ms(at), Fault::CutPeers { controller, until });
@@ -240,8 +240,8 @@
                         until,
                     },
                 );
-                let lasts = ms(simulation.draw(3_000..20_000));
-                simulation.fault(ms(at + 500), Fault::HangMachines { count: 2, lasts });
+                let duration = ms(simulation.draw(3_000..20_000));
+                simulation.fault(ms(at + 500), Fault::HangMachines { count: 2, duration });
             }
         });
     }
@@ -254,9 +254,9 @@
         simulate(seed, |simulation, _| {
             for k in 0..6 {
                 let at = 8_000 + k * 12_000;
-                let lasts = ms(simulation.draw(2_000..22_000));
-                simulation.fault(ms(at), Fault::HangMachines { count: 2, lasts });
-                simulation.fault(ms(at + 3_000), Fault::CutMachines { count: 2, lasts });
+                let duration = ms(simulation.draw(2_000..22_000));
+                simulation.fault(ms(at), Fault::HangMachines { count: 2, duration });
+                simulation.fault(ms(at + 3_000), Fault::CutMachines { count: 2, duration });
                 simulation.fault(ms(at + 5_000), Fault::PreemptionNotice { count: 1 });
             }
         });
@@ -272,16 +272,16 @@
         simulate(seed, |simulation, _| {
             for k in 0..4 {
                 let at = 8_000 + k * 19_000 + simulation.draw(0..5_000);
-                let lasts = ms(simulation.draw(3_000..40_000));
-                simulation.fault(ms(at), Fault::LoseAnswers { count: 3, lasts });
+                let duration = ms(simulation.draw(3_000..40_000));
+                simulation.fault(ms(at), Fault::LoseAnswers { count: 3, duration });
                 if simulation.draw(0..2) == 0 {
                     let controller = simulation.draw(0..CONTROLLERS as i64) as usize;
-                    let back = ms(simulation.draw(50..6_000));
+                    let restart_after = ms(simulation.draw(50..6_000));
                     simulation.fault(
                         ms(at + 300),
                         Fault::Crash {
                             controllers: vec![controller],
-                            back,
+                            restart_after,
                         },
                     );
                 }
@@ -309,15 +309,15 @@
                 let fault = match simulation.draw(0..5) {
                     0 => Fault::Crash {
                         controllers: vec![controller],
-                        back: ms(simulation.draw(20..900)),
+                        restart_after: ms(simulation.draw(20..900)),
                     },
                     1 => Fault::Crash {
                         controllers: (0..CONTROLLERS).collect(),
-                        back: ms(simulation.draw(20..5_000)),
+                        restart_after: ms(simulation.draw(20..5_000)),
                     },
                     2 => Fault::HangMachines {
                         count: 3,
-                        lasts: ms(simulation.draw(2_000..20_000)),
+                        duration: ms(simulation.draw(2_000..20_000)),
                     },
                     3 => Fault::CutLinks {
                         controller,
@@ -348,8 +348,8 @@
             for k in 0..8 {
                 let at = 8_000 + k * 9_000 + simulation.draw(0..4_000);
                 let controller = simulation.draw(0..CONTROLLERS as i64) as usize;
-                let hold = simulation.draw(0..2) == 0;
-                let (lasts, crash_delay, back, agent_restart_delay) = (
+                let deliver_late = simulation.draw(0..2) == 0;
+                let (duration, crash_delay, restart_after, agent_restart_delay) = (
                     simulation.draw(200..5_000),
                     simulation.draw(0..300),
                     simulation.draw(10..500),
@@ -359,15 +359,15 @@
                     ms(at),
                     Fault::CutStore {
                         controller,
-                        until: ms(at + lasts),
-                        hold,
+                        until: ms(at + duration),
+                        deliver_late,
                     },
                 );
                 simulation.fault(
                     ms(at + crash_delay),
                     Fault::Crash {
                         controllers: vec![controller],
-                        back: ms(back),
+                        restart_after: ms(restart_after),
                     },
                 );
                 simulation.fault(
@@ -404,7 +404,11 @@
         }
         simulation.submit(ms(8_000), gang);
         simulation.run_until(ms(300_000));
-        assert_eq!(simulation.not_served(), Vec::<String>::new(), "seed {seed}");
+        assert_eq!(
+            simulation.underserved_groups(),
+            Vec::<String>::new(),
+            "seed {seed}"
+        );
     }
 }
 
--- a/crates/seamfront-core/tests/size.rs
+++ b/crates/seamfront-core/tests/size.rs
@@ -6,7 +6,7 @@
 use seamfront_testing::simulation::recording::scenario;
 use seamfront_testing::simulation::{ms, Fault, Scale, Simulation};
 
-fn fleet(controllers: usize, machines: usize, state_rps: i64, write_rps: i64) -> Scale {
+fn fleet(controllers: usize, machines: usize, store_rps: i64, write_rps: i64) -> Scale {
     let most = machines + machines / 20;
     Scale {
         controllers,
@@ -14,7 +14,7 @@
         machines,
         max_machines: most,
         page: 500,
-        state_rps,
+        store_rps,
         write_rps,
         times: (5, 26, 46),
         ..seamfront_testing::simulation::SMALL
@@ -48,7 +48,7 @@
         ms(15_000),
         Fault::Crash {
             controllers: (0..scale.controllers).collect(),
-            back: ms(3_000),
+            restart_after: ms(3_000),
         },
     );
     w.fault(
@@ -63,7 +63,7 @@
         "too few tasks were started for a meaningful test: {}",
         w.ground_truth.tasks_started
     );
-    assert_eq!(w.not_served(), Vec::<String>::new());
+    assert_eq!(w.underserved_groups(), Vec::<String>::new());
     let seconds: Vec<(u32, u32)> = (0..120)
         .map(|s| w.store_load.get(&s).copied().unwrap_or_default())
         .collect();
@@ -73,7 +73,7 @@
             .fold((0, 0), |sum, s| (sum.0 + s.0, sum.1 + s.1));
         // The store's rate limits allow a burst of one second's worth on top.
         assert!(
-            i64::from(requests) <= 6 * scale.state_rps,
+            i64::from(requests) <= 6 * scale.store_rps,
             "{requests} requests in five seconds: {seconds:?}"
         );
         assert!(
--- a/crates/seamfront-core/tests/starvation.rs
+++ b/crates/seamfront-core/tests/starvation.rs
@@ -2,7 +2,7 @@
 //! The tests drive a single shard without an engine.
 
 use seamfront_core::types::*;
-use seamfront_testing::shard_harness::{heartbeat, job, s, ShardHarness, CLAIM};
+use seamfront_testing::shard_harness::{heartbeat, job, s, ShardHarness, CLAIM_TOKEN};
 use std::rc::Rc;
 
 /// A job array whose tasks need one of a machine's eight CPUs each.
@@ -31,7 +31,7 @@
         for m in 0..harness.shard.machines.len() {
             harness.heartbeat(
                 now,
-                &heartbeat(&format!("i-{m}"), 1, 100 + now.0 as u64, CLAIM, &[]),
+                &heartbeat(&format!("i-{m}"), 1, 100 + now.0 as u64, CLAIM_TOKEN, &[]),
             );
         }
         harness.with(now, seamfront_core::shard::Shard::run_scheduling_cycle);
--- a/crates/seamfront-lease/tests/histories.rs
+++ b/crates/seamfront-lease/tests/histories.rs
@@ -113,7 +113,7 @@
     }
     println!("{coverage:?}");
     let minimum_counts = [
-        ("claims acquired", coverage.taken, 1_000),
+        ("claims acquired", coverage.claims_acquired, 1_000),
         (
             "attempts to settle a predecessor's operation",
             coverage.settled_for_predecessor,
@@ -127,7 +127,7 @@
         ("transactions executed late", coverage.late_requests, 500),
         (
             "provisioning requests executed late",
-            coverage.late_rentals,
+            coverage.late_provisionings,
             100,
         ),
         (
@@ -140,10 +140,10 @@
             coverage.replaced,
             500,
         ),
-        ("duties lost by a transfer", coverage.handed_over, 200),
+        ("duties lost by a transfer", coverage.transferred, 200),
         (
             "outcomes that arrived after the claim was lost",
-            coverage.answers_after_loss,
+            coverage.outcomes_after_loss,
             50,
         ),
         (
--- a/crates/seamfront-testing/src/member_simulation.rs
+++ b/crates/seamfront-testing/src/member_simulation.rs
@@ -74,7 +74,7 @@
 #[derive(Debug, Default, Clone, Copy)]
 pub struct Coverage {
     /// Claims acquired.
-    pub taken: u32,
+    pub claims_acquired: u32,
     /// Attempts at operations that a predecessor had recorded.
     pub settled_for_predecessor: u32,
     /// Effects that were not begun, since their permit had expired.
@@ -82,15 +82,15 @@
     /// Transactions that the store executed late.
     pub late_requests: u32,
     /// Provisioning requests that the cloud executed late.
-    pub late_rentals: u32,
+    pub late_provisionings: u32,
     /// Duties lost since the store refused the fencing token.
     pub refused_tokens: u32,
     /// Successors reported to a former holder.
     pub replaced: u32,
     /// Duties lost by a transfer.
-    pub handed_over: u32,
+    pub transferred: u32,
     /// Outcomes of operations that reached a member which no longer held the claim.
-    pub answers_after_loss: u32,
+    pub outcomes_after_loss: u32,
     pub freezes: u32,
     pub clock_jumps: u32,
     /// Duties lost before the predecessor's operations were settled.
@@ -99,15 +99,15 @@
 
 impl Coverage {
     pub fn add(&mut self, other: &Coverage) {
-        self.taken += other.taken;
+        self.claims_acquired += other.claims_acquired;
         self.settled_for_predecessor += other.settled_for_predecessor;
         self.not_permitted += other.not_permitted;
         self.late_requests += other.late_requests;
-        self.late_rentals += other.late_rentals;
+        self.late_provisionings += other.late_provisionings;
         self.refused_tokens += other.refused_tokens;
         self.replaced += other.replaced;
-        self.handed_over += other.handed_over;
-        self.answers_after_loss += other.answers_after_loss;
+        self.transferred += other.transferred;
+        self.outcomes_after_loss += other.outcomes_after_loss;
         self.freezes += other.freezes;
         self.clock_jumps += other.clock_jumps;
         self.settling_interrupted += other.settling_interrupted;
@@ -522,7 +522,7 @@
     fn record_effect(&mut self, member: usize, effect: &Effect) {
         match effect {
             Effect::Acquired { duty, .. } => {
-                self.coverage.taken += 1;
+                self.coverage.claims_acquired += 1;
                 self.members[member].settling_duties.insert(duty.clone());
             }
             Effect::Active { duty, .. } => {
@@ -537,7 +537,7 @@
                     self.coverage.settling_interrupted += 1;
                 }
                 match reason {
-                    LossReason::Transferred => self.coverage.handed_over += 1,
+                    LossReason::Transferred => self.coverage.transferred += 1,
                     LossReason::TokenRefused => self.coverage.refused_tokens += 1,
                     _ => {}
                 }
@@ -695,7 +695,7 @@
         };
         let claim = self.store.keys.get(&keys::claim(duty));
         if claim.is_none_or(|claim| claim.0["member"] != json!(format!("n{member}"))) {
-            self.coverage.answers_after_loss += 1;
+            self.coverage.outcomes_after_loss += 1;
         }
     }
 
@@ -1044,7 +1044,7 @@
         let outcome = self.execute_in_cloud(&attempt, answered);
         let (loss_until, one_in) = self.faults.lose_replies;
         if !answered {
-            self.coverage.late_rentals +=
+            self.coverage.late_provisionings +=
                 u32::from(attempt.duty == fleet_reconciler::PROVISIONING_DUTY);
             return;
         }
--- a/crates/seamfront-testing/src/shard_harness.rs
+++ b/crates/seamfront-testing/src/shard_harness.rs
@@ -11,7 +11,7 @@
 use std::rc::Rc;
 
 /// Fencing token of the shard's claim.
-pub const CLAIM: u64 = 50;
+pub const CLAIM_TOKEN: u64 = 50;
 
 /// Short for a time in seconds.
 pub fn s(seconds: i64) -> Micros {
@@ -117,7 +117,7 @@
     /// A shard that was taken over at second 100, with this many machines. On each of the first `placed` machines a task
     /// of its own job is recorded, in attempt 3.
     pub fn new(machines: usize, placed: usize) -> ShardHarness {
-        let mut shard = Shard::new(0, CLAIM, s(100));
+        let mut shard = Shard::new(0, CLAIM_TOKEN, s(100));
         let size = Resources::rounded_down(8.0, 0.0, 32.0);
         for k in 0..machines {
             let record = MachineRecord {
--- a/crates/seamfront-testing/src/simulation/faults.rs
+++ b/crates/seamfront-testing/src/simulation/faults.rs
@@ -5,31 +5,31 @@
     Simulation, TaskKey, TaskState, Team,
 };
 
-/// A fault. Most faults end by themselves: at `until`, after `lasts`, or when a crashed controller restarts after
-/// `back`. A fault that names a claim affects the holder of the claim at that time.
+/// A fault. Most faults end by themselves: at `until`, after `duration`, or when a crashed controller restarts after
+/// `restart_after`. A fault that names a claim affects the holder of the claim at that time.
 #[derive(Clone, Debug)]
 pub enum Fault {
-    /// The processes end at once and restart after `back`.
+    /// The processes end at once and restart after `restart_after`.
     Crash {
         controllers: Vec<usize>,
-        back: Micros,
+        restart_after: Micros,
     },
     /// The store refuses all requests.
     StoreOutage { until: Micros },
     /// The store refuses all requests of one controller.
     RefuseController { controller: usize, until: Micros },
-    /// Cuts the controller off from the store. With `hold`, its requests are executed late, when the cut ends.
+    /// Cuts the controller off from the store. With `deliver_late`, its requests are executed late, when the cut ends.
     CutStore {
         controller: usize,
         until: Micros,
-        hold: bool,
+        deliver_late: bool,
     },
-    /// Cuts the controller off from all agents. With `hold`, heartbeats and their answers arrive late, when the cut
+    /// Cuts the controller off from all agents. With `deliver_late`, heartbeats and their answers arrive late, when the cut
     /// ends.
     CutAgents {
         controller: usize,
         until: Micros,
-        hold: bool,
+        deliver_late: bool,
     },
     /// Cuts the controller off from the other controllers. Half of the messages arrive late, when the cut ends.
     CutPeers { controller: usize, until: Micros },
@@ -44,13 +44,13 @@
     /// The machines are gone for good, without notice.
     KillMachines { count: usize },
     /// The agents do nothing and answer nothing; their tasks make no progress.
-    HangMachines { count: usize, lasts: Micros },
+    HangMachines { count: usize, duration: Micros },
     /// Cuts the machines off from all controllers.
-    CutMachines { count: usize, lasts: Micros },
+    CutMachines { count: usize, duration: Micros },
     /// The cloud announces that it preempts the machines, and does so 8 s later.
     PreemptionNotice { count: usize },
     /// Heartbeats of these machines arrive; answers and commands don't reach them.
-    LoseAnswers { count: usize, lasts: Micros },
+    LoseAnswers { count: usize, duration: Micros },
     /// A part of the heartbeats sent meanwhile is delivered a second time, 1 to 30 s later, to a random controller.
     DuplicateHeartbeats { until: Micros },
     /// The agents restart at once with a new incarnation, without the tasks that ran.
@@ -58,7 +58,7 @@
     /// A part of the transactions gets no answer and is executed 2 to 12 s later, possibly after newer ones.
     DelayWrites { until: Micros },
     /// Heartbeats of these machines are lost; commands reach them.
-    LoseHeartbeats { count: usize, lasts: Micros },
+    LoseHeartbeats { count: usize, duration: Micros },
     /// A part of the answers and commands to agents is delayed by up to 6 s.
     DelayAnswers { until: Micros },
     /// The controller is frozen while its clocks run on.
@@ -74,18 +74,24 @@
         until: Micros,
     },
     /// Crashes the holder of the claim.
-    CrashHolder { claim: &'static str, back: Micros },
+    CrashHolder {
+        claim: &'static str,
+        restart_after: Micros,
+    },
     /// The store refuses all requests of the claim's holder, and of nobody else.
     RefuseHolder { claim: &'static str, until: Micros },
     /// The claim's holder is cut off from the store and the other controllers, but not from agents and users.
     IsolateHolder { claim: &'static str, until: Micros },
-    /// Users cancel up to `count` running jobs at random controllers. If `hang` is not zero, up to two machines of each
-    /// job hang from then on until 150 ms and `hang` have passed.
-    CancelRunning { count: usize, hang: Micros },
+    /// Users cancel up to `count` running jobs at random controllers. If `hang_for` is not zero, up to two machines of each
+    /// job hang from then on until 150 ms and `hang_for` have passed.
+    CancelRunning { count: usize, hang_for: Micros },
     /// Users cancel, poll and resubmit every job within half a second of its last task's completion.
     CancelAtCompletion { until: Micros },
     /// The process is killed and restarted with the new version.
-    Upgrade { controller: usize, back: Micros },
+    Upgrade {
+        controller: usize,
+        restart_after: Micros,
+    },
     /// A part of the direct commands gets no answer and is carried out once, 2 to 16 s late.
     DelayCommands { until: Micros },
     /// A part of the transactions is executed at once, and only the answer is lost.
@@ -216,7 +222,10 @@
 
     pub(super) fn inject(&mut self, f: Fault) {
         match f {
-            Fault::Crash { controllers, back } => {
+            Fault::Crash {
+                controllers,
+                restart_after,
+            } => {
                 self.cover_crash();
                 for controller in controllers {
                     if self.controllers[controller].old_version
@@ -226,7 +235,7 @@
                     }
                     self.controllers[controller].engine = None;
                     self.controllers[controller].generation += 1;
-                    self.schedule_after(back, Event::StartController { controller });
+                    self.schedule_after(restart_after, Event::StartController { controller });
                 }
             }
             Fault::StoreOutage { until } => {
@@ -241,13 +250,13 @@
             Fault::CutStore {
                 controller,
                 until,
-                hold,
-            } => self.controllers[controller].store_cut = (until, hold),
+                deliver_late,
+            } => self.controllers[controller].store_cut = (until, deliver_late),
             Fault::CutAgents {
                 controller,
                 until,
-                hold,
-            } => self.controllers[controller].agents_cut = (until, hold),
+                deliver_late,
+            } => self.controllers[controller].agents_cut = (until, deliver_late),
             Fault::CutPeers { controller, until } => {
                 self.controllers[controller].peers_cut_until = until;
             }
@@ -273,20 +282,20 @@
                     self.ground_truth.machines.get_mut(&id).unwrap().dead = true;
                 }
             }
-            Fault::HangMachines { count, lasts } => {
-                let until = self.now + lasts;
+            Fault::HangMachines { count, duration } => {
+                let until = self.now + duration;
                 for id in self.random_machines(count) {
                     self.ground_truth.machines.get_mut(&id).unwrap().hung_until = until;
                 }
             }
-            Fault::CutMachines { count, lasts } => {
-                let until = self.now + lasts;
+            Fault::CutMachines { count, duration } => {
+                let until = self.now + duration;
                 for id in self.random_machines(count) {
                     self.machines_cut_until.insert(id, until);
                 }
             }
-            Fault::LoseAnswers { count, lasts } => {
-                let until = self.now + lasts;
+            Fault::LoseAnswers { count, duration } => {
+                let until = self.now + duration;
                 for id in self.random_machines(count) {
                     self.answers_lost_until.insert(id, until);
                 }
@@ -302,7 +311,10 @@
             }
             Fault::SlowStore { until } => self.slow_store_until = until,
             Fault::CancelAtCompletion { until } => self.cancel_at_completion_until = until,
-            Fault::Upgrade { controller, back } => {
+            Fault::Upgrade {
+                controller,
+                restart_after,
+            } => {
                 if self.controllers.iter().any(|n| !n.old_version)
                     && self.controllers[controller].old_version
                 {
@@ -310,7 +322,7 @@
                 }
                 self.inject(Fault::Crash {
                     controllers: vec![controller],
-                    back,
+                    restart_after,
                 });
                 self.controllers[controller].old_version = false;
             }
@@ -339,8 +351,8 @@
                 self.invalid_requests_until = until;
                 self.schedule_at(self.now, Event::InvalidRequest);
             }
-            Fault::LoseHeartbeats { count, lasts } => {
-                let until = self.now + lasts;
+            Fault::LoseHeartbeats { count, duration } => {
+                let until = self.now + duration;
                 for id in self.random_machines(count) {
                     self.heartbeats_lost_until.insert(id, until);
                 }
@@ -366,11 +378,14 @@
                     }
                 }
             }
-            Fault::CrashHolder { claim, back } => {
+            Fault::CrashHolder {
+                claim,
+                restart_after,
+            } => {
                 if let Some(controller) = self.holder(claim) {
                     self.inject(Fault::Crash {
                         controllers: vec![controller],
-                        back,
+                        restart_after,
                     });
                 }
             }
@@ -384,12 +399,12 @@
                     self.inject(Fault::CutStore {
                         controller,
                         until,
-                        hold: true,
+                        deliver_late: true,
                     });
                     self.inject(Fault::CutPeers { controller, until });
                 }
             }
-            Fault::CancelRunning { count, hang } => {
+            Fault::CancelRunning { count, hang_for } => {
                 let mut running: BTreeMap<JobId, Vec<MachineId>> = BTreeMap::new();
                 for (id, machine) in self
                     .ground_truth
@@ -408,10 +423,10 @@
                     for k in 0..4 {
                         self.schedule_after(ms(40 * k), Event::Cancel { job: job.clone() });
                     }
-                    for id in on.into_iter().filter(|_| hang > Micros::ZERO).take(2) {
+                    for id in on.into_iter().filter(|_| hang_for > Micros::ZERO).take(2) {
                         self.cover("a machine hung as its job was cancelled");
                         self.ground_truth.machines.get_mut(&id).unwrap().hung_until =
-                            self.now + ms(150) + hang;
+                            self.now + ms(150) + hang_for;
                     }
                 }
             }
--- a/crates/seamfront-testing/src/simulation/invariants.rs
+++ b/crates/seamfront-testing/src/simulation/invariants.rs
@@ -9,9 +9,9 @@
 impl Simulation {
     /// Accepted jobs that are not in the state they must reach long after the last fault: services run completely or
     /// are cancelled on request, all other jobs have ended.
-    pub fn unfinished(&self) -> Vec<String> {
+    pub fn unfinished_jobs(&self) -> Vec<String> {
         let mut unfinished = Vec::new();
-        for id in &self.accepted {
+        for id in &self.accepted_jobs {
             let spec = &self.ground_truth.jobs[id];
             let done = self
                 .ground_truth
@@ -51,14 +51,14 @@
     /// Groups of jobs that were not served as the operators ask. The groups are all classes, all teams, and the
     /// largest jobs of each class (at least three quarters of the class's largest size). At least half of each group
     /// must have started, and a largest job counts only if it started within four minutes.
-    pub fn not_served(&self) -> Vec<String> {
+    pub fn underserved_groups(&self) -> Vec<String> {
         let counted = |id: &&JobId| {
             let wanted = !self.cancel_requested.contains(*id)
                 && self.ground_truth.dependency_cancelled_at(id).is_none();
             wanted || self.ground_truth.first_started_at.contains_key(*id)
         };
         let mut groups: BTreeMap<String, (u32, u32)> = BTreeMap::new();
-        for id in self.accepted.iter().filter(counted) {
+        for id in self.accepted_jobs.iter().filter(counted) {
             let spec = &self.ground_truth.jobs[id];
             // The wait of a job with dependencies is counted from the end of the last of them.
             let ready = spec
@@ -74,7 +74,7 @@
                 .get(id)
                 .map(|t| *t - ready.max(self.submitted_at[id]));
             let largest = self
-                .accepted
+                .accepted_jobs
                 .iter()
                 .map(|j| &self.ground_truth.jobs[j])
                 .filter(|j| j.class == spec.class);
@@ -101,8 +101,8 @@
             .collect()
     }
 
-    pub fn accepted(&self) -> usize {
-        self.accepted.len()
+    pub fn accepted_jobs(&self) -> usize {
+        self.accepted_jobs.len()
     }
 
     pub(super) fn track_completions(&mut self) {
@@ -120,7 +120,7 @@
             self.completed_at.insert(job.clone(), self.now);
             self.poll_everywhere_if_enabled(&job);
             if self.now < self.cancel_at_completion_until
-                && self.accepted.contains(&job)
+                && self.accepted_jobs.contains(&job)
                 && !self.final_states.contains_key(&job)
             {
                 self.cover("a cancellation, a question and a submission met a job's end");
@@ -318,7 +318,7 @@
             !self.final_states.contains_key(*id) && self.now - last > ms(75_000)
         };
         let forgotten: Vec<String> = self
-            .accepted
+            .accepted_jobs
             .iter()
             .filter(forgotten)
             .map(|id| format!("forgotten: no request about {id} was answered for 75 s"))
@@ -357,7 +357,7 @@
         let wanted = |id: &&JobId| {
             !self.cancel_requested.contains(*id) && !self.final_states.contains_key(*id)
         };
-        for id in self.accepted.iter().filter(wanted) {
+        for id in self.accepted_jobs.iter().filter(wanted) {
             let spec = &self.ground_truth.jobs[id];
             if spec
                 .dependencies
--- a/crates/seamfront-testing/src/simulation/mod.rs
+++ b/crates/seamfront-testing/src/simulation/mod.rs
@@ -254,7 +254,7 @@
     pub ground_truth: GroundTruth,
     pending_requests: BTreeMap<(usize, u64, ClientRequestId), (PendingRequest, Micros)>,
     next_request_id: ClientRequestId,
-    accepted: BTreeSet<JobId>,
+    accepted_jobs: BTreeSet<JobId>,
     /// Final states of jobs, and when they were first reported to a user.
     final_states: BTreeMap<JobId, (JobState, Micros)>,
     cancel_requested: BTreeSet<JobId>,
@@ -282,9 +282,9 @@
     /// Largest value that the store accepts, in bytes.
     pub value_bytes: usize,
     /// Most changes in a transaction that the store accepts.
-    pub txn_ops: usize,
+    pub max_txn_changes: usize,
     /// Requests per second that the store accepts.
-    pub state_rps: i64,
+    pub store_rps: i64,
     /// Written keys per second that the store accepts.
     pub write_rps: i64,
     /// Each team's limit in CPUs, 0 for none.
@@ -307,8 +307,8 @@
     max_machines: 14,
     page: 7,
     value_bytes: 32 * 1024,
-    txn_ops: 48,
-    state_rps: 250,
+    max_txn_changes: 48,
+    store_rps: 250,
     write_rps: 100,
     limits: [24, 10, 16, 0, 0, 0, 0, 0, 0, 0],
     times: (2, 12, 30),
@@ -336,10 +336,10 @@
         gang_wait: ms(15_000),
         gang_loss_detection: ms(4_000),
         cancellation_time: ms(1_000 * scale.times.2),
-        store_rps: scale.state_rps,
+        store_rps: scale.store_rps,
         write_rps: scale.write_rps,
         value_bytes: scale.value_bytes,
-        max_txn_changes: scale.txn_ops,
+        max_txn_changes: scale.max_txn_changes,
         cloud_rps: 5,
         list_lag: ms(5_000),
         tuning: Tuning {
@@ -444,7 +444,7 @@
             events: BTreeMap::new(),
             next_event_id: 0,
             controllers: (0..scale.controllers).map(|_| controller()).collect(),
-            store: Store::with_limits(scale.page, scale.value_bytes, scale.txn_ops),
+            store: Store::with_limits(scale.page, scale.value_bytes, scale.max_txn_changes),
             store_outage_until: Micros::ZERO,
             cloud_outage_until: Micros::ZERO,
             slow_provisioning_until: Micros::ZERO,
@@ -480,7 +480,7 @@
             ground_truth,
             pending_requests: BTreeMap::new(),
             next_request_id: 0,
-            accepted: BTreeSet::new(),
+            accepted_jobs: BTreeSet::new(),
             final_states: BTreeMap::new(),
             cancel_requested: BTreeSet::new(),
             submitted_at: BTreeMap::new(),
@@ -697,7 +697,7 @@
                 if self.ground_truth.jobs[&job]
                     .dependencies
                     .iter()
-                    .any(|n| !self.accepted.contains(n))
+                    .any(|n| !self.accepted_jobs.contains(n))
                 {
                     // Users name only accepted jobs as dependencies.
                     return self.schedule_after(ms(500), Event::Submit { job });
@@ -714,7 +714,7 @@
                 self.send_request(PendingRequest::Poll { job }, |to| Command::Poll { to, id });
             }
             Event::Cancel { job } => {
-                if self.accepted.contains(&job) {
+                if self.accepted_jobs.contains(&job) {
                     let id = job.clone();
                     self.send_request(PendingRequest::Cancel { job }, |to| Command::Cancel {
                         to,
--- a/crates/seamfront-testing/src/simulation/network.rs
+++ b/crates/seamfront-testing/src/simulation/network.rs
@@ -25,10 +25,10 @@
         else {
             return;
         };
-        let (until, hold) = self.controllers[controller].agents_cut;
+        let (until, deliver_late) = self.controllers[controller].agents_cut;
         let mut d = self.network_delay();
         if until > self.now {
-            if !hold {
+            if !deliver_late {
                 return;
             }
             d = until - self.now + d;
@@ -161,10 +161,10 @@
         if heartbeats_lost {
             return;
         }
-        let (until, hold) = self.controllers[controller].agents_cut;
+        let (until, deliver_late) = self.controllers[controller].agents_cut;
         let mut d = self.network_delay();
         if until > self.now || self.unreachable(controller, &id) {
-            if !hold || self.unreachable(controller, &id) {
+            if !deliver_late || self.unreachable(controller, &id) {
                 return;
             }
             d = until - self.now + d;
--- a/crates/seamfront-testing/src/simulation/scenarios.rs
+++ b/crates/seamfront-testing/src/simulation/scenarios.rs
@@ -176,19 +176,19 @@
         simulation.ground_truth.tasks_started
     );
     assert!(
-        simulation.accepted() >= 35,
+        simulation.accepted_jobs() >= 35,
         "only {} jobs were accepted",
-        simulation.accepted()
+        simulation.accepted_jobs()
     );
-    let unfinished = simulation.unfinished();
+    let unfinished = simulation.unfinished_jobs();
     assert!(
         unfinished.is_empty(),
         "seed {seed}: unfinished at the end: {unfinished:#?}"
     );
-    let not_served = simulation.not_served();
+    let underserved_groups = simulation.underserved_groups();
     assert!(
-        not_served.is_empty(),
-        "seed {seed}: not served: {not_served:#?}"
+        underserved_groups.is_empty(),
+        "seed {seed}: not served: {underserved_groups:#?}"
     );
     simulation
 }
@@ -213,8 +213,8 @@
     for k in 0..4 {
         for _ in 0..2 {
             let at = 8_000 + 20_000 * k + simulation.draw(0..4_000);
-            let lasts = simulation.draw(2_000..24_000);
-            let until = ms((at + lasts).min(faults_end_ms));
+            let duration = simulation.draw(2_000..24_000);
+            let until = ms((at + duration).min(faults_end_ms));
             let (controller, claim) = (
                 simulation.draw(0..CONTROLLERS as i64) as usize,
                 ["leader", "share/0", "share/1", "share/2"][simulation.draw(0..4) as usize],
@@ -223,7 +223,7 @@
                 0 => Fault::DelayWrites { until },
                 1 => Fault::LoseHeartbeats {
                     count: 3,
-                    lasts: ms(lasts),
+                    duration: ms(duration),
                 },
                 2 => Fault::DelayAnswers { until },
                 3 => Fault::PauseController { controller, until },
@@ -236,13 +236,13 @@
                 },
                 7 => Fault::CrashHolder {
                     claim,
-                    back: ms(simulation.draw(50..6_000)),
+                    restart_after: ms(simulation.draw(50..6_000)),
                 },
                 8 => Fault::RefuseHolder { claim, until },
                 9 => Fault::IsolateHolder { claim, until },
                 10 => Fault::CancelRunning {
                     count: 4,
-                    hang: ms(lasts / 2),
+                    hang_for: ms(duration / 2),
                 },
                 11 => Fault::InvalidRequests { until },
                 12 => Fault::DuplicateHeartbeats {
@@ -250,12 +250,12 @@
                 },
                 13 => Fault::LoseAnswers {
                     count: 3,
-                    lasts: ms(lasts),
+                    duration: ms(duration),
                 },
                 14 => Fault::StoreOutage { until },
                 15 => Fault::HangMachines {
                     count: 3,
-                    lasts: ms(lasts),
+                    duration: ms(duration),
                 },
                 16 => Fault::RestartMachines { count: 2 },
                 18 => Fault::DelayCommands { until },
@@ -265,7 +265,7 @@
                 22 => Fault::PollEverywhere { until },
                 _ => Fault::Crash {
                     controllers: (0..CONTROLLERS).collect(),
-                    back: ms(simulation.draw(200..16_000)),
+                    restart_after: ms(simulation.draw(200..16_000)),
                 },
             };
             simulation.fault(ms(at), fault);
@@ -300,7 +300,7 @@
     }
 }
 
-pub fn count(coverage: &Coverage, what: &str) -> u32 {
+pub fn coverage_count(coverage: &Coverage, what: &str) -> u32 {
     coverage.get(what).copied().unwrap_or(0)
 }
 
@@ -333,11 +333,21 @@
     for k in 0..4 {
         let at = 15_000 + 25_000 * k + simulation.draw(0..8_000);
         let claim = ["leader", "share/0", "share/1", "share/2"][simulation.draw(0..4) as usize];
-        let back = ms(simulation.draw(100..5_500));
-        simulation.fault(ms(at), Fault::CrashHolder { claim, back });
+        let restart_after = ms(simulation.draw(100..5_500));
+        simulation.fault(
+            ms(at),
+            Fault::CrashHolder {
+                claim,
+                restart_after,
+            },
+        );
     }
     simulation.run_until(ms(last + 240_000));
-    assert_eq!(simulation.unfinished(), Vec::<String>::new(), "seed {seed}");
+    assert_eq!(
+        simulation.unfinished_jobs(),
+        Vec::<String>::new(),
+        "seed {seed}"
+    );
     simulation
 }
 
@@ -368,22 +378,32 @@
     }
     for k in 0..5 {
         let at = 11_000 + 13_000 * k;
-        let (hang, lasts) = (
+        let (hang_for, duration) = (
             ms(simulation.draw(4_000..9_000)),
             ms(simulation.draw(5_000..14_000)),
         );
-        simulation.fault(ms(at - 300), Fault::CutMachines { count: 2, lasts });
-        simulation.fault(ms(at), Fault::CancelRunning { count: 3, hang });
+        simulation.fault(ms(at - 300), Fault::CutMachines { count: 2, duration });
+        simulation.fault(ms(at), Fault::CancelRunning { count: 3, hang_for });
         let claim = if k % 2 == 0 {
             "leader"
         } else {
             ["share/0", "share/1", "share/2"][simulation.draw(0..3) as usize]
         };
-        let back = ms(simulation.draw(200..5_500));
+        let restart_after = ms(simulation.draw(200..5_500));
         let later = simulation.draw(1_500..3_500);
-        simulation.fault(ms(at + later), Fault::CrashHolder { claim, back });
+        simulation.fault(
+            ms(at + later),
+            Fault::CrashHolder {
+                claim,
+                restart_after,
+            },
+        );
     }
     simulation.run_until(ms(320_000));
-    assert_eq!(simulation.unfinished(), Vec::<String>::new(), "seed {seed}");
+    assert_eq!(
+        simulation.unfinished_jobs(),
+        Vec::<String>::new(),
+        "seed {seed}"
+    );
     simulation
 }
--- a/crates/seamfront-testing/src/simulation/store_requests.rs
+++ b/crates/seamfront-testing/src/simulation/store_requests.rs
@@ -213,7 +213,7 @@
         let passed = (self.now - at).0;
         let fill = |have: i64, rate: i64| (have + rate * passed / 1_000).min(rate * 1_000);
         let (requests, writes) = (
-            fill(requests, self.scale.state_rps),
+            fill(requests, self.scale.store_rps),
             fill(writes, self.scale.write_rps),
         );
         let cost = if let StoreRequest::CompareAndSwap { writes, .. } = request {
--- a/crates/seamfront-testing/src/simulation/users.rs
+++ b/crates/seamfront-testing/src/simulation/users.rs
@@ -88,7 +88,7 @@
 
     /// While `Fault::PollEverywhere` is active, users poll all controllers three times within milliseconds.
     pub(super) fn poll_everywhere_if_enabled(&mut self, job: &JobId) {
-        if self.now >= self.poll_everywhere_until || !self.accepted.contains(job) {
+        if self.now >= self.poll_everywhere_until || !self.accepted_jobs.contains(job) {
             return;
         }
         self.cover("users asked at all controllers within milliseconds");
@@ -127,7 +127,7 @@
         self.schedule_after(ms(POLL_STORM_STEP_MS), Event::PollStormStep);
         let up = self.running_controllers();
         let open: Vec<JobId> = self
-            .accepted
+            .accepted_jobs
             .iter()
             .filter(|j| !self.final_states.contains_key(*j))
             .cloned()
@@ -156,7 +156,7 @@
             return;
         }
         self.schedule_after(ms(700), Event::InvalidRequest);
-        let known: Vec<JobId> = self.accepted.iter().cloned().collect();
+        let known: Vec<JobId> = self.accepted_jobs.iter().cloned().collect();
         if known.is_empty() {
             return;
         }
@@ -208,18 +208,18 @@
             PendingRequest::Heartbeat { .. } => return,
         };
         let mut violations = Vec::new();
-        if self.accepted.contains(&job) && !matches!(answer, Answer::RetryLater { .. }) {
+        if self.accepted_jobs.contains(&job) && !matches!(answer, Answer::RetryLater { .. }) {
             self.last_answered.insert(job.clone(), self.now);
         }
         match answer {
             Answer::Status { state, .. } => {
                 if submit {
-                    if self.accepted.insert(job.clone()) {
+                    if self.accepted_jobs.insert(job.clone()) {
                         self.last_answered.insert(job.clone(), self.now);
                         self.poll_everywhere_if_enabled(&job);
                         self.schedule_after(ms(3_000), Event::Poll { job: job.clone() });
                     }
-                } else if !self.accepted.contains(&job) {
+                } else if !self.accepted_jobs.contains(&job) {
                     violations.push(format!("invented: {job} was never accepted"));
                 }
                 if let Some((old, since)) = self.final_states.get(&job) {
@@ -298,7 +298,7 @@
                     _ => {}
                 }
             }
-            Answer::NotFound | Answer::Rejected(_) if self.accepted.contains(&job) => {
+            Answer::NotFound | Answer::Rejected(_) if self.accepted_jobs.contains(&job) => {
                 violations.push(format!(
                     "forgotten: {job} was accepted and is now unknown or rejected"
                 ));
--- a/crates/seamfront/examples/measure_duties/main.rs
+++ b/crates/seamfront/examples/measure_duties/main.rs
@@ -114,7 +114,7 @@
         simulation.now,
         Fault::Crash {
             controllers: vec![holder],
-            back: ms(FAULT_MS),
+            restart_after: ms(FAULT_MS),
         },
     );
     while simulation.now < crashed_at + ms(GAP_MAX_MS) {
