--- a/crates/seamfront-core/src/boot_times.rs
+++ b/crates/seamfront-core/src/boot_times.rs
@@ -25,7 +25,7 @@
 /// A machine that was provisioned and is not yet known to be up.
 #[derive(Clone, Debug)]
 struct Booting {
-    kind: String,
+    machine_type: String,
     provisioned_at: Micros,
 }
 
@@ -38,9 +38,9 @@
 
 impl BootTimes {
     /// Records that a machine was provisioned, unless it is known already.
-    pub fn provisioned(&mut self, id: MachineId, kind: &str, now: Micros) {
+    pub fn provisioned(&mut self, id: MachineId, machine_type: &str, now: Micros) {
         self.booting.entry(id).or_insert_with(|| Booting {
-            kind: kind.to_owned(),
+            machine_type: machine_type.to_owned(),
             provisioned_at: now,
         });
     }
@@ -52,7 +52,7 @@
             if !up(id) {
                 return true;
             }
-            let observed = kinds.entry(booting.kind.clone()).or_default();
+            let observed = kinds.entry(booting.machine_type.clone()).or_default();
             observed.latest_provisioned = observed.latest_provisioned.max(booting.provisioned_at);
             observed.recent.push_back(now - booting.provisioned_at);
             if observed.recent.len() > RECENT_BOOTS {
@@ -68,16 +68,22 @@
     }
 
     /// The boot time that seven in eight of the recent boots did not exceed: the slowest few are outliers.
-    fn slow_boot_time(&self, kind: &str) -> Option<Micros> {
-        let mut recent: Vec<Micros> = self.kinds.get(kind)?.recent.iter().copied().collect();
+    fn slow_boot_time(&self, machine_type: &str) -> Option<Micros> {
+        let mut recent: Vec<Micros> = self
+            .kinds
+            .get(machine_type)?
+            .recent
+            .iter()
+            .copied()
+            .collect();
         recent.sort_unstable();
         recent.get(recent.len().saturating_sub(1) * 7 / 8).copied()
     }
 
     /// The time after which a booting machine is late, so that plans no longer count on it. It is never less than one
     /// and a half times the usual boot time, since a period of fast boots may end at any time.
-    pub fn late_after(&self, kind: &str, usual: Micros) -> Micros {
-        match self.slow_boot_time(kind) {
+    pub fn late_after(&self, machine_type: &str, usual: Micros) -> Micros {
+        match self.slow_boot_time(machine_type) {
             Some(slow) => slow.max(usual).times(3).divided_by(2) + BOOT_TIME_MARGIN,
             None => usual.times(2) + BOOT_TIME_MARGIN.times(2),
         }
@@ -90,8 +96,8 @@
             return false;
         };
         let (Some(slow), Some(observed)) = (
-            self.slow_boot_time(&booting.kind),
-            self.kinds.get(&booting.kind),
+            self.slow_boot_time(&booting.machine_type),
+            self.kinds.get(&booting.machine_type),
         ) else {
             return false;
         };
--- a/crates/seamfront-core/src/capacity/demand.rs
+++ b/crates/seamfront-core/src/capacity/demand.rs
@@ -45,14 +45,14 @@
     }
 
     /// Whether machines of this type and zone may serve the request.
-    pub(super) fn allows(&self, kind: &str, zone: &str, spot: bool) -> bool {
+    pub(super) fn allows(&self, machine_type: &str, zone: &str, spot: bool) -> bool {
         (self.request.spot || !spot)
             && self.zone.is_none_or(|required| required == zone)
             && self
                 .request
                 .types
                 .as_ref()
-                .is_none_or(|types| types.iter().any(|t| t == kind))
+                .is_none_or(|types| types.iter().any(|t| t == machine_type))
     }
 
     /// Whether the type and the zone of a machine allow it to serve the request.
--- a/crates/seamfront-core/src/capacity/mod.rs
+++ b/crates/seamfront-core/src/capacity/mod.rs
@@ -180,10 +180,10 @@
 }
 
 /// Price per hour of a machine of this type, in thousandths of the currency unit. Zero if the type is unknown.
-pub fn hourly_price(types: &[MachineType], kind: &str, spot: bool) -> i64 {
+pub fn hourly_price(types: &[MachineType], machine_type: &str, spot: bool) -> i64 {
     types
         .iter()
-        .find(|t| t.name == kind)
+        .find(|t| t.name == machine_type)
         .map_or(0, |t| t.hourly_price(spot))
 }
 
--- a/crates/seamfront-core/src/capacity/planner.rs
+++ b/crates/seamfront-core/src/capacity/planner.rs
@@ -36,7 +36,7 @@
 /// A machine that is about to join a shard, or is booting in it.
 struct IncomingMachine<'a> {
     shard: usize,
-    kind: &'a str,
+    machine_type: &'a str,
     zone: &'a str,
     spot: bool,
     /// Resources that no request has been given yet.
@@ -136,7 +136,7 @@
             for _ in 0..record.count {
                 self.incoming.push(IncomingMachine {
                     shard: record.shard,
-                    kind: &record.machine_type,
+                    machine_type: &record.machine_type,
                     zone: &record.zone,
                     spot: record.spot,
                     free: machine_type.size,
@@ -152,7 +152,7 @@
         let record = machine.record;
         let incoming = |shard: usize| IncomingMachine {
             shard,
-            kind: record.machine_type.as_str(),
+            machine_type: record.machine_type.as_str(),
             zone: record.zone.as_str(),
             spot: record.spot,
             free: machine.size,
@@ -284,7 +284,7 @@
                 demand.accelerators_allowed(incoming.free, self.snapshot.types);
             if demand.unplaced > 0
                 && accelerators_allowed
-                && demand.allows(incoming.kind, incoming.zone, incoming.spot)
+                && demand.allows(incoming.machine_type, incoming.zone, incoming.spot)
             {
                 let placed = demand.place(incoming.free);
                 incoming
--- a/crates/seamfront-core/src/capacity/provisioning.rs
+++ b/crates/seamfront-core/src/capacity/provisioning.rs
@@ -104,9 +104,9 @@
 
 impl ClusterSnapshot<'_> {
     /// Whether the cloud has recently refused to provision such a machine.
-    fn recently_refused(&self, kind: &str, zone: &str, spot: bool) -> bool {
+    fn recently_refused(&self, machine_type: &str, zone: &str, spot: bool) -> bool {
         let offer = Offer {
-            machine_type: kind.to_owned(),
+            machine_type: machine_type.to_owned(),
             zone: zone.to_owned(),
             spot,
         };
--- a/crates/seamfront-core/src/engine/machines.rs
+++ b/crates/seamfront-core/src/engine/machines.rs
@@ -22,8 +22,8 @@
 
 impl Engine {
     /// Resources of a machine of this type.
-    pub(super) fn machine_type_size(&self, kind: &str) -> Resources {
-        self.machine_types.size_of(kind)
+    pub(super) fn machine_type_size(&self, machine_type: &str) -> Resources {
+        self.machine_types.size_of(machine_type)
     }
 
     /// Updates the machine types that the cloud API offers.
--- a/crates/seamfront-core/src/leader/adoption.rs
+++ b/crates/seamfront-core/src/leader/adoption.rs
@@ -86,7 +86,7 @@
                 continue;
             }
             let offer = Offer {
-                machine_type: machine.kind.clone(),
+                machine_type: machine.machine_type.clone(),
                 zone: machine.zone.clone(),
                 spot: machine.spot,
             };
@@ -94,7 +94,7 @@
                 .filter(|_| machine.state != ListedState::Failed);
             let record = MachineRecord {
                 shard,
-                machine_type: machine.kind.clone(),
+                machine_type: machine.machine_type.clone(),
                 zone: machine.zone.clone(),
                 spot: machine.spot,
             };
--- a/crates/seamfront-core/src/leader/context.rs
+++ b/crates/seamfront-core/src/leader/context.rs
@@ -50,10 +50,10 @@
     }
 
     /// All resources of a machine of this type; zero for an unknown type.
-    pub(super) fn machine_size(&self, kind: &str) -> Resources {
+    pub(super) fn machine_size(&self, machine_type: &str) -> Resources {
         self.machine_types
             .iter()
-            .find(|machine_type| machine_type.name == kind)
+            .find(|t| t.name == machine_type)
             .map(|machine_type| machine_type.size)
             .unwrap_or_default()
     }
--- a/crates/seamfront-core/src/leader/provisioning_state.rs
+++ b/crates/seamfront-core/src/leader/provisioning_state.rs
@@ -86,7 +86,7 @@
         let young_enough = requested_at
             .is_some_and(|requested_at| machine.age <= now - requested_at + LISTED_AGE_SLACK);
         young_enough
-            && machine.kind == record.machine_type
+            && machine.machine_type == record.machine_type
             && machine.zone == record.zone
             && machine.spot == record.spot
     }
@@ -94,7 +94,7 @@
     pub(super) fn cloud_request(&self, name: &str) -> CloudRequest {
         CloudRequest::Provision {
             name: name.to_owned(),
-            kind: self.record.machine_type.clone(),
+            machine_type: self.record.machine_type.clone(),
             zone: self.record.zone.clone(),
             spot: self.record.spot,
             count: self.record.count,
--- a/crates/seamfront-core/src/port/cloud.rs
+++ b/crates/seamfront-core/src/port/cloud.rs
@@ -12,7 +12,7 @@
         /// Name of the request, its idempotency key.
         name: String,
         /// Machine type.
-        kind: String,
+        machine_type: String,
         /// Zone.
         zone: String,
         /// Whether to provision spot machines.
@@ -71,7 +71,7 @@
     /// Name.
     pub id: MachineId,
     /// Machine type.
-    pub kind: String,
+    pub machine_type: String,
     /// Zone.
     pub zone: String,
     /// Whether it is a spot machine.
--- a/crates/seamfront-core/src/shard/heartbeats.rs
+++ b/crates/seamfront-core/src/shard/heartbeats.rs
@@ -283,9 +283,9 @@
 }
 
 /// Size of the image cache of machines of a type; 0 if the type is not known.
-fn image_cache_mb(types: &[MachineType], kind: &str) -> i64 {
+fn image_cache_mb(types: &[MachineType], machine_type: &str) -> i64 {
     types
         .iter()
-        .find(|t| t.name == kind)
+        .find(|t| t.name == machine_type)
         .map_or(0, |t| t.cache_mb)
 }
--- a/crates/seamfront-core/src/types/job_spec.rs
+++ b/crates/seamfront-core/src/types/job_spec.rs
@@ -103,12 +103,12 @@
     }
 
     /// Whether its constraints allow a machine of this type, in this zone, spot or not.
-    pub fn allows(&self, kind: &str, zone: &str, spot: bool) -> bool {
+    pub fn allows(&self, machine_type: &str, zone: &str, spot: bool) -> bool {
         (self.spot || !spot)
             && self.zone.as_deref().is_none_or(|z| z == zone)
             && self
                 .types
                 .as_ref()
-                .is_none_or(|t| t.iter().any(|x| x == kind))
+                .is_none_or(|t| t.iter().any(|x| x == machine_type))
     }
 }
--- a/crates/seamfront-core/tests/forms.rs
+++ b/crates/seamfront-core/tests/forms.rs
@@ -514,7 +514,7 @@
                     CloudRequest::ListMachines { .. } => {
                         let listed = |id: &MachineId| ListedMachine {
                             id: id.clone(),
-                            kind: "m".into(),
+                            machine_type: "m".into(),
                             zone: "z".into(),
                             spot: true,
                             state: ListedState::Running,
@@ -827,7 +827,7 @@
     assert_eq!(cluster.poll("j-7"), Answer::NotFound);
     let provision = CloudRequest::Provision {
         name: "r-1-1".into(),
-        kind: "m".into(),
+        machine_type: "m".into(),
         zone: "z".into(),
         spot: true,
         count: 2,
--- a/crates/seamfront-core/tests/reconciliation.rs
+++ b/crates/seamfront-core/tests/reconciliation.rs
@@ -179,7 +179,7 @@
         for outcome in outcomes {
             for w in &writes {
                 harness.with(s(142), |shard, context| {
-                    shard.apply_write_outcome(context, w, outcome)
+                    shard.apply_write_outcome(context, w, outcome);
                 });
             }
             if let Done(version) = outcome {
@@ -360,7 +360,7 @@
 
     fn with_entries(entries: Vec<Write>) -> SingleController {
         let mut store = Store::with_page_size(100);
-        let kind = MachineType {
+        let machine_type = MachineType {
             name: "m".into(),
             size: Resources::rounded_down(8.0, 0.0, 32.0),
             cache_mb: 1_000,
@@ -373,7 +373,7 @@
         let mut writes = vec![
             put(&machine_key(&"i-0".into()), machine_record(Some(0))),
             put(&machine_key(&"i-1".into()), machine_record(Some(0))),
-            put("types", vec![kind]),
+            put("types", vec![machine_type]),
         ];
         writes.extend(entries);
         store.execute(
--- a/crates/seamfront-testing/src/simulation/cloud.rs
+++ b/crates/seamfront-testing/src/simulation/cloud.rs
@@ -42,7 +42,7 @@
             CloudRequest::MachineTypes => CloudReply::MachineTypes(machine_types()),
             CloudRequest::Provision {
                 name,
-                kind,
+                machine_type,
                 zone,
                 spot,
                 count,
@@ -69,7 +69,7 @@
                         };
                         let boot = ms(self.rng.random_range(500..slowest));
                         let boot = self.boot_time(boot);
-                        ids.push(self.provision(&kind, &zone, spot, boot));
+                        ids.push(self.provision(&machine_type, &zone, spot, boot));
                     }
                     self.provisioned.insert(name, ids.clone());
                     CloudReply::Provisioned(ids)
@@ -115,7 +115,7 @@
                     })
                     .map(|(id, machine)| ListedMachine {
                         id: id.clone(),
-                        kind: machine.kind.clone(),
+                        machine_type: machine.kind.clone(),
                         zone: machine.zone.clone(),
                         spot: machine.spot,
                         state: if machine.up_at > self.now {
--- a/crates/seamfront-testing/src/simulation/faults.rs
+++ b/crates/seamfront-testing/src/simulation/faults.rs
@@ -24,8 +24,8 @@
         until: Micros,
         deliver_late: bool,
     },
-    /// Cuts the controller off from all agents. With `deliver_late`, heartbeats and their answers arrive late, when the cut
-    /// ends.
+    /// Cuts the controller off from all agents. With `deliver_late`, heartbeats and their answers arrive late, when the
+    /// cut ends.
     CutAgents {
         controller: usize,
         until: Micros,
@@ -82,8 +82,8 @@
     RefuseHolder { claim: &'static str, until: Micros },
     /// The claim's holder is cut off from the store and the other controllers, but not from agents and users.
     IsolateHolder { claim: &'static str, until: Micros },
-    /// Users cancel up to `count` running jobs at random controllers. If `hang_for` is not zero, up to two machines of each
-    /// job hang from then on until 150 ms and `hang_for` have passed.
+    /// Users cancel up to `count` running jobs at random controllers. If `hang_for` is not zero, up to two machines of
+    /// each job hang from then on until 150 ms and `hang_for` have passed.
     CancelRunning { count: usize, hang_for: Micros },
     /// Users cancel, poll and resubmit every job within half a second of its last task's completion.
     CancelAtCompletion { until: Micros },
--- a/crates/seamfront-testing/src/simulation/mod.rs
+++ b/crates/seamfront-testing/src/simulation/mod.rs
@@ -521,17 +521,17 @@
         self.now < self.faults_end && self.rng.random_range(0..30) == 0
     }
 
-    fn provision(&mut self, kind: &str, zone: &str, spot: bool, boot: Micros) -> MachineId {
+    fn provision(&mut self, machine_type: &str, zone: &str, spot: bool, boot: Micros) -> MachineId {
         let id: MachineId = format!("m-{:04}", self.machines_created).as_str().into();
         self.machines_created += 1;
         let size = machine_types()
             .into_iter()
-            .find(|t| t.name == kind)
+            .find(|t| t.name == machine_type)
             .unwrap()
             .size;
         let up_at = self.now + boot;
         let machine = Machine {
-            kind: kind.into(),
+            kind: machine_type.into(),
             zone: zone.into(),
             spot,
             size,
--- a/crates/seamfront-testing/src/simulation/recording.rs
+++ b/crates/seamfront-testing/src/simulation/recording.rs
@@ -161,12 +161,15 @@
         CloudRequest::MachineTypes => "GET /machine_types".to_owned(),
         CloudRequest::Provision {
             name,
-            kind,
+            machine_type,
             zone,
             spot,
             count,
         } => {
-            format!("POST /hosts {}", json!([name, kind, zone, spot, count]))
+            format!(
+                "POST /hosts {}",
+                json!([name, machine_type, zone, spot, count])
+            )
         }
         CloudRequest::Terminate { machines } => {
             let names: Vec<&str> = machines
--- a/crates/seamfront/examples/duty_holder/main.rs
+++ b/crates/seamfront/examples/duty_holder/main.rs
@@ -83,10 +83,10 @@
 impl HttpCloud {
     async fn provision(&self, duty: &str, operation: &Operation, count: usize) -> Outcome {
         let name = fleet_reconciler::provisioning_request_name(duty, operation.name);
-        let (kind, zone) = ("small".to_owned(), "a".to_owned());
+        let (machine_type, zone) = ("small".to_owned(), "a".to_owned());
         let request = CloudRequest::Provision {
             name,
-            kind,
+            machine_type,
             zone,
             spot: false,
             count: count as u32,
--- a/crates/seamfront/src/cloud_client.rs
+++ b/crates/seamfront/src/cloud_client.rs
@@ -123,7 +123,7 @@
     };
     Some(ListedMachine {
         id: m.id.as_str().into(),
-        kind: m.kind,
+        machine_type: m.kind,
         zone: m.zone,
         spot: m.spot,
         state,
@@ -162,7 +162,7 @@
             CloudRequest::MachineTypes => CloudCall::get("/machine_types"),
             CloudRequest::Provision {
                 name,
-                kind,
+                machine_type,
                 zone,
                 spot,
                 count,
@@ -171,7 +171,7 @@
                     count: *count,
                     spot: *spot,
                     name,
-                    kind,
+                    kind: machine_type,
                     zone,
                 };
                 CloudCall::post("/hosts", &order)
--- a/crates/seamfront/tests/forms.rs
+++ b/crates/seamfront/tests/forms.rs
@@ -592,7 +592,7 @@
             let shown = |m: &ListedMachine| {
                 format!(
                     "{} {} {} {} {:?} {}",
-                    m.id, m.kind, m.zone, m.spot, m.state, m.age.0
+                    m.id, m.machine_type, m.zone, m.spot, m.state, m.age.0
                 )
             };
             format!(
@@ -633,7 +633,7 @@
 
     let rent = CloudRequest::Provision {
         name: "r-41-2".into(),
-        kind: "g4".into(),
+        machine_type: "g4".into(),
         zone: "b".into(),
         spot: true,
         count: 12,
