--- a/crates/seamfront-core/src/capacity/provisioning.rs
+++ b/crates/seamfront-core/src/capacity/provisioning.rs
@@ -104,9 +104,9 @@
 
 impl ClusterSnapshot<'_> {
     /// Whether the cloud has recently refused to provision such a machine.
-    fn recently_refused(&self, kind: &str, zone: &str, spot: bool) -> bool {
+    fn recently_refused(&self, machine_type: &str, zone: &str, spot: bool) -> bool {
         let offer = Offer {
-            machine_type: kind.to_owned(),
+            machine_type: machine_type.to_owned(),
             zone: zone.to_owned(),
             spot,
         };
@@ -223,7 +223,7 @@
             .map(|t| t.price)
             .min();
         if lowest_price.is_some_and(|price| is_cheap(types, price)) {
-            return time.over(2);
+            return time.divided_by(2);
         }
         time
     }
--- a/crates/seamfront-core/src/scheduling/admission.rs
+++ b/crates/seamfront-core/src/scheduling/admission.rs
@@ -210,8 +210,8 @@
             passes.push(Some(idle_timeout));
         }
         let mut rest = missing;
-        for accelerator_idle_keep in passes {
-            placement.accelerator_idle_keep = accelerator_idle_keep;
+        for accelerator_idle_timeout in passes {
+            placement.accelerator_idle_timeout = accelerator_idle_timeout;
             rest -= cycle.assign(
                 &placement,
                 &self.machines,
@@ -248,7 +248,7 @@
             return 0;
         };
         let preemption_time =
-            context.settings.heartbeat_interval.times(5).over(4) + PREEMPTION_MARGIN;
+            context.settings.heartbeat_interval.times(5).divided_by(4) + PREEMPTION_MARGIN;
         if !is_live_service(&job.spec) || job.spec.min_fetch_time(context.types) <= preemption_time
         {
             return 0;
--- a/crates/seamfront/tests/forms.rs
+++ b/crates/seamfront/tests/forms.rs
@@ -424,7 +424,7 @@
             let events: Vec<String> = events.into_iter().map(shown).collect();
             format!("changes {} to {revision}", events.join(", "))
         }
-        StoreReply::TooOld => "too old".to_owned(),
+        StoreReply::Compacted => "too old".to_owned(),
         StoreReply::NoSuchLease => "no such lease".to_owned(),
         StoreReply::Refused => "refused".to_owned(),
         StoreReply::Unknown => "unknown".to_owned(),
@@ -601,7 +601,7 @@
             let shown = |m: &ListedMachine| {
                 format!(
                     "{} {} {} {} {:?} {}",
-                    m.id, m.kind, m.zone, m.spot, m.state, m.age.0
+                    m.id, m.machine_type, m.zone, m.spot, m.state, m.age.0
                 )
             };
             format!(
@@ -642,7 +642,7 @@
 
     let provision = CloudRequest::Provision {
         name: "r-41-2".into(),
-        kind: "g4".into(),
+        machine_type: "g4".into(),
         zone: "b".into(),
         spot: true,
         count: 12,
