--- a/crates/seamfront/tests/documentation.rs
+++ b/crates/seamfront/tests/documentation.rs
@@ -1,6 +1,8 @@
 //! Checks that the modules, functions, files and log lines named in the documentation exist in the repository.
 
-use std::collections::BTreeSet;
+mod sources;
+
+use sources::{collect_rust_files, words};
 use std::fs;
 use std::path::{Path, PathBuf};
 
@@ -14,17 +16,6 @@
     fs::read_to_string(&path).unwrap_or_else(|e| panic!("{}: {e}", path.display()))
 }
 
-fn collect_rust_files(folder: &Path, found: &mut Vec<PathBuf>) {
-    for entry in fs::read_dir(folder).unwrap() {
-        let path = entry.unwrap().path();
-        if path.is_dir() && path.file_name().is_some_and(|name| name != "target") {
-            collect_rust_files(&path, found);
-        } else if path.extension().is_some_and(|extension| extension == "rs") {
-            found.push(path);
-        }
-    }
-}
-
 /// The concatenated text of all Rust files below `src` folders, which excludes integration tests.
 fn sources() -> String {
     let mut files = Vec::new();
@@ -63,11 +54,6 @@
     span.contains("::") && span.split("::").all(segment)
 }
 
-fn words(text: &str) -> BTreeSet<&str> {
-    text.split(|c: char| !c.is_ascii_alphanumeric() && c != '_')
-        .collect()
-}
-
 /// Whether the sources contain what a search term stands for: a message (`some text`), a field (`field=`,
 /// `field=value`) or the text of a `why` field (`why=some text`).
 fn is_logged(line: &str, sources: &str) -> bool {
--- a/crates/seamfront/tests/external_names.rs
+++ b/crates/seamfront/tests/external_names.rs
@@ -1,7 +1,10 @@
 //! Every name that leaves the process stands in the sources as a name or a literal. A rename that changes a wire form, a
 //! stored record, a setting, a flag, a searched log line or the id of a simulated run fails here.
 
-use std::collections::{BTreeMap, BTreeSet};
+mod sources;
+
+use sources::{collect_rust_files, words};
+use std::collections::BTreeMap;
 use std::fs;
 use std::path::{Path, PathBuf};
 
@@ -9,17 +12,6 @@
     Path::new(env!("CARGO_MANIFEST_DIR")).join("..")
 }
 
-fn collect_rust_files(folder: &Path, found: &mut Vec<PathBuf>) {
-    for entry in fs::read_dir(folder).expect("a readable folder") {
-        let path = entry.expect("a readable entry").path();
-        if path.is_dir() && path.file_name().is_some_and(|name| name != "target") {
-            collect_rust_files(&path, found);
-        } else if path.extension().is_some_and(|extension| extension == "rs") {
-            found.push(path);
-        }
-    }
-}
-
 /// The code of all files below folders of these names, without the lines that are comments.
 fn code_in(folders: &[&str]) -> String {
     let mut files = Vec::new();
@@ -46,11 +38,6 @@
     code
 }
 
-fn words(code: &str) -> BTreeSet<&str> {
-    code.split(|c: char| !c.is_ascii_alphanumeric() && c != '_')
-        .collect()
-}
-
 /// The names of each section, by the first word of its heading.
 fn sections(text: &str) -> BTreeMap<&str, Vec<&str>> {
     let mut sections = BTreeMap::new();
